--- a/cottonspread/net/lines.py
+++ b/cottonspread/net/lines.py
@@ -1,4 +1,7 @@
-"""The protocol's lines: gathered from a socket, parsed, written. Its own words stay in this file."""
+"""The line protocol spoken with clients and hosts: reading lines from a socket, parsing and formatting them.
+
+The protocol's keywords are defined in this file only.
+"""
 
 import contextlib
 import re
@@ -18,16 +21,17 @@
 
 
 SO_TIMESTAMPNS, STAMP, STAMP_ROOM = 35, struct.Struct("qq"), 64
-OLDEST = 20_000_000  # microseconds; what seems to have lain longer was stamped before the clock was set
+OLDEST = 20_000_000  # microseconds; a larger age means that the wall clock was set after the kernel's stamp
 
 
 class LineError(ValueError):
-    """What came is no line of the protocol; its text is the reason code."""
+    """The input is not a valid line of the protocol. The exception's text is the reason code."""
 
 
 def age(stamps):
-    """How many microseconds ago the kernel got what was just read; 0 where it
-    does not tell or the wall clock was set.
+    """How many microseconds ago the kernel received the data that was just read.
+
+    `stamps`: the ancillary data of `recvmsg`. 0 if the kernel gives no time stamp or the wall clock was set.
     """
     for level, kind, value in stamps:
         if (level, kind) == (socket.SOL_SOCKET, SO_TIMESTAMPNS):
@@ -38,14 +42,14 @@
 
 
 class SocketReleasedError(Exception):
-    """The socket is another process's now."""
+    """The socket now belongs to another process."""
 
 
 class Gatherer:
-    """Whole lines from a socket.
+    """Reads complete lines from a blocking socket.
 
-    Holds a buffer only while there is something in it. While it holds none it only peeks, and then its socket
-    can be let go: nothing that came is lost to whoever reads there next.
+    It takes a buffer from the pool only while it holds part of a line. Without a buffer it only peeks at the
+    socket, so the socket can be handed to another process then without losing input.
     """
 
     def __init__(self, sock, pool, half_line_wait):
@@ -54,9 +58,11 @@
         self.lock, self.idle, self.gone = threading.Lock(), False, False
 
     def lines(self):
-        """All whole lines that are there, at least one, as they came; b"" at the end of the connection.
+        """Blocks until at least one complete line has arrived; returns all complete lines, unchanged.
 
-        SocketReleasedError: see `let_go`.
+        Returns b"" at the end of the connection. Raises SocketReleasedError after `let_go`.
+        Raises LineError if a line is longer than the buffer, stays incomplete for too long or is cut off by
+        the end of the connection.
         """
         while True:
             try:
@@ -68,7 +74,7 @@
                     [memoryview(self.buffer)[self.filled :]], STAMP_ROOM
                 )
                 self.age = age(stamps)
-            except BlockingIOError:  # the socket's own time-out has passed
+            except BlockingIOError:  # SO_RCVTIMEO has expired
                 if self.buffer is None or time.monotonic() - self.since < self.wait:
                     continue
                 raise LineError("half-line") from None
@@ -89,7 +95,7 @@
                 raise LineError("long-line")
 
     def peek(self):
-        """Wait until there is something. b"": the end."""
+        """Blocks until there is input; returns b"" at the end of the connection."""
         with self.lock:
             self.idle = True
         try:
@@ -101,19 +107,23 @@
                     raise SocketReleasedError
 
     def take_back(self):
-        """After `let_go`. True if whoever waited here has left meanwhile."""
+        """Undoes `let_go`. True if the thread that was waiting in `peek` has returned meanwhile."""
         with self.lock:
             self.gone = False
             return not self.idle
 
     def drop(self):
+        """Discards what was read and returns the buffer to the pool."""
         if self.buffer is not None:
             self.pool.give(self.buffer)
             self.buffer, self.filled = None, 0
 
 
 def let_go(gatherers):
-    """Whether all of them are idle, and from now on leave their sockets alone. For one thread at a time."""
+    """Makes the given readers leave their sockets alone, if all of them are idle; returns whether they were.
+
+    Must not be called from several threads at once.
+    """
     with contextlib.ExitStack() as locks:
         for one in gatherers:
             locks.enter_context(one.lock)
@@ -126,12 +136,12 @@
 
 @dataclass(frozen=True)
 class Opening:
-    """A client's first line."""
+    """A client's first line (`OPEN`), parsed."""
 
-    line: bytes  # as it came
+    line: bytes  # unchanged, as received
     id: str
     type: int
-    wait: int  # how long the client waits for an answer; 0: not told
+    wait: int  # microseconds that the client waits for an answer; 0: not given
     key: str = None
     group: str = None
     tenant: int = 0
@@ -141,7 +151,10 @@
 
 
 def read_opening(line, types, tenants, grouped, longest_wait):
-    """`OPEN ID KEY NAME=VALUE,..` with the numbers that the module gives names; LineError with its reason."""
+    """Parses `OPEN ID KEY NAME=VALUE,..`; raises LineError with the reason code.
+
+    `types` and `tenants` map names to numbers; `longest_wait` is in microseconds.
+    """
     try:
         words = line.rstrip(b"\r\n").decode("ascii").split(" ")
     except UnicodeDecodeError:
@@ -158,7 +171,7 @@
         load = float(pairs.get("h", 0))
     except (TypeError, ValueError):
         raise LineError("garbled") from None
-    # A host answers a wait of years with ERR, and each host asked looked broken for it.
+    # Hosts answer an absurdly long wait with ERR, which made every host that was tried look broken.
     if not 0 <= load < 1e15 or len(wait) > 15 or "at" not in pairs and int(wait) * 1000 > longest_wait:
         raise LineError("garbled")
     wait = int(wait) * 1000
@@ -178,37 +191,41 @@
 
 
 def type_named(line):
-    """The traffic type that a first line names, whatever else stands in it; "" if none."""
+    """The name of the traffic type in a first line that need not be valid otherwise; "" if it has none."""
     named = re.match(rb"OPEN [^ ]+ [^ ]+ (?:[^ ]*,)?c=([^ ,\r\n]*)", line)
     return named[1].decode("ascii", "replace") if named else ""
 
 
 def onward(line, wait):
-    """The first line as a host gets it: `d` tells how long this node will wait."""
+    """The first line as it is forwarded to a host, with `d` set to the time that this node will wait.
+
+    `wait` is in microseconds, `d` in milliseconds.
+    """
     return re.sub(rb"(?<=[ ,])d=\d+", b"d=%d" % max(1, wait // 1000), line, count=1)
 
 
 def busy(retry_after):
+    """A `BUSY` line. `retry_after`: microseconds after which the client should come back; 0: not told."""
     return b"BUSY %d\r\n" % (retry_after // 1000) if retry_after else b"BUSY\r\n"
 
 
 def read_answer(line, rest=b""):
-    """A host's first line: None if the connection is up, else how the attempt ended.
+    """Parses a host's first line: None if it accepted the call, else how the attempt ended.
 
-    `rest`: what came with it. A host that says it turned the call away, or ended it, and goes on speaking
-    has said nothing that can be relied on.
+    `rest`: input that came after the line. A refusal followed by more input is not trusted and counts as an
+    error.
     """
     words = line.split()
     if not words or words[0] == b"UP":
-        return None if len(words) > 1 else Ending.ERROR  # a receipt belongs to it
+        return None if len(words) > 1 else Ending.ERROR  # UP without a receipt is not valid
     return Ending.ERROR if rest else ENDINGS.get(words[0], Ending.ERROR)
 
 
 def read_report(line):
-    """A host's answer to STATS, as (how the probe ended, the values of its load report by name).
+    """Parses a host's answer to STATS: (how the probe ended, the values of its load report by name).
 
-    A host that answers neither `PONG` nor `ERR` (too many probes, or none allowed) tells nothing: FULL.
-    Values that are no number are left out.
+    Any answer other than `PONG` and `ERR` (the host has too many probes, or allows none) carries no
+    information and gives FULL. Values that are not numbers are left out.
     """
     word, _, rest = line.strip().partition(b" ")
     return {b"PONG": Ending.OK, b"ERR": Ending.ERROR}.get(word, Ending.FULL), (
@@ -217,7 +234,7 @@
 
 
 def read_load(line):
-    """The load that a host's line tells; None for any other line."""
+    """The value of a host's `LOAD X` line; None for any other line."""
     if not line.startswith(b"LOAD "):
         return None
     try:
--- a/cottonspread/net/logfmt.py
+++ b/cottonspread/net/logfmt.py
@@ -1,4 +1,4 @@
-"""Log lines as key=value pairs, or as JSON lines with the same keys."""
+"""Logging to standard error as key=value pairs (logfmt), or as JSON lines with the same keys."""
 
 import contextlib
 import json
@@ -7,19 +7,20 @@
 import queue
 import time
 
-QUEUE = 4096  # lines
+QUEUE = 4096  # log records that may wait to be written
 
 
 def pair(key, value):
+    """`key=value`, quoted where needed; floats with three decimals."""
     text = f"{value:.3f}" if isinstance(value, float) else str(value)
     plain = text and text.isprintable() and not set(text) & set(' ="')
     return f"{key}={text if plain else json.dumps(text)}"
 
 
 class KeyValue(logging.Formatter):
-    """`log.info("event", extra={"pairs": {...}})` becomes `time=... level=info node=... event=event ...`.
+    """Formats `log.info("event", extra={"pairs": {...}})` as `time=... level=info node=... event=event ...`.
 
-    `own`: pairs of every line.
+    `own`: pairs added to every line.
     """
 
     def __init__(self, node, **own):
@@ -27,6 +28,7 @@
         self.own = {"node": node, **own}
 
     def pairs(self, record):
+        """The pairs of a record, in the order in which they are written."""
         at = time.strftime("%Y-%m-%dT%H:%M:%S", time.gmtime(record.created)) + f".{int(record.msecs):03d}Z"
         pairs = {
             "time": at,
@@ -44,13 +46,16 @@
 
 
 class JsonLines(KeyValue):
+    """Formats a record as one JSON object per line."""
+
     def format(self, record):
         return json.dumps(self.pairs(record), default=str)
 
 
 class Queued(logging.handlers.QueueHandler):
-    """A bounded queue to the thread that writes: whoever reads the log
-    slowly holds nobody up, and misses lines.
+    """Passes records to the writing thread through a bounded queue.
+
+    A slow reader of the log does not block the threads that log: records that do not fit are dropped.
     """
 
     def prepare(self, record):
@@ -65,11 +70,14 @@
 
 
 def start(node, level=logging.INFO, format="pairs", **own):
-    """Logs to standard error; returns what writes out the rest at the end. `own`: pairs of every line."""
+    """Sets up logging to standard error; returns a function that flushes and stops it.
+
+    `own`: pairs added to every line.
+    """
     handler = logging.StreamHandler()
     handler.setFormatter(FORMATS[format](node, **own))
     logging.raiseExceptions = (
-        False  # a full disk costs lines, and no tracebacks where there is no room either
+        False  # on a full disk lines are lost, without tracebacks that could not be written either
     )
     records = queue.Queue(QUEUE)
     root = logging.getLogger("cottonspread")
--- a/cottonspread/net/under_way.py
+++ b/cottonspread/net/under_way.py
@@ -1,35 +1,34 @@
-"""What the reducer's timers have to look at: connections and hosts with something under way, and no others.
+"""The connections and hosts with pending work, which are the only ones that the reducer's timers examine.
 
-A node holds tens of thousands of connections of which few write, close or wait for an echo at a time. A timer
-that walked all of them several times a second cost more than a node may spend on control. Whoever begins
-something notes it here; what is over is dropped as it is next looked at.
+A node holds tens of thousands of connections, of which few are writing, closing or waiting for an echo at
+any time. Timers that walked all of them several times a second used more CPU than a node may spend on
+control. Code that starts some work adds the item here; items without pending work are removed when they are
+next examined.
 """
 
 
 class Busy:
-    """Things with something under way, given out in the order in which they came."""
+    """Items with pending work, listed in a fixed order."""
 
     def __init__(self, still, came):
-        self.still, self.came = (
-            still,
-            came,
-        )  # whether it has something under way still; its place in the order
+        """`still(item)`: whether the item still has pending work; `came(item)`: its sort key."""
+        self.still, self.came = still, came
         self.noted = {}
-        self.looked_at = 0  # how many were looked at so far
+        self.looked_at = 0  # how many items were examined so far, for tests
 
     def note(self, one):
-        """Something begins at it."""
+        """Adds an item that now has pending work."""
         self.noted[one] = None
 
     def all(self):
-        """Those with something under way now."""
+        """The items that still have pending work; the others are removed."""
         self.looked_at += len(self.noted)
         self.noted = {one: None for one in self.noted if self.still(one)}
         return sorted(self.noted, key=self.came)
 
 
 def connection_is_busy(conn):
-    """Whether an end of it writes, or was closed and not given back; or its client has said nothing yet."""
+    """Whether an endpoint is writing or closing, or the client has not sent its first line yet."""
     if conn.client.freed:
         return False
     if conn.opening is None and not conn.reason:
@@ -39,5 +38,5 @@
 
 
 def host_is_busy(host):
-    """Whether a line waits for its echo there, or what was heard of its messages is not settled."""
+    """Whether a line sent to the host awaits its echo, or a reported delay is still undecided."""
     return bool(host.legs) and (bool(host.waiting.noted) or host.notes.unsettled())
