--- a/benchmarks/configstore/mutants.py
+++ b/benchmarks/configstore/mutants.py
@@ -46,7 +46,7 @@
     (
         "a commit of the same generation with another record",
         "register.py",
-        "if record.seal != committed.seal:",
+        "if record.checksum != committed.checksum:",
         "if False:",
         REPLICA,
     ),
@@ -127,8 +127,8 @@
     (
         "a damaged number",
         "messages.py",
-        "self.digest == digest_of(self.body) and self.seal == seal_of(",
-        "self.digest == digest_of(self.body) and seal_of(",
+        "self.digest == digest_of(self.body) and self.checksum == checksum_of(",
+        "self.digest == digest_of(self.body) and checksum_of(",
         FOLLOWER,
     ),
     ("same version, other digest", "follower.py", "known.digest != record.digest:", "False:", FOLLOWER),
@@ -155,7 +155,7 @@
         "                self._next()",
         FOLLOWER,
     ),
-    ("a damaged saved record", "follower.py", "if not event.saved.is_sound():", "if False:", FOLLOWER),
+    ("a damaged saved record", "follower.py", "if not event.saved.is_valid():", "if False:", FOLLOWER),
     (
         "asked again after a refusal",
         "follower.py",
--- a/cottonspread/cli/configuration.py
+++ b/cottonspread/cli/configuration.py
@@ -12,12 +12,12 @@
 
 def read_replicas(text):
     """HOST:PORT,HOST:PORT,... as a tuple. Raises config.ConfigurationError."""
-    from cottonspread.configstore.callers import read_address
+    from cottonspread.configstore.callers import parse_address
 
     names = tuple(name.strip() for name in text.split(",") if name.strip())
     try:
         for name in names:
-            read_address(name)
+            parse_address(name)
     except ValueError as fault:
         raise config.ConfigurationError(f"replicas: {fault}") from fault
     if not names or len(set(names)) < len(names):
@@ -28,15 +28,15 @@
 def serve(given):
     """One replica, in the foreground."""
     from cottonspread.configstore import server, storage
-    from cottonspread.configstore.callers import read_address
+    from cottonspread.configstore.callers import parse_address
     from cottonspread.fleet import control
     from cottonspread.net import logfmt
 
     name, peers = read_replicas(given.listen)[0], read_replicas(given.peers)
     write_out = logfmt.start(name)
     try:
-        control.raise_descriptors(server.CONNECTIONS_AT_MOST + 64)
-        listener = socket.create_server(read_address(name), backlog=server.BACKLOG)
+        control.raise_descriptors(server.MAX_CONNECTIONS + 64)
+        listener = socket.create_server(parse_address(name), backlog=server.BACKLOG)
         replica = server.Server(name, listener, peers, given.state, given.new)
         for number in (signal.SIGTERM, signal.SIGINT):
             signal.signal(number, lambda *_: replica.stop())
@@ -52,7 +52,7 @@
     """A new version, or the rest of one that was left on its way."""
     from cottonspread.configstore import driver
     from cottonspread.configstore import publisher as core
-    from cottonspread.configstore.messages import BODY_AT_MOST
+    from cottonspread.configstore.messages import MAX_BODY_LENGTH
 
     replicas = read_replicas(given.replicas)
     if given.resume or given.withdraw:
@@ -60,9 +60,9 @@
     else:
         text = node.text_of(node.named(given.file))
         node.read_text(text)
-        if len(text) > BODY_AT_MOST:
+        if len(text) > MAX_BODY_LENGTH:
             raise config.ConfigurationError(
-                f"configuration: {len(text)} characters; {BODY_AT_MOST} are possible"
+                f"configuration: {len(text)} characters; {MAX_BODY_LENGTH} are possible"
             )
         order = core.Publish(text, given.without_canaries)
     done = driver.run(replicas, order, show_progress)
@@ -87,14 +87,14 @@
 
     until = time.monotonic() + wait
     while True:
-        seen = overview.sum_up(driver.read_states(replicas, 1.0))
+        seen = overview.summarize(driver.read_states(replicas, 1.0))
         late = seen.behind + seen.refused
         if seen.version > version or (seen.quorum and not late):
             break
         if time.monotonic() >= until:
             break
         time.sleep(0.05)
-    print("\n".join(overview.lines(seen)))
+    print("\n".join(overview.format_overview(seen)))
     return 1 if late or not seen.quorum else 0
 
 
@@ -104,11 +104,11 @@
 
     from cottonspread.configstore import driver, overview
 
-    seen = overview.sum_up(driver.read_states(read_replicas(given.replicas), given.wait))
+    seen = overview.summarize(driver.read_states(read_replicas(given.replicas), given.wait))
     if given.json:
         print(json.dumps(msgspec.to_builtins(seen), indent=1))
     else:
-        print("\n".join(overview.lines(seen)))
+        print("\n".join(overview.format_overview(seen)))
     if not seen.quorum:
         return NO_QUORUM
     return 1 if seen.behind or seen.refused else 0
--- a/cottonspread/configstore/callers.py
+++ b/cottonspread/configstore/callers.py
@@ -20,7 +20,7 @@
     m.ReadState: "/api/configuration/state",
 }
 REPLIES = {
-    m.WatchRequest: m.Answer,
+    m.WatchRequest: m.WatchReply,
     m.Accept: m.AcceptReply,
     m.Commit: m.CommitReply,
     m.ReadState: m.StateReply,
@@ -50,7 +50,7 @@
     return time.monotonic_ns() // 1000
 
 
-def read_address(text: str) -> tuple[str, int]:
+def parse_address(text: str) -> tuple[str, int]:
     """HOST:PORT; ValueError."""
     host, _, port = text.rpartition(":")
     if not host or not port.isdigit() or not 0 < int(port) < 65536:
@@ -97,7 +97,7 @@
 
     def __init__(self, replica: str, is_idle: Callable):
         self.replica, self._is_idle = replica, is_idle
-        self.http, self.jobs = Http(read_address(replica), CONNECT_WAIT), queue.SimpleQueue()
+        self.http, self.jobs = Http(parse_address(replica), CONNECT_WAIT), queue.SimpleQueue()
         before = threading.stack_size(STACK)
         try:
             threading.Thread(target=self._run, daemon=True).start()
--- a/cottonspread/configstore/canaries.py
+++ b/cottonspread/configstore/canaries.py
@@ -2,7 +2,7 @@
 
 from enum import StrEnum
 
-from cottonspread.configstore.messages import SECOND, HeardReport
+from cottonspread.configstore.messages import SECOND, ReceivedReport
 
 SETTLE = 1 * SECOND
 """Between enough canaries in force and the next stage: time for a canary to find itself ill. Of the 3 s for a
@@ -32,7 +32,7 @@
         self._version, self._since, self._enough_at = version, now, None
         self._enough = -(-len(names) * ENOUGH_OF_THREE // 3)
 
-    def hear(self, now: int, reports: list[HeardReport]) -> None:
+    def hear(self, now: int, reports: list[ReceivedReport]) -> None:
         """Reports of one replica; what a canary said once is not taken back by an older report elsewhere."""
         for heard in reports:
             report = heard.report
--- a/cottonspread/configstore/client.py
+++ b/cottonspread/configstore/client.py
@@ -52,7 +52,7 @@
     def _read_saved(self) -> tuple[m.Record | None, str]:
         try:
             record = storage.read(self._path, m.Record)
-            if record is not None and not record.is_sound():
+            if record is not None and not record.is_valid():
                 raise storage.StorageError(f"{self._path}: damaged record")
         except storage.StorageError as fault:
             log.error("saved-configuration", extra={"pairs": {"why": fault, "kept": "none"}})
@@ -80,7 +80,7 @@
 
     def judged(self, version: int, ok: bool, why: str = "") -> None:
         """The node finds itself well or ill with this version."""
-        self._inbox.put(core.Judged(version, ok, why[: m.WHY_AT_MOST]))
+        self._inbox.put(core.HealthReported(version, ok, why[: m.WHY_AT_MOST]))
 
     def _run(self) -> None:
         event = core.Started(self._saved, self._saved_why)
@@ -109,7 +109,7 @@
 
     def _carry_out(self, effect: core.Effect) -> core.Event | None:
         match effect:
-            case core.Ask():
+            case core.SendWatch():
                 self._ask(effect)
             case core.Check():
                 return self._checked(effect.record)
@@ -123,12 +123,12 @@
                 log.log(LEVELS[effect.what], "configuration", extra={"pairs": pairs})
         return None
 
-    def _ask(self, effect: core.Ask) -> None:
+    def _ask(self, effect: core.SendWatch) -> None:
         def done(outcome):
             if isinstance(outcome, CallError):
-                self._inbox.put(core.Failed(effect.call, str(outcome)))
+                self._inbox.put(core.WatchFailed(effect.call, str(outcome)))
             else:
-                self._inbox.put(core.Answered(effect.call, outcome))
+                self._inbox.put(core.WatchReplied(effect.call, outcome))
 
         self._callers.call(effect.replica, effect.request, effect.deadline, done)
 
--- a/cottonspread/configstore/follower.py
+++ b/cottonspread/configstore/follower.py
@@ -5,19 +5,19 @@
 
 - `step(now, event)` gives the effects of one event, to be carried out in their order. One thread calls it.
   The first event is `Started`, with the record of the saved file, or None and why there is none.
-- Each `Ask` is ended by exactly one `Answered` or `Failed`, at `deadline` at the latest; calls of one
-  follower are to different replicas, on connections that may be kept.
+- Each `SendWatch` is ended by exactly one `WatchReplied` or `WatchFailed`, at `deadline` at the latest; calls
+  of one follower are to different replicas, on connections that may be kept.
 - A record goes `Check` (read whole, nothing changed) -> `Checked`; `Save` (whole file, fsync, rename) ->
   `Saved`; `Apply` (put into force) -> `Applied`. One record at a time; each step begins only after the
   step before was told as ok. Saved stands before applied, so that after a crash the version in force is
   never older than before it.
-- Each step is ended by exactly one event, `STEP_AT_MOST` after its effect at the latest: what hangs is
+- Each step is ended by exactly one event, `STEP_TIMEOUT` after its effect at the latest: what hangs is
   told as ok=False, and what comes of it later is dropped by the shell.
 - A step that fails is told with ok=False and a `why`: the old record stays in force, the new one is
   reported as refused and tried again after `RECHECK` at the earliest or at a newer record. A failed
   `Apply` is followed by a `Save` of the old record.
 - `Notice` is a line of the log and nothing else.
-- `Judged` may be told at any time by the node's own health check of the version in force.
+- `HealthReported` may be told at any time by the node's own health check of the version in force.
 - `Tick` is told at `wake_at` or soon after.
 """
 
@@ -35,7 +35,7 @@
 HOLD = 1 * m.SECOND
 """A node asks again once the record that it was told is in force or refused, so that its next watch reports
 it; no later than this, for a check or a disk may hang."""
-STEP_AT_MOST = 5 * m.SECOND
+STEP_TIMEOUT = 5 * m.SECOND
 """The shell ends a check, save or apply that takes longer as failed: half of what a publisher waits for its
 canaries, so that one that hangs is refused and not merely silent."""
 NEVER = 2**62
@@ -51,15 +51,15 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Answered:
+class WatchReplied:
     """A watch was answered."""
 
     call: int
-    answer: m.Answer
+    answer: m.WatchReply
 
 
 @dataclass(frozen=True, slots=True)
-class Failed:
+class WatchFailed:
     """A watch was not answered, or by what cannot be read."""
 
     call: int
@@ -91,7 +91,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Judged:
+class HealthReported:
     """The node finds itself well, or ill, with the version in force."""
 
     version: int
@@ -104,11 +104,11 @@
     """Time has passed."""
 
 
-Event = Started | Answered | Failed | Checked | Saved | Applied | Judged | Tick
+Event = Started | WatchReplied | WatchFailed | Checked | Saved | Applied | HealthReported | Tick
 
 
 @dataclass(frozen=True, slots=True)
-class Ask:
+class SendWatch:
     """Watch a replica."""
 
     call: int
@@ -157,7 +157,7 @@
     why: str = ""
 
 
-Effect = Ask | Check | Save | Apply | Notice
+Effect = SendWatch | Check | Save | Apply | Notice
 
 
 @dataclass(frozen=True, slots=True)
@@ -213,13 +213,13 @@
         match event:
             case Started():
                 self._start(now, event)
-            case Answered():
+            case WatchReplied():
                 self._answered(now, event)
-            case Failed():
+            case WatchFailed():
                 self._watches.failed(now, event.call)
             case Checked() | Saved() | Applied():
                 self._go_on(now, event)
-            case Judged():
+            case HealthReported():
                 self._judged(event)
         self._recheck(now)
         self._notice_cut_off(now)
@@ -250,7 +250,7 @@
         self._started = now
         if event.saved is None:
             return
-        if not event.saved.is_sound():
+        if not event.saved.is_valid():
             self._out.append(Notice(Told.DISTRUSTED, event.saved.version, "saved record is damaged"))
             return
         self._floor, self._considered = event.saved.version, event.saved.generation
@@ -259,7 +259,7 @@
 
     # Answers
 
-    def _answered(self, now: int, event: Answered) -> None:
+    def _answered(self, now: int, event: WatchReplied) -> None:
         fault = self._fault_of(event.answer, self._watches.since_of(event.call))
         if fault:
             if self._watches.failed(now, event.call):
@@ -277,12 +277,12 @@
         if age is not None and (self._contact is None or now - age > self._contact):
             self._contact = now - age
 
-    def _fault_of(self, answer: m.Answer, since: int) -> str:
+    def _fault_of(self, answer: m.WatchReply, since: int) -> str:
         """Why the answer is not to be trusted, or empty."""
         record = answer.record
         if record is None:
             return ""
-        if not record.is_sound():
+        if not record.is_valid():
             return "damaged record"
         if record.generation <= since:
             return "older than asked for"
@@ -373,7 +373,7 @@
         self._recheck_at = None
         self._considered = self._in_force.generation if self._in_force else 0
 
-    def _judged(self, event: Judged) -> None:
+    def _judged(self, event: HealthReported) -> None:
         if self._in_force is None or event.version != self._in_force.version:
             return
         failing = 0 if event.ok else event.version
@@ -392,7 +392,7 @@
                 timeout_ms=timeout // m.MILLISECOND,
                 report=self._report(now),
             )
-            self._out.append(Ask(call, replica, request, now + timeout + ANSWER_GRACE))
+            self._out.append(SendWatch(call, replica, request, now + timeout + ANSWER_GRACE))
 
     def _is_holding(self, now: int) -> bool:
         """The next watch waits a little, for it is to report what became of the record under way."""
--- a/cottonspread/configstore/messages.py
+++ b/cottonspread/configstore/messages.py
@@ -8,7 +8,7 @@
 
 | way | asks | answers |
 | --- | --- | --- |
-| `GET /api/configuration?...` (`WatchRequest` as query, see `to_query`) | follower | `Answer` |
+| `GET /api/configuration?...` (`WatchRequest` as query, see `to_query`) | follower | `WatchReply` |
 | `POST /api/configuration/accept` | publisher | `AcceptReply` |
 | `POST /api/configuration/commit` | publisher | `CommitReply` |
 | `POST /api/configuration/state` (`ReadState`) | publisher, status, other replicas | `StateReply` |
@@ -20,12 +20,12 @@
 from urllib.parse import parse_qsl, urlencode
 
 import msgspec
-from msgspec import Meta
+from msgspec import Meta, field
 
 SECOND = 1_000_000
 MILLISECOND = 1_000
 
-BODY_AT_MOST = 256 * 1024
+MAX_BODY_LENGTH = 256 * 1024
 """Characters of a body: thirty times the largest operator's file met so far."""
 MESSAGE_AT_MOST = 4 * 1024 * 1024
 """Bytes of a message: two bodies escaped as JSON, and the reports of `NODES_AT_MOST` nodes."""
@@ -41,8 +41,8 @@
 Name = Annotated[str, Meta(min_length=1, max_length=NAME_AT_MOST, pattern=r"\A[A-Za-z0-9._:-]+\Z")]
 Why = Annotated[str, Meta(max_length=WHY_AT_MOST)]
 Digest = Annotated[str, Meta(pattern=r"\A[0-9a-f]{64}\Z")]
-Seal = Annotated[str, Meta(pattern=r"\A[0-9a-f]{16}\Z")]
-Body = Annotated[str, Meta(max_length=BODY_AT_MOST)]
+Checksum = Annotated[str, Meta(pattern=r"\A[0-9a-f]{16}\Z")]
+Body = Annotated[str, Meta(max_length=MAX_BODY_LENGTH)]
 Threshold = Annotated[int, Meta(ge=0, le=2**32)]
 
 
@@ -68,7 +68,7 @@
     generation: Number = 0
     version: Number = 0
     stage: Stage = Stage.EVERYWHERE
-    seal: Annotated[str, Meta(pattern=r"\A([0-9a-f]{16})?\Z")] = ""
+    checksum: Annotated[str, Meta(pattern=r"\A([0-9a-f]{16})?\Z")] = field(default="", name="seal")
     """Of the record: two proposals of one generation differ in it."""
 
 
@@ -86,18 +86,20 @@
     """A node whose `canary_hash` for this version lies below is a canary."""
     digest: Digest
     """SHA-256 of the body in UTF-8."""
-    seal: Seal
+    checksum: Checksum = field(name="seal")
     """Checksum of all fields but the body, so that a damaged number is noticed like a damaged body."""
     body: Body
 
     @property
     def position(self) -> Position:
         """The same without body."""
-        return Position(generation=self.generation, version=self.version, stage=self.stage, seal=self.seal)
+        return Position(
+            generation=self.generation, version=self.version, stage=self.stage, checksum=self.checksum
+        )
 
-    def is_sound(self) -> bool:
-        """Digest and seal fit what the record says."""
-        return self.digest == digest_of(self.body) and self.seal == seal_of(
+    def is_valid(self) -> bool:
+        """Digest and checksum fit what the record says."""
+        return self.digest == digest_of(self.body) and self.checksum == checksum_of(
             self.generation, self.version, self.stage, self.canary_below, self.digest
         )
 
@@ -113,14 +115,14 @@
     return hashlib.sha256(body.encode("utf-8", "surrogatepass")).hexdigest()
 
 
-def seal_of(generation: int, version: int, stage: int, canary_below: int, digest: str) -> str:
+def checksum_of(generation: int, version: int, stage: int, canary_below: int, digest: str) -> str:
     """Checksum of a record's head."""
     head = f"{generation} {version} {int(stage)} {canary_below} {digest}"
     return hashlib.blake2b(head.encode(), digest_size=8).hexdigest()
 
 
 def make_record(generation: int, version: int, stage: Stage, canary_below: int, body: str) -> Record:
-    """A record with its digest and seal."""
+    """A record with its digest and checksum."""
     digest = digest_of(body)
     return Record(
         generation=generation,
@@ -128,7 +130,7 @@
         stage=stage,
         canary_below=canary_below,
         digest=digest,
-        seal=seal_of(generation, version, stage, canary_below, digest),
+        checksum=checksum_of(generation, version, stage, canary_below, digest),
         body=body,
     )
 
@@ -147,7 +149,7 @@
     refused: Number = 0
     """Version that the node last refused, or could not put into force; 0: none since its last change."""
     failing: Number = 0
-    """Version in force with which the node finds itself ill (see `follower.Judged`); 0: none."""
+    """Version in force with which the node finds itself ill (see `follower.HealthReported`); 0: none."""
     why: Why = ""
     """Of `refused` or `failing`."""
     cut_off: bool = False
@@ -163,7 +165,7 @@
     report: NodeReport
 
 
-class Answer(Message, frozen=True, kw_only=True, omit_defaults=True):
+class WatchReply(Message, frozen=True, kw_only=True, omit_defaults=True):
     """Answer to a watch, in the list protocol's shape."""
 
     generation: Number
@@ -221,7 +223,7 @@
     """Reports of these alone; empty: of all."""
 
 
-class HeardReport(Message, frozen=True, kw_only=True, omit_defaults=True):
+class ReceivedReport(Message, frozen=True, kw_only=True, omit_defaults=True):
     """A node's newest report at this replica."""
 
     report: NodeReport
@@ -245,7 +247,7 @@
     good: Record | None = None
     """The newest committed EVERYWHERE; None: none, or not over `since`."""
     majority_age_us: Number | None = None
-    reports: Annotated[list[HeardReport], Meta(max_length=NODES_AT_MOST)] = []
+    reports: Annotated[list[ReceivedReport], Meta(max_length=NODES_AT_MOST)] = []
     reports_dropped: Number = 0
     """Reports of nodes beyond `NODES_AT_MOST` that were not kept."""
 
--- a/cottonspread/configstore/overview.py
+++ b/cottonspread/configstore/overview.py
@@ -48,7 +48,7 @@
     not_heard: list[NodeLine]
 
 
-def sum_up(states: dict) -> Overview:
+def summarize(states: dict) -> Overview:
     """`states`: by replica its StateReply, or the fault of its call."""
     replies = [state for state in states.values() if isinstance(state, m.StateReply)]
     committed = max(
@@ -71,7 +71,7 @@
     )
 
 
-def newest_reports(replies: list[m.StateReply]) -> list[m.HeardReport]:
+def newest_reports(replies: list[m.StateReply]) -> list[m.ReceivedReport]:
     """The newest word of each node, by name; of an open watch it is of now."""
     newest = {}
     for reply in replies:
@@ -81,12 +81,12 @@
                 newest[heard.report.node] = heard
     watched = {heard.report.node for reply in replies for heard in reply.reports if heard.watching}
     return [
-        m.HeardReport(report=heard.report, age_us=heard.age_us, watching=name in watched)
+        m.ReceivedReport(report=heard.report, age_us=heard.age_us, watching=name in watched)
         for name, heard in sorted(newest.items())
     ]
 
 
-def group_of(heard: m.HeardReport, committed: m.Record | None) -> str:
+def group_of(heard: m.ReceivedReport, committed: m.Record | None) -> str:
     """Where a node stands."""
     report = heard.report
     if not heard.watching and heard.age_us > RECENT or report.cut_off:
@@ -115,7 +115,7 @@
     )
 
 
-def lines(overview: Overview) -> list[str]:
+def format_overview(overview: Overview) -> list[str]:
     """The same as text."""
     stage = f" at stage {overview.stage}" if overview.stage else ""
     out = [
--- a/cottonspread/configstore/publisher.py
+++ b/cottonspread/configstore/publisher.py
@@ -16,7 +16,7 @@
 from cottonspread.configstore import messages as m
 from cottonspread.configstore.calls import CALL_TIMEOUT, Calls
 from cottonspread.configstore.canaries import Canaries, Verdict
-from cottonspread.configstore.seen import Seen, canaries_of, canary_threshold, sum_up
+from cottonspread.configstore.seen import Seen, canaries_of, canary_threshold, summarize_replies
 
 PHASE_TIMEOUT = 5 * m.SECOND
 """Without a majority's replies for so long a run ends with NO_QUORUM; five calls to a replica fit into it."""
@@ -220,7 +220,7 @@
             case Step.READING:
                 self._reads[replica] = reply
                 if len(self._reads) >= self._majority:
-                    self._decide(now, sum_up(list(self._reads.values())))
+                    self._decide(now, summarize_replies(list(self._reads.values())))
             case Step.PROPOSING:
                 self._late_read(now, replica, reply)
             case Step.CANARIES:
@@ -453,7 +453,7 @@
 
     def _begin_canaries(self, now: int, names: tuple[str, ...]) -> None:
         reads = list(self._reads.values())
-        names = names or canaries_of(sum_up(reads).nodes, self._record)
+        names = names or canaries_of(summarize_replies(reads).nodes, self._record)
         self._canaries = Canaries(now, self._record.version, names)
         self._enter(now, Step.CANARIES, f"{len(names)} nodes")
         for replica in self._replicas:
--- a/cottonspread/configstore/register.py
+++ b/cottonspread/configstore/register.py
@@ -29,7 +29,7 @@
 
 def accept(state: ReplicaState, base: Position, record: Record) -> ReplicaState:
     """The state with this proposal accepted; the same state where it already is. RefusedError."""
-    if not record.is_sound():
+    if not record.is_valid():
         raise RefusedError("damaged record")
     highest = accepted_position(state)
     if highest == record.position:
@@ -53,14 +53,14 @@
     """The state with this record, which a majority accepted, committed; the same state where it, or a newer
     one, already is. RefusedError.
     """
-    if not record.is_sound():
+    if not record.is_valid():
         raise RefusedError("damaged record")
     committed = state.committed
     if record.generation < generation_of(committed):
         return state
     if committed is not None:
         if record.generation == committed.generation:
-            if record.seal != committed.seal:
+            if record.checksum != committed.checksum:
                 raise RefusedError("same generation, other record")
             return state
         if (record.version, record.stage) < (committed.version, committed.stage):
@@ -87,7 +87,7 @@
         state = commit(state, committed)
     if good is None or good.generation <= generation_of(state.good):
         return state
-    if not good.is_sound() or good.stage != Stage.EVERYWHERE:
+    if not good.is_valid() or good.stage != Stage.EVERYWHERE:
         raise RefusedError("damaged record")
     if good.generation > generation_of(state.committed):
         return commit(state, good)
--- a/cottonspread/configstore/replica.py
+++ b/cottonspread/configstore/replica.py
@@ -10,8 +10,9 @@
 - A `Store` that fails is told as `Stored(ok=False)`: the write is refused, and the replica goes on with
   what it had. Whether the file is the old or the new one is then open, and harmless: what was not
   acknowledged may be there after a restart.
-- Each `Asked` is ended by exactly one `Reply` or `TurnAway` (503 with Retry-After), unless `Gone` is told.
-- Each `AskPeer` is ended by exactly one `PeerAnswered` or `PeerFailed`, at `deadline` at the latest.
+- Each `RequestReceived` is ended by exactly one `Reply` or `Reject` (503 with Retry-After), unless
+  `RequestAbandoned` is told.
+- Each `CallPeer` is ended by exactly one `PeerReplied` or `PeerFailed`, at `deadline` at the latest.
 - `Tick` is told at `wake_at` or soon after.
 - At its start the shell gives the state that it reads from disk. A state that cannot be read is not
   replaced by an empty one: a replica that has forgotten what it accepted must not take part
@@ -38,7 +39,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Asked:
+class RequestReceived:
     """A request came in whole and was decoded."""
 
     request: int
@@ -46,7 +47,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Gone:
+class RequestAbandoned:
     """Who asked has closed; no reply is owed."""
 
     request: int
@@ -62,7 +63,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class PeerAnswered:
+class PeerReplied:
     """Another replica's answer."""
 
     call: int
@@ -82,7 +83,7 @@
     """Time has passed."""
 
 
-Event = Asked | Gone | Stored | PeerAnswered | PeerFailed | Tick
+Event = RequestReceived | RequestAbandoned | Stored | PeerReplied | PeerFailed | Tick
 
 
 @dataclass(frozen=True, slots=True)
@@ -98,11 +99,11 @@
     """Answer a request."""
 
     request: int
-    message: m.Answer | m.AcceptReply | m.CommitReply | m.StateReply
+    message: m.WatchReply | m.AcceptReply | m.CommitReply | m.StateReply
 
 
 @dataclass(frozen=True, slots=True)
-class TurnAway:
+class Reject:
     """Answer a request with 503."""
 
     request: int
@@ -110,7 +111,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class AskPeer:
+class CallPeer:
     """Ask another replica's state."""
 
     call: int
@@ -119,7 +120,7 @@
     deadline: int
 
 
-Effect = Store | Reply | TurnAway | AskPeer
+Effect = Store | Reply | Reject | CallPeer
 
 
 @dataclass(frozen=True, slots=True)
@@ -151,13 +152,13 @@
         """What follows from an event."""
         self._out = []
         match event:
-            case Asked():
+            case RequestReceived():
                 self._asked(now, event)
-            case Gone():
+            case RequestAbandoned():
                 self._gone(event.request)
             case Stored():
                 self._stored(now, event)
-            case PeerAnswered():
+            case PeerReplied():
                 self._peer_answered(now, event)
             case PeerFailed():
                 self._peers.failed(now, event.call)
@@ -177,7 +178,7 @@
 
     # Requests
 
-    def _asked(self, now: int, event: Asked) -> None:
+    def _asked(self, now: int, event: RequestReceived) -> None:
         match event.message:
             case m.WatchRequest():
                 self._watch(now, event.request, event.message)
@@ -195,7 +196,7 @@
         if self._has_news(message) or message.timeout_ms == 0:
             self._answer(now, request, message)
         elif len(self._watches) >= WATCHES_AT_MOST:
-            self._out.append(TurnAway(request, "too many watches"))
+            self._out.append(Reject(request, "too many watches"))
         else:
             self._watches.add(request, message, now + message.timeout_ms * m.MILLISECOND)
 
@@ -213,7 +214,7 @@
         record = self._record_for(message.report.node)
         generation = register.generation_of(record)
         is_news = generation > message.since
-        answer = m.Answer(
+        answer = m.WatchReply(
             generation=generation,
             reset=is_news,
             record=record if is_news else None,
@@ -226,7 +227,7 @@
         if message.timeout_ms == 0 or self._is_newer_than(message):
             self._tell_state(now, request, message)
         elif len(self._readers) >= READERS_AT_MOST:
-            self._out.append(TurnAway(request, "too many readers"))
+            self._out.append(Reject(request, "too many readers"))
         else:
             self._readers.add(request, message, now + message.timeout_ms * m.MILLISECOND)
 
@@ -251,7 +252,7 @@
         )
         self._out.append(Reply(request, reply))
 
-    def _told_reports(self, now: int, message: m.ReadState) -> list[m.HeardReport]:
+    def _told_reports(self, now: int, message: m.ReadState) -> list[m.ReceivedReport]:
         watching = {wait.message.report.node for _, wait in self._watches}
         return self.reports.told(now, message.nodes, watching)
 
@@ -260,7 +261,7 @@
     def _write(self, now: int, write: _Write) -> None:
         if len(self._writes) >= WRITES_WAITING:
             if write.request is not None:
-                self._out.append(TurnAway(write.request, "too many writes"))
+                self._out.append(Reject(write.request, "too many writes"))
             return
         self._writes.append(write)
         self._begin_writes(now)
@@ -328,7 +329,7 @@
 
     # The other replicas
 
-    def _peer_answered(self, now: int, event: PeerAnswered) -> None:
+    def _peer_answered(self, now: int, event: PeerReplied) -> None:
         if not self._peers.answered(now, event.call):
             return
         reply = event.reply
@@ -344,7 +345,7 @@
             timeout_ms=PEER_WATCH // m.MILLISECOND,
         )
         for call, peer in self._peers.due(now):
-            self._out.append(AskPeer(call, peer, message, now + PEER_WATCH + PEER_GRACE))
+            self._out.append(CallPeer(call, peer, message, now + PEER_WATCH + PEER_GRACE))
 
     # Time
 
--- a/cottonspread/configstore/reports.py
+++ b/cottonspread/configstore/reports.py
@@ -2,7 +2,7 @@
 
 from collections import OrderedDict
 
-from cottonspread.configstore.messages import NODES_AT_MOST, SECOND, HeardReport, NodeReport
+from cottonspread.configstore.messages import NODES_AT_MOST, SECOND, NodeReport, ReceivedReport
 
 KEPT = 600 * SECOND
 """A node not heard for so long is dropped. A restart takes well under a minute, a region that is cut off some
@@ -36,12 +36,12 @@
                 return
             del self._heard[node]
 
-    def told(self, now: int, nodes: list[str], watching: set[str]) -> list[HeardReport]:
+    def told(self, now: int, nodes: list[str], watching: set[str]) -> list[ReceivedReport]:
         """Reports of these nodes, or of all where none is named."""
         self._forget(now)
         named = nodes or list(self._heard)
         return [
-            HeardReport(
+            ReceivedReport(
                 report=self._heard[node][1],
                 age_us=now - self._heard[node][0],
                 watching=node in watching,
--- a/cottonspread/configstore/seen.py
+++ b/cottonspread/configstore/seen.py
@@ -30,7 +30,7 @@
         return self.committed.generation if self.committed else 0
 
 
-def sum_up(replies: list[m.StateReply]) -> Seen:
+def summarize_replies(replies: list[m.StateReply]) -> Seen:
     """What a majority's replies say together."""
     positions = [reply.accepted for reply in replies]
     highest = max(positions, key=lambda position: (position.generation, position.version, position.stage))
--- a/cottonspread/configstore/server.py
+++ b/cottonspread/configstore/server.py
@@ -27,7 +27,7 @@
 """Bytes of a request's head: twice the longest query and the usual headers."""
 UNREAD_AT_MOST = 32 * 1024 * 1024
 """Bytes of all requests that have come in part, together."""
-CONNECTIONS_AT_MOST = core.WATCHES_AT_MOST + core.READERS_AT_MOST + core.WRITES_WAITING
+MAX_CONNECTIONS = core.WATCHES_AT_MOST + core.READERS_AT_MOST + core.WRITES_WAITING
 REQUEST_WAIT = 5 * m.SECOND
 """For the rest of a request that has begun."""
 REPLY_WAIT = 10 * m.SECOND
@@ -225,9 +225,9 @@
                 return self._store(effect)
             case core.Reply():
                 self._reply(effect.request, 200, m.encode(effect.message))
-            case core.TurnAway():
+            case core.Reject():
                 self._reply(effect.request, 503, effect.why.encode())
-            case core.AskPeer():
+            case core.CallPeer():
                 self._ask_peer(effect)
         return None
 
@@ -239,12 +239,12 @@
             return core.Stored(effect.token, False, str(fault)[: m.WHY_AT_MOST])
         return core.Stored(effect.token, True)
 
-    def _ask_peer(self, effect: core.AskPeer) -> None:
+    def _ask_peer(self, effect: core.CallPeer) -> None:
         def done(outcome):
             if isinstance(outcome, CallError):
                 self._inbox.put(core.PeerFailed(effect.call, str(outcome)))
             else:
-                self._inbox.put(core.PeerAnswered(effect.call, outcome))
+                self._inbox.put(core.PeerReplied(effect.call, outcome))
             self._rouse()
 
         self._callers.call(effect.peer, effect.message, effect.deadline, done)
@@ -256,7 +256,7 @@
             sock = self._listener.accept()[0]
         except OSError:  # gone again, or no descriptor is free
             return
-        if len(self._connections) >= CONNECTIONS_AT_MOST:
+        if len(self._connections) >= MAX_CONNECTIONS:
             sock.close()
             return
         sock.setblocking(False)
@@ -306,7 +306,7 @@
         self._requests += 1
         connection.request = self._requests
         self._asking[self._requests] = connection
-        self._tell(core.Asked(self._requests, message))
+        self._tell(core.RequestReceived(self._requests, message))
 
     def _reply(self, request: int, status: int, body: bytes) -> None:
         connection = self._asking.pop(request, None)
@@ -348,7 +348,7 @@
         connection.sock.close()
         if connection.request is not None:
             del self._asking[connection.request]
-            self._tell(core.Gone(connection.request))
+            self._tell(core.RequestAbandoned(connection.request))
 
     def _sweep(self) -> None:
         self._swept = now()
--- a/cottonspread/lab/scale/configuration.py
+++ b/cottonspread/lab/scale/configuration.py
@@ -153,7 +153,7 @@
 def _change_at_replica(nodes: int) -> float:
     """Processor seconds from the commit to all answers' bytes."""
     replica = replica_with(nodes)
-    effects = replica.step(0, re.Asked(10**6, m.Commit(record=_record(2, 4_096))))
+    effects = replica.step(0, re.RequestReceived(10**6, m.Commit(record=_record(2, 4_096))))
     token = next(effect.token for effect in effects if isinstance(effect, re.Store))
     began = time.process_time()
     told = [
@@ -173,7 +173,7 @@
             to_response(effect.message)
             number += 1
             query = f"since=1&timeout_ms=10000&node=z1-node-{number % nodes:03}&in_force=1"
-            replica.step(11 * SECOND, re.Asked(number, m.from_query(query)))
+            replica.step(11 * SECOND, re.RequestReceived(number, m.from_query(query)))
     return time.process_time() - began
 
 
@@ -189,8 +189,8 @@
     return _sweep("config-body", what, measures, "body_bytes", {"nodes": 1}, sizes)
 
 
-def _answer(size: int) -> m.Answer:
-    return m.Answer(generation=1, reset=True, record=_record(1, size), majority_age_us=0, replica="r1")
+def _answer(size: int) -> m.WatchReply:
+    return m.WatchReply(generation=1, reset=True, record=_record(1, size), majority_age_us=0, replica="r1")
 
 
 def _change_at_node(size: int) -> float:
@@ -198,7 +198,7 @@
     follower = fo.Follower("n1", ("r1", "r2", "r3"), lambda: 0.5)
     follower.step(0, fo.Started(None))
     began = time.process_time()
-    follower.step(1, fo.Answered(1, m.decode(data, m.Answer)))
+    follower.step(1, fo.WatchReplied(1, m.decode(data, m.WatchReply)))
     for event in (fo.Checked(True), fo.Saved(True), fo.Applied(True)):
         follower.step(2, event)
     taken = time.process_time() - began
--- a/cottonspread/lab/scale/configuration_fleet.py
+++ b/cottonspread/lab/scale/configuration_fleet.py
@@ -155,14 +155,14 @@
             return
         self._number += 1
         self.calls[self._number] = call
-        self.tell(re.Asked(self._number, message))
+        self.tell(re.RequestReceived(self._number, message))
 
     def gone(self, call):
         """A caller has left."""
         for number, one in list(self.calls.items()):
             if one is call:
                 del self.calls[number]
-                self.tell(re.Gone(number))
+                self.tell(re.RequestAbandoned(number))
 
     def carry_out(self, effect):
         """One effect of the core."""
@@ -171,9 +171,9 @@
                 self.world.after(self._store_span(), self._stored, self.epoch, token, m.encode(state))
             case re.Reply(request=number, message=message):
                 self._work(self._reply, self.calls.pop(number, None), message)
-            case re.TurnAway(request=number):
+            case re.Reject(request=number):
                 self._work(self._reply, self.calls.pop(number, None), None)
-            case re.AskPeer():
+            case re.CallPeer():
                 self._ask_peer(effect)
 
     def _store_span(self):
@@ -185,14 +185,14 @@
             return
         self.disk = data
         state = m.decode(data, m.ReplicaState)
-        self.world.note("stored", self.name, state.accepted and state.accepted.seal)
+        self.world.note("stored", self.name, state.accepted and state.accepted.checksum)
         self.fleet.promises.stored(self.name, state)
         self.tell(re.Stored(token, True))
 
     def _reply(self, call, message):
         if call is None:
             return
-        if self.lies is not None and isinstance(message, m.Answer):
+        if self.lies is not None and isinstance(message, m.WatchReply):
             call.reply(self.lies(message))
         else:
             call.reply(to_response(message))
@@ -202,7 +202,7 @@
             if reply is None:
                 self.tell(re.PeerFailed(effect.call, why))
             else:
-                self.tell(re.PeerAnswered(effect.call, reply))
+                self.tell(re.PeerReplied(effect.call, reply))
 
         peer = self.fleet.replicas[effect.peer]
         self.call(peer, effect.message, effect.deadline, m.StateReply, then)
@@ -229,7 +229,7 @@
                 saved = m.decode(self.disk, m.Record)
             except m.MessageError as fault:
                 why = str(fault)
-        if saved is None or not saved.is_sound():
+        if saved is None or not saved.is_valid():
             self.fleet.promises.node_begins(self.name)
         self.tell(fo.Started(saved, why))
 
@@ -242,7 +242,7 @@
         """One effect of the core."""
         shape = self.fleet.shape
         match effect:
-            case fo.Ask():
+            case fo.SendWatch():
                 self._ask(effect)
             case fo.Check(record=record):
                 self._check(record)
@@ -258,17 +258,17 @@
     def _ask(self, effect):
         def then(answer, why):
             if answer is None:
-                self.tell(fo.Failed(effect.call, why))
+                self.tell(fo.WatchFailed(effect.call, why))
             else:
-                self.tell(fo.Answered(effect.call, answer))
+                self.tell(fo.WatchReplied(effect.call, answer))
 
         replica = self.fleet.replicas[effect.replica]
-        self.call(replica, effect.request, effect.deadline, m.Answer, then)
+        self.call(replica, effect.request, effect.deadline, m.WatchReply, then)
 
     def _check(self, record):
         self.fleet.promises.checked(self.name, record)
         if record.body.startswith("hangs"):
-            self.world.after(fo.STEP_AT_MOST, self._told, self.epoch, fo.Checked(False, "check hangs"))
+            self.world.after(fo.STEP_TIMEOUT, self._told, self.epoch, fo.Checked(False, "check hangs"))
             return
         ok = not record.body.startswith("refused") and not self.refuses_all
         self.later(self.fleet.shape.check, fo.Checked(ok, "" if ok else "refused by its check"))
@@ -287,7 +287,7 @@
             self.fleet.promises.applied(self.name, record)
         self.tell(fo.Applied(ok, "" if ok else "does not start"))
         if record.body.startswith("ill"):
-            self.later(200_000, fo.Judged(record.version, False, "many errors"))
+            self.later(200_000, fo.HealthReported(record.version, False, "many errors"))
 
 
 class PublisherHost(CoreHost):
@@ -437,7 +437,7 @@
     """A replica that now and then tells damaged, older or other answers; for `ReplicaHost.lies`."""
     draws, told = fleet.world.draws("lies", name), []
 
-    def change(answer: m.Answer) -> bytes:
+    def change(answer: m.WatchReply) -> bytes:
         if answer.record is not None:
             told.append(answer)
         way = draws.below(5)
@@ -462,12 +462,12 @@
     return bytes(changed)
 
 
-def _renumbered(answer: m.Answer, draws) -> m.Answer:
+def _renumbered(answer: m.WatchReply, draws) -> m.WatchReply:
     record = msgspec.structs.replace(answer.record, version=answer.record.version + 1 + draws.below(3))
     return msgspec.structs.replace(answer, record=record)
 
 
-def _other_digest(answer: m.Answer) -> m.Answer:
+def _other_digest(answer: m.WatchReply) -> m.WatchReply:
     """What the node has in force already, under a later generation, with another body."""
     old = answer.record
     other = m.make_record(old.generation + 1, old.version, old.stage, old.canary_below, "another body")
--- a/cottonspread/lab/scale/configuration_plays.py
+++ b/cottonspread/lab/scale/configuration_plays.py
@@ -588,5 +588,7 @@
         for _ in range(2):
             number += 1
             report = m.NodeReport(node=name, in_force=1)
-            core.step(0, re.Asked(number, m.WatchRequest(since=1, timeout_ms=10_000, report=report)))
+            core.step(
+                0, re.RequestReceived(number, m.WatchRequest(since=1, timeout_ms=10_000, report=report))
+            )
     return core
--- a/cottonspread/lab/scale/configuration_promises.py
+++ b/cottonspread/lab/scale/configuration_promises.py
@@ -76,7 +76,7 @@
         self._durable[replica] = state
         committed = state.committed
         is_commit = committed is not None and (
-            before is None or before.committed is None or before.committed.seal != committed.seal
+            before is None or before.committed is None or before.committed.checksum != committed.checksum
         )
         if not is_commit and state.accepted is not None:
             self._acceptors.setdefault(self._key(state.accepted), set()).add(replica)
--- a/tests/configstore/drivers.py
+++ b/tests/configstore/drivers.py
@@ -54,9 +54,9 @@
                     self.finish_store()
             case re.Reply():
                 self.replies[effect.request] = effect.message
-            case re.TurnAway():
+            case re.Reject():
                 self.turned_away[effect.request] = effect.why
-            case re.AskPeer():
+            case re.CallPeer():
                 self.peer_calls.append(effect)
 
     def finish_store(self):
@@ -68,7 +68,7 @@
     def ask(self, message):
         """The number of the request."""
         self.number += 1
-        self.tell(re.Asked(self.number, message))
+        self.tell(re.RequestReceived(self.number, message))
         return self.number
 
     def reply(self, message):
@@ -105,7 +105,7 @@
     def tell(self, event):
         for effect in self.core.step(self.now, event):
             match effect:
-                case fo.Ask():
+                case fo.SendWatch():
                     self.asks[effect.call] = effect
                 case fo.Notice():
                     self.notices.append(effect)
@@ -140,9 +140,9 @@
         ask = self.asks.pop(call)
         generation = generation if generation is not None else new.generation if new else ask.request.since
         self.tell(
-            fo.Answered(
+            fo.WatchReplied(
                 call,
-                m.Answer(
+                m.WatchReply(
                     generation=generation,
                     reset=new is not None,
                     record=new,
@@ -155,7 +155,7 @@
     def fail(self, call=None):
         call = call or next(iter(self.asks))
         del self.asks[call]
-        self.tell(fo.Failed(call, "refused"))
+        self.tell(fo.WatchFailed(call, "refused"))
 
     def pass_time(self, span):
         until = self.now + span
--- a/tests/configstore/test_configuration_plays.py
+++ b/tests/configstore/test_configuration_plays.py
@@ -102,7 +102,7 @@
     ):
         assert from_request(to_request("r1", message)) == message
     with pytest.raises(m.MessageError):
-        from_response(b"HTTP/1.1 503 Service Unavailable\r\n\r\n", m.Answer)
+        from_response(b"HTTP/1.1 503 Service Unavailable\r\n\r\n", m.WatchReply)
 
 
 class Judge:
--- a/tests/configstore/test_follower.py
+++ b/tests/configstore/test_follower.py
@@ -157,14 +157,14 @@
     settle(driver)
     settle(driver)
     calls = set(driver.asks)
-    driver.tell(fo.Judged(1, False, "many errors"))
+    driver.tell(fo.HealthReported(1, False, "many errors"))
     (new,) = set(driver.asks) - calls
     report = driver.asks[new].request.report
     assert (report.failing, report.why) == (1, "many errors") and driver.asks[new].request.timeout_ms == 0
-    driver.tell(fo.Judged(7, False))
+    driver.tell(fo.HealthReported(7, False))
     assert set(driver.asks) == calls | {new}
     driver.answer(call=new)
-    driver.tell(fo.Judged(1, True))
+    driver.tell(fo.HealthReported(1, True))
     assert list(driver.asks.values())[-1].request.report.failing == 0
 
 
@@ -325,10 +325,10 @@
 
 def test_late_and_doubled_answers_are_nothing():
     driver = FollowerDriver()
-    answer = m.Answer(generation=1, reset=True, record=record(1, 1), replica="r1")
+    answer = m.WatchReply(generation=1, reset=True, record=record(1, 1), replica="r1")
     driver.fail(1)
-    driver.tell(fo.Answered(1, answer))
-    driver.tell(fo.Failed(1, "again"))
+    driver.tell(fo.WatchReplied(1, answer))
+    driver.tell(fo.WatchFailed(1, "again"))
     assert driver.work == [] and driver.view().contact_age_us is None
 
 
--- a/tests/configstore/test_publisher.py
+++ b/tests/configstore/test_publisher.py
@@ -45,7 +45,7 @@
     for replica in cluster.replicas.values():
         one = replica.disk.committed
         if one is not None:
-            assert known.setdefault(("generation", one.generation), one.seal) == one.seal
+            assert known.setdefault(("generation", one.generation), one.checksum) == one.checksum
             assert known.setdefault(("version", one.version), one.digest) == one.digest
 
 
@@ -316,7 +316,7 @@
             assert seen.setdefault((name, "least"), 0) <= one.generation
             seen[name, "least"] = one.generation
             assert seen.setdefault(("digest", one.version), one.digest) == one.digest
-            assert seen.setdefault(("seal", one.generation), one.seal) == one.seal
+            assert seen.setdefault(("checksum", one.generation), one.checksum) == one.checksum
             if one.stage == CANARY and draws.random() < 0.3:
                 say(cluster, one, in_force=0)
     assert all(driver.done for driver in drivers)
--- a/tests/configstore/test_replica.py
+++ b/tests/configstore/test_replica.py
@@ -228,7 +228,7 @@
     driver = ReplicaDriver()
     numbers = [driver.watch(f"n{number}") for number in range(4)]
     assert list(driver.turned_away) == numbers[3:]
-    driver.tell(re.Gone(numbers[0]))
+    driver.tell(re.RequestAbandoned(numbers[0]))
     assert driver.watch("n9") not in driver.turned_away
     driver.reply(m.Commit(record=record(1, 1)))
     assert numbers[0] not in driver.replies and numbers[1] in driver.replies
@@ -238,7 +238,7 @@
     driver = ReplicaDriver()
     driver.watch("stays", timeout_ms=5_000)  # ends first, and so keeps the others in the heap
     for _ in range(5_000):
-        driver.tell(re.Gone(driver.watch()))
+        driver.tell(re.RequestAbandoned(driver.watch()))
     assert len(driver.core._watches._heap) <= 200
 
 
@@ -292,14 +292,14 @@
     assert {call.peer for call in driver.peer_calls} == {"r2", "r3"}
     watch = driver.watch(since=1)
     good, new = record(4, 3), record(5, 4, CANARY, below=0)
-    driver.tell(re.PeerAnswered(1, peer_reply(committed=new, committed_generation=5, good=good)))
+    driver.tell(re.PeerReplied(1, peer_reply(committed=new, committed_generation=5, good=good)))
     assert driver.disk.committed == new and driver.disk.good == good and driver.disk.accepted == new
     assert driver.replies[watch].record == good
 
 
 def test_a_good_version_that_was_missed_is_caught_up_beside_a_committed_canary():
     driver = committed(record(1, 1), record(5, 4, CANARY, below=0))
-    driver.tell(re.PeerAnswered(1, peer_reply(committed_generation=5, good=record(4, 3))))
+    driver.tell(re.PeerReplied(1, peer_reply(committed_generation=5, good=record(4, 3))))
     assert driver.disk.good == record(4, 3) and driver.disk.committed.generation == 5
     driver.pass_time(m.SECOND)
     assert driver.peer_calls[-1].message.since == 5 and driver.peer_calls[-1].message.good_since == 4
@@ -308,9 +308,9 @@
 def test_what_another_replica_tells_is_checked():
     driver = committed(record(3, 3))
     for wrong in (damaged(generation=9, body="x"), record(4, 2), record(3, 3, body="other")):
-        driver.tell(re.PeerAnswered(driver.peer_calls[-1].call, peer_reply(committed=wrong)))
+        driver.tell(re.PeerReplied(driver.peer_calls[-1].call, peer_reply(committed=wrong)))
         driver.pass_time(m.SECOND)
-    driver.tell(re.PeerAnswered(driver.peer_calls[-1].call, peer_reply(good=damaged(body="x"))))
+    driver.tell(re.PeerReplied(driver.peer_calls[-1].call, peer_reply(good=damaged(body="x"))))
     assert driver.disk.committed == record(3, 3) and driver.disk.good == record(3, 3)
 
 
@@ -328,7 +328,7 @@
 def test_the_age_of_the_majority_is_told_with_each_answer():
     driver = committed(record(1, 1))
     assert driver.replies[driver.watch()].majority_age_us is None
-    driver.tell(re.PeerAnswered(2, peer_reply()))
+    driver.tell(re.PeerReplied(2, peer_reply()))
     driver.now += 3 * m.SECOND
     assert driver.replies[driver.watch()].majority_age_us == 3 * m.SECOND
     driver.tell(re.PeerFailed(1, "refused"))
@@ -350,7 +350,7 @@
 def test_a_peer_that_always_has_news_is_not_asked_without_pause():
     driver = ReplicaDriver()
     for _ in range(40):
-        driver.tell(re.PeerAnswered(driver.peer_calls[-1].call, peer_reply(committed=damaged(body="x"))))
+        driver.tell(re.PeerReplied(driver.peer_calls[-1].call, peer_reply(committed=damaged(body="x"))))
         driver.pass_time(10 * m.MILLISECOND)
     assert len(driver.peer_calls) <= 2 + 40 * 10 * m.MILLISECOND // peers.PEER_PAUSE + 1
 
--- a/tests/configstore/test_shell_server.py
+++ b/tests/configstore/test_shell_server.py
@@ -114,7 +114,7 @@
         sock.sendall(post("commit", m.encode(m.Commit(record=RECORD))))
         assert m.decode(answer(sock)[1], m.CommitReply).committed, "on the same connection"
     for sock in sockets:
-        assert m.decode(answer(sock)[1], m.Answer).record == RECORD
+        assert m.decode(answer(sock)[1], m.WatchReply).record == RECORD
         sock.close()
 
 
@@ -135,7 +135,7 @@
     monkeypatch.setattr(server, "SWEEP", 10_000)
     for name in ("REPLY_WAIT", "REQUEST_WAIT", "IDLE_WAIT"):
         monkeypatch.setattr(server, name, 300_000)
-    body = '"' + "x" * (m.BODY_AT_MOST - 2) + '"'
+    body = '"' + "x" * (m.MAX_BODY_LENGTH - 2) + '"'
     record = m.make_record(1, 1, m.Stage.EVERYWHERE, 0, body)
     running.server.core.state = m.ReplicaState(accepted=record, committed=record, good=record)
     running.server._listener.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
@@ -154,7 +154,7 @@
 
 
 def test_more_connections_than_there_is_room_for_are_closed(running, monkeypatch):
-    monkeypatch.setattr(server, "CONNECTIONS_AT_MOST", 2)
+    monkeypatch.setattr(server, "MAX_CONNECTIONS", 2)
     with running.connect(watch()) as one, running.connect(watch()) as other:
         shells.until(lambda: running.server.core.watches == 2, "two wait")
         with running.connect() as third:
