--- a/cottonspread/cli/configuration.py
+++ b/cottonspread/cli/configuration.py
@@ -35,7 +35,7 @@
     name, peers = read_replicas(given.listen)[0], read_replicas(given.peers)
     write_out = logfmt.start(name)
     try:
-        control.raise_descriptors(server.MAX_CONNECTIONS + 64)
+        control.raise_descriptor_limit(server.MAX_CONNECTIONS + 64)
         listener = socket.create_server(parse_address(name), backlog=server.BACKLOG)
         replica = server.Server(name, listener, peers, given.state, given.new)
         for number in (signal.SIGTERM, signal.SIGINT):
--- a/cottonspread/cli/fleet.py
+++ b/cottonspread/cli/fleet.py
@@ -125,7 +125,7 @@
     paths = [os.path.join(where, name) for name in names]
     with contextlib.ExitStack() as opened:
         try:
-            control.raise_descriptors(len(names) + 32)  # a thousand files are over the usual limit
+            control.raise_descriptor_limit(len(names) + 32)  # a thousand files are over the usual limit
             files = [opened.enter_context(open(p, encoding="utf-8", errors="replace")) for p in paths]
         except OSError as fault:
             raise config.ConfigurationError(f"logs: {fault}") from fault
--- a/cottonspread/cli/instance.py
+++ b/cottonspread/cli/instance.py
@@ -51,7 +51,7 @@
 
     def run(self):
         self.selector = selectors.DefaultSelector()
-        self.control = control.listening(self.told["socket"])
+        self.control = control.listen(self.told["socket"])
         self.control.setblocking(False)
         self.selector.register(self.control, selectors.EVENT_READ, None)
         signal.signal(signal.SIGINT, signal.SIG_IGN)
@@ -96,21 +96,21 @@
         self.beat_at = time.monotonic()
         status = {
             "state": self.state,
-            "live": control.mark(self.live),
+            "live": control.digest(self.live),
             "refused": self.refused,
             "pid": os.getpid(),
             "version": __version__,
             **self.node.status(),
         }
         for line in list(self.lines):
-            if not line.say({"status": status}):
+            if not line.send({"status": status}):
                 self.drop(line)
 
     def welcome(self):
-        line = control.Line(self.control.accept()[0])
+        line = control.JsonConnection(self.control.accept()[0])
         self.selector.register(line.sock, selectors.EVENT_READ, line)
         self.lines.append(line)
-        line.say(
+        line.send(
             {
                 "hello": self.name,
                 "generation": self.generation,
@@ -130,7 +130,7 @@
     def hear(self, line):
         if line not in self.lines:
             return
-        said, stands = line.read()
+        said, stands = line.receive()
         for one in said:
             do = one.get("do")
             if do == "take" and self.state == "prepared":
@@ -151,18 +151,18 @@
         """The name is held by one process at a time, whatever supervisors think: the
         kernel keeps the lock.
         """
-        if self.lock.take():
+        if self.lock.acquire():
             self.take_by = 0.0
             self.node.take()
             self.turn("serving")
         elif now > self.take_by:
-            log.error("held", extra={"pairs": {"by": self.lock.holder()}})
+            log.error("held", extra={"pairs": {"by": self.lock.holder_pid()}})
             os._exit(1)
 
     def leave(self, handed):
         self.take_by = 0.0
         self.node.leave(handed)
-        self.lock.drop()
+        self.lock.release()
         self.turn("leaving")
 
     def apply(self, live):
@@ -171,7 +171,7 @@
         try:
             parts = self.read(said)
         except config.ConfigurationError as fault:
-            self.refused = {"live": control.mark(live), "why": str(fault)}
+            self.refused = {"live": control.digest(live), "why": str(fault)}
             self.node.hasten(ev.NotRetuned())
             log.error("reload", extra={"pairs": {"why": fault, "kept": "the old configuration"}})
             self.tell()
@@ -180,7 +180,7 @@
         self.node.retune(*parts[:-1])
         self.live, self.refused = live, None
         told = {key: said[key] for key in ("discovery", "level")}
-        log.info("reload", extra={"pairs": told | {"live": control.mark(live)}})
+        log.info("reload", extra={"pairs": told | {"live": control.digest(live)}})
         self.tell()
 
 
--- a/cottonspread/cli/node.py
+++ b/cottonspread/cli/node.py
@@ -96,7 +96,7 @@
 
 def serve_on(node, force, follows, asked):
     """Until the node has ended: does what is asked, and tells the service manager."""
-    manager, told = notify.Manager(), False
+    manager, told = notify.ServiceManager(), False
     while not node.join(0):
         if follows:
             follows.look(node)
@@ -177,12 +177,12 @@
     steps, ready, at = told or (-1, False, 0.0)
     now, status = time.monotonic(), node.status()
     if not ready and status["listed"] and node.ping():
-        ready = manager.ready("serving")
+        ready = manager.notify_ready("serving")
     if node.reducer.stopping and ready != "stopping":
-        manager.stopping()
+        manager.notify_stopping()
         ready = "stopping"
-    if manager.every and now - at >= manager.every and status["steps"] != steps:
-        manager.alive()
+    if manager.watchdog_interval and now - at >= manager.watchdog_interval and status["steps"] != steps:
+        manager.notify_watchdog()
         return status["steps"], ready, now
     return steps, ready, at
 
--- a/cottonspread/cli/succession.py
+++ b/cottonspread/cli/succession.py
@@ -49,7 +49,7 @@
 @contextlib.contextmanager
 def reachable(path):
     """A name for this path that fits into the address of a socket."""
-    if len(os.fsencode(path)) <= control.LONGEST_PATH:
+    if len(os.fsencode(path)) <= control.MAX_SOCKET_PATH:
         yield path
         return
     folder = os.open(os.path.dirname(path), os.O_PATH | os.O_DIRECTORY)
@@ -80,7 +80,7 @@
         now = time.monotonic()
         if self.state == "waiting":
             if self.known.ready(node):
-                self.alone = self.lock.take()
+                self.alone = self.lock.acquire()
                 if self.alone:
                     self.take(node, None)
                 else:
@@ -94,7 +94,7 @@
                     log.warning("hand-over", extra={"pairs": {"why": "no answer", "kept": "none"}})
                 self.take(node, answer)
         else:
-            if not self.alone and self.lock.take():  # the predecessor has ended
+            if not self.alone and self.lock.acquire():  # the predecessor has ended
                 self.alone = True
                 node.limit(None)
                 if self.heir:
@@ -116,7 +116,7 @@
         """
         try:
             with reachable(self.heir_path) as path:
-                self.heir = control.listening(path)
+                self.heir = control.listen(path)
         except OSError as fault:
             log.warning("hand-over", extra={"pairs": {"file": self.heir_path, "why": fault}})
             return
--- a/cottonspread/fleet/carrying.py
+++ b/cottonspread/fleet/carrying.py
@@ -105,7 +105,7 @@
     def __init__(self, carrying, record, done):
         self.carrying, self.record, self.done = carrying, record, done
 
-    def say(self, said):
+    def send(self, said):
         """`said`: {"ok", "why"}."""
         carrying, body = self.carrying, self.record.body
         if said["ok"]:
--- a/cottonspread/fleet/control.py
+++ b/cottonspread/fleet/control.py
@@ -10,26 +10,26 @@
 import resource
 import socket
 
-LONGEST_PATH = 100  # of a socket: the kernel takes 107 bytes
+MAX_SOCKET_PATH = 100  # of a socket: the kernel takes 107 bytes
 MOST_WAITING = 1 << 20  # bytes that a peer may leave unread
 
 
-def mark(text):
+def digest(text):
     """A short name of a text: a status sent twice a second carries it instead of kilobytes of settings."""
     return hashlib.sha256(text.encode()).hexdigest()[:16]
 
 
-class Line:
+class JsonConnection:
     """One end of a connection that carries JSON lines, never waiting.
 
-    False from `read` and `say`: it is over.
+    False from `receive` and `send`: it is over.
     """
 
     def __init__(self, sock):
         sock.setblocking(False)
         self.sock, self.rest, self.unsent = sock, b"", b""
 
-    def read(self):
+    def receive(self):
         """What has come, as objects, and whether the connection still stands."""
         said, stands = [], True
         try:
@@ -50,7 +50,7 @@
             stands = False
         return said, stands and len(self.rest) < MOST_WAITING
 
-    def say(self, said):
+    def send(self, said):
         self.unsent += json.dumps(said, default=str).encode() + b"\n"
         return self.flush()
 
@@ -83,7 +83,7 @@
         os.unlink(path)
 
 
-def listening(path):
+def listen(path):
     """A control socket at this path; what an earlier process left there is removed.
 
     Only its owner may connect.
@@ -99,7 +99,7 @@
     return sock
 
 
-def raise_descriptors(need):
+def raise_descriptor_limit(need):
     """This process's limit on descriptors goes up to `need`, if it may; the limit that it cannot pass."""
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     resource.setrlimit(resource.RLIMIT_NOFILE, (min(hard, max(soft, need)), hard))
@@ -115,7 +115,7 @@
     def __init__(self, path):
         self.file = os.open(path, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
 
-    def take(self):
+    def acquire(self):
         """False: another process has it."""
         try:
             fcntl.flock(self.file, fcntl.LOCK_EX | fcntl.LOCK_NB)
@@ -128,9 +128,9 @@
             pass
         return True
 
-    def holder(self):
+    def holder_pid(self):
         """The pid that the last holder wrote; it says nothing unless the lock is taken."""
         return os.pread(self.file, 32, 0).decode(errors="replace").strip() or "unknown"
 
-    def drop(self):
+    def release(self):
         fcntl.flock(self.file, fcntl.LOCK_UN)
--- a/cottonspread/fleet/core.py
+++ b/cottonspread/fleet/core.py
@@ -266,7 +266,7 @@
         if status.get("live") == p.spec.live:  # its whole text: a program that takes over less than ours
             p.takes_live = False
         refused = status.get("refused")
-        if refused and p.applied and refused["live"] == p.applied.mark:
+        if refused and p.applied and refused["live"] == p.applied.live_digest:
             self.not_applied(slot, p, f"refused: {refused['why']}")
         if status["state"] != p.state:
             p.state, p.since = status["state"], self.now
@@ -477,7 +477,7 @@
         return (
             slot.serving()
             and p.spec.start == slot.spec.start
-            and (p.spec.live == slot.spec.live or p.seen.get("live") == slot.spec.mark)
+            and (p.spec.live == slot.spec.live or p.seen.get("live") == slot.spec.live_digest)
         )
 
     def worse(self, p):
@@ -603,7 +603,7 @@
         if (
             old is not None
             and old.applied is not None
-            and old.seen.get("live") == old.applied.mark
+            and old.seen.get("live") == old.applied.live_digest
             and old.spec.start == old.applied.start
         ):
             old.spec, old.applied = old.applied, None
@@ -625,7 +625,7 @@
     @staticmethod
     def strays(p):
         """Whether it runs under something else than is known of it: an order given up was obeyed late."""
-        return p.applied is None and p.seen.get("live", p.spec.mark) != p.spec.mark
+        return p.applied is None and p.seen.get("live", p.spec.live_digest) != p.spec.live_digest
 
     @staticmethod
     def fits(p, slot):
--- a/cottonspread/fleet/notify.py
+++ b/cottonspread/fleet/notify.py
@@ -7,18 +7,18 @@
 import time
 
 
-class Manager:
+class ServiceManager:
     """Whoever started us, if it listens; without one nothing is sent."""
 
     def __init__(self, environment=os.environ):
         self.address = environment.get("NOTIFY_SOCKET", "")
-        self.every = 0.0  # seconds between two signs of life: half of what it asks for
+        self.watchdog_interval = 0.0  # seconds between two signs of life: half of what it asks for
         if environment.get("WATCHDOG_USEC", "").isdigit() and environment.get(
             "WATCHDOG_PID", str(os.getpid())
         ) == str(os.getpid()):
-            self.every = int(environment["WATCHDOG_USEC"]) / 2e6
+            self.watchdog_interval = int(environment["WATCHDOG_USEC"]) / 2e6
 
-    def say(self, *lines):
+    def send(self, *lines):
         """Whether it was sent; nobody waits for a manager that does not read."""
         if not self.address:
             return False
@@ -31,14 +31,14 @@
         except OSError:
             return False
 
-    def ready(self, status):
-        return self.say("READY=1", f"STATUS={status}")
+    def notify_ready(self, status):
+        return self.send("READY=1", f"STATUS={status}")
 
-    def reloading(self):
-        return self.say("RELOADING=1", f"MONOTONIC_USEC={time.monotonic_ns() // 1000}")
+    def notify_reloading(self):
+        return self.send("RELOADING=1", f"MONOTONIC_USEC={time.monotonic_ns() // 1000}")
 
-    def stopping(self):
-        return self.say("STOPPING=1")
+    def notify_stopping(self):
+        return self.send("STOPPING=1")
 
-    def alive(self):
-        return self.say("WATCHDOG=1")
+    def notify_watchdog(self):
+        return self.send("WATCHDOG=1")
--- a/cottonspread/fleet/plan.py
+++ b/cottonspread/fleet/plan.py
@@ -37,9 +37,9 @@
     live: str
 
     @functools.cached_property
-    def mark(self):
+    def live_digest(self):
         """What an instance calls the live part in its status, in place of its whole text."""
-        return control.mark(self.live)
+        return control.digest(self.live)
 
 
 @dataclass(frozen=True)
--- a/cottonspread/fleet/supervisor.py
+++ b/cottonspread/fleet/supervisor.py
@@ -49,7 +49,7 @@
         self.logging, _, self.fleet, section = op.read_fleet(self.path)
         self.follower = carrying.Carrying(self, section) if section else None
         self.folder, self.logs = plans.folders(self.path, self.fleet)
-        self.manager, self.selector, self.timers = notify.Manager(), selectors.DefaultSelector(), []
+        self.manager, self.selector, self.timers = notify.ServiceManager(), selectors.DefaultSelector(), []
         self.sockets, self.doors, self.guests = {}, {}, {}  # by address; by name; by socket
         self.children, self.pidfds, self.channels = {}, {}, {}  # by (name, generation)
         self.waiting = {}  # control sockets not yet there
@@ -77,7 +77,7 @@
         except OSError as fault:
             raise op.OperatorFileError([f"{self.path}: fleet.state: {fault}"]) from fault
         longest = os.path.join(self.folder, f"{self.fleet.name}-255.{10**6}.sock")
-        if len(longest) > control.LONGEST_PATH:
+        if len(longest) > control.MAX_SOCKET_PATH:
             raise op.OperatorFileError(
                 [
                     f"{self.path}: fleet.state: {self.folder}: too long a path for sockets: "
@@ -85,11 +85,11 @@
                 ]
             )
         self.lock = control.Lock(os.path.join(self.folder, "fleet.pid"))
-        if not self.lock.take():
+        if not self.lock.acquire():
             raise op.OperatorFileError(
                 [
                     f"{self.path}: fleet.state: {self.folder}: a supervisor runs there already, "
-                    f"pid {self.lock.holder()}"
+                    f"pid {self.lock.holder_pid()}"
                 ]
             )
         self.room(self.fleet.instances)
@@ -102,7 +102,7 @@
         self.bind(plan)
         self.core = Core(now(), plan)
         self.core.generation = kept.get("generation", 0)
-        self.control = control.listening(os.path.join(self.folder, "fleet.sock"))
+        self.control = control.listen(os.path.join(self.folder, "fleet.sock"))
         self.control.setblocking(False)
         self.selector.register(self.control, selectors.EVENT_READ, self.welcome)
         for name, generation, spec, status, sock in found:
@@ -124,7 +124,7 @@
         changed; its process has its own limit.
         """
         need = 5 * instances + MOST_AT_DOOR + 32
-        hard = control.raise_descriptors(need)
+        hard = control.raise_descriptor_limit(need)
         if hard < need:
             raise op.OperatorFileError(
                 [
@@ -169,12 +169,12 @@
                 continue
             try:
                 sock = control.connect(path)
-                line, said, until = control.Line(sock), [], time.monotonic() + 1
+                line, said, until = control.JsonConnection(sock), [], time.monotonic() + 1
                 while len(said) < 2 and time.monotonic() < until:
-                    said += line.read()[0]
+                    said += line.receive()[0]
                     time.sleep(0.005)
                 hello, status = said[0], said[1]["status"]
-                line.say({"do": "socket"})
+                line.send({"do": "socket"})
                 sock.settimeout(1.0)
                 _, fds, _, _ = socket.recv_fds(sock, 1, 1)
                 listener = socket.socket(fileno=fds[0])
@@ -196,7 +196,7 @@
 
     def follow(self, name, generation, sock):
         """A control connection that stands, and the process behind it."""
-        line = control.Line(sock)
+        line = control.JsonConnection(sock)
         self.channels[name, generation] = line
         self.selector.register(sock, selectors.EVENT_READ, lambda: self.hear(name, generation, line))
         if (name, generation) in self.pidfds and (name, generation) not in self.children:
@@ -223,7 +223,7 @@
                 if number == signal.SIGHUP:
                     self.guarded(self.reload, None)
                 else:
-                    self.manager.stopping()
+                    self.manager.notify_stopping()
                     self.tell("stop")
             while self.timers and self.timers[0][0] <= time.monotonic():
                 self.guarded(heapq.heappop(self.timers)[2])
@@ -237,7 +237,7 @@
 
     def begin_regular_work(self):
         self.at(0, self.regularly)
-        if self.manager.every:
+        if self.manager.watchdog_interval:
             self.at(0, self.alive)
         if self.follower:
             self.follower.start()
@@ -264,12 +264,12 @@
         heapq.heappush(self.timers, (time.monotonic() + after, id(what), what))
 
     def alive(self):
-        self.manager.alive()
-        self.at(self.manager.every, self.alive)
+        self.manager.notify_watchdog()
+        self.at(self.manager.watchdog_interval, self.alive)
 
     def regularly(self):
         self.at(STATUS_EVERY, self.regularly)
-        self.manager.say(f"STATUS={self.summary()}")
+        self.manager.send(f"STATUS={self.summary()}")
 
     def summary(self):
         slots = self.core.slots.values()
@@ -287,7 +287,7 @@
                 "ready",
                 extra={"pairs": {"instances": len(self.core.slots), "s": time.monotonic() - self.began}},
             )
-            self.manager.ready(self.summary())
+            self.manager.notify_ready(self.summary())
 
     def carry_out(self, effect):
         self.handlers[type(effect)](effect)
@@ -392,7 +392,7 @@
                 signal.pidfd_send_signal(fd, signal.SIGKILL)
 
     def hear(self, name, generation, line):
-        said, stands = line.read()
+        said, stands = line.receive()
         if not stands:
             self.drop_channel(name, generation)
         for one in said:
@@ -411,7 +411,7 @@
     def order(self, effect, said):
         line = self.channels.get((effect.name, effect.generation))
         if line:
-            line.say(said)
+            line.send(said)
 
     def drop_sockets(self):
         """Addresses that nobody wants any more."""
@@ -513,21 +513,21 @@
 
     def welcome(self):
         try:
-            line = control.Line(self.control.accept()[0])
+            line = control.JsonConnection(self.control.accept()[0])
         except OSError:
             return
         self.selector.register(line.sock, selectors.EVENT_READ, lambda: self.command(line))
 
     def command(self, line):
-        said, stands = line.read()
+        said, stands = line.receive()
         for one in said:
             try:
                 self.obey(line, one)
             except config.ConfigurationError as fault:
-                line.say({"ok": False, "why": str(fault)})
+                line.send({"ok": False, "why": str(fault)})
             except Exception as fault:  # our own: told, and the fleet goes on
                 log.exception("fault", extra={"pairs": {"while": one.get("do")}})
-                line.say({"ok": False, "why": f"our own fault: {type(fault).__name__}: {fault}"})
+                line.send({"ok": False, "why": f"our own fault: {type(fault).__name__}: {fault}"})
         if not stands or not line.flush():
             self.answers = [(k, other) for k, other in self.answers if other is not line]
             self.let_go(line.sock)
@@ -537,7 +537,7 @@
         if name is not None and name not in self.core.slots:
             raise config.ConfigurationError(f"{name}: no such instance" + op.near(str(name), self.core.slots))
         if do == "status":
-            line.say({"ok": True, "status": self.status()})
+            line.send({"ok": True, "status": self.status()})
         elif do == "reload":
             self.reload(line)
         elif do == "upgrade":
@@ -546,22 +546,22 @@
             )
         elif do in ("drain", "restart"):
             self.tell(do, name)
-            line.say({"ok": True, "why": "begun"})
+            line.send({"ok": True, "why": "begun"})
         elif do == "stop":
             self.answers.append(("stop", line))
-            self.manager.stopping()
+            self.manager.notify_stopping()
             self.tell("stop")
         else:
             raise config.ConfigurationError(f"{do}: no such command")
 
     def reload(self, line):
-        self.manager.reloading()
+        self.manager.notify_reloading()
         try:
             pending = self.core.pending
             self.change((pending[0] if pending else self.core.plan).program, "reload", line)
         except config.ConfigurationError as fault:
             log.error("reload", extra={"pairs": {"why": fault, "kept": "the old configuration"}})
-            self.manager.ready(self.summary())
+            self.manager.notify_ready(self.summary())
             if line:
                 raise
 
@@ -593,13 +593,13 @@
         # only now: a supervisor that dies in an upgrade has a successor that goes back
         self.program = effect.plan.program
         self.keep()
-        self.manager.ready(self.summary())
+        self.manager.notify_ready(self.summary())
         self.answer({"ok": effect.ok, "why": effect.why or "done"}, effect.target)
 
     def answer(self, said, kind):
         for k, line in self.answers:
             if k is kind:
-                line.say(said)
+                line.send(said)
         self.answers = [(k, line) for k, line in self.answers if k is not kind]
 
     def status(self):
--- a/tests/configstore/test_shell_fleet.py
+++ b/tests/configstore/test_shell_fleet.py
@@ -147,13 +147,13 @@
     hand_over(1, m.Stage.CANARY, good)
     plan, line = supervisor.rollouts.pop()
     assert "second" in plan.specs["f-0"].live and plan.fleet.live_watch_s == 0.5 and not told
-    line.say({"ok": True, "why": "done"})
+    line.send({"ok": True, "why": "done"})
     assert told.pop() == (1, True, "done") and carrying.in_force == carrying.wanted == good
 
     third = hand_over(2, m.Stage.EVERYWHERE, json.dumps(configuration("127.0.0.1:1", "third")))
     plan, line = supervisor.rollouts.pop()
     assert plan.fleet.live_watch_s == 0 and carrying.wanted == third.body
-    line.say({"ok": False, "why": "f-0: refused"})
+    line.send({"ok": False, "why": "f-0: refused"})
     assert told.pop() == (2, False, "f-0: refused") and carrying.in_force == carrying.wanted == good
 
     faulty = hand_over(3, m.Stage.EVERYWHERE, '{"settings": 3}')
--- a/tests/fleet/test_core.py
+++ b/tests/fleet/test_core.py
@@ -89,7 +89,7 @@
                 "frozen": False,
                 "leave": None,
                 "deaf": False,
-                "live": e.spec.mark,
+                "live": e.spec.live_digest,
                 "refused": None,
             }
             self.started.append(key)
@@ -115,9 +115,9 @@
 
     def apply(self, key, spec):
         if spec.live in self.refusing:
-            self.alive[key]["refused"] = {"live": spec.mark, "why": "as played"}
+            self.alive[key]["refused"] = {"live": spec.live_digest, "why": "as played"}
         elif not self.alive[key]["deaf"]:
-            self.alive[key] |= {"live": spec.mark, "refused": None}
+            self.alive[key] |= {"live": spec.live_digest, "refused": None}
 
     def status(self, key):
         p = self.alive[key]
@@ -281,7 +281,7 @@
                 if up:
                     assert (
                         world.holders()[name]["spec"].start == slot.spec.start
-                        and world.holders()[name]["live"] == slot.spec.mark
+                        and world.holders()[name]["live"] == slot.spec.live_digest
                     )
             world.tell("stop")
         world.settle(60)
@@ -490,7 +490,7 @@
     assert (
         len(world.started) == 3
         and world.outcomes[-1].ok
-        and all(p["live"] == plan(live="y").specs["f-0"].mark for p in world.alive.values())
+        and all(p["live"] == plan(live="y").specs["f-0"].live_digest for p in world.alive.values())
     )
 
 
@@ -520,10 +520,10 @@
             "told": True,
             "leave": None,
             "deaf": False,
-            "live": spec.mark,
+            "live": spec.live_digest,
             "refused": None,
         }
-        world.core.adopted(f"f-{n}", 7 + n, spec, {"state": state, "steps": 5, "live": spec.mark})
+        world.core.adopted(f"f-{n}", 7 + n, spec, {"state": state, "steps": 5, "live": spec.live_digest})
     world.tell("settle")
     assert not [e for e in world.effects if isinstance(e, c.Start) and e.name != "f-2"][1:], "all at once"
     world.settle(40)
@@ -559,7 +559,7 @@
         world.settle(0.25)
     assert world.outcomes[-1].ok and world.now - began <= 3 * SECOND
     assert set(world.alive) == before, "nobody was restarted"
-    assert {p["live"] for p in world.alive.values()} == {plan(live="y").specs["f-0"].mark}
+    assert {p["live"] for p in world.alive.values()} == {plan(live="y").specs["f-0"].live_digest}
 
 
 def test_a_live_change_that_the_first_refuses_reaches_no_other():
@@ -578,7 +578,9 @@
     world.refusing.add("y")
     world.settle(5)
     assert not world.outcomes[-1].ok and "refused: as played" in world.outcomes[-1].why
-    assert {p["live"] for p in world.alive.values()} == {plan().specs["f-0"].mark} and len(world.started) == 3
+    assert {p["live"] for p in world.alive.values()} == {plan().specs["f-0"].live_digest} and len(
+        world.started
+    ) == 3
 
 
 def test_a_live_change_that_brings_more_bad_ends_goes_back():
@@ -589,7 +591,7 @@
         world.now += SECOND // 10
         for key in list(world.alive):
             p = world.alive[key]
-            p["ended"], p["bad"] = p["ended"] + 2, p["bad"] + (p["live"] == changed.specs["f-0"].mark)
+            p["ended"], p["bad"] = p["ended"] + 2, p["bad"] + (p["live"] == changed.specs["f-0"].live_digest)
             world.status(key)
     assert not world.outcomes[-1].ok and "ended badly" in world.outcomes[-1].why
     assert applied(world) == ["f-0", "f-0"], "to the first and back again"
@@ -601,9 +603,9 @@
     world.tell("replan", plan(2, live="y"))
     world.settle(6)
     assert world.outcomes[-1].why == "f-0: not taken over after 5 s"
-    world.alive["f-0", 1] |= {"live": plan(live="y").specs["f-0"].mark, "deaf": False}
+    world.alive["f-0", 1] |= {"live": plan(live="y").specs["f-0"].live_digest, "deaf": False}
     world.settle(2)
-    assert world.alive["f-0", 1]["live"] == plan().specs["f-0"].mark and len(world.started) == 2
+    assert world.alive["f-0", 1]["live"] == plan().specs["f-0"].live_digest and len(world.started) == 2
 
 
 def test_a_way_back_that_is_refused_is_taken_by_a_successor():
@@ -615,7 +617,7 @@
     world.exit(("f-1", 2), "signal 9")  # while it is watched
     world.settle(20)
     assert not world.outcomes[-1].ok and world.outcomes[-1].why == "f-1: signal 9"
-    assert {p["live"] for p in world.holders().values()} == {plan().specs["f-0"].mark}
+    assert {p["live"] for p in world.holders().values()} == {plan().specs["f-0"].live_digest}
     assert len(world.holders()) == 3 and len(world.started) == 6
 
 
--- a/tests/test_succession.py
+++ b/tests/test_succession.py
@@ -470,7 +470,7 @@
     (tmp_path / folder).mkdir()
     where = str(tmp_path / folder / "cottonspread-n1.heir")
     with reachable(where) as path:
-        listener = control.listening(path)
+        listener = control.listen(path)
     with reachable(where) as path:
         control.connect(path).close()
     listener.accept()[0].close()
