--- a/benchmarks/crossings/mutants.py
+++ b/benchmarks/crossings/mutants.py
@@ -220,8 +220,8 @@
     (
         "short watches",
         "net/discovery.py",
-        "    WATCH_MS = 2000 ",
-        "    WATCH_MS = 5000 ",
+        "    WATCH_TIMEOUT_MS = 2000 ",
+        "    WATCH_TIMEOUT_MS = 5000 ",
         [
             f"{LIST}::test_the_longest_way_of_a_change_lies_under_6_s_with_room_for_a_late_node",
             f"{LIST}::test_a_change_after_a_call_that_failed_is_heard_of_in_its_time",
@@ -237,22 +237,22 @@
     (
         "believing once discovery has failed",
         "net/discovery.py",
-        "            self.failures += 1\n            self.trust()",
+        "            self.failures += 1\n            self.publish_initial()",
         "            self.failures += 1",
         [f"{LIST}::test_a_new_process_serves_from_what_it_knew_while_discovery_is_down"],
     ),
     (
         "a pause cut short",
         "net/discovery.py",
-        "        self.wanted.set()\n        self.hurry.set()\n\n    def begin",
-        "        self.wanted.set()\n\n    def begin",
+        "        self.enabled.set()\n        self.wake.set()\n\n    def start_with",
+        "        self.enabled.set()\n\n    def start_with",
         [f"{LIST}::test_sighup_moves_the_list_at_once_whatever_the_call_to_the_old_one_does"],
     ),
     (
         "a 503 is no closed connection",
         "net/http.py",
-        "if not kept or self.heard or self.given_up:",
-        "if not kept or self.given_up:",
+        "if not reused or self.response_started or self.aborted:",
+        "if not reused or self.aborted:",
         [f"{LIST}::test_a_503_on_a_kept_connection_is_one_call_and_not_two"],
     ),
     (
@@ -311,15 +311,15 @@
     (
         "which connection a reload gives up",
         "net/discovery.py",
-        "        if current is not target:\n            current.give_up()",
-        "        self.http.give_up()",
+        "        if current is not target:\n            current.abort()",
+        "        self.http.abort()",
         [f"{LIST}::test_a_reload_between_its_two_halves_does_not_give_the_new_list_up"],
     ),
     (
         "asking at a reload",
         "net/discovery.py",
-        "        self.wanted.set()\n        self.hurry.set()\n\n    def begin",
-        "        self.hurry.set()\n\n    def begin",
+        "        self.enabled.set()\n        self.wake.set()\n\n    def start_with",
+        "        self.wake.set()\n\n    def start_with",
         [f"{LIST}::test_a_reload_asks_the_new_list_at_once_while_the_next_time_to_ask_is_far"],
     ),
     (
@@ -339,7 +339,7 @@
     (
         "a watch that is silent late",
         "net/http.py",
-        "        self.sock.settimeout(self.left())\n        got",
+        "        self.sock.settimeout(self.time_left())\n        got",
         "        self.sock.settimeout(None if self.rest == b'' else self.left())\n        got",
         [f"{LIST}::test_a_silence_after_watches_that_were_answered_is_a_silence"],
     ),
--- a/cottonspread/configstore/callers.py
+++ b/cottonspread/configstore/callers.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 
 from cottonspread.configstore import messages as m
-from cottonspread.net.http import Http, ResponseError
+from cottonspread.net.http import HttpClient, ResponseError
 
 WATCH_PATH = "/api/configuration"
 POST_PATHS = {
@@ -88,7 +88,7 @@
         with self._lock:
             self._stopped, callers = True, list(self._all)
         for caller in callers:
-            caller.http.give_up()
+            caller.http.abort()
             caller.jobs.put(None)
 
 
@@ -97,7 +97,7 @@
 
     def __init__(self, replica: str, is_idle: Callable):
         self.replica, self._is_idle = replica, is_idle
-        self.http, self.jobs = Http(read_address(replica), CONNECT_WAIT), queue.SimpleQueue()
+        self.http, self.jobs = HttpClient(read_address(replica), CONNECT_WAIT), queue.SimpleQueue()
         before = threading.stack_size(STACK)
         try:
             threading.Thread(target=self._run, daemon=True).start()
--- a/cottonspread/lab/scale/hollow.py
+++ b/cottonspread/lab/scale/hollow.py
@@ -21,7 +21,7 @@
 from cottonspread.lab.sim.world import SECOND
 from cottonspread.net import events as ev
 from cottonspread.net.discovery import Discovery
-from cottonspread.net.http import Http
+from cottonspread.net.http import HttpClient
 
 LIST_MACHINES = 3
 """Machines that are set aside for control."""
@@ -79,7 +79,7 @@
 
 
 class MemorySocket:
-    """A connection to a hollow list machine, as far as `Http` uses a socket."""
+    """A connection to a hollow list machine, as far as `HttpClient` uses a socket."""
 
     def __init__(self, caller):
         self.caller, self.path, self.answer, self.broken = caller, "", b"", False
@@ -101,17 +101,17 @@
         pass
 
 
-class MemoryHttp(Http):
+class MemoryHttp(HttpClient):
     """The real HTTP client on a memory socket in the place of a TCP connection."""
 
     def __init__(self, address, caller):
-        super().__init__(address, Discovery.CONNECT)
+        super().__init__(address, Discovery.CONNECT_TIMEOUT)
         self.caller = caller
 
-    def call(self, *request):
+    def exchange(self, *request):
         if self.sock is None:
             self.sock = self.caller.connected()
-        return super().call(*request)
+        return super().exchange(*request)
 
 
 class HollowCaller(Caller):
@@ -131,7 +131,7 @@
             super().ask()
             return
         self.call, self.answer, self.out = self.call + 1, None, False
-        wait = round(Discovery.CONNECT * SECOND) if isinstance(fault, TimeoutError) else NEAR
+        wait = round(Discovery.CONNECT_TIMEOUT * SECOND) if isinstance(fault, TimeoutError) else NEAR
         self.world.after(wait, self.fail, self.call, fault)
 
     def look(self, call=None):
--- a/cottonspread/lab/scale/hollow_sockets.py
+++ b/cottonspread/lab/scale/hollow_sockets.py
@@ -23,7 +23,7 @@
 from cottonspread.lab.sim.world import SECOND
 from cottonspread.net import events as ev
 from cottonspread.net.discovery import Discovery
-from cottonspread.net.http import Http
+from cottonspread.net.http import HttpClient
 
 STARTS_OVER_S = 2.0
 """The clients start evenly over one watch."""
@@ -80,19 +80,19 @@
         return getattr(self.sock, name)
 
 
-class CountedHttp(Http):
+class CountedHttp(HttpClient):
     """The real client on a counted connection."""
 
     def __init__(self, address, counts):
-        super().__init__(address, Discovery.CONNECT)
+        super().__init__(address, Discovery.CONNECT_TIMEOUT)
         self.counts = counts
 
-    def call(self, *request):
+    def exchange(self, *request):
         if self.sock is None:
-            sock = socket.create_connection(self.address, timeout=min(self.left(), self.connect_wait))
+            sock = socket.create_connection(self.address, timeout=min(self.time_left(), self.connect_timeout))
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             self.sock = CountedSocket(sock, self.counts)
-        return super().call(*request)
+        return super().exchange(*request)
 
 
 @dataclass
@@ -107,7 +107,7 @@
         names = SimpleNamespace(zones={f"z{n}": n for n in range(ZONES)}, kinds={"lab": 0})
         self.discovery = Discovery(self.address, names, self.post, 0)
         self.discovery.http = self.discovery.target = CountedHttp(self.address, self.counts)
-        self.discovery.wanted.set()
+        self.discovery.enabled.set()
 
     def post(self, event):
         if isinstance(event, ev.Heard):
--- a/cottonspread/lab/scale/hollow_sweeps.py
+++ b/cottonspread/lab/scale/hollow_sweeps.py
@@ -126,7 +126,7 @@
     memory = (resident() - before) / size.nodes / MIB
     first, _ = playing.look()
     for process in playing.fleet.processes():  # as after an answer that could not be read
-        process.discovery.whole = True
+        process.discovery.need_full_list = True
     playing.until(WARM_S + 2.55)
     whole, _ = playing.look()
     playing.change_evenly(WARM_S + 2.65, CHANGES, 1.0)
--- a/cottonspread/lab/sim/agent.py
+++ b/cottonspread/lab/sim/agent.py
@@ -1,7 +1,7 @@
 """The list of hosts as one node's agent has it: the lab's own book, told late, cut, garbled,
 begun anew, or at odds with the others'.
 
-The calls are the node's own (`discovery.Discovery.turn`); what is simulated is
+The calls are the node's own (`discovery.Discovery.poll`); what is simulated is
 when an answer comes, and what it holds.
 """
 
@@ -59,7 +59,7 @@
 
 
 class Caller:
-    """One process's calls: in the place of `http.Http`."""
+    """One process's calls: in the place of `http.HttpClient`."""
 
     def __init__(self, agent, process):
         self.agent, self.world, self.process, self.call, self.due, self.answer = (
@@ -73,15 +73,15 @@
         process.discovery.http = process.discovery.target = self
 
     def wanted(self):
-        self.process.discovery.wanted.set()
+        self.process.discovery.enabled.set()
         self.ask()
 
     def ask(self):
         """The next call."""
         self.call += 1
         found, self.answer = self.process.discovery, None
-        _, wait = found.call()
-        self.due = self.world.now + (0 if found.whole else found.WATCH_MS * 1000)
+        _, wait = found.next_request()
+        self.due = self.world.now + (0 if found.need_full_list else found.WATCH_TIMEOUT_MS * 1000)
         self.world.after(
             round(wait * SECOND), self.fail, self.call, TimeoutError("the answer takes too long")
         )
@@ -110,19 +110,19 @@
         found = self.process.discovery
         if (
             call != self.call
-            or not found.wanted.is_set()
+            or not found.enabled.is_set()
             or self.answer is None
             and self.world.now < self.agent.silent
         ):
             return
         self.call += 1
         pause = self.take_turn()
-        if found.wanted.is_set():
+        if found.enabled.is_set():
             self.world.after(round(pause * SECOND) + 1, self.process.alive, self.ask)
 
     def take_turn(self):
         """The list client's own turn; how many seconds it pauses then."""
-        return self.process.discovery.turn()
+        return self.process.discovery.poll()
 
     def get(self, path, wait):
         """The body of an answer."""
@@ -158,4 +158,4 @@
     def close(self):
         pass
 
-    give_up = close
+    abort = close
--- a/cottonspread/lab/sim/fleet.py
+++ b/cottonspread/lab/sim/fleet.py
@@ -68,7 +68,7 @@
         """As the succession does: it serves once it knows a list that discovery told."""
         if process.dead:
             return
-        told = not process.discovery.whole or self.fleet.world.now - process.began >= LIST_WAIT
+        told = not process.discovery.need_full_list or self.fleet.world.now - process.began >= LIST_WAIT
         if not process.reducer.listed or not told:
             self.fleet.world.after(20_000, self.wait_until_ready, process)
         elif len(self.processes) > 1:
--- a/cottonspread/lab/sim/node.py
+++ b/cottonspread/lab/sim/node.py
@@ -274,7 +274,9 @@
         )
         self.reducer = Reducer(self.clock(), begin, names, hearing, self.most, *node.fleet.policy)
         self.caller = node.agent.serve(self)
-        self.discovery.begin(listed, addresses, unread, trusted=begin.listing.ask or node.keep is not None)
+        self.discovery.start_with(
+            listed, addresses, unread, trusted=begin.listing.ask or node.keep is not None
+        )
         self.wake()
 
     def next_number(self):
--- a/cottonspread/net/node.py
+++ b/cottonspread/net/node.py
@@ -111,7 +111,7 @@
             may_watch(begin, listed, keep is not None),
         )
         self.reducer = Reducer(self.clock.now(), begin, names, hearing, self.most)
-        self.discovery.begin(listed, addresses, unread, trusted=begin.listing.ask or keep is not None)
+        self.discovery.start_with(listed, addresses, unread, trusted=begin.listing.ask or keep is not None)
         self.listener, self.shared, self.steps, self.ended = None, False, 0, Counter()
         self.closer = Closer(self.most_closing)
         self.admission, self.finished = None, False
@@ -181,7 +181,7 @@
         """
         if anew or address != self.place.discovery:
             self.place = replace(self.place, discovery=address)
-            self.discovery.follow(address)
+            self.discovery.change_address(address)
 
     def take(self):
         """Take connections from the listener from now on."""
@@ -328,7 +328,7 @@
                 self.ended[effect.pairs["reason"]] += 1
             log.log(logging.getLevelName(effect.level.upper()), effect.event, extra={"pairs": effect.pairs})
         elif isinstance(effect, ev.FollowList):
-            self.discovery.wanted.set()
+            self.discovery.enabled.set()
         elif isinstance(effect, ev.Pass):
             self.giver.orders.put(effect)
         elif isinstance(effect, ev.Stop):
--- a/tests/crossings/test_floods.py
+++ b/tests/crossings/test_floods.py
@@ -16,7 +16,7 @@
 from cottonspread import cli, config
 from cottonspread.net import discovery, lines
 from cottonspread.net import events as ev
-from cottonspread.net.http import Http, ResponseError
+from cottonspread.net.http import HttpClient, ResponseError
 from cottonspread.net.pool import Pool
 
 
@@ -241,7 +241,7 @@
 
     thread = threading.Thread(target=serve)
     thread.start()
-    http = Http(listener.getsockname(), 1)
+    http = HttpClient(listener.getsockname(), 1)
     with contextlib.suppress(ResponseError, OSError):
         assert isinstance(http.get("/", 1), bytes)
     http.close()
@@ -253,7 +253,7 @@
     """What came was read up, so nothing lay there: the call went again, and said that nobody listens."""
     ours, theirs = socket.socketpair()
     theirs.sendall(b"HTTP/1.1 200 OK\r\nno colon\r\n")
-    http = Http(("127.0.0.1", 1), 1)
+    http = HttpClient(("127.0.0.1", 1), 1)
     http.sock = ours
     with pytest.raises(ResponseError):
         http.get("/", WAIT)
@@ -262,7 +262,7 @@
 
 def test_a_head_that_never_ends_is_given_up_by_its_size():
     ours, theirs = socket.socketpair()
-    http = Http(("127.0.0.1", 1), 1)
+    http = HttpClient(("127.0.0.1", 1), 1)
     http.sock = ours
 
     def drip():
--- a/tests/crossings/test_list.py
+++ b/tests/crossings/test_list.py
@@ -27,7 +27,7 @@
 from cottonspread import interface as io
 from cottonspread.net import discovery, http
 from cottonspread.net import events as ev
-from cottonspread.net.http import Http
+from cottonspread.net.http import HttpClient
 
 TOLD = 6.0 / 10
 ROOM = 0.25  # for a machine that is busy with other tests; the bound itself is reckoned below
@@ -36,8 +36,18 @@
 @pytest.fixture
 def scaled(monkeypatch):
     one = discovery.Discovery
-    for name in ("WATCH_MS", "SPARE", "WHOLE", "FIRST", "CONNECT", "PAUSE", "LONGEST_PAUSE"):
-        monkeypatch.setattr(one, name, getattr(one, name) / 10 if name != "WATCH_MS" else one.WATCH_MS // 10)
+    for name in (
+        "WATCH_TIMEOUT_MS",
+        "WATCH_MARGIN",
+        "FULL_LIST_TIMEOUT",
+        "FIRST_LIST_TIMEOUT",
+        "CONNECT_TIMEOUT",
+        "RETRY_DELAY",
+        "MAX_RETRY_DELAY",
+    ):
+        monkeypatch.setattr(
+            one, name, getattr(one, name) / 10 if name != "WATCH_TIMEOUT_MS" else one.WATCH_TIMEOUT_MS // 10
+        )
 
 
 def test_the_longest_way_of_a_change_lies_under_6_s_with_room_for_a_late_node():
@@ -45,9 +55,9 @@
     connection and an answer that take their time.
     """
     one = discovery.Discovery
-    longest_call = max(one.WATCH_MS / 1000 + one.SPARE, one.WHOLE)
-    pushed = longest_call + one.LONGEST_PAUSE + one.CONNECT
-    asked = 4.5 + one.CONNECT  # from the begin of a call that failed: Membership.LONGEST_WAY
+    longest_call = max(one.WATCH_TIMEOUT_MS / 1000 + one.WATCH_MARGIN, one.FULL_LIST_TIMEOUT)
+    pushed = longest_call + one.MAX_RETRY_DELAY + one.CONNECT_TIMEOUT
+    asked = 4.5 + one.CONNECT_TIMEOUT  # from the begin of a call that failed: Membership.LONGEST_WAY
     assert max(pushed, asked) <= 5.0
     assert longest_call < 4.5
 
@@ -225,8 +235,8 @@
     hosts, agent, fault, monkeypatch
 ):
     """In the middle of a call that hangs, of a pause after failures (a minute here), and twice."""
-    monkeypatch.setattr(discovery.Discovery, "PAUSE", 60.0)
-    monkeypatch.setattr(discovery.Discovery, "LONGEST_PAUSE", 60.0)
+    monkeypatch.setattr(discovery.Discovery, "RETRY_DELAY", 60.0)
+    monkeypatch.setattr(discovery.Discovery, "MAX_RETRY_DELAY", 60.0)
     extra, struck = Host("s-3"), threading.Event()
 
     def script(call):
@@ -297,7 +307,7 @@
 
     def setting(self, name, value):
         follow(self, name, value)
-        if name == "target" and hasattr(self, "hurry") and not made.is_set():
+        if name == "target" and hasattr(self, "wake") and not made.is_set():
             made.set()
             agent.change(hosts[0], "Ready")
             until(lambda: self.http is value, "the thread does not move")
@@ -352,11 +362,11 @@
 
     for script in (first, second, third):
         agent.scripted.put(script)
-    one = Http(agent.address, 0.5)
+    one = HttpClient(agent.address, 0.5)
     one.get("/", 3.0)
     with pytest.raises(TimeoutError):
         one.get("/", 3.0)
-    assert len(calls) <= 2 and one.until == 3.0
+    assert len(calls) <= 2 and one.deadline == 3.0
 
 
 class Clock:
--- a/tests/scale/test_hollow_command.py
+++ b/tests/scale/test_hollow_command.py
@@ -67,7 +67,7 @@
     relay = Relay(list_stand_in.address)
     client = Client(relay.address)
     for _ in range(2):
-        assert client.discovery.turn() == 0
+        assert client.discovery.poll() == 0
     client.discovery.http.close()
     relay.end()
     playing = Playing(Size(nodes=1, servers=20, seconds=10.0))
--- a/tests/scale/test_hollow_counts.py
+++ b/tests/scale/test_hollow_counts.py
@@ -80,7 +80,7 @@
     """Steps of an instance for a whole list, for one change and for a second of ticks."""
     playing = Playing(Size(nodes=1, servers=servers, seconds=30.0))
     playing.until(WARM_S + 0.01)
-    playing.fleet.processes()[0].discovery.whole = True
+    playing.fleet.processes()[0].discovery.need_full_list = True
     whole = steps_made(lambda: playing.until(WARM_S + 2.1))
     at = WARM_S + 4.0
     playing.until(at)
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -20,7 +20,7 @@
 from cottonspread.lists import saved
 from cottonspread.net import discovery, lines, logfmt, workers
 from cottonspread.net import events as ev
-from cottonspread.net.http import Http, ResponseError
+from cottonspread.net.http import HttpClient, ResponseError
 from cottonspread.net.node import Node, grow_table
 from cottonspread.net.notes import Heard, Notes
 from cottonspread.net.pool import SIZE, Pool
@@ -259,7 +259,7 @@
     chunked = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2;x=y\r\nde\r\n0\r\n\r\n"
     to_the_end = b"HTTP/1.0 200 OK\r\n\r\nabcde"
     for answer in (chunked, to_the_end, ok(b"abcde"), b"HTTP/1.1 100 Continue\r\n\r\n" + ok(b"abcde")):
-        assert Http(Answers(answer).address, 1).get("/", WAIT) == b"abcde"
+        assert HttpClient(Answers(answer).address, 1).get("/", WAIT) == b"abcde"
 
 
 @pytest.mark.parametrize(
@@ -275,13 +275,13 @@
 )
 def test_no_answer_is_made_of_a_bad_one(answer):
     with pytest.raises((ResponseError, OSError)):
-        Http(Answers(answer).address, 1).get("/", WAIT)
+        HttpClient(Answers(answer).address, 1).get("/", WAIT)
 
 
 def test_a_call_that_hangs_is_given_up():
     listener = socket.create_server(("127.0.0.1", 0))
     with pytest.raises(TimeoutError):
-        Http(listener.getsockname(), 1).get("/", 0.05)
+        HttpClient(listener.getsockname(), 1).get("/", 0.05)
 
 
 def listing(version, reset=True, state="Ready"):
@@ -397,7 +397,7 @@
         answers.address, names, lambda e: heard.put(e) if isinstance(e, ev.Heard) else failed.append(e), 0
     )
     monkeypatch.setattr(discovery.time, "sleep", lambda _: None)
-    one.wanted.set()
+    one.enabled.set()
     start_thread(one.run, stack=WIDE)  # with less, JSON nested deep ended the whole process
     told = [heard.get(timeout=WAIT) for _ in range(4)]
     one.stop()
@@ -419,7 +419,7 @@
     )
     get = one.http.get
     monkeypatch.setattr(one.http, "get", lambda path, wait: paths.append(path) or get(path, wait))
-    one.turn()
+    one.poll()
     assert heard.get(timeout=WAIT).listed.news is (io.News.CHANGES if known else io.News.FULL)
     assert len(paths) == 1 and paths[0].startswith(first) and (known or paths[0] == first)
 
@@ -435,10 +435,10 @@
         lambda e: heard.put(e) if isinstance(e, ev.Heard) else failed.append(e),
         0,
     )
-    one.wanted.set()
+    one.enabled.set()
     start_thread(one.run, stack=WIDE)
     assert heard.get(timeout=WAIT).listed.version == 41
-    one.follow(second.address)
+    one.change_address(second.address)
     assert [heard.get(timeout=WAIT).listed.version for _ in range(2)] == [7, 8] and not failed
     one.stop()
 
