--- a/cottonspread/cli/known.py
+++ b/cottonspread/cli/known.py
@@ -27,7 +27,7 @@
     """
 
     def __init__(self, parts, path, wait):
-        self.saved = saved.Saved(path, parts[4].weights_move) if path else None
+        self.saved = saved.SavedList(path, parts[4].weights_move) if path else None
         self.wait, self.told, self.began = wait, False, time.monotonic()
         if path:
             parts[-1] = known_list(saved.read(path), parts)
@@ -35,7 +35,7 @@
     def keep(self, *told):
         """As `Node` calls it."""
         if self.saved:
-            self.saved.told(*told)
+            self.saved.update(*told)
         self.told = True
 
     def ready(self, node):
--- a/cottonspread/cli/succession.py
+++ b/cottonspread/cli/succession.py
@@ -190,7 +190,7 @@
 
     def write(self, path, text):
         try:
-            saved.write_whole(path, text)
+            saved.write_atomically(path, text)
         except OSError as fault:
             log.error("hand-over", extra={"pairs": {"file": path, "why": fault}})
 
--- a/cottonspread/configstore/storage.py
+++ b/cottonspread/configstore/storage.py
@@ -9,7 +9,7 @@
 import os
 
 from cottonspread.configstore import messages
-from cottonspread.lists.saved import sync, write_whole
+from cottonspread.lists.saved import sync_folder, write_atomically
 
 FILE_AT_MOST = messages.MESSAGE_AT_MOST + 100
 
@@ -21,7 +21,7 @@
 def write(path: str, message: messages.Message) -> None:
     """Durable when it returns. Raises OSError; the file is the old one or the new one then."""
     text = messages.encode(message).decode()
-    write_whole(path, f"{checksum(text)}\n{text}\n", sync_folder=True)
+    write_atomically(path, f"{checksum(text)}\n{text}\n", durable=True)
 
 
 def remove(path: str) -> None:
@@ -30,7 +30,7 @@
         os.unlink(path)
     except FileNotFoundError:
         return
-    sync(os.path.dirname(os.path.abspath(path)))
+    sync_folder(os.path.dirname(os.path.abspath(path)))
 
 
 def read(path: str, kind: type):
--- a/cottonspread/fleet/supervisor.py
+++ b/cottonspread/fleet/supervisor.py
@@ -22,7 +22,7 @@
 from cottonspread.fleet import carrying, control, notify
 from cottonspread.fleet import plan as plans
 from cottonspread.fleet.core import Apply, Core, Door, Forget, Kill, Leave, Outcome, Over, Say, Start, Take
-from cottonspread.lists.saved import write_whole
+from cottonspread.lists.saved import write_atomically
 
 log = logging.getLogger("cottonspread.fleet")
 
@@ -145,7 +145,7 @@
 
     def keep(self):
         try:
-            write_whole(
+            write_atomically(
                 os.path.join(self.folder, "fleet.json"),
                 json.dumps({"program": list(self.program), "generation": self.core.generation}),
             )
--- a/cottonspread/lab/sim/node.py
+++ b/cottonspread/lab/sim/node.py
@@ -21,7 +21,7 @@
 from cottonspread.net import discovery, lines
 from cottonspread.net import events as ev
 from cottonspread.net.node import SPARE_ENDS, changeable, door_target, may_watch, most_ends
-from cottonspread.net.pool import SIZE
+from cottonspread.net.pool import BUFFER_SIZE
 from cottonspread.net.reducer import Reducer
 from cottonspread.net.workers import HALF_LINE_WAIT
 
@@ -83,7 +83,7 @@
     def gather(self):
         """Takes what is there; whether the reducer was told of a whole line, or of one too long."""
         side, process = self.side, self.process
-        while took := side.take(SIZE - len(self.buffer)) if side.inbox else b"":
+        while took := side.take(BUFFER_SIZE - len(self.buffer)) if side.inbox else b"":
             if not self.buffer:
                 self.since = process.world.now
             self.buffer += took
@@ -94,7 +94,7 @@
                 self.since = process.world.now
                 self.say(ev.Got(self.end, whole, bool(self.buffer), process.clock(side.came_at)))
                 return True
-            if len(self.buffer) == SIZE:
+            if len(self.buffer) == BUFFER_SIZE:
                 self.over("long-line")
                 return True
         return False
--- a/cottonspread/lists/saved.py
+++ b/cottonspread/lists/saved.py
@@ -10,27 +10,27 @@
 log = logging.getLogger("cottonspread.lists")
 
 
-def write_whole(path, text, sync_folder=False):
+def write_atomically(path, text, durable=False):
     """The file is the old one or the new one, never half of it.
 
-    `sync_folder`: after a power cut it is the new one, too. Raises OSError; nothing is left behind then.
+    `durable`: after a power cut it is the new one, too. Raises OSError; nothing is left behind then.
     """
-    beside = f"{path}.{os.getpid()}.new"
+    temporary = f"{path}.{os.getpid()}.new"
     try:
-        with open(beside, "w", encoding="utf-8") as file:
+        with open(temporary, "w", encoding="utf-8") as file:
             file.write(text)
             file.flush()
             os.fsync(file.fileno())
-        os.replace(beside, path)
-        if sync_folder:
-            sync(os.path.dirname(os.path.abspath(path)))
+        os.replace(temporary, path)
+        if durable:
+            sync_folder(os.path.dirname(os.path.abspath(path)))
     except OSError:
         with contextlib.suppress(OSError):
-            os.unlink(beside)
+            os.unlink(temporary)
         raise
 
 
-def sync(folder):
+def sync_folder(folder):
     """What was renamed and removed in the folder is so after a power cut. Raises OSError."""
     opened = os.open(folder, os.O_RDONLY | os.O_DIRECTORY)
     try:
@@ -39,38 +39,38 @@
         os.close(opened)
 
 
-class Saved:
+class SavedList:
     """Keeps what discovery tells, as its JSON. A disk that takes nothing
     costs a log line, and the node goes on.
     """
 
     def __init__(self, path, weights_move=False):
         """`weights_move`: news of weights alone is not written."""
-        self.path, self.known, self.failing, self.weights_move = path, {}, False, weights_move
+        self.path, self.entries, self.failing, self.weights_move = path, {}, False, weights_move
 
-    def told(self, version, instances, whole):
-        """An answer of discovery, as its JSON; `whole`: it is the whole list, and no change."""
+    def update(self, version, instances, full):
+        """An answer of discovery, as its JSON; `full`: it is the whole list, and no change."""
         # Weights that move came each second, and each word was a write and an fsync. What was saved first,
         # which is nearer to the sizes, stays.
         if (
             self.weights_move
-            and not whole
+            and not full
             and all(
-                one | {"weight": 0} == self.known.get(str(one["instanceId"]), {}) | {"weight": 0}
+                one | {"weight": 0} == self.entries.get(str(one["instanceId"]), {}) | {"weight": 0}
                 for one in instances
             )
         ):
             return
-        if whole:
-            self.known = {}
+        if full:
+            self.entries = {}
         for one in instances:
-            self.known[str(one["instanceId"])] = one
+            self.entries[str(one["instanceId"])] = one
             if one["lifecycle"] == "Gone":
-                del self.known[str(one["instanceId"])]
+                del self.entries[str(one["instanceId"])]
         try:
-            write_whole(
+            write_atomically(
                 self.path,
-                json.dumps({"generation": version, "reset": True, "instances": list(self.known.values())}),
+                json.dumps({"generation": version, "reset": True, "instances": list(self.entries.values())}),
             )
             self.failing = False
         except OSError as fault:
--- a/cottonspread/net/admin.py
+++ b/cottonspread/net/admin.py
@@ -14,16 +14,21 @@
 
 log = logging.getLogger("cottonspread.admin")
 
-MOST = 12  # callers at a time; with the listener and the selector they are descriptors set aside
-SET_ASIDE = MOST + 3
-LINE_WAIT = 2.0  # seconds for a whole line, and as long again to take the answer
-LONGEST = 256  # bytes of a call
+MAX_CALLERS = 12  # callers at a time; with the listener and the selector they are descriptors set aside
+RESERVED_DESCRIPTORS = MAX_CALLERS + 3
+LINE_TIMEOUT = 2.0  # seconds for a whole line, and as long again to take the answer
+MAX_LINE = 256  # bytes of a call
 BACKLOG = 64
 
 
 class Caller:
     def __init__(self, sock):
-        self.sock, self.heard, self.answer, self.until = sock, b"", None, time.monotonic() + LINE_WAIT
+        self.sock, self.received, self.answer, self.deadline = (
+            sock,
+            b"",
+            None,
+            time.monotonic() + LINE_TIMEOUT,
+        )
 
 
 class Admin:
@@ -38,44 +43,44 @@
             fault.filename = "operator: {}:{}".format(*address)  # which of the node's two addresses it is
             raise
         self.listener.setblocking(False)
-        self.give, self.callers, self.ended = answer, {}, False
+        self.answer_to, self.callers, self.stopped = answer, {}, False
         self.selector = selectors.DefaultSelector()
         self.selector.register(self.listener, selectors.EVENT_READ)
 
     def run(self):
-        while not self.ended:
+        while not self.stopped:
             now = time.monotonic()
-            first = min((c.until for c in self.callers.values()), default=now + 60)
-            for key, _ in self.selector.select(max(0.0, first - now)):
+            deadline = min((c.deadline for c in self.callers.values()), default=now + 60)
+            for key, _ in self.selector.select(max(0.0, deadline - now)):
                 try:
-                    self.welcome() if key.fileobj is self.listener else self.serve(self.callers[key.fileobj])
+                    self.accept() if key.fileobj is self.listener else self.serve(self.callers[key.fileobj])
                 except KeyError:  # made room for another in this round
                     pass
                 except OSError as fault:
                     if key.fileobj is not self.listener:
-                        self.drop(key.fileobj)
-                    elif not self.ended:
+                        self.close(key.fileobj)
+                    elif not self.stopped:
                         log.warning("accept", extra={"pairs": {"why": fault}})
                         time.sleep(0.01)
             now = time.monotonic()
-            for caller in [c for c in self.callers.values() if c.until <= now]:
-                self.late(caller)
+            for caller in [c for c in self.callers.values() if c.deadline <= now]:
+                self.evict(caller)
         for sock in list(self.callers):
-            self.drop(sock)
+            self.close(sock)
         self.selector.close()
         self.listener.close()
 
     def stop(self):
         """From another thread."""
-        self.ended = True
+        self.stopped = True
         with contextlib.suppress(OSError):
             self.listener.shutdown(socket.SHUT_RDWR)  # wakes `run`
 
-    def welcome(self):
+    def accept(self):
         sock, _ = self.listener.accept()
         sock.setblocking(False)
-        if len(self.callers) >= MOST:
-            self.late(next(iter(self.callers.values())))
+        if len(self.callers) >= MAX_CALLERS:
+            self.evict(next(iter(self.callers.values())))
         self.callers[sock] = Caller(sock)
         self.selector.register(sock, selectors.EVENT_READ)
         self.serve(self.callers[sock])  # its line mostly came with it
@@ -90,26 +95,26 @@
             return
         if caller.answer is not None:  # all is said: what still comes is read, or the end would be a reset
             if not data:
-                self.drop(caller.sock)
+                self.close(caller.sock)
             return
-        caller.heard += data
-        line, ended, rest = caller.heard.partition(b"\n")
-        if not ended and data and len(caller.heard) <= LONGEST:
+        caller.received += data
+        line, ended, rest = caller.received.partition(b"\n")
+        if not ended and data and len(caller.received) <= MAX_LINE:
             return
-        if not caller.heard:
-            self.drop(caller.sock)
-        elif not ended or rest or len(line) > LONGEST:
-            self.say(caller, b"400 one whole line to a connection, of %d bytes at most\n" % LONGEST)
+        if not caller.received:
+            self.close(caller.sock)
+        elif not ended or rest or len(line) > MAX_LINE:
+            self.reply(caller, b"400 one whole line to a connection, of %d bytes at most\n" % MAX_LINE)
         else:
             try:
-                answer = self.give(line.strip().decode("ascii", "replace"))
+                answer = self.answer_to(line.strip().decode("ascii", "replace"))
             except Exception:  # our own fault: in plain sight, and the others are answered
                 log.exception("fault", extra={"pairs": {"while": "operators' call"}})
                 answer = b"400 fault, see the log\n"
-            self.say(caller, answer)
+            self.reply(caller, answer)
 
-    def say(self, caller, answer):
-        caller.answer, caller.until = answer, time.monotonic() + LINE_WAIT
+    def reply(self, caller, answer):
+        caller.answer, caller.deadline = answer, time.monotonic() + LINE_TIMEOUT
         self.write(caller)
 
     def write(self, caller):
@@ -121,16 +126,16 @@
             self.selector.modify(caller.sock, selectors.EVENT_READ)
             caller.sock.shutdown(socket.SHUT_WR)
 
-    def late(self, caller):
+    def evict(self, caller):
         """Its time is up, or its place is wanted."""
         try:
             if caller.answer is None:
                 caller.sock.send(b"400 no whole line came\n")
         except OSError:
             pass
-        self.drop(caller.sock)
+        self.close(caller.sock)
 
-    def drop(self, sock):
+    def close(self, sock):
         if self.callers.pop(sock, None):
             self.selector.unregister(sock)
             sock.close()
--- a/cottonspread/net/admission.py
+++ b/cottonspread/net/admission.py
@@ -87,7 +87,7 @@
 
 def is_whole(data):
     """Whether these first bytes are a whole line, or too many for one."""
-    return b"\n" in data or len(data) >= pool.SIZE
+    return b"\n" in data or len(data) >= pool.BUFFER_SIZE
 
 
 class Admission:
@@ -187,7 +187,7 @@
     def speaks(self, client, ready):
         """Whether the client has said a whole line, or will say none, and so is the node's from now on."""
         try:
-            first = client.sock.recv(pool.SIZE, socket.MSG_PEEK | socket.MSG_DONTWAIT)
+            first = client.sock.recv(pool.BUFFER_SIZE, socket.MSG_PEEK | socket.MSG_DONTWAIT)
         except BlockingIOError:
             return False
         except OSError:  # broken: whoever reads there next hears of it
--- a/cottonspread/net/discovery.py
+++ b/cottonspread/net/discovery.py
@@ -86,8 +86,8 @@
     A change counts as told 6 s after discovery had it and could be reached, whatever failed in
     between. The longest way to it: a call that went silent just before runs out (WATCH_TIMEOUT_MS +
     WATCH_MARGIN, 3 s), the pause after it (1 s at most, where the list is asked for as long as the module
-    says, 1.5 s at most), a connection that is not answered at first (CONNECT_TIMEOUT, 0.5 s), the answer: 5 s, and 1 s is
-    left for a node that is late itself.
+    says, 1.5 s at most), a connection that is not answered at first (CONNECT_TIMEOUT, 0.5 s), the answer: 5
+    s, and 1 s is left for a node that is late itself.
     """
 
     WATCH_TIMEOUT_MS = 2000  # a watch that hangs is given up this and the spare after it was begun
--- a/cottonspread/net/lines.py
+++ b/cottonspread/net/lines.py
@@ -63,7 +63,7 @@
                 if self.buffer is None:
                     if not self.peek():
                         return b""
-                    self.buffer, self.since = self.pool.take(), time.monotonic()
+                    self.buffer, self.since = self.pool.acquire(), time.monotonic()
                 got, stamps, _, _ = self.sock.recvmsg_into(
                     [memoryview(self.buffer)[self.filled :]], STAMP_ROOM
                 )
@@ -108,7 +108,7 @@
 
     def drop(self):
         if self.buffer is not None:
-            self.pool.give(self.buffer)
+            self.pool.release(self.buffer)
             self.buffer, self.filled = None, 0
 
 
--- a/cottonspread/net/node.py
+++ b/cottonspread/net/node.py
@@ -19,7 +19,7 @@
 from cottonspread.net import events as ev
 from cottonspread.net.admission import Admission
 from cottonspread.net.closing import Closer
-from cottonspread.net.pool import Pool
+from cottonspread.net.pool import BufferPool
 from cottonspread.net.reducer import WAITING_PART, Reducer
 
 log = logging.getLogger("cottonspread.node")
@@ -57,7 +57,7 @@
 
 def most_ends(room, operator=None):
     """How many connections, clients' and hosts', fit into descriptors and memory."""
-    spare = SPARE_ENDS + (admin.SET_ASIDE if operator else 0)
+    spare = SPARE_ENDS + (admin.RESERVED_DESCRIPTORS if operator else 0)
     return max(2, min(room.sockets - spare, (room.memory_mb - BASE_MB) * 1024 // END_KB))
 
 
@@ -98,7 +98,9 @@
         self.place, self.room, self.clock = place, room, Clock()
         self.events, self.done = queue.Queue(QUEUE), threading.Event()
         self.most = self.all = most_ends(room, place.operator)
-        self.workers = workers.Workers(Pool(), self.post, self.clock.now, lambda: (self.done.set(), ended()))
+        self.workers = workers.Workers(
+            BufferPool(), self.post, self.clock.now, lambda: (self.done.set(), ended())
+        )
         self.lock, self.door = threading.Lock(), Door(door_target(begin))
         version, listed, addresses, unread = discovery.read_list(known, names, News.SAVED)
         self.discovery = discovery.Discovery(
--- a/cottonspread/net/pool.py
+++ b/cottonspread/net/pool.py
@@ -2,21 +2,21 @@
 
 from collections import deque
 
-SIZE = 4096 + 2  # the longest line with its CRLF
+BUFFER_SIZE = 4096 + 2  # the longest line with its CRLF
 
 
-class Pool:
+class BufferPool:
     """Lends buffers; keeps at most `spare` of those given back."""
 
     def __init__(self, spare=64):
-        self.free, self.spare, self.made = deque(maxlen=spare), spare, 0
+        self.free, self.spare, self.allocated = deque(maxlen=spare), spare, 0
 
-    def take(self):
+    def acquire(self):
         try:
             return self.free.pop()
         except IndexError:
-            self.made += 1
-            return bytearray(SIZE)
+            self.allocated += 1
+            return bytearray(BUFFER_SIZE)
 
-    def give(self, buffer):
+    def release(self, buffer):
         self.free.append(buffer)  # beyond `spare` the oldest falls out and is freed
--- a/tests/crossings/test_floods.py
+++ b/tests/crossings/test_floods.py
@@ -17,7 +17,7 @@
 from cottonspread.net import discovery, lines
 from cottonspread.net import events as ev
 from cottonspread.net.http import HttpClient, ResponseError
-from cottonspread.net.pool import Pool
+from cottonspread.net.pool import BufferPool
 
 
 def call(address, word):
@@ -167,7 +167,7 @@
     data = b"OPEN a b c=d,d=1\r\nM 1 \x00\xff\r\n" + tail.replace(b"\n", b"") + b"\r\n"
     ours, theirs = socket.socketpair()
     with ours, theirs:
-        gatherer, got, at = lines.Gatherer(ours, Pool(), 1), b"", 0
+        gatherer, got, at = lines.Gatherer(ours, BufferPool(), 1), b"", 0
         for cut in cuts + [len(data)]:
             theirs.sendall(data[at : at + cut])
             at = min(len(data), at + cut)
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -43,7 +43,7 @@
         (b"health\r\n", b"200 health\n"),
         (b"health\n", b"200 health\n"),
         (b" health \r\n", b"200 health\n"),
-        (b"x" * admin.LONGEST + b"\n", b"200 " + b"x" * admin.LONGEST + b"\n"),
+        (b"x" * admin.MAX_LINE + b"\n", b"200 " + b"x" * admin.MAX_LINE + b"\n"),
         (b"health\r\nhealth\r\n", b"400"),
         (b"health\nh", b"400"),
         (b"x" * 4000, b"400"),
@@ -71,15 +71,15 @@
     """They are turned out for a new one when all places are taken: with their time limit
     alone the thirteenth waited two seconds.
     """
-    silent = [socket.create_connection(door[1], timeout=WAIT) for _ in range(3 * admin.MOST)]
+    silent = [socket.create_connection(door[1], timeout=WAIT) for _ in range(3 * admin.MAX_CALLERS)]
     for sock in silent:
         sock.sendall(b"hea")
     assert call(door[1], b"health\n") == b"200 health\n"
-    assert len(door[0].callers) <= admin.MOST
+    assert len(door[0].callers) <= admin.MAX_CALLERS
 
 
 def test_a_line_that_never_ends_is_closed_after_its_time(door, monkeypatch):
-    monkeypatch.setattr(admin, "LINE_WAIT", 0.05)
+    monkeypatch.setattr(admin, "LINE_TIMEOUT", 0.05)
     with socket.create_connection(door[1], timeout=WAIT) as sock:
         sock.sendall(b"heal")
         assert sock.makefile("rb").read().startswith(b"400")
@@ -223,4 +223,6 @@
 
 def test_the_descriptors_of_the_address_are_set_aside():
     room = config.Room(192, 256)
-    assert most_ends(room) - most_ends(room, ("127.0.0.1", 1)) == admin.SET_ASIDE > admin.MOST
+    assert (
+        most_ends(room) - most_ends(room, ("127.0.0.1", 1)) == admin.RESERVED_DESCRIPTORS > admin.MAX_CALLERS
+    )
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -23,7 +23,7 @@
 from cottonspread.net.http import HttpClient, ResponseError
 from cottonspread.net.node import Node, grow_table
 from cottonspread.net.notes import Heard, Notes
-from cottonspread.net.pool import SIZE, Pool
+from cottonspread.net.pool import BUFFER_SIZE, BufferPool
 from cottonspread.net.workers import WIDE, Workers, start_thread
 
 EXAMPLES = Path(__file__).parent.parent / "examples"
@@ -41,29 +41,31 @@
 
 def test_lines_come_whole_and_idle_connections_hold_no_buffer():
     ours, theirs = pair()
-    pool = Pool()
+    pool = BufferPool()
     gatherer = lines.Gatherer(ours, pool, 1)
     theirs.sendall(b"one\r\ntwo\r\nthr")
     assert gatherer.lines() == b"one\r\ntwo\r\n" and gatherer.filled == 3
     theirs.sendall(b"ee\r\n")
-    assert gatherer.lines() == b"three\r\n" and gatherer.buffer is None and pool.made == 1 == len(pool.free)
+    assert (
+        gatherer.lines() == b"three\r\n" and gatherer.buffer is None and pool.allocated == 1 == len(pool.free)
+    )
     theirs.close()
     assert gatherer.lines() == b""
 
 
-@pytest.mark.parametrize("sent, reason", [(b"x" * SIZE, "long-line"), (b"half", "half-line")])
+@pytest.mark.parametrize("sent, reason", [(b"x" * BUFFER_SIZE, "long-line"), (b"half", "half-line")])
 def test_a_line_too_long_or_cut_off_is_told_by_its_reason(sent, reason):
     ours, theirs = pair()
     theirs.sendall(sent)
     theirs.shutdown(socket.SHUT_WR)
     with pytest.raises(lines.LineError, match=reason):
-        lines.Gatherer(ours, Pool(), 1).lines()
+        lines.Gatherer(ours, BufferPool(), 1).lines()
 
 
 def test_the_longest_line_passes():
     ours, theirs = pair()
-    theirs.sendall(b"x" * (SIZE - 2) + b"\r\n")
-    assert len(lines.Gatherer(ours, Pool(), 1).lines()) == SIZE
+    theirs.sendall(b"x" * (BUFFER_SIZE - 2) + b"\r\n")
+    assert len(lines.Gatherer(ours, BufferPool(), 1).lines()) == BUFFER_SIZE
 
 
 def test_the_first_line_goes_on_unchanged_but_for_d():
@@ -194,7 +196,7 @@
 
 def probe(address, wait=WAIT):
     told = queue.Queue()
-    Workers(Pool(), told.put, lambda: 0).carry_out(ev.Ask("s-1", address, round(wait * 1_000_000)))
+    Workers(BufferPool(), told.put, lambda: 0).carry_out(ev.Ask("s-1", address, round(wait * 1_000_000)))
     return told.get(timeout=WAIT)
 
 
@@ -220,11 +222,11 @@
     one = {"instanceId": "s-1", "lifecycle": "Ready", "weight": 3.0}
     for moving, kept in ((True, 3.0), (False, 0.2)):
         path = tmp_path / f"{moving}.json"
-        keeper = saved.Saved(str(path), moving)
-        keeper.told(1, [one], True)
-        keeper.told(2, [one | {"weight": 0.2}], False)
+        keeper = saved.SavedList(str(path), moving)
+        keeper.update(1, [one], True)
+        keeper.update(2, [one | {"weight": 0.2}], False)
         assert saved.read(str(path))["instances"][0]["weight"] == kept
-        keeper.told(3, [one | {"weight": 0.2, "lifecycle": "Terminating"}], False)
+        keeper.update(3, [one | {"weight": 0.2, "lifecycle": "Terminating"}], False)
         assert saved.read(str(path))["instances"][0]["lifecycle"] == "Terminating"
 
 
--- a/tests/test_succession.py
+++ b/tests/test_succession.py
@@ -26,7 +26,7 @@
 from cottonspread.front import handover
 from cottonspread.net import events as ev
 from cottonspread.net import lines, passing
-from cottonspread.net.pool import Pool
+from cottonspread.net.pool import BufferPool
 
 ROOT = Path(__file__).parent.parent
 WHOLE = json.loads(NODE)
@@ -500,7 +500,7 @@
 def test_a_reader_in_the_midst_of_a_line_does_not_let_go(service_ends):
     ours, gatherer = service_ends
     assert not lines.let_go([gatherer])  # nobody reads there
-    other = lines.Gatherer(gatherer.sock, Pool(), 1)
+    other = lines.Gatherer(gatherer.sock, BufferPool(), 1)
     other.idle = True
     assert not lines.let_go([other, gatherer]) and not other.gone
 
@@ -520,7 +520,7 @@
 @pytest.fixture
 def service_ends():
     ours, theirs = socket.socketpair()
-    yield ours, lines.Gatherer(theirs, Pool(), 1)
+    yield ours, lines.Gatherer(theirs, BufferPool(), 1)
     ours.close()
     theirs.close()
 
