--- a/benchmarks/crossings/mutants.py
+++ b/benchmarks/crossings/mutants.py
@@ -304,8 +304,9 @@
     (
         "an object is no list",
         "config/platform.py",
-        "return Keys(self.values.get(key, {} if default is MISSING else default), self.at(key))",
-        "return Keys(dict(self.values.get(key, {} if default is MISSING else default)), self.at(key))",
+        "return ObjectReader(self.values.get(key, {} if default is MISSING else default), self.path_of(key))",
+        "return ObjectReader(dict(self.values.get(key, {} if default is MISSING else default)), "
+        "self.path_of(key))",
         [f"{FLOODS}::test_settings_that_make_no_sense_stop_the_start_and_change_nothing_at_sighup"],
     ),
     (
--- a/cottonspread/cli/fleet.py
+++ b/cottonspread/cli/fleet.py
@@ -149,7 +149,7 @@
     print_table(
         [
             (key, json.dumps(value), where, kind)
-            for key, value, where, kind in op.in_force(parts, whole, given.operator)
+            for key, value, where, kind in op.effective_values(parts, whole, given.operator)
         ]
     )
     return 0
--- a/cottonspread/cli/node.py
+++ b/cottonspread/cli/node.py
@@ -127,7 +127,7 @@
         text = text_of(self.path)
         if carried is not None:
             body = config.parse(carried, "configuration")
-            text = json.dumps(config.with_own(body, config.parse(text, "configuration"), self.own))
+            text = json.dumps(config.with_local_keys(body, config.parse(text, "configuration"), self.own))
         return config.parse(text, "configuration"), read_text(text, os.environ)
 
     def begin_with(self, carried):
@@ -142,7 +142,7 @@
 
     def check(record):
         values, _ = force.read_carried(record.body)
-        config.complete(force.values, values)
+        config.check_no_key_missing(force.values, values)
 
     def apply(record, done):
         asked.put(lambda node, force: done(*take_over(node, force, record.body)))
@@ -194,7 +194,7 @@
     """
     try:
         values, parts = force.read()
-        config.complete(force.values, values)
+        config.check_no_key_missing(force.values, values)
     except config.ConfigurationError as fault:
         node.hasten(ev.NotRetuned())
         log.error("reload", extra={"pairs": {"why": fault, "kept": "the old configuration"}})
@@ -203,16 +203,16 @@
         node.hasten(ev.NotRetuned())
         log.exception("fault", extra={"pairs": {"while": "reload"}})
         return f"our own fault: {type(fault).__name__}: {fault}"
-    place, room, _, _, begin, _ = parts
-    was, had, _, _, old, _ = force.parts  # what cannot change while it runs is as it was then
+    endpoints, resource_limits, _, _, begin, _ = parts
+    was, old_limits, _, _, old, _ = force.parts  # what cannot change while it runs is as it was then
     node.retune(*parts[:-1])
     kept = [
         key
         for key, same in (
-            ("name", place.name == was.name),
-            ("listen", place.listen == was.listen),
-            ("operator", place.operator == was.operator),
-            ("limits", room == had),
+            ("name", endpoints.name == was.name),
+            ("listen", endpoints.listen == was.listen),
+            ("operator", endpoints.operator == was.operator),
+            ("limits", resource_limits == old_limits),
             ("settings.MembershipMode", begin.listing.ask == old.listing.ask),
             ("settings.Weights", begin.weights_move == old.weights_move),
         )
@@ -223,7 +223,7 @@
         "reload",
         extra={
             "pairs": {
-                "discovery": "{}:{}".format(*place.discovery),
+                "discovery": "{}:{}".format(*endpoints.discovery),
                 "types": ",".join(t.name for t in begin.types),
             }
             | ({"at_next_start": ",".join(kept)} if kept else {})
@@ -243,15 +243,20 @@
             + ", ".join("{} on {}:{}".format(s.name, *s.address) for s in specs.values())
         )
         return 0
-    place, room, names, _, begin, known = read(named(path))
+    endpoints, resource_limits, names, _, begin, known = read(named(path))
     print(
-        f"{place.name}: listens on {place.listen[0]}:{place.listen[1]}, "
-        f"discovery at {place.discovery[0]}:{place.discovery[1]}, "
-        + ("operators at {}:{}".format(*place.operator) if place.operator else "no address for operators")
+        f"{endpoints.name}: listens on {endpoints.listen[0]}:{endpoints.listen[1]}, "
+        f"discovery at {endpoints.discovery[0]}:{endpoints.discovery[1]}, "
+        + (
+            "operators at {}:{}".format(*endpoints.operator)
+            if endpoints.operator
+            else "no address for operators"
+        )
     )
     print(
         f"{len(names.types)} traffic types, node {begin.me} of {begin.nodes or 'an untold number'}, "
-        f"{len(known['instances'])} servers known, room for {most_ends(room, place.operator)} connections"
+        f"{len(known['instances'])} servers known, "
+        f"room for {most_ends(resource_limits, endpoints.operator)} connections"
     )
     print(
         f"weights listed {'move with load' if begin.weights_move else 'are sizes'}, "
--- a/cottonspread/config/operator.py
+++ b/cottonspread/config/operator.py
@@ -16,10 +16,10 @@
 
 from cottonspread.config.platform import ConfigurationError
 
-MOST = 4096  # instances of a machine; a figure far over it is a slip, and is told
+MAX_INSTANCES = 4096  # instances of a machine; a figure far over it is a slip, and is told
 
 
-def host_on(host, steps):
+def offset_address(host, steps):
     """An IPv4 address some steps on, without those that end in 0 or 255; ValueError if it ends before."""
     a, b, c, d = map(int, host.split("."))
     number = ((a * 256 + b) * 256 + c) * 254 + d - 1 + steps
@@ -65,7 +65,7 @@
     config: Annotated[
         str, key("restart", "the platform's JSON file, the template of all instances", min_length=1)
     ]
-    instances: Annotated[int, key("live", "how many", ge=1, le=MOST)]
+    instances: Annotated[int, key("live", "how many", ge=1, le=MAX_INSTANCES)]
     listen: Annotated[
         str,
         key(
@@ -83,7 +83,7 @@
             "restart",
             "added to the last number of the address, 1 to 254 and on in the number before",
             ge=0,
-            le=MOST,
+            le=MAX_INSTANCES,
         ),
     ] = 0
     discovery_step: Annotated[
@@ -103,9 +103,9 @@
         str, key("new", "the folder for the instances' logs; empty: log/ in the state folder")
     ] = ""
     at_once: Annotated[
-        int, key("live", "how many instances a rollout changes at the same time", ge=1, le=MOST)
+        int, key("live", "how many instances a rollout changes at the same time", ge=1, le=MAX_INSTANCES)
     ] = 1
-    start_at_once: Annotated[int, key("live", "how many start at the same time", ge=1, le=MOST)] = 8
+    start_at_once: Annotated[int, key("live", "how many start at the same time", ge=1, le=MAX_INSTANCES)] = 8
     stop_at_once: Annotated[int, key("live", "how many stop at the same time; 0: all", ge=0)] = 0
     start_s: Annotated[
         float, key("live", "an instance that is not ready after so long has not started", ge=0.1, le=600)
@@ -181,7 +181,7 @@
         self.faults = faults
 
 
-def near(word, among):
+def suggestion(word, among):
     """The end of a fault about an unknown word: the nearest known one, or all of them."""
     found = difflib.get_close_matches(word, among, 1, 0.5)
     return f"; the nearest known one is {found[0]}" if found else f"; known are {', '.join(sorted(among))}"
@@ -204,7 +204,7 @@
     known, taken, before = {f.name: f for f in msgspec.structs.fields(kind)}, {}, len(faults)
     hints = typing.get_type_hints(kind, include_extras=True)
     for word in values.keys() - known.keys():
-        faults.append((f"{name}.{word}", "unknown key" + near(word, known)))
+        faults.append((f"{name}.{word}", "unknown key" + suggestion(word, known)))
     for word, field in known.items():
         if word not in values:
             if field.required:
@@ -223,7 +223,9 @@
         whole = tomllib.loads(text)
     except (tomllib.TOMLDecodeError, RecursionError) as fault:
         raise OperatorFileError([f"{path}: no TOML: {fault}"]) from fault
-    faults = [(word, "unknown section" + near(word, SECTIONS)) for word in whole.keys() - SECTIONS.keys()]
+    faults = [
+        (word, "unknown section" + suggestion(word, SECTIONS)) for word in whole.keys() - SECTIONS.keys()
+    ]
     parts = [
         read_section(name, kind, whole.get(name, {}), faults)
         if name in whole or name not in OPTIONAL
@@ -232,13 +234,13 @@
     ]
     fleet = parts[2]
     if fleet:
-        faults += [(f"fleet.{k}", what) for k, what in across(fleet)]
+        faults += [(f"fleet.{k}", what) for k, what in check_related_keys(fleet)]
     if faults:
         raise OperatorFileError([f"{path}: {k}: {what}" for k, what in sorted(faults)])
     return *parts, whole
 
 
-def across(fleet):
+def check_related_keys(fleet):
     """Faults of keys that do not go together."""
     host, _, port = fleet.listen.rpartition(":")
     port = int(port)
@@ -250,7 +252,7 @@
         )
     if fleet.host_step:
         try:
-            host_on(host, fleet.host_step * last)
+            offset_address(host, fleet.host_step * last)
         except ValueError as fault:
             yield "host_step", str(fault)
     if last and not fleet.port_step and not fleet.host_step:
@@ -281,7 +283,7 @@
     return log, instance, fleet, configuration
 
 
-def in_force(parts, whole, path):
+def effective_values(parts, whole, path):
     """(key, value, where it is from, what a reload does) for every key of every section that is there."""
     for (name, kind), section in zip(SECTIONS.items(), parts, strict=True):
         for word, _, meta in fields(kind) if section else ():
--- a/cottonspread/config/platform.py
+++ b/cottonspread/config/platform.py
@@ -12,9 +12,9 @@
 
 EFFECTS = {"safe": i.Effect.REPEATABLE, "keyed": i.Effect.REFERENCED, "unsafe": i.Effect.ONCE_ONLY}
 SCOPES = {scope: scope for scope in ("all", "zone", "cell")}
-ASKED = {"push": False, "ask": True}
-HOW = {how: how for how in ("none", "probe", "answers")}  # `LoadReport.How`
-MOVING = {"none": False, "nominal": False, "rough": False, "live": True}
+POLLED = {"push": False, "ask": True}
+LOAD_REPORTING = {how: how for how in ("none", "probe", "answers")}  # `LoadReport.How`
+WEIGHTS_MOVE = {"none": False, "nominal": False, "rough": False, "live": True}
 MISSING = object()
 
 
@@ -22,7 +22,7 @@
     """Configuration under which no node can run; the message begins with the key."""
 
 
-def micros(value):
+def ms_to_us(value):
     """Milliseconds, as the platform tells times, in whole microseconds."""
     value = float(value)
     if not abs(value) < 1e15:
@@ -30,7 +30,7 @@
     return round(value * 1000)
 
 
-class Keys:
+class ObjectReader:
     """One JSON object with the path that leads to it. A value that is null counts as absent."""
 
     def __init__(self, values, path):
@@ -39,21 +39,21 @@
             raise ConfigurationError(f"{path or 'configuration'}: not an object")
         self.values, self.path = {k: v for k, v in values.items() if v is not None}, path
 
-    def at(self, key):
+    def path_of(self, key):
         """The whole path of a key."""
         return f"{self.path}.{key}" if self.path else key
 
-    def take(self, key, default, what, read):
+    def convert(self, key, default, what, read):
         """The value as `read` makes it; ConfigurationError with `what` was expected, if that cannot."""
         value = self.values.get(key, default)
         if value is MISSING:
-            raise ConfigurationError(f"{self.at(key)}: missing")
+            raise ConfigurationError(f"{self.path_of(key)}: missing")
         try:
             return read(value)
         except (TypeError, ValueError, OverflowError, KeyError, AttributeError) as fault:
-            raise ConfigurationError(f"{self.at(key)}: {value!r} is not {what}") from fault
+            raise ConfigurationError(f"{self.path_of(key)}: {value!r} is not {what}") from fault
 
-    def whole(self, key, default=MISSING, least=0):
+    def integer(self, key, default=MISSING, least=0):
         """A whole number."""
 
         def read(value):
@@ -61,7 +61,7 @@
                 raise ValueError
             return int(value)
 
-        return self.take(key, default, f"a whole number of at least {least}", read)
+        return self.convert(key, default, f"a whole number of at least {least}", read)
 
     def number(self, key, default=MISSING):
         """A number of at least 0."""
@@ -71,13 +71,13 @@
                 raise ValueError
             return float(value)
 
-        return self.take(key, default, "a number of at least 0", read)
+        return self.convert(key, default, "a number of at least 0", read)
 
-    def span(self, key, default=MISSING):
+    def duration_us(self, key, default=MISSING):
         """A time, given in milliseconds, in whole microseconds."""
         return round(self.number(key, default) * 1000)
 
-    def over_nothing(self, key, default=MISSING):
+    def positive_number(self, key, default=MISSING):
         """A number over 0."""
 
         def read(value):
@@ -85,11 +85,11 @@
                 raise ValueError
             return float(value)
 
-        return self.take(key, default, "a number over 0", read)
+        return self.convert(key, default, "a number over 0", read)
 
     def flag(self, key, default=False):
         """True or false."""
-        return self.take(key, default, "true or false", lambda v: {True: True, False: False}[v])
+        return self.convert(key, default, "true or false", lambda v: {True: True, False: False}[v])
 
     def text(self, key, default=MISSING):
         """A text that is not empty."""
@@ -99,11 +99,11 @@
                 raise ValueError
             return value
 
-        return self.take(key, default, "a text", read)
+        return self.convert(key, default, "a text", read)
 
     def choice(self, key, default, among):
         """One of the keys of `among`, as what stands there for it."""
-        return self.take(key, default, "one of " + ", ".join(among), among.__getitem__)
+        return self.convert(key, default, "one of " + ", ".join(among), among.__getitem__)
 
     def address(self, key, default=MISSING):
         """HOST:PORT, as (host, port)."""
@@ -114,29 +114,29 @@
                 raise ValueError
             return host, int(port)
 
-        return self.take(key, default, "an address as HOST:PORT", read)
+        return self.convert(key, default, "an address as HOST:PORT", read)
 
-    def place(self, key, default):
+    def optional_address(self, key, default):
         """An address, or None where none is given."""
         return default if self.values.get(key, default) is None else self.address(key, default)
 
-    def part(self, key, default=MISSING):
+    def object(self, key, default=MISSING):
         """An object within this one."""
-        return Keys(self.values.get(key, {} if default is MISSING else default), self.at(key))
+        return ObjectReader(self.values.get(key, {} if default is MISSING else default), self.path_of(key))
 
-    def parts(self, key):
+    def objects(self, key):
         """A list of objects; without the key an empty one."""
-        listed = self.take(key, [], "a list", self.listed)
-        return [Keys(v, f"{self.at(key)}[{n}]") for n, v in enumerate(listed)]
+        items = self.convert(key, [], "a list", self.as_list)
+        return [ObjectReader(v, f"{self.path_of(key)}[{n}]") for n, v in enumerate(items)]
 
-    def plain(self, key, read):
+    def values_of(self, key, read):
         """A list of bare values."""
-        return self.take(
-            key, [], "a list of " + read.__name__, lambda v: [read(x or 0) for x in self.listed(v)]
+        return self.convert(
+            key, [], "a list of " + read.__name__, lambda v: [read(x or 0) for x in self.as_list(v)]
         )
 
     @staticmethod
-    def listed(value):
+    def as_list(value):
         """The value, if it is a list."""
         if not isinstance(value, list):
             raise TypeError
@@ -157,9 +157,9 @@
         t.text("Name", "any"),
         t.choice("Effect", "unsafe", EFFECTS),
         t.choice("KeyScope", "cell", SCOPES),
-        t.span("KeyTtl", 0),
-        t.span("SetupTarget"),
-        micros(t.over_nothing("GuardTime")),
+        t.duration_us("KeyTtl", 0),
+        t.duration_us("SetupTarget"),
+        ms_to_us(t.positive_number("GuardTime")),
         t.number("Revenue", 1),
         message_target,
     )
@@ -167,20 +167,26 @@
 
 def read_begin(settings, seed, path="settings"):
     """The settings of a node, as JSON already parsed; refuses those that make no sense."""
-    c = Keys(settings, path)
-    limits, rules, costs, kind, goal = (c.part(k) for k in ("Limits", "Rules", "Costs", "FamilyInfo", "Goal"))
-    targets = kind.plain("MessageAim", float)
-    quotas = kind.plain("TenantQuotaConnections", float)
+    c = ObjectReader(settings, path)
+    limits, rules, costs, kind, goal = (
+        c.object(k) for k in ("Limits", "Rules", "Costs", "FamilyInfo", "Goal")
+    )
+    targets = kind.values_of("MessageAim", float)
+    quotas = kind.values_of("TenantQuotaConnections", float)
     types = tuple(
-        read_type(t, micros(targets[n]) if n < len(targets) else 0)
-        for n, t in enumerate(c.parts("TrafficTypes"))
+        read_type(t, ms_to_us(targets[n]) if n < len(targets) else 0)
+        for n, t in enumerate(c.objects("TrafficTypes"))
+    )
+    report = c.object("LoadReport")
+    probes, how, told = (
+        limits.flag("Probes"),
+        report.choice("How", "none", LOAD_REPORTING),
+        report.values_of("Names", str),
     )
-    report = c.part("LoadReport")
-    probes, how, told = limits.flag("Probes"), report.choice("How", "none", HOW), report.plain("Names", str)
     if not types:
-        raise ConfigurationError(f"{c.at('TrafficTypes')}: names no traffic type")
+        raise ConfigurationError(f"{c.path_of('TrafficTypes')}: names no traffic type")
     if len({t.name for t in types}) < len(types):
-        raise ConfigurationError(f"{c.at('TrafficTypes')}: names a traffic type twice")
+        raise ConfigurationError(f"{c.path_of('TrafficTypes')}: names a traffic type twice")
     tenants = tuple(
         i.Tenant(
             t.text("Name", str(n)),
@@ -188,39 +194,41 @@
             t.number("AllowancePerS", 0),
             quotas[n] if n < len(quotas) else 0.0,
         )
-        for n, t in enumerate(c.parts("Orgs"))
+        for n, t in enumerate(c.objects("Orgs"))
     )
     return i.Begin(
         seed,
-        c.whole("Me", 0),
-        c.whole("Balancers", least=1) if "Balancers" in c.values else 0,
-        c.whole("Zone", 0),
-        c.span("Step", 1),
+        c.integer("Me", 0),
+        c.integer("Balancers", least=1) if "Balancers" in c.values else 0,
+        c.integer("Zone", 0),
+        c.duration_us("Step", 1),
         types,
         tenants,
         i.LegLimits(
-            limits.whole("MostLegs", 1, least=1),
+            limits.integer("MostLegs", 1, least=1),
             limits.flag("MayDuplicate"),
             limits.flag("Cancel"),
             limits.flag("RetryAfter"),
-            limits.span("MaxRetryAfter", 0),
+            limits.duration_us("MaxRetryAfter", 0),
         ),
         i.ColdStart(
             rules.number("ColdFrom", 1),
-            rules.span("RampTime", 0),
+            rules.duration_us("RampTime", 0),
             rules.number("TipMultiple", 1),
-            rules.span("OverloadFor", 0),
+            rules.duration_us("OverloadFor", 0),
         ),
         i.ListRules(
-            c.choice("MembershipMode", "push", ASKED), rules.span("AskEvery", 0), rules.span("DrainGrace", 0)
+            c.choice("MembershipMode", "push", POLLED),
+            rules.duration_us("AskEvery", 0),
+            rules.duration_us("DrainGrace", 0),
         ),
         i.Prices(*(costs.number(k, 0) for k in ("CrossZone", "Moves", "Probe", "Peer"))),
         probes,
         limits.flag("PeerMessages"),
         kind.flag("Groups"),
         probes and how == "probe" and "x0" in told,
-        c.choice("Weights", "nominal", MOVING),
-        i.Nines(goal.number("NinesPart", 0), goal.over_nothing("NinesFull", 3)),
+        c.choice("Weights", "nominal", WEIGHTS_MOVE),
+        i.Nines(goal.number("NinesPart", 0), goal.positive_number("NinesFull", 3)),
     )
 
 
@@ -228,7 +236,7 @@
 
 
 @dataclass(frozen=True)
-class Place:
+class Endpoints:
     """Where the node is."""
 
     name: str
@@ -238,7 +246,7 @@
 
 
 @dataclass(frozen=True)
-class Room:
+class ResourceLimits:
     """What the node may use."""
 
     memory_mb: int
@@ -256,13 +264,15 @@
 
 
 @dataclass(frozen=True)
-class Hearing:
+class HostProtocol:
     """What hosts tell on their connections, and how long one may take to come up."""
 
-    connect_wait: int
-    loads: bool
-    delays: bool
-    words: bool = True  # a LOAD line may be a host's word on its messages; false: it is a load, always
+    connect_timeout: int
+    sends_load: bool
+    sends_delay: bool
+    load_may_be_delay: bool = (
+        True  # a LOAD line may be a host's word on its messages; false: it is a load, always
+    )
 
 
 def numbered(names):
@@ -271,75 +281,79 @@
 
 
 def read_node(text, environment):
-    """What a node is told, as parts: (Place, Room, Names, Hearing, Begin, known list as JSON)."""
-    whole = Keys(parse(text, "configuration"), "")
-    place = Place(
+    """What a node is told, as parts: (Endpoints, ResourceLimits, Names, HostProtocol, Begin, known list
+    as JSON).
+    """
+    root = ObjectReader(parse(text, "configuration"), "")
+    endpoints = Endpoints(
         *(
             read(key, environment.get("PROXY_" + key.upper()) or default)
             for key, read, default in (
-                ("name", whole.text, MISSING),
-                ("listen", whole.address, MISSING),
-                ("discovery", whole.address, MISSING),
-                ("operator", whole.place, None),
+                ("name", root.text, MISSING),
+                ("listen", root.address, MISSING),
+                ("discovery", root.address, MISSING),
+                ("operator", root.optional_address, None),
             )
         )
     )
-    limits = whole.part("limits")
-    room = Room(limits.whole("memory_mb", 192, least=32), limits.whole("sockets", 1024, least=64))
-    seed = whole.take("seed", "0", "a number in hexadecimal", lambda v: int(v, 16))
-    settings = whole.part("settings")
+    limits = root.object("limits")
+    resource_limits = ResourceLimits(
+        limits.integer("memory_mb", 192, least=32), limits.integer("sockets", 1024, least=64)
+    )
+    seed = root.convert("seed", "0", "a number in hexadecimal", lambda v: int(v, 16))
+    settings = root.object("settings")
     begin = read_begin(settings.values, seed)
     names = Names(
         numbered(t.name for t in begin.types),
-        numbered(settings.plain("Zones", str)),
-        numbered(settings.plain("Kinds", str)),
+        numbered(settings.values_of("Zones", str)),
+        numbered(settings.values_of("Kinds", str)),
         numbered(t.name for t in begin.tenants),
     )
-    kind = settings.part("FamilyInfo")
-    hearing = Hearing(
-        settings.part("Limits").span("ConnectTimeout", 250),
+    kind = settings.object("FamilyInfo")
+    host_protocol = HostProtocol(
+        settings.object("Limits").duration_us("ConnectTimeout", 250),
         kind.flag("TellsLoad"),
         kind.flag("TellsDelay"),
-        whole.choice("load_lines", "both", {"both": True, "loads": False}),
+        root.choice("load_lines", "both", {"both": True, "loads": False}),
     )
-    known = whole.part("known", {"generation": 0, "reset": True, "instances": []}).values
-    return place, room, names, hearing, begin, known
+    known = root.object("known", {"generation": 0, "reset": True, "instances": []}).values
+    return endpoints, resource_limits, names, host_protocol, begin, known
 
 
 # A configuration made for all nodes
 
 
-def with_own(carried, own, keys):
+def with_local_keys(carried, own, keys):
     """A configuration made for all nodes as one of them is to have it, both as parsed JSON.
 
     `keys` ("name", "settings.Me") stay as the node's own file has them, or absent where it has none.
     """
     if not isinstance(carried, dict):
         raise ConfigurationError("configuration: not an object")
-    whole = dict(carried)
+    root = dict(carried)
     for key in keys:
         section, _, word = key.rpartition(".")
         if section:
-            part, source = whole.get(section), own.get(section)
+            part, source = root.get(section), own.get(section)
             if not isinstance(part, dict):
                 raise ConfigurationError(f"{section}: not an object")
             part = dict(part)
-            whole[section] = part
+            root[section] = part
         else:
-            part, source = whole, own
+            part, source = root, own
         if isinstance(source, dict) and word in source:
             part[word] = source[word]
         else:
             part.pop(word, None)
-    return whole
+    return root
 
 
 # A node that runs gets another file
 
-KEYED = ["KeyScope", "KeyTtl"]  # of a traffic type; only one that is `keyed` needs them
+KEYED_ONLY = ["KeyScope", "KeyTtl"]  # of a traffic type; only one that is `keyed` needs them
 
 
-def complete(was, now, path=""):
+def check_no_key_missing(was, now, path=""):
     """A file that lost a key is cut off or half written, and a default in its place would be half a
     change: every key that the file in force has stands in the new one too. Of a list's objects it
     is those keys that all of them have.
@@ -347,32 +361,32 @@
     if isinstance(was, dict):
         if not isinstance(now, dict):
             raise ConfigurationError(f"{path or 'configuration'}: not an object")
-        complete_object(was, now, path)
+        check_object(was, now, path)
     elif isinstance(was, list):
         if not isinstance(now, list):
             raise ConfigurationError(f"{path or 'configuration'}: not a list")
         if was and all(isinstance(one, dict) for one in was):
-            complete_list(was, now, path)
+            check_list(was, now, path)
 
 
-def complete_object(was, now, path):
+def check_object(was, now, path):
     """Both are objects."""
     for key, value in was.items():
         at = f"{path}.{key}" if path else key
         if value is not None and now.get(key) is None:
             raise ConfigurationError(f"{at}: missing, and the configuration in force has it")
         if value is not None and at != "known":
-            complete(value, now[key], at)
+            check_no_key_missing(value, now[key], at)
 
 
-def complete_list(was, now, path):
+def check_list(was, now, path):
     """Both are lists of objects."""
 
     def in_all(key, among):
         return among and all(one.get(key) is not None for one in among)
 
-    common = [key for key in was[0] if key not in KEYED and in_all(key, was)]
-    keyed = [key for key in KEYED if in_all(key, [one for one in was if one.get("Effect") == "keyed"])]
+    common = [key for key in was[0] if key not in KEYED_ONLY and in_all(key, was)]
+    keyed = [key for key in KEYED_ONLY if in_all(key, [one for one in was if one.get("Effect") == "keyed"])]
     for n, one in enumerate(now):
         if not isinstance(one, dict):
             raise ConfigurationError(f"{path}[{n}]: not an object")
--- a/cottonspread/drill/codec.py
+++ b/cottonspread/drill/codec.py
@@ -4,7 +4,7 @@
 
 from cottonspread import config
 from cottonspread import interface as i
-from cottonspread.config import micros
+from cottonspread.config import ms_to_us
 from cottonspread.front.reports import probed, values
 
 ENDINGS = {
@@ -58,7 +58,7 @@
         int(got("Shape", 0)),
         float(got("Heft", 1)),
         int(got("UnitGroup", 0)),
-        micros(f["CameUp"]) if "CameUp" in f else 0,
+        ms_to_us(f["CameUp"]) if "CameUp" in f else 0,
         STATES[got("Availability", "up")],
     )
 
@@ -68,7 +68,7 @@
     return i.Arrived(
         int(f["Call"]),
         int(f["Service"]),
-        micros(f.get("ExpiresIn", 0)),
+        ms_to_us(f.get("ExpiresIn", 0)),
         f.get("PathKey"),
         f.get("TeamId"),
         int(f.get("Team", 0)),
@@ -83,7 +83,7 @@
     if sort == LOAD_CHANGED:
         return i.LoadTold(call, float(f["X"]))
     if sort == MESSAGES_SLOW:
-        return i.DelayTold(call, micros(f["X"]))
+        return i.DelayTold(call, ms_to_us(f["X"]))
     return None
 
 
@@ -94,19 +94,19 @@
 READERS = {
     "work_item": arrived,
     "inherited": arrived,
-    "accepted": lambda f: i.Accepted(int(f["Call"]), int(f.get("Trial", 0)), micros(f.get("WaitTime", 0))),
+    "accepted": lambda f: i.Accepted(int(f["Call"]), int(f.get("Trial", 0)), ms_to_us(f.get("WaitTime", 0))),
     "done": lambda f: i.LegEnded(
         int(f["Call"]),
         int(f.get("Trial", 0)),
         ENDINGS[int(f["Disposition"])],
         f.get("Terminal", "0") == "1",
-        micros(f.get("WaitTime", 0)),
+        ms_to_us(f.get("WaitTime", 0)),
     ),
     "expired": lambda f: i.Expired(int(f["Call"])),
     "status_note": status_note,
     "fired": lambda f: i.TimerFired(f["Cookie"]),
     "pong": lambda f: probed(
-        f["Host"], ENDINGS[int(f["Disposition"])], micros(f.get("WaitTime", 0)), values(f.get("Feedback"))
+        f["Host"], ENDINGS[int(f["Disposition"])], ms_to_us(f.get("WaitTime", 0)), values(f.get("Feedback"))
     ),
     "peer": lambda f: i.PeerTold(int(f["Neighbour"]), data(f["Bytes"])),
 }
--- a/cottonspread/drill/hosting.py
+++ b/cottonspread/drill/hosting.py
@@ -3,7 +3,7 @@
 import sys
 import traceback
 
-from cottonspread.config import ConfigurationError, micros
+from cottonspread.config import ConfigurationError, ms_to_us
 from cottonspread.drill import codec
 from cottonspread.interface import Arrived
 from cottonspread.policy import Balancer
@@ -25,7 +25,7 @@
     def answer(self, clock, lines):
         """The reply to one batch, as lines."""
         try:
-            now, serial = micros(clock["Now"]), clock["serial"]
+            now, serial = ms_to_us(clock["Now"]), clock["serial"]
         except (KeyError, ValueError) as wrong:
             raise FramingError(f"clock line without a readable time or number: {wrong!r}") from wrong
         replies, node, spoke, at = [], None, None, 0
--- a/cottonspread/fleet/plan.py
+++ b/cottonspread/fleet/plan.py
@@ -57,7 +57,7 @@
     """HOST:PORT some steps on."""
     host, _, number = address.rpartition(":")
     if octet:
-        host = op.host_on(host, octet)
+        host = op.offset_address(host, octet)
     return f"{host}:{int(number) + port}"
 
 
@@ -87,7 +87,9 @@
         raise op.OperatorFileError([f"{path}: fleet.config: {template}: {fault}"]) from fault
     whole = config.parse(text, template)
     if carried is not None and isinstance(whole, dict):
-        whole = config.with_own(config.parse(carried, "configuration"), whole, section.own if section else ())
+        whole = config.with_local_keys(
+            config.parse(carried, "configuration"), whole, section.own if section else ()
+        )
     if not isinstance(whole, dict) or not isinstance(whole.get("settings"), dict):
         raise op.OperatorFileError([f"{template}: settings: expected an object"])
     if not isinstance(whole.get("discovery"), str):
--- a/cottonspread/fleet/supervisor.py
+++ b/cottonspread/fleet/supervisor.py
@@ -535,7 +535,9 @@
     def obey(self, line, one):
         do, name = one.get("do"), one.get("name")
         if name is not None and name not in self.core.slots:
-            raise config.ConfigurationError(f"{name}: no such instance" + op.near(str(name), self.core.slots))
+            raise config.ConfigurationError(
+                f"{name}: no such instance" + op.suggestion(str(name), self.core.slots)
+            )
         if do == "status":
             line.say({"ok": True, "status": self.status()})
         elif do == "reload":
--- a/cottonspread/lab/scale/reducer_node.py
+++ b/cottonspread/lab/scale/reducer_node.py
@@ -28,7 +28,7 @@
         self.now, self.version, self.servers, self.groups = SECOND, 0, servers, groups
         self.made = 0
         names = config.Names({TYPE: 0}, {}, {}, {})
-        hearing = config.Hearing(CONNECT_WAIT, True, True)
+        hearing = config.HostProtocol(CONNECT_WAIT, True, True)
         self.reducer = Reducer(self.now, begin(seed), names, hearing, MOST_ENDS)
         self.hosts = {}  # a client's end: its host's end
         self.step(ev.Tick())
--- a/cottonspread/lab/sim/node.py
+++ b/cottonspread/lab/sim/node.py
@@ -242,8 +242,8 @@
         self.draws = world.draws(node.name, "process", node.starts)
         self.skew, self.drift = node.skew, node.drift
         self.parts = config.read_node(json.dumps(values), {})
-        place, room, names, hearing, begin, known = self.parts
-        self.most = self.all = most_ends(room, place.operator)
+        endpoints, resource_limits, names, host_protocol, begin, known = self.parts
+        self.most = self.all = most_ends(resource_limits, endpoints.operator)
         self.queue, self.urgent, self.awake, self.wake_at = deque(), deque(), False, 1 << 62
         self.free_at, self.writer_at, self.frozen, self.late_writes = world.now, world.now, 0, None
         self.dead, self.numbers, self.steps, self.ended, self.began, self.finished = (
@@ -264,7 +264,7 @@
         version, listed, addresses, unread = discovery.read_list(known, names, News.SAVED)
         self.door = Door(door_target(begin))
         self.discovery = discovery.Discovery(
-            place.discovery,
+            endpoints.discovery,
             names,
             self.post,
             version,
@@ -272,7 +272,7 @@
             node.keep,
             may_watch(begin, listed, shared),
         )
-        self.reducer = Reducer(self.clock(), begin, names, hearing, self.most, *node.fleet.policy)
+        self.reducer = Reducer(self.clock(), begin, names, host_protocol, self.most, *node.fleet.policy)
         self.caller = node.agent.serve(self)
         self.discovery.start_with(
             listed, addresses, unread, trusted=begin.listing.ask or node.keep is not None
@@ -525,7 +525,7 @@
         """SIGHUP with this file. What cannot change while it runs stays, as in `Node.retune`."""
         try:
             parts = config.read_node(json.dumps(values), {})
-            config.complete(self.values, values)
+            config.check_no_key_missing(self.values, values)
         except config.ConfigurationError:
             self.hasten(ev.NotRetuned())
             return
--- a/cottonspread/net/node.py
+++ b/cottonspread/net/node.py
@@ -55,10 +55,12 @@
         return int((time.monotonic() + self.offset) * 1_000_000)
 
 
-def most_ends(room, operator=None):
+def most_ends(resource_limits, operator=None):
     """How many connections, clients' and hosts', fit into descriptors and memory."""
     spare = SPARE_ENDS + (admin.RESERVED_DESCRIPTORS if operator else 0)
-    return max(2, min(room.sockets - spare, (room.memory_mb - BASE_MB) * 1024 // END_KB))
+    return max(
+        2, min(resource_limits.sockets - spare, (resource_limits.memory_mb - BASE_MB) * 1024 // END_KB)
+    )
 
 
 def door_target(begin):
@@ -91,20 +93,22 @@
 class Node:
     """`start` returns once the node listens; `stop` asks it to end its work; `join` waits until it has."""
 
-    def __init__(self, place, room, names, hearing, begin, known, keep=None, ended=lambda: None):
+    def __init__(
+        self, endpoints, resource_limits, names, host_protocol, begin, known, keep=None, ended=lambda: None
+    ):
         """`keep(version, instances, whole)`, if given, is told each list as JSON, in the discovery's thread;
         `ended()` is called once, when all is done.
         """
-        self.place, self.room, self.clock = place, room, Clock()
+        self.endpoints, self.resource_limits, self.clock = endpoints, resource_limits, Clock()
         self.events, self.done = queue.Queue(QUEUE), threading.Event()
-        self.most = self.all = most_ends(room, place.operator)
+        self.most = self.all = most_ends(resource_limits, endpoints.operator)
         self.workers = workers.Workers(
             BufferPool(), self.post, self.clock.now, lambda: (self.done.set(), ended())
         )
         self.lock, self.door = threading.Lock(), Door(door_target(begin))
         version, listed, addresses, unread = discovery.read_list(known, names, News.SAVED)
         self.discovery = discovery.Discovery(
-            place.discovery,
+            endpoints.discovery,
             names,
             self.post,
             version,
@@ -112,7 +116,7 @@
             keep,
             may_watch(begin, listed, keep is not None),
         )
-        self.reducer = Reducer(self.clock.now(), begin, names, hearing, self.most)
+        self.reducer = Reducer(self.clock.now(), begin, names, host_protocol, self.most)
         self.discovery.start_with(listed, addresses, unread, trusted=begin.listing.ask or keep is not None)
         self.listener, self.shared, self.steps, self.ended = None, False, 0, Counter()
         self.closer = Closer(self.most_closing)
@@ -133,11 +137,11 @@
         nothing is taken from it before `take`.
         """
         self.shared = listener is not None
-        self.listener = listener or socket.create_server(self.place.listen, backlog=BACKLOG)
-        self.admin = admin.Admin(self.place.operator, self.called) if self.place.operator else None
+        self.listener = listener or socket.create_server(self.endpoints.listen, backlog=BACKLOG)
+        self.admin = admin.Admin(self.endpoints.operator, self.called) if self.endpoints.operator else None
         # What came before it was accepted is stamped too: a client's time runs from when its line was here.
         self.listener.setsockopt(socket.SOL_SOCKET, lines.SO_TIMESTAMPNS, 1)
-        grow_table(self.room.sockets)
+        grow_table(self.resource_limits.sockets)
         # Before there are threads: said after, the list's first word could stand in the log before it.
         log.info(
             "listening",
@@ -181,8 +185,8 @@
         """Another discovery from now on, or the whole list of this one anew;
         the list, calls and connections stay.
         """
-        if anew or address != self.place.discovery:
-            self.place = replace(self.place, discovery=address)
+        if anew or address != self.endpoints.discovery:
+            self.endpoints = replace(self.endpoints, discovery=address)
             self.discovery.change_address(address)
 
     def take(self):
@@ -210,15 +214,15 @@
         self.most = self.reducer.most_ends
         return handed
 
-    def retune(self, place, room, names, hearing, begin):
+    def retune(self, endpoints, resource_limits, names, host_protocol, begin):
         """Another configuration from now on: list, calls and connections stay."""
         begin = changeable(begin, self.reducer.begin)
         renamed = (names.zones, names.kinds) != (self.discovery.names.zones, self.discovery.names.kinds)
         self.discovery.names = names
-        self.hasten(ev.Retuned(begin, names, hearing))
+        self.hasten(ev.Retuned(begin, names, host_protocol))
         with self.lock:
             self.door.target = door_target(begin)
-        self.follow(place.discovery, renamed)
+        self.follow(endpoints.discovery, renamed)
 
     def adopt(self, standing, client, host):
         """A standing connection of the process before this one, with its two sockets. Whether it is taken."""
--- a/cottonspread/net/reducer.py
+++ b/cottonspread/net/reducer.py
@@ -430,7 +430,7 @@
             conn.legs.append(leg)
             self.end_leg(leg, Ending.CONNECT_FAILED)
             return
-        self.open_leg(leg, min(self.hearing.connect_wait, until - self.now))
+        self.open_leg(leg, min(self.hearing.connect_timeout, until - self.now))
 
     def open_leg(self, leg, wait):
         conn, host, until, leg.address = leg.conn, leg.host, leg.until, leg.host.address
@@ -588,14 +588,14 @@
     def load_line(self, leg, value):
         notes = leg.host.notes
         self.busy_hosts.note(leg.host)  # what is made of it may change as time passes
-        if self.hearing.delays and self.hearing.words:
+        if self.hearing.sends_delay and self.hearing.load_may_be_delay:
             # Where the settings say that loads are not told, such a line can only be the other note: taken
             # for a connection's load, with which each begins elsewhere, no jam was seen at all.
             delay = (
                 notes.delay(
                     self.now, leg.heard, value, notes.waited(self.now, leg.host.waiting.all())[0], self.usual
                 )
-                if self.hearing.loads
+                if self.hearing.sends_load
                 else notes.take(self.now, round(value * 1000))
             )
             self.tell_loads(leg.host, notes.mistaken)
@@ -609,7 +609,7 @@
     def tell_load(self, leg, value):
         leg.heard.load = value
         self.usual += (value - self.usual) / 50 if self.usual else value
-        if self.hearing.loads:
+        if self.hearing.sends_load:
             self.tell(io.LoadTold(leg.conn, value))
 
     def tell_loads(self, host, loads):
@@ -623,7 +623,7 @@
         `back`: when it was here.
         """
         notes = leg.host.notes
-        if sent is None or not self.hearing.delays:
+        if sent is None or not self.hearing.sends_delay:
             return
         notes.answered = max(notes.answered, sent)
         delay = max(0, back - sent)
@@ -652,7 +652,7 @@
             waited, leg = host.notes.waited(self.now, heard)
             waited = max(0, waited - late)
             loads = host.notes.lapsed(self.now)
-            claim = host.notes.confirmed(self.now, waited) if self.hearing.delays else None
+            claim = host.notes.confirmed(self.now, waited) if self.hearing.sends_delay else None
             if claim:  # what was taken for a load was none
                 loads.append(claim[1:])
             self.tell_loads(host, loads)
@@ -660,7 +660,7 @@
                 self.tell_delay(leg, claim[0], True)
             # The first word on a silence, then one at half a second, by which the module knows a hang, and
             # then one a second.
-            elif self.hearing.delays and waited >= 3 * self.slow_from:
+            elif self.hearing.sends_delay and waited >= 3 * self.slow_from:
                 told = host.notes.told_at - (self.now - waited)  # how long it was silent at the last word
                 if self.now - host.notes.told_at >= SECOND or 0 <= told < HANG <= waited:
                     self.tell_delay(leg, waited, True)
--- a/tests/configstore/test_shell_section.py
+++ b/tests/configstore/test_shell_section.py
@@ -46,7 +46,7 @@
     own = {"name": "n1", "settings": {"Me": 4, "Zone": 2, "Step": 1}, "discovery": "a:1"}
     carried = {"name": "x", "seed": "1", "settings": {"Me": 0, "Step": 5}, "discovery": "b:2", "more": [1]}
     before = repr((own, carried))
-    taken = config.with_own(carried, own, ("name", "seed", "settings.Me", "settings.Zone"))
+    taken = config.with_local_keys(carried, own, ("name", "seed", "settings.Me", "settings.Zone"))
     assert taken == {
         "name": "n1",
         "settings": {"Me": 4, "Zone": 2, "Step": 5},
@@ -59,7 +59,7 @@
 @pytest.mark.parametrize("carried", [[], "x", None, {"settings": 3}, {}])
 def test_what_is_carried_and_no_configuration_is_told(carried):
     with pytest.raises(config.ConfigurationError):
-        config.with_own(carried, {"name": "n1"}, ("name", "settings.Me"))
+        config.with_local_keys(carried, {"name": "n1"}, ("name", "settings.Me"))
 
 
 class Node:
--- a/tests/crossings/test_shutdown.py
+++ b/tests/crossings/test_shutdown.py
@@ -229,8 +229,14 @@
         node.stop()
         node.seen.wait(ev.StopAsked)
         node.hasten(ev.DrainAsked(True))
-        node.retune(node.place, node.room, node.discovery.names, node.reducer.hearing, node.reducer.begin)
-        node.follow(node.place.discovery, True)
+        node.retune(
+            node.endpoints,
+            node.resource_limits,
+            node.discovery.names,
+            node.reducer.hearing,
+            node.reducer.begin,
+        )
+        node.follow(node.endpoints.discovery, True)
         node.stop()
         node.hasten(ev.DrainAsked(False))
         clean_end(one, b"MOVE")
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -152,7 +152,7 @@
 @pytest.fixture
 def operated(monkeypatch, toy):  # noqa: F811
     parts = list(config.read_node(NODE, {}))
-    parts[0] = config.Place("n1", ("127.0.0.1", 0), discovery_of(toy.Toy(2)), ("127.0.0.1", 0))
+    parts[0] = config.Endpoints("n1", ("127.0.0.1", 0), discovery_of(toy.Toy(2)), ("127.0.0.1", 0))
     node = Node(*parts)
     node.start()
     yield node, node.listener.getsockname(), node.admin.listener.getsockname()
@@ -218,11 +218,13 @@
 
 def test_a_node_without_the_key_has_no_such_address(service):  # noqa: F811
     node, _ = service
-    assert node.place.operator is None and node.admin is None
+    assert node.endpoints.operator is None and node.admin is None
 
 
 def test_the_descriptors_of_the_address_are_set_aside():
-    room = config.Room(192, 256)
+    resource_limits = config.ResourceLimits(192, 256)
     assert (
-        most_ends(room) - most_ends(room, ("127.0.0.1", 1)) == admin.RESERVED_DESCRIPTORS > admin.MAX_CALLERS
+        most_ends(resource_limits) - most_ends(resource_limits, ("127.0.0.1", 1))
+        == admin.RESERVED_DESCRIPTORS
+        > admin.MAX_CALLERS
     )
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -613,9 +613,9 @@
 def service(monkeypatch, toy):
     """A node, with the example's toy servers and discovery."""
     servers = toy.Toy(2)
-    place, room, names, hearing, begin, known = config.read_node(NODE, {})
-    place = config.Place("n1", ("127.0.0.1", 0), discovery_of(servers))
-    node = Node(place, room, names, hearing, begin, known)
+    endpoints, resource_limits, names, host_protocol, begin, known = config.read_node(NODE, {})
+    endpoints = config.Endpoints("n1", ("127.0.0.1", 0), discovery_of(servers))
+    node = Node(endpoints, resource_limits, names, host_protocol, begin, known)
     listed = threading.Event()
     heard = node.reducer.heard
 
--- a/tests/test_reducer.py
+++ b/tests/test_reducer.py
@@ -58,7 +58,7 @@
             0,
             begin(site, types),
             names_of(types),
-            config.Hearing(ms(50), "no_loads" not in site, True, "loads_only" not in site),
+            config.HostProtocol(ms(50), "no_loads" not in site, True, "loads_only" not in site),
             int(site.get("ends", 100)),
         )
         self.ends, self.names, self.held, self.out = {}, {}, set(), []
--- a/tests/test_succession.py
+++ b/tests/test_succession.py
@@ -149,10 +149,12 @@
 
 def test_what_only_referenced_types_need_is_asked_of_them_alone():
     more = WHOLE["settings"]["TrafficTypes"][1]
-    config.complete([more], [more, {key: more[key] for key in more if key not in OWN} | {"Effect": "safe"}])
+    config.check_no_key_missing(
+        [more], [more, {key: more[key] for key in more if key not in OWN} | {"Effect": "safe"}]
+    )
     for key in OWN:
         with pytest.raises(config.ConfigurationError, match=rf"\[0\]\.{key}"):
-            config.complete(
+            config.check_no_key_missing(
                 [WHOLE["settings"]["TrafficTypes"][0], more], [{k: v for k, v in more.items() if k != key}]
             )
 
