--- a/benchmarks/crossings/mutants.py
+++ b/benchmarks/crossings/mutants.py
@@ -192,7 +192,7 @@
     (
         "SIGTERM from the first moment",
         "cli/node.py",
-        "        signal.signal(number, lambda *_: asked.put(ask_to_stop))",
+        "        signal.signal(number, lambda *_: requests.put(stop_node))",
         "        pass",
         [f"{SHUTDOWN}::test_a_signal_during_the_start_is_no_end_by_force"],
     ),
@@ -396,8 +396,8 @@
     (
         "one process",
         "cli/node.py",
-        "    force = InForce(path",
-        '    __import__("subprocess").run(["true"])\n    force = InForce(path',
+        "    active = ActiveConfiguration(path",
+        '    __import__("subprocess").run(["true"])\n    active = ActiveConfiguration(path',
         ["tests/crossings/test_one_process.py"],
     ),
     (
--- a/cottonspread/cli/configuration.py
+++ b/cottonspread/cli/configuration.py
@@ -58,7 +58,7 @@
     if given.resume or given.withdraw:
         order = core.Resume() if given.resume else core.Withdraw()
     else:
-        text = node.text_of(node.named(given.file))
+        text = node.read_file(node.require_path(given.file))
         node.read_text(text)
         if len(text) > BODY_AT_MOST:
             raise config.ConfigurationError(
--- a/cottonspread/cli/known.py
+++ b/cottonspread/cli/initial_list.py
@@ -9,7 +9,7 @@
 log = logging.getLogger("cottonspread.cli")
 
 
-def known_list(saved, parts):
+def newer_list(saved, parts):
     """The newer of the list that was saved and the one in the configuration, as JSON."""
     known = parts[-1]
     try:
@@ -20,26 +20,28 @@
     return saved if version >= discovery.read_list(known, parts[2])[0] else known
 
 
-class Known:
+class InitialList:
     """Puts the newest list in the place of `parts[-1]`; `path` is None where none is saved.
 
-    `wait`: seconds for one told by discovery, before the known one is trusted.
+    `timeout`: seconds for one told by discovery, before the known one is trusted.
     """
 
-    def __init__(self, parts, path, wait):
+    def __init__(self, parts, path, timeout):
         self.saved = saved.SavedList(path, parts[4].weights_move) if path else None
-        self.wait, self.told, self.began = wait, False, time.monotonic()
+        self.timeout, self.received, self.started_at = timeout, False, time.monotonic()
         if path:
-            parts[-1] = known_list(saved.read(path), parts)
+            parts[-1] = newer_list(saved.read(path), parts)
 
-    def keep(self, *told):
+    def on_list(self, *told):
         """As `Node` calls it."""
         if self.saved:
             self.saved.update(*told)
-        self.told = True
+        self.received = True
 
     def ready(self, node):
         """Whether a node that takes no connections yet could serve."""
         return (
-            node.reducer.listed and (self.told or time.monotonic() - self.began >= self.wait) and node.ping()
+            node.reducer.listed
+            and (self.received or time.monotonic() - self.started_at >= self.timeout)
+            and node.ping()
         )
--- a/cottonspread/cli/instance.py
+++ b/cottonspread/cli/instance.py
@@ -18,7 +18,7 @@
 import time
 
 from cottonspread import __version__, config
-from cottonspread.cli.known import Known
+from cottonspread.cli.initial_list import InitialList
 from cottonspread.fleet import control
 from cottonspread.net import events as ev
 from cottonspread.net import logfmt
@@ -41,8 +41,8 @@
         self.alone_since, self.beat_at, self.take_by = time.monotonic(), 0.0, 0.0
         path = os.path.join(told["folder"], f"{self.name}.list.json")
         parts = self.read(json.loads(self.live))
-        self.known = Known(parts, path if own["save_list"] else None, own["list_wait_s"])
-        self.node = Node(*parts, keep=self.known.keep)
+        self.initial_list = InitialList(parts, path if own["save_list"] else None, own["list_wait_s"])
+        self.node = Node(*parts, keep=self.initial_list.on_list)
 
     def read(self, live):
         """The parts of the node's configuration."""
@@ -75,7 +75,7 @@
 
     def look(self):
         now = time.monotonic()
-        if self.state == "waiting" and self.known.ready(self.node):
+        if self.state == "waiting" and self.initial_list.ready(self.node):
             self.turn("prepared")
         if self.take_by:
             self.try_take(now)
--- a/cottonspread/cli/node.py
+++ b/cottonspread/cli/node.py
@@ -19,7 +19,7 @@
 log = logging.getLogger("cottonspread.cli")
 
 
-def text_of(path):
+def read_file(path):
     try:
         with open(path, encoding="utf-8") as file:
             return file.read()
@@ -28,7 +28,7 @@
 
 
 def read(path):
-    return read_text(text_of(path), os.environ)
+    return read_text(read_file(path), os.environ)
 
 
 def read_text(text, environment=None):
@@ -40,7 +40,7 @@
     return parts
 
 
-def operator(path):
+def read_operator_file(path):
     """The operator's sections, or their defaults without a file: (log or None, whole)."""
     if not path:
         return None
@@ -50,38 +50,42 @@
     return op.read(path)
 
 
-def serve(path, operators=None):
-    def ask_to_stop(node, force):
-        follows.stop(node, force) if follows else node.stop()
+def serve(path, operator_path=None):
+    def stop_node(node, active):
+        takeover.stop(node, active) if takeover else node.stop()
 
-    asked = queue.SimpleQueue()  # by signals, which may come while one is being dealt with
-    signal.signal(signal.SIGHUP, lambda *_: asked.put(reload))
+    requests = queue.SimpleQueue()  # by signals, which may come while one is being dealt with
+    signal.signal(signal.SIGHUP, lambda *_: requests.put(reload))
     # from the first moment: one that came during the start killed it
     for number in (signal.SIGTERM, signal.SIGINT):
-        signal.signal(number, lambda *_: asked.put(ask_to_stop))
-    own = operator(operators)
-    force = InForce(path, own[3].own if own and own[3] else ())
+        signal.signal(number, lambda *_: requests.put(stop_node))
+    sections = read_operator_file(operator_path)
+    active = ActiveConfiguration(path, sections[3].own if sections and sections[3] else ())
     listener = None
     if os.environ.get("PROXY_INHERITED_FD"):
-        from cottonspread.cli import succession  # what a node that owns its listener need not load
+        from cottonspread.cli import takeover as takeovers  # what a node that owns its listener need not load
 
-        listener = succession.inherited(os.environ)
-    follows = follower = None
-    name = force.parts[0].name
-    write_out = logfmt.start(name, own[0].level.upper(), own[0].format) if own else logfmt.start(name)
-    parts = list(force.parts)
+        listener = takeovers.inherited_listener(os.environ)
+    takeover = follower = None
+    name = active.parts[0].name
+    write_out = (
+        logfmt.start(name, sections[0].level.upper(), sections[0].format) if sections else logfmt.start(name)
+    )
+    parts = list(active.parts)
     try:
-        if own and own[3]:
-            follower = follow_configuration(own[3], operators, force, asked)
-            parts = list(force.parts)
-        follows = succession.Succession(parts) if listener else None
+        if sections and sections[3]:
+            follower = make_follower(sections[3], operator_path, active, requests)
+            parts = list(active.parts)
+        takeover = takeovers.Takeover(parts) if listener else None
         node = Node(
-            *parts, keep=follows and follows.known.keep, ended=lambda: asked.put(lambda node, force: None)
+            *parts,
+            keep=takeover and takeover.initial_list.on_list,
+            ended=lambda: requests.put(lambda node, active: None),
         )
         node.start(listener)
         if follower:
             follower.start()
-        serve_on(node, force, follows, asked)
+        run_node(node, active, takeover, requests)
         return 0
     except OSError as fault:
         where = fault.filename or "listen: {}:{}".format(*parts[0].listen)
@@ -94,83 +98,85 @@
         write_out()
 
 
-def serve_on(node, force, follows, asked):
+def run_node(node, active, takeover, requests):
     """Until the node has ended: does what is asked, and tells the service manager."""
     manager, told = notify.Manager(), False
     while not node.join(0):
-        if follows:
-            follows.look(node)
+        if takeover:
+            takeover.poll(node)
         if manager.address:
-            told = report(manager, node, told)
+            told = notify_manager(manager, node, told)
         with contextlib.suppress(queue.Empty):
-            asked.get(timeout=0.1 if not follows or follows.state == "serving" else 0.02)(node, force)
+            requests.get(timeout=0.1 if not takeover or takeover.state == "serving" else 0.02)(node, active)
 
 
-class InForce:
+class ActiveConfiguration:
     """The configuration that the node runs under: `values` as it is in force, `parts` as the node started
     with them.
 
-    `carried`: the text that the configuration store told, which then stands for the file but for its
-    keys `own`.
+    `published`: the text that the configuration store told, which then stands for the file but for its
+    keys `local_keys`.
     """
 
-    def __init__(self, path, own=()):
-        self.path, self.own, self.carried = path, own, None
+    def __init__(self, path, local_keys=()):
+        self.path, self.local_keys, self.published = path, local_keys, None
         self.values, self.parts = self.read()
 
     def read(self):
         """(values, parts) of what is to be in force now."""
-        return self.read_carried(self.carried)
-
-    def read_carried(self, carried):
-        """As `read`, were this carried; raises config.ConfigurationError where no node can run under it."""
-        text = text_of(self.path)
-        if carried is not None:
-            body = config.parse(carried, "configuration")
-            text = json.dumps(config.with_local_keys(body, config.parse(text, "configuration"), self.own))
+        return self.read_with(self.published)
+
+    def read_with(self, published):
+        """As `read`, were this published; raises config.ConfigurationError where no node can run under it."""
+        text = read_file(self.path)
+        if published is not None:
+            body = config.parse(published, "configuration")
+            text = json.dumps(
+                config.with_local_keys(body, config.parse(text, "configuration"), self.local_keys)
+            )
         return config.parse(text, "configuration"), read_text(text, os.environ)
 
-    def begin_with(self, carried):
+    def start_with(self, published):
         """Before the node is there."""
-        self.values, self.parts = self.read_carried(carried)
-        self.carried = carried
+        self.values, self.parts = self.read_with(published)
+        self.published = published
 
 
-def follow_configuration(section, operators, force, asked):
-    """The follower of the configuration store, not yet started; it hands `asked` what is to be done."""
+def make_follower(section, operator_path, active, requests):
+    """The follower of the configuration store, not yet started; it hands `requests` what is to be done."""
     from cottonspread.configstore.client import Client  # what a node without the section does not load
 
     def check(record):
-        values, _ = force.read_carried(record.body)
-        config.check_no_key_missing(force.values, values)
+        values, _ = active.read_with(record.body)
+        config.check_no_key_missing(active.values, values)
 
     def apply(record, done):
-        asked.put(lambda node, force: done(*take_over(node, force, record.body)))
+        requests.put(lambda node, active: done(*apply_published(node, active, record.body)))
 
-    folder = os.path.join(os.path.dirname(os.path.abspath(operators)), section.state)
-    name = section.node or force.parts[0].name
+    folder = os.path.join(os.path.dirname(os.path.abspath(operator_path)), section.state)
+    name = section.node or active.parts[0].name
     try:
         follower = Client(name, tuple(section.replicas), folder, check, apply)
     except OSError as fault:
         raise config.ConfigurationError(f"configuration.state: {folder}: {fault}") from fault
     if follower.saved:
         try:
-            force.begin_with(follower.saved.body)
+            active.start_with(follower.saved.body)
         except config.ConfigurationError as fault:  # the file is what there is; the follower tells why
             log.error("saved-configuration", extra={"pairs": {"why": fault, "kept": "the file"}})
     return follower
 
 
-def take_over(node, force, carried):
+def apply_published(node, active, published):
     """Puts what the configuration store told into force, as SIGHUP does with a file: (ok, why)."""
-    before, force.carried = force.carried, carried
-    why = reload(node, force)
+    before, active.published = active.published, published
+    why = reload(node, active)
     if why:
-        force.carried = before
+        active.published = before
     return not why, why
 
 
-def report(manager, node, told):
+def notify_manager(manager, node, told):
     """To the service manager: ready once a list is known and a PING answered;
     alive as long as the reducer makes steps.
     """
@@ -187,14 +193,14 @@
     return steps, ready, at
 
 
-def reload(node, force):
+def reload(node, active):
     """SIGHUP: the file is read whole and checked whole, then taken over in one event.
 
     Whatever stands in it, the node goes on. Why nothing was taken over, or empty.
     """
     try:
-        values, parts = force.read()
-        config.check_no_key_missing(force.values, values)
+        values, parts = active.read()
+        config.check_no_key_missing(active.values, values)
     except config.ConfigurationError as fault:
         node.hasten(ev.NotRetuned())
         log.error("reload", extra={"pairs": {"why": fault, "kept": "the old configuration"}})
@@ -204,7 +210,7 @@
         log.exception("fault", extra={"pairs": {"while": "reload"}})
         return f"our own fault: {type(fault).__name__}: {fault}"
     endpoints, resource_limits, _, _, begin, _ = parts
-    was, old_limits, _, _, old, _ = force.parts  # what cannot change while it runs is as it was then
+    was, old_limits, _, _, old, _ = active.parts  # what cannot change while it runs is as it was then
     node.retune(*parts[:-1])
     kept = [
         key
@@ -218,7 +224,7 @@
         )
         if not same
     ]
-    force.values = values
+    active.values = values
     log.info(
         "reload",
         extra={
@@ -232,18 +238,18 @@
     return ""
 
 
-def check(path, operators=None):
-    own = operator(operators)
-    if own and own[2] and not path:
+def check(path, operator_path=None):
+    sections = read_operator_file(operator_path)
+    if sections and sections[2] and not path:
         from cottonspread.fleet import plan
 
-        specs = plan.read(operators, (sys.executable, ""), read_text).specs
+        specs = plan.read(operator_path, (sys.executable, ""), read_text).specs
         print(
             f"{len(specs)} instances: "
             + ", ".join("{} on {}:{}".format(s.name, *s.address) for s in specs.values())
         )
         return 0
-    endpoints, resource_limits, names, _, begin, known = read(named(path))
+    endpoints, resource_limits, names, _, begin, known = read(require_path(path))
     print(
         f"{endpoints.name}: listens on {endpoints.listen[0]}:{endpoints.listen[1]}, "
         f"discovery at {endpoints.discovery[0]}:{endpoints.discovery[1]}, "
@@ -260,7 +266,7 @@
     )
     print(
         f"weights listed {'move with load' if begin.weights_move else 'are sizes'}, "
-        f"hosts' load {'told to probes' if begin.loads_probed else 'not asked for'}"
+        f"hosts' load {'told to probes' if begin.loads_probed else 'not requests for'}"
     )
     return 0
 
@@ -279,13 +285,13 @@
         command.add_argument("--operator", metavar="FILE", help="the operator's TOML file")
         command.set_defaults(
             run=lambda given, run=run: run(
-                given.config if run is check else named(given.config), given.operator
+                given.config if run is check else require_path(given.config), given.operator
             )
         )
     commands.add_parser("version", help="print the version").set_defaults(run=version)
 
 
-def named(path):
+def require_path(path):
     if not path:
         raise config.ConfigurationError("configuration: no file named: give --config or set PROXY_CONFIG")
     return path
--- a/cottonspread/cli/succession.py
+++ b/cottonspread/cli/takeover.py
@@ -15,7 +15,7 @@
 import time
 from urllib.parse import quote
 
-from cottonspread.cli.known import Known
+from cottonspread.cli.initial_list import InitialList
 from cottonspread.config import ConfigurationError
 from cottonspread.fleet import control
 from cottonspread.front import handover
@@ -24,11 +24,11 @@
 
 log = logging.getLogger("cottonspread.succession")
 
-LIST_WAIT = 2.0  # see `Known`
-ANSWER_WAIT = 1.0
+LIST_TIMEOUT = 2.0  # see `InitialList`
+ANSWER_TIMEOUT = 1.0
 
 
-def inherited(environment):
+def inherited_listener(environment):
     """The listening socket that PROXY_INHERITED_FD names, or None without it."""
     word = environment.get("PROXY_INHERITED_FD")
     if not word:
@@ -47,7 +47,7 @@
 
 
 @contextlib.contextmanager
-def reachable(path):
+def short_socket_path(path):
     """A name for this path that fits into the address of a socket."""
     if len(os.fsencode(path)) <= control.LONGEST_PATH:
         yield path
@@ -59,128 +59,128 @@
         os.close(folder)
 
 
-class Succession:
+class Takeover:
     def __init__(self, parts, folder=None):
         folder = folder or tempfile.gettempdir()  # TMPDIR, where it is set
         base = os.path.join(folder, "cottonspread-" + quote(parts[0].name, safe=""))
-        self.wanted, self.handed, self.mark = (
+        self.request_path, self.reply_path, self.token = (
             base + ".wanted",
             base + ".handed",
             f"{os.getpid()} {time.time_ns()}",
         )
-        self.heir_path, self.heir, self.heir_mark = base + ".heir", None, None
+        self.transfer_path, self.transfer_listener, self.successor_token = base + ".heir", None, None
         self.lock = control.Lock(base + ".lock")
-        self.known = Known(parts, base + ".list", LIST_WAIT)
-        self.asked_at, self.alone, self.state = 0.0, False, "waiting"
+        self.initial_list = InitialList(parts, base + ".list", LIST_TIMEOUT)
+        self.requested_at, self.has_lock, self.state = 0.0, False, "waiting"
 
-    def look(self, node):
+    def poll(self, node):
         """Some ten times a second and more often before it serves."""
         if node.reducer.stopping:
             return
         now = time.monotonic()
         if self.state == "waiting":
-            if self.known.ready(node):
-                self.alone = self.lock.take()
-                if self.alone:
-                    self.take(node, None)
+            if self.initial_list.ready(node):
+                self.has_lock = self.lock.take()
+                if self.has_lock:
+                    self.start_serving(node, None)
                 else:
-                    self.state, self.asked_at = "asking", now
-                    self.await_connections(node)
-                    self.write(self.wanted, self.mark)
+                    self.state, self.requested_at = "asking", now
+                    self.listen_for_connections(node)
+                    self.write_file(self.request_path, self.token)
         elif self.state == "asking":
-            answer, over = self.answer(), now - self.asked_at >= ANSWER_WAIT
+            answer, over = self.read_reply(), now - self.requested_at >= ANSWER_TIMEOUT
             if answer or over:
                 if not answer:
                     log.warning("hand-over", extra={"pairs": {"why": "no answer", "kept": "none"}})
-                self.take(node, answer)
+                self.start_serving(node, answer)
         else:
-            if not self.alone and self.lock.take():  # the predecessor has ended
-                self.alone = True
+            if not self.has_lock and self.lock.take():  # the predecessor has ended
+                self.has_lock = True
                 node.limit(None)
-                if self.heir:
-                    self.heir.shutdown(socket.SHUT_RDWR)  # wakes its thread
-                    self.heir = None
-            self.hand_over(node)
+                if self.transfer_listener:
+                    self.transfer_listener.shutdown(socket.SHUT_RDWR)  # wakes its thread
+                    self.transfer_listener = None
+            self.answer_request(node)
 
-    def take(self, node, handed):
+    def start_serving(self, node, handed):
         self.state = "serving"
         if handed:
             node.inherit(handed)
         node.take()
-        log.info("takes", extra={"pairs": {"handed": bool(handed), "alone": self.alone}})
+        log.info("takes", extra={"pairs": {"handed": bool(handed), "alone": self.has_lock}})
 
-    def await_connections(self, node):
+    def listen_for_connections(self, node):
         """Standing ones of the predecessor, which comes with them when it ends.
 
         Without, they are moved as at any end.
         """
         try:
-            with reachable(self.heir_path) as path:
-                self.heir = control.listening(path)
+            with short_socket_path(self.transfer_path) as path:
+                self.transfer_listener = control.listening(path)
         except OSError as fault:
-            log.warning("hand-over", extra={"pairs": {"file": self.heir_path, "why": fault}})
+            log.warning("hand-over", extra={"pairs": {"file": self.transfer_path, "why": fault}})
             return
-        workers.start_thread(self.take_over, self.heir, node, stack=workers.WIDE)
+        workers.start_thread(self.receive_connections, self.transfer_listener, node, stack=workers.WIDE)
 
-    def take_over(self, heir, node):
-        mark = self.mark.encode() + b"\n"
+    def receive_connections(self, listener, node):
+        token = self.token.encode() + b"\n"
         while True:
             try:
-                sock, _ = heir.accept()
+                sock, _ = listener.accept()
             except OSError:  # nobody comes any more
                 break
             with sock:
                 try:
-                    sock.settimeout(ANSWER_WAIT)
-                    if sock.recv(len(mark), socket.MSG_WAITALL) == mark:
+                    sock.settimeout(ANSWER_TIMEOUT)
+                    if sock.recv(len(token), socket.MSG_WAITALL) == token:
                         sock.settimeout(None)
                         passing.take_over(sock, node.adopt)
                 except OSError as fault:
                     log.warning("hand-over", extra={"pairs": {"why": fault}})
-        heir.close()
+        listener.close()
 
     def stop(self, node, force):
         """SIGTERM. What lies in the queue of the listener is the next process's,
         and so are the connections that stand.
         """
         sock = None
-        if self.heir_mark:
+        if self.successor_token:
             try:
-                with reachable(self.heir_path) as path:
-                    sock = control.connect(path, ANSWER_WAIT)
-                sock.sendall(self.heir_mark.encode() + b"\n")
+                with short_socket_path(self.transfer_path) as path:
+                    sock = control.connect(path, ANSWER_TIMEOUT)
+                sock.sendall(self.successor_token.encode() + b"\n")
                 sock.settimeout(None)
             except OSError as fault:  # it has ended, or is of a version that takes none
                 log.warning("hand-over", extra={"pairs": {"why": fault}})
                 sock = None
         node.leave(True, sock)
 
-    def answer(self):
+    def read_reply(self):
         try:
-            with open(self.handed, encoding="utf-8") as file:
-                return handover.unpack(file.read(), self.mark)
+            with open(self.reply_path, encoding="utf-8") as file:
+                return handover.unpack(file.read(), self.token)
         except FileNotFoundError:
             return None
         except (OSError, ValueError, RecursionError) as fault:  # of an earlier one, perhaps: once, and on
             log.warning("hand-over", extra={"pairs": {"why": fault, "kept": "none"}})
-            self.remove(self.handed)
+            self.remove_file(self.reply_path)
             return None
 
-    def hand_over(self, node):
+    def answer_request(self, node):
         """Whatever stands in WANTED, the answer is for nobody but who wrote it."""
         try:
-            with open(self.wanted, encoding="utf-8", errors="replace") as file:
-                mark = file.read(100)
+            with open(self.request_path, encoding="utf-8", errors="replace") as file:
+                token = file.read(100)
         except OSError:
             return
-        if mark == self.mark:  # its own, which nobody answered
-            self.remove(self.wanted)
+        if token == self.token:  # its own, which nobody answered
+            self.remove_file(self.request_path)
             return
         handed = node.hand_over()
         if handed:
-            self.remove(self.wanted)
-            self.heir_mark = mark
-            self.write(self.handed, handover.pack(handed, mark))
+            self.remove_file(self.request_path)
+            self.successor_token = token
+            self.write_file(self.reply_path, handover.pack(handed, token))
             log.info(
                 "hands-over",
                 extra={
@@ -188,13 +188,13 @@
                 },
             )
 
-    def write(self, path, text):
+    def write_file(self, path, text):
         try:
             saved.write_atomically(path, text)
         except OSError as fault:
             log.error("hand-over", extra={"pairs": {"file": path, "why": fault}})
 
     @staticmethod
-    def remove(path):
+    def remove_file(path):
         with contextlib.suppress(OSError):
             os.unlink(path)
--- a/tests/configstore/test_shell_section.py
+++ b/tests/configstore/test_shell_section.py
@@ -63,7 +63,7 @@
 
 
 class Node:
-    """What `take_over` needs of one."""
+    """What `apply_published` needs of one."""
 
     def __init__(self):
         self.retuned, self.hastened = [], []
@@ -78,16 +78,16 @@
 def test_a_node_that_cannot_take_a_change_over_says_why_and_keeps_what_it_has(tmp_path):
     file = tmp_path / "node.json"
     file.write_text(json.dumps(shells.configuration()))
-    force, node = serving.InForce(str(file), op.Configuration(replicas=("a:1",)).own), Node()
+    active, node = serving.ActiveConfiguration(str(file), op.Configuration(replicas=("a:1",)).own), Node()
     good = json.dumps(shells.configuration(TrafficTypes=shells.types("second")) | {"name": "other"})
-    assert serving.take_over(node, force, good) == (True, "") and node.retuned == ["second"]
-    assert force.values["name"] == "n1" and force.parts[0].name == "n1"
+    assert serving.apply_published(node, active, good) == (True, "") and node.retuned == ["second"]
+    assert active.values["name"] == "n1" and active.parts[0].name == "n1"
 
     for faulty, said in (("{", "no JSON"), ("[]", "not an object"), ('{"settings": {}}', "missing")):
-        ok, why = serving.take_over(node, force, faulty)
+        ok, why = serving.apply_published(node, active, faulty)
         assert not ok and said in why
     assert node.retuned == ["second"] and node.hastened == [ev.NotRetuned] * 3
-    assert serving.reload(node, force) == "" and node.retuned == ["second"] * 2, (
+    assert serving.reload(node, active) == "" and node.retuned == ["second"] * 2, (
         "SIGHUP keeps what is carried"
     )
 
@@ -95,9 +95,9 @@
 def test_what_was_in_force_before_a_start_is_so_from_its_first_moment(tmp_path):
     file = tmp_path / "node.json"
     file.write_text(json.dumps(shells.configuration()))
-    force = serving.InForce(str(file), ("name",))
+    active = serving.ActiveConfiguration(str(file), ("name",))
     with pytest.raises(config.ConfigurationError):
-        force.begin_with("{")
-    assert force.carried is None
-    force.begin_with(json.dumps(shells.configuration(TrafficTypes=shells.types("second"))))
-    assert force.parts[4].types[0].name == "second"
+        active.start_with("{")
+    assert active.published is None
+    active.start_with(json.dumps(shells.configuration(TrafficTypes=shells.types("second"))))
+    assert active.parts[4].types[0].name == "second"
--- a/tests/crossings/test_floods.py
+++ b/tests/crossings/test_floods.py
@@ -326,7 +326,7 @@
     with running(agent) as node:
         listed(node)
         begin, told_before = node.reducer.begin, len(node.seen.told)
-        force = type(
+        active = type(
             "Force",
             (),
             {
@@ -334,7 +334,7 @@
                 "read": lambda self: (whole, cli.node.read_text(json.dumps(whole))),
             },
         )()
-        cli.node.reload(node, force)
+        cli.node.reload(node, active)
         node.seen.wait(ev.NotRetuned)
         assert node.reducer.begin is begin and len(node.seen.told) > told_before
 
--- a/tests/crossings/test_shutdown.py
+++ b/tests/crossings/test_shutdown.py
@@ -247,18 +247,18 @@
 
 def test_a_signal_during_the_start_is_no_end_by_force(agent, tmp_path, monkeypatch):
     """It came before anybody listened for it, and the process was killed by it."""
-    file, read = tmp_path / "node.json", command.InForce.read
+    file, read = tmp_path / "node.json", command.ActiveConfiguration.read
     file.write_text(settings(agent))
 
-    def reading(force):
+    def reading(active):
         assert signal.getsignal(signal.SIGTERM) not in (signal.SIG_DFL, signal.SIG_IGN), (
             "the signal would kill this process"
         )
         os.kill(os.getpid(), signal.SIGTERM)
-        return read(force)
+        return read(active)
 
     kept = {number: signal.getsignal(number) for number in (signal.SIGHUP, signal.SIGTERM, signal.SIGINT)}
-    monkeypatch.setattr(command.InForce, "read", reading)
+    monkeypatch.setattr(command.ActiveConfiguration, "read", reading)
     monkeypatch.setattr(command.logfmt, "start", lambda *_, **__: lambda: None)
     try:
         assert cli.main(["serve", "--config", str(file)]) == 0
--- a/tests/test_succession.py
+++ b/tests/test_succession.py
@@ -20,8 +20,8 @@
 
 from cottonspread import config
 from cottonspread.cli import main
-from cottonspread.cli.node import InForce, reload
-from cottonspread.cli.succession import Succession, inherited, reachable
+from cottonspread.cli.node import ActiveConfiguration, reload
+from cottonspread.cli.takeover import Takeover, inherited_listener, short_socket_path
 from cottonspread.fleet import control
 from cottonspread.front import handover
 from cottonspread.net import events as ev
@@ -90,12 +90,12 @@
     monkeypatch.setenv("PROXY_DISCOVERY", "127.0.0.1:1")
     file, node = tmp_path / "node.json", Told()
     file.write_text(json.dumps(WHOLE))
-    force = InForce(str(file))
-    before = force.values, force.parts
+    active = ActiveConfiguration(str(file))
+    before = active.values, active.parts
     file.write_text(json.dumps(without(path)))
-    reload(node, force)
+    reload(node, active)
     assert [type(e) for e in node.events] == [ev.NotRetuned] and not node.retuned
-    assert (force.values, force.parts) == before
+    assert (active.values, active.parts) == before
 
 
 def changed(change):
@@ -135,13 +135,13 @@
 def test_a_file_that_makes_no_sense_changes_nothing_and_the_log_names_its_key(text, key, tmp_path, caplog):
     file, node = tmp_path / "node.json", Told()
     file.write_text(json.dumps(WHOLE))
-    force = InForce(str(file))
-    before = force.values, force.parts
+    active = ActiveConfiguration(str(file))
+    before = active.values, active.parts
     file.write_text(text)
     with caplog.at_level("INFO", "cottonspread"):
-        reload(node, force)
+        reload(node, active)
     assert [type(e) for e in node.events] == [ev.NotRetuned] and not node.retuned
-    assert (force.values, force.parts) == before
+    assert (active.values, active.parts) == before
     assert [str(r.pairs["why"]).partition(": ")[0] for r in caplog.records if r.getMessage() == "reload"] == [
         key
     ]
@@ -162,7 +162,7 @@
 def test_types_may_be_added_dropped_and_changed_and_what_cannot_change_is_said(tmp_path, caplog):
     file, node = tmp_path / "node.json", Told()
     file.write_text(json.dumps(WHOLE))
-    force = InForce(str(file))
+    active = ActiveConfiguration(str(file))
     for change, names in (
         (
             lambda v: v["settings"]["TrafficTypes"].append(
@@ -176,7 +176,7 @@
         caplog.clear()
         file.write_text(changed(change))
         with caplog.at_level("INFO", "cottonspread"):
-            reload(node, force)
+            reload(node, active)
         assert [t.name for t in node.retuned[-1][4].types] == names and not node.events
     assert caplog.records[-1].pairs["at_next_start"] == "listen,limits"
 
@@ -208,16 +208,16 @@
 )
 def test_a_hand_over_that_cannot_be_read_is_a_start_without_it(text, tmp_path, caplog):
     parts = list(config.read_node(NODE, {}))
-    succession = Succession(parts, str(tmp_path))
-    succession.mark = "me"
-    Path(succession.handed).write_text(text)
+    takeover = Takeover(parts, str(tmp_path))
+    takeover.token = "me"
+    Path(takeover.reply_path).write_text(text)
     try:
         handover.unpack(text, "me")
         raise AssertionError("it was read")
     except (ValueError, RecursionError):
         pass
     with caplog.at_level("INFO", "cottonspread"):
-        assert succession.answer() is None and succession.answer() is None
+        assert takeover.read_reply() is None and takeover.read_reply() is None
     assert len(caplog.records) == 1
 
 
@@ -225,7 +225,7 @@
 def test_a_saved_list_that_cannot_be_read_is_a_start_without_it(text, tmp_path):
     parts = list(config.read_node(NODE, {}))
     Path(tmp_path / "cottonspread-n1.list").write_text(text)
-    Succession(parts, str(tmp_path))
+    Takeover(parts, str(tmp_path))
     assert parts[-1] == config.read_node(NODE, {})[-1]
 
 
@@ -240,7 +240,7 @@
         assert main(["serve", "--config", str(file)]) == 2
         said = capsys.readouterr().err
         assert said.startswith("cottonspread: PROXY_INHERITED_FD: ") and said.count("\n") == 1
-    assert inherited({}) is None
+    assert inherited_listener({}) is None
     os.close(plain)
 
 
@@ -471,9 +471,9 @@
 def test_a_socket_is_reached_however_long_its_folder_is_called(folder, tmp_path):
     (tmp_path / folder).mkdir()
     where = str(tmp_path / folder / "cottonspread-n1.heir")
-    with reachable(where) as path:
+    with short_socket_path(where) as path:
         listener = control.listening(path)
-    with reachable(where) as path:
+    with short_socket_path(where) as path:
         control.connect(path).close()
     listener.accept()[0].close()
     listener.close()
