--- a/cottonspread/fleet/supervisor.py
+++ b/cottonspread/fleet/supervisor.py
@@ -22,7 +22,7 @@
 from cottonspread.fleet import carrying, control, notify
 from cottonspread.fleet import plan as plans
 from cottonspread.fleet.core import Apply, Core, Door, Forget, Kill, Leave, Outcome, Over, Say, Start, Take
-from cottonspread.lists.saved import write_whole
+from cottonspread.lists.saved import write_atomically
 
 log = logging.getLogger("cottonspread.fleet")
 
@@ -145,7 +145,7 @@
 
     def keep(self):
         try:
-            write_whole(
+            write_atomically(
                 os.path.join(self.folder, "fleet.json"),
                 json.dumps({"program": list(self.program), "generation": self.core.generation}),
             )
@@ -535,7 +535,9 @@
     def obey(self, line, one):
         do, name = one.get("do"), one.get("name")
         if name is not None and name not in self.core.slots:
-            raise config.ConfigurationError(f"{name}: no such instance" + op.near(str(name), self.core.slots))
+            raise config.ConfigurationError(
+                f"{name}: no such instance" + op.suggestion(str(name), self.core.slots)
+            )
         if do == "status":
             line.send({"ok": True, "status": self.status()})
         elif do == "reload":
--- a/tests/crossings/test_floods.py
+++ b/tests/crossings/test_floods.py
@@ -16,8 +16,8 @@
 from cottonspread import cli, config
 from cottonspread.net import discovery, lines
 from cottonspread.net import events as ev
-from cottonspread.net.http import Http, ResponseError
-from cottonspread.net.pool import Pool
+from cottonspread.net.http import HttpClient, ResponseError
+from cottonspread.net.pool import BufferPool
 
 
 def call(address, word):
@@ -167,7 +167,7 @@
     data = b"OPEN a b c=d,d=1\r\nM 1 \x00\xff\r\n" + tail.replace(b"\n", b"") + b"\r\n"
     ours, theirs = socket.socketpair()
     with ours, theirs:
-        gatherer, got, at = lines.Gatherer(ours, Pool(), 1), b"", 0
+        gatherer, got, at = lines.Gatherer(ours, BufferPool(), 1), b"", 0
         for cut in cuts + [len(data)]:
             theirs.sendall(data[at : at + cut])
             at = min(len(data), at + cut)
@@ -241,7 +241,7 @@
 
     thread = threading.Thread(target=serve)
     thread.start()
-    http = Http(listener.getsockname(), 1)
+    http = HttpClient(listener.getsockname(), 1)
     with contextlib.suppress(ResponseError, OSError):
         assert isinstance(http.get("/", 1), bytes)
     http.close()
@@ -253,7 +253,7 @@
     """What came was read up, so nothing lay there: the call went again, and said that nobody listens."""
     ours, theirs = socket.socketpair()
     theirs.sendall(b"HTTP/1.1 200 OK\r\nno colon\r\n")
-    http = Http(("127.0.0.1", 1), 1)
+    http = HttpClient(("127.0.0.1", 1), 1)
     http.sock = ours
     with pytest.raises(ResponseError):
         http.get("/", WAIT)
@@ -262,7 +262,7 @@
 
 def test_a_head_that_never_ends_is_given_up_by_its_size():
     ours, theirs = socket.socketpair()
-    http = Http(("127.0.0.1", 1), 1)
+    http = HttpClient(("127.0.0.1", 1), 1)
     http.sock = ours
 
     def drip():
@@ -326,7 +326,7 @@
     with running(agent) as node:
         listed(node)
         begin, told_before = node.reducer.begin, len(node.seen.told)
-        force = type(
+        active = type(
             "Force",
             (),
             {
@@ -334,7 +334,7 @@
                 "read": lambda self: (whole, cli.node.read_text(json.dumps(whole))),
             },
         )()
-        cli.node.reload(node, force)
+        cli.node.reload(node, active)
         node.seen.wait(ev.NotRetuned)
         assert node.reducer.begin is begin and len(node.seen.told) > told_before
 
