--- a/benchmarks/soak/run.py
+++ b/benchmarks/soak/run.py
@@ -13,7 +13,7 @@
 import sys
 from pathlib import Path
 
-from cottonspread.lab.soak import audit, drawing, play
+from cottonspread.lab.soak import audit, plan, runner
 
 
 def spin():
@@ -24,8 +24,8 @@
 
 def play_seed(seed, without, checkout):
     """The verdict on one seed."""
-    record = play.Play(drawing.draw(seed, without), checkout).run()
-    found = audit.findings(record, play.LONGEST_WAIT, play.LIMITS)
+    record = runner.SoakRun(plan.generate(seed, without), checkout).run()
+    found = audit.findings(record, runner.LONGEST_WAIT, runner.LIMITS)
     return {
         "seed": seed,
         "void": audit.void(record),
@@ -33,7 +33,7 @@
         "broken_count": len(found),
         "calls": len(record.calls),
         "attempts": len(record.attempts),
-        "troubles": [one["what"] for one in record.troubles],
+        "troubles": [one["what"] for one in record.faults],
         "ready_s": round(record.ready_s, 2),
         "ended_s": round(record.ended_s, 3),
         "memory_mb": round(record.memory_mb, 1),
@@ -49,7 +49,7 @@
     parser.add_argument("last", type=int)
     parser.add_argument("--without", action="append", default=[])
     parser.add_argument("--busy", type=int, default=0)
-    parser.add_argument("--checkout", type=Path, default=play.ROOT)
+    parser.add_argument("--checkout", type=Path, default=runner.ROOT)
     parser.add_argument("--out", type=Path)
     given = parser.parse_args()
     busy = [multiprocessing.Process(target=spin, daemon=True) for _ in range(given.busy)]
--- a/cottonspread/lab/soak/record.py
+++ b/cottonspread/lab/soak/record.py
@@ -45,7 +45,7 @@
     """One play."""
 
     seed: int
-    troubles: list
+    faults: list
     calls: list = field(default_factory=list)
     attempts: list = field(default_factory=list)
     told: list = field(default_factory=list)
--- a/cottonspread/lab/soak/play.py
+++ b/cottonspread/lab/soak/runner.py
@@ -15,10 +15,10 @@
 from pathlib import Path
 from random import Random
 
-from cottonspread.lab.soak.drawing import HOSTS, LASTS
 from cottonspread.lab.soak.loop import Line, Loop
+from cottonspread.lab.soak.plan import HOSTS, LASTS
 from cottonspread.lab.soak.record import Call, Record
-from cottonspread.lab.soak.standins import Host, Listing
+from cottonspread.lab.soak.stubs import Host, Listing
 
 ROOT = Path(__file__).resolve().parents[3]
 KINDS = {"chat": 2.0, "once": 1.0}  # class: seconds that a client waits
@@ -35,24 +35,24 @@
 class Client:
     """One call, from its connect to its end."""
 
-    def __init__(self, play, call, line, life):
-        self.play, self.call, self.line, self.life = play, call, line, life
+    def __init__(self, soak_run, call, line, life):
+        self.soak_run, self.call, self.line, self.life = soak_run, call, line, life
         self.sock = socket.socket()
         self.sock.setblocking(False)
         self.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        code = self.sock.connect_ex(play.address)
+        code = self.sock.connect_ex(soak_run.address)
         if code not in (0, errno.EINPROGRESS):
             self.ended("reset", time.time())
             return
-        play.loop.watch(self.sock, selectors.EVENT_WRITE, self.connected)
+        soak_run.loop.watch(self.sock, selectors.EVENT_WRITE, self.connected)
 
     def connected(self):
         """Its connection is up, or was refused."""
         if self.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR):
-            self.play.loop.forget(self.sock)
+            self.soak_run.loop.forget(self.sock)
             self.ended("reset", time.time())
             return
-        self.stream = Line(self.play.loop, self.sock, self.heard, self.ended, self.play.plan.stays)
+        self.stream = Line(self.soak_run.loop, self.sock, self.heard, self.ended, self.soak_run.plan.stays)
         if self.line and self.stream.say(self.line):
             self.call.sent_at = time.time()
 
@@ -64,8 +64,8 @@
             call.answered_at = call.answered_at or at
             if word == "UP":
                 call.up = True
-                self.play.standing[call.id] = self
-                self.play.loop.at(at + self.life, self.leave)
+                self.soak_run.standing[call.id] = self
+                self.soak_run.loop.at(at + self.life, self.leave)
                 self.send()
         elif word == "MOVE":
             call.moved = True
@@ -83,32 +83,32 @@
                 return
         elif self.stream.say(b"M %d" % len(self.call.echoes)):
             self.call.echoes.append((time.time(), 0.0))
-        wait = SENDS_EVERY if not self.play.record.term_at else SENDS_EVERY / 10
-        self.play.loop.at(time.time() + wait, self.send)
+        wait = SENDS_EVERY if not self.soak_run.record.term_at else SENDS_EVERY / 10
+        self.soak_run.loop.at(time.time() + wait, self.send)
 
     def leave(self):
         """Its time is over; once the node ends it stays, and goes on sending."""
-        if self.play.record.term_at:
+        if self.soak_run.record.term_at:
             return
         if not self.call.ended:
-            self.play.standing.pop(self.call.id, None)
+            self.soak_run.standing.pop(self.call.id, None)
             self.call.host_ended = True  # by itself, that is
         self.stream.close()
 
     def ended(self, how, at):
         """By the node."""
-        self.play.standing.pop(self.call.id, None)
+        self.soak_run.standing.pop(self.call.id, None)
         self.call.ended, self.call.ended_at = how, at
-        self.call.host_ended = self.call.host_ended or self.play.cuts(self.call)
+        self.call.host_ended = self.call.host_ended or self.soak_run.cuts(self.call)
 
 
-class Play:
+class SoakRun:
     """One run of a plan. `checkout`: the folder whose cottonspread is played."""
 
     def __init__(self, plan, checkout=ROOT):
         self.checkout = checkout
         self.plan, self.loop, self.chance = plan, Loop(), Random(plan.seed ^ 0x5EED)
-        self.record = Record(plan.seed, [vars(one) for one in plan.troubles])
+        self.record = Record(plan.seed, [vars(one) for one in plan.faults])
         self.hosts = [Host(self.loop, self.record, number) for number in range(HOSTS)]
         self.listing = Listing(self.loop, self.record, self.hosts, 2)
         self.standing, self.idle, self.number = {}, [], 0
@@ -120,8 +120,8 @@
     def cuts(self, call):
         """Whether a host that this call was sent to has cut its connections."""
         hosts = {attempt.host for attempt in self.record.attempts if attempt.call == call.id}
-        troubled = {f"h{one.host}" for one in self.plan.troubles if one.what in ("refuse", "reset", "hang")}
-        return bool(hosts & troubled)
+        cutting = {f"h{one.host}" for one in self.plan.faults if one.what in ("refuse", "reset", "hang")}
+        return bool(hosts & cutting)
 
     def configure(self, turn):
         """The configuration, whole; `turn`: which list, and which settings."""
@@ -162,7 +162,7 @@
         try:
             self.until_ready()
             if self.record.ready_s:
-                self.play()
+                self.drive()
         finally:
             if self.process.poll() is None:
                 self.process.kill()
@@ -186,11 +186,11 @@
         self.record.pings.clear()
         self.loop.late = 0.0
 
-    def play(self):
+    def drive(self):
         """Calls and troubles, SIGTERM, and the earliest kill."""
         self.begin = time.time()
-        for trouble in self.plan.troubles:
-            self.loop.at(self.begin + trouble.at, self.trouble, trouble)
+        for fault in self.plan.faults:
+            self.loop.at(self.begin + fault.at, self.begin_fault, fault)
         self.loop.at(self.begin, self.next_call)
         self.loop.at(self.begin + PING_EVERY, self.next_ping)
         self.loop.run(self.begin + LASTS)
@@ -246,7 +246,7 @@
         stream = Line(self.loop, sock, heard, lambda how, at: None)
         stream.say(b"PING")
 
-    def trouble(self, one):
+    def begin_fault(self, one):
         """One of the plan's troubles begins."""
         if one.what == "crowd":
             for number in range(one.size):
@@ -264,12 +264,12 @@
             self.hosts[one.host].begin(one.what)
             self.loop.at(time.time() + one.lasts, self.hosts[one.host].end)
         else:
-            self.listing.trouble = one.what
+            self.listing.fault = one.what
             self.loop.at(time.time() + one.lasts, self.list_is_back)
 
     def list_is_back(self):
         """It answers again."""
-        self.listing.trouble = ""
+        self.listing.fault = ""
 
     def signal(self, number):
         """To the process, if it is there still."""
--- a/cottonspread/lab/soak/standins.py
+++ b/cottonspread/lab/soak/stubs.py
@@ -15,10 +15,10 @@
 
 
 class Host:
-    """One host. `trouble`: the kind that it is in, or ""."""
+    """One host. `fault`: the kind that it is in, or ""."""
 
     def __init__(self, loop, record, number):
-        self.loop, self.record, self.name, self.trouble = loop, record, f"h{number}", ""
+        self.loop, self.record, self.name, self.fault = loop, record, f"h{number}", ""
         self.ready, self.lines, self.calls = True, {}, {}  # connection: its call's id; call id: the `Call`
         self.listener = socket.create_server(("127.0.0.1", 0), backlog=1024)
         self.address = self.listener.getsockname()
@@ -47,19 +47,19 @@
     def heard(self, line, said, at):
         """A line of the node: the first one is an attempt, the others are echoed."""
         if self.lines.get(line) is not None:
-            if self.trouble != "hang":
+            if self.fault != "hang":
                 line.say(said)
             return
         call = said.split()[1].decode()
         self.lines[line] = call
-        self.record.attempts.append(Attempt(call, self.name, at, self.trouble != "turn-away"))
-        if self.trouble == "reset":
+        self.record.attempts.append(Attempt(call, self.name, at, self.fault != "turn-away"))
+        if self.fault == "reset":
             self.drop(line, reset=True)
-        elif self.trouble == "turn-away":
+        elif self.fault == "turn-away":
             line.say(b"BUSY")
             self.drop(line)
-        elif self.trouble != "hang":
-            wait = SLOW if self.trouble == "slow" else 0.0
+        elif self.fault != "hang":
+            wait = SLOW if self.fault == "slow" else 0.0
             self.loop.at(time.time() + wait, line.say, b"UP r" + call.encode())
 
     def drop(self, line, reset=False):
@@ -67,28 +67,28 @@
         self.lines.pop(line, None)
         line.close(reset)
 
-    def begin(self, trouble):
-        """The trouble is on. Those that cut connections cut all that stand."""
-        self.trouble = trouble
-        if trouble == "refuse":
+    def begin(self, fault):
+        """The fault is on. Those that cut connections cut all that stand."""
+        self.fault = fault
+        if fault == "refuse":
             self.loop.forget(self.listener)
-        if trouble in ("refuse", "reset"):
+        if fault in ("refuse", "reset"):
             for line in list(self.lines):
                 self.drop(line, reset=True)
 
     def end(self):
         """It is over."""
-        if self.trouble == "refuse":
+        if self.fault == "refuse":
             self.listener = socket.create_server(self.address, backlog=1024)
             self.open()
-        self.trouble = ""
+        self.fault = ""
 
 
 class Listing:
-    """The list, on as many addresses as asked for. `trouble`: as drawn, or ""."""
+    """The list, on as many addresses as asked for. `fault`: as drawn, or ""."""
 
     def __init__(self, loop, record, hosts, addresses):
-        self.loop, self.record, self.hosts, self.trouble = loop, record, hosts, ""
+        self.loop, self.record, self.hosts, self.fault = loop, record, hosts, ""
         self.version, self.watches = 1, []  # (line, version that it has, its time is over at)
         self.listeners = [socket.create_server(("127.0.0.1", 0)) for _ in range(addresses)]
         for one in self.listeners:
@@ -108,11 +108,11 @@
         asked = parse_qs(urlsplit(said.split()[1].decode()).query)
         since = int(asked.get("since", ["-1"])[0])
         until = time.time() + int(asked.get("timeout_ms", ["0"])[0]) / 1000
-        if self.trouble == "list-reset":
+        if self.fault == "list-reset":
             line.close(reset=True)
-        elif self.trouble == "list-silent":
+        elif self.fault == "list-silent":
             return
-        elif self.trouble == "list-late":
+        elif self.fault == "list-late":
             self.loop.at(time.time() + LATE, self.serve, line, since, until)
         else:
             self.serve(line, since, until)
@@ -163,7 +163,7 @@
         self.version += 1
         version = self.version
         self.loop.at(time.time() + SILENCE_COUNTS, self.counts, host, ready, version)
-        if not self.trouble:
+        if not self.fault:
             watches, self.watches = self.watches, []
             for line, _ in watches:
                 self.answer(line)
--- a/tests/soak/test_soak.py
+++ b/tests/soak/test_soak.py
@@ -10,20 +10,20 @@
 
 import pytest
 
-from cottonspread.lab.soak import audit, drawing, play
+from cottonspread.lab.soak import audit, plan, runner
 
 
 @pytest.mark.parametrize("seed", (1, 3, 5, 8, 10, 12))
 def test_no_promise_is_broken(seed):
-    record = play.Play(drawing.draw(seed)).run()
-    found = audit.findings(record, play.LONGEST_WAIT, play.LIMITS)
+    record = runner.SoakRun(plan.generate(seed)).run()
+    found = audit.findings(record, runner.LONGEST_WAIT, runner.LIMITS)
     assert not found, found[:10]
     assert not audit.void(record), audit.void(record)  # a void run is no pass
     assert len(record.calls) > 50
 
 
 def test_a_seed_draws_the_same_plan_and_the_rest_stays_where_a_trouble_is_taken_out():
-    whole = drawing.draw(10)
-    assert drawing.draw(10) == whole and drawing.draw(11) != whole
-    without = drawing.draw(10, ("crowd",))
-    assert without.troubles == tuple(one for one in whole.troubles if one.what != "crowd") != whole.troubles
+    whole = plan.generate(10)
+    assert plan.generate(10) == whole and plan.generate(11) != whole
+    without = plan.generate(10, ("crowd",))
+    assert without.faults == tuple(one for one in whole.faults if one.what != "crowd") != whole.faults
