--- a/cottonspread/lab/scale/configuration_fleet.py
+++ b/cottonspread/lab/scale/configuration_fleet.py
@@ -37,7 +37,7 @@
     def __init__(self, fleet: "Fleet", name: str, place: Place):
         super().__init__(name, place)
         self.fleet, self.world = fleet, fleet.world
-        self.chance = self.world.draws(name).part
+        self.chance = self.world.random_stream(name).random
         self.core, self._wakes_at, self._ticks_at = None, FAR, (0, 0)
 
     def tell(self, event) -> None:
@@ -123,12 +123,12 @@
         peers = tuple(name for name in self.fleet.replica_names if name != self.name)
         self.core = re.Replica(self.name, peers, m.decode(self.disk, m.ReplicaState), self.chance)
         self.calls, self._busy_until = {}, self.world.now
-        self.world.note("start", self.name)
+        self.world.add_trace_line("start", self.name)
         self.tell(re.Tick())
 
     def stop(self, silently=False) -> None:
         """Its process ends, or its machine."""
-        self.world.note("stop", self.name, silently)
+        self.world.add_trace_line("stop", self.name, silently)
         calls, self.calls = self.calls, {}
         self.end_process(silently)
         if not silently:
@@ -185,7 +185,7 @@
             return
         self.disk = data
         state = m.decode(data, m.ReplicaState)
-        self.world.note("stored", self.name, state.accepted and state.accepted.seal)
+        self.world.add_trace_line("stored", self.name, state.accepted and state.accepted.seal)
         self.fleet.promises.stored(self.name, state)
         self.tell(re.Stored(token, True))
 
@@ -253,7 +253,7 @@
                 span = shape.apply + int(shape.apply * self.chance())
                 self.world.after(span, self._applied, self.epoch, record)
             case fo.Notice(what=what, version=version):
-                self.world.note("notice", self.name, what, version)
+                self.world.add_trace_line("notice", self.name, what, version)
 
     def _ask(self, effect):
         def then(answer, why):
@@ -283,7 +283,7 @@
             return
         ok = not record.body.startswith("unfit")
         if ok:
-            self.world.note("in force", self.name, record.version)
+            self.world.add_trace_line("in force", self.name, record.version)
             self.fleet.promises.applied(self.name, record)
         self.tell(fo.Applied(ok, "" if ok else "does not start"))
         if record.body.startswith("ill"):
@@ -312,14 +312,14 @@
             case pu.Call():
                 self._call(effect)
             case pu.Progress(step=step, version=version, stage=stage):
-                self.world.note("publisher", self.name, step, version, stage)
+                self.world.add_trace_line("publisher", self.name, step, version, stage)
                 if step == pu.Step.COMMITTING and stage != m.Stage.WITHDRAWN:
                     self.fleet.promises.change_begins(version, self.began, list(self.fleet.nodes))
                 if step == self.dies_at:
                     self.end_process()
             case pu.Done():
                 self.done, self.ended = effect, self.world.now
-                self.world.note("done", self.name, effect.outcome, effect.version)
+                self.world.add_trace_line("done", self.name, effect.outcome, effect.version)
                 if self.then is not None:
                     self.then(self)
 
@@ -435,14 +435,14 @@
 
 def corrupt(fleet: Fleet, name: str):
     """A replica that now and then tells damaged, older or other answers; for `ReplicaHost.lies`."""
-    draws, told = fleet.world.draws("lies", name), []
+    draws, told = fleet.world.random_stream("lies", name), []
 
     def change(answer: m.Answer) -> bytes:
         if answer.record is not None:
             told.append(answer)
-        way = draws.below(5)
+        way = draws.randbelow(5)
         if way == 0 and told:
-            return to_response(draws.one_of(told))
+            return to_response(draws.choice(told))
         if way == 1:
             return _flip(to_response(answer), draws)
         if way == 2 and answer.record is not None:
@@ -457,13 +457,13 @@
 def _flip(data: bytes, draws) -> bytes:
     changed = bytearray(data)
     start = changed.index(b"\r\n\r\n") + 4
-    at = start + draws.below(len(changed) - start)
-    changed[at] ^= 1 << draws.below(7)
+    at = start + draws.randbelow(len(changed) - start)
+    changed[at] ^= 1 << draws.randbelow(7)
     return bytes(changed)
 
 
 def _renumbered(answer: m.Answer, draws) -> m.Answer:
-    record = msgspec.structs.replace(answer.record, version=answer.record.version + 1 + draws.below(3))
+    record = msgspec.structs.replace(answer.record, version=answer.record.version + 1 + draws.randbelow(3))
     return msgspec.structs.replace(answer, record=record)
 
 
--- a/cottonspread/lab/scale/configuration_network.py
+++ b/cottonspread/lab/scale/configuration_network.py
@@ -144,7 +144,7 @@
 
     def __init__(self, world, shape: Shape):
         self.world, self.shape, self.loss = world, shape, shape.loss
-        self._draws = world.draws("network")
+        self._draws = world.random_stream("network")
         self.cuts: set[frozenset[int]] = set()
         self.counts = Counter()
 
@@ -170,7 +170,7 @@
             least = self.shape.within_region
         else:
             least = self.shape.between_regions
-        return least + int(least * self.shape.jitter * self._draws.part())
+        return least + int(least * self.shape.jitter * self._draws.random())
 
     def carry(self, one: Host, other: Host, size: int, then, *args) -> None:
         """A message of `size` bytes, or a word of TCP's own where it is 0."""
@@ -179,10 +179,10 @@
         if size:
             one.messages += 1
         latency = self.latency(one, other)
-        self.world.note("net", one.name, other.name, size)
+        self.world.add_trace_line("net", one.name, other.name, size)
         if not self.reaches(one, other):
             self.counts["cut"] += 1
-        elif self.loss and self._draws.part() < self.loss:
+        elif self.loss and self._draws.random() < self.loss:
             self.counts["lost"] += 1
         else:
             self.world.after(latency, self._deliver, one, other, then, args)
--- a/cottonspread/lab/scale/configuration_plays.py
+++ b/cottonspread/lab/scale/configuration_plays.py
@@ -53,7 +53,7 @@
 
     def __init__(self, seed, shape: Shape, small: bool):
         self.fleet, self.small, self.times = Fleet(seed, shape), small, Times()
-        self.draws = self.fleet.world.draws("play")
+        self.draws = self.fleet.world.random_stream("play")
         self._number = 0
         self.fleet.run_for(12)
         self.publish(self.body(), timed=False)
@@ -104,7 +104,7 @@
             figures={name: float(value) for name, value in figures.items()},
             seconds_until_whole=whole,
             rules_broken=len(broken),
-            notes="; ".join(filter(None, [notes, *broken[:3], f"sum {self.fleet.world.sum()}"])),
+            notes="; ".join(filter(None, [notes, *broken[:3], f"sum {self.fleet.world.trace_digest()}"])),
         )
 
 
@@ -227,7 +227,7 @@
     """Its machine goes silent at each moment of a publish."""
     fleet = play.fleet
     for part in range(4 if play.small else 10):
-        name = play.draws.one_of(fleet.replica_names)
+        name = play.draws.choice(fleet.replica_names)
         fleet.world.after(part * 160_000, fleet.replicas[name].stop, True)
         _must_publish(play)
         fleet.run_for(10)
@@ -320,7 +320,7 @@
     """A change 2 s after a region was cut off: its canaries may be silent, and then it is withdrawn."""
     fleet, outcomes = play.fleet, []
     for _ in range(4 if play.small else 20):
-        fleet.network.cut_region(play.draws.one_of([1, 2]))
+        fleet.network.cut_region(play.draws.choice([1, 2]))
         fleet.run_for(2)
         done = play.publish(play.body())
         outcomes.append(done.outcome if done else None)
@@ -374,8 +374,8 @@
     """A replica's process restarts at drawn moments of each of some changes."""
     fleet = play.fleet
     for _ in range(4 if play.small else 12):
-        name = play.draws.one_of(fleet.replica_names)
-        at = play.draws.below(1_600_000)
+        name = play.draws.choice(fleet.replica_names)
+        at = play.draws.randbelow(1_600_000)
         fleet.world.after(at, fleet.replicas[name].stop)
         fleet.world.after(at + 300_000, fleet.replicas[name].start)
         _must_publish(play)
@@ -401,7 +401,7 @@
     fleet, outcomes = play.fleet, []
     for _ in range(4 if play.small else 12):
         one = fleet.publish(pu.Publish(play.body()), 0)
-        fleet.world.run(fleet.world.now + play.draws.below(300_000))
+        fleet.world.run(fleet.world.now + play.draws.randbelow(300_000))
         other = fleet.publish(pu.Publish(play.body()), 1)
         for host in (one, other):
             fleet.run_until_done(host)
@@ -477,7 +477,7 @@
 
     def __init__(self, seed):
         self.fleet = Fleet(f"random:{seed}", self.shape)
-        self.draws = self.fleet.world.draws("faults")
+        self.draws = self.fleet.world.random_stream("faults")
         self._bodies = 0
         self.whole: float | None = None
         """Seconds from the last change's end until no node lagged."""
@@ -488,7 +488,7 @@
         fleet.run_for(2)
         for _ in range(actions):
             self._act()
-            fleet.run_for(self.draws.below(3_000) / 1000)
+            fleet.run_for(self.draws.randbelow(3_000) / 1000)
         self._mend()
         fleet.run_for(25)
         done = fleet.run_until_done(fleet.publish(pu.Resume()))
@@ -504,17 +504,17 @@
 
     def _act(self) -> None:
         draws = self.draws
-        match draws.below(11):
+        match draws.randbelow(11):
             case 0 | 1 | 2:
                 self._publish()
             case 3:
-                self._publish(pu.Resume() if draws.below(2) else pu.Withdraw())
+                self._publish(pu.Resume() if draws.randbelow(2) else pu.Withdraw())
             case 4 | 5:
-                self._stop_or_start(draws.one_of(list(self.fleet.replicas.values())))
+                self._stop_or_start(draws.choice(list(self.fleet.replicas.values())))
             case 6 | 7:
-                self._stop_or_start(draws.one_of(list(self.fleet.nodes.values())))
+                self._stop_or_start(draws.choice(list(self.fleet.nodes.values())))
             case 8:
-                self.fleet.network.cut_region(draws.below(3))
+                self.fleet.network.cut_region(draws.randbelow(3))
             case 9:
                 self.fleet.network.mend()
             case 10:
@@ -523,15 +523,15 @@
     def _publish(self, order=None) -> None:
         kinds = "fine", "fine", "refused", "unfit", "hangs"  # an illness may be told too late with losses
         self._bodies += 1
-        body = f"{self.draws.one_of(kinds)} {self._bodies}"
+        body = f"{self.draws.choice(kinds)} {self._bodies}"
         steps = [None, None, None, *pu.Step]
         self.fleet.publish(
-            order or pu.Publish(body), region=self.draws.below(3), dies_at=self.draws.one_of(steps)
+            order or pu.Publish(body), region=self.draws.randbelow(3), dies_at=self.draws.choice(steps)
         )
 
     def _stop_or_start(self, host) -> None:
         if host.is_running:
-            host.stop(silently=bool(self.draws.below(2)))
+            host.stop(silently=bool(self.draws.randbelow(2)))
         else:
             host.start()
 
@@ -551,22 +551,22 @@
 
     def _act(self) -> None:
         draws = self.draws
-        match draws.below(8):
+        match draws.randbelow(8):
             case 0 | 1 | 2 | 3:
-                for _ in range(draws.between(1, 3)):
-                    body = f"fine {draws.number()}"
-                    order = pu.Publish(body, without_canaries=bool(draws.below(4)))
-                    self.fleet.world.after(draws.below(300_000), self._begin, order)
+                for _ in range(draws.randint(1, 3)):
+                    body = f"fine {draws.next_uint32()}"
+                    order = pu.Publish(body, without_canaries=bool(draws.randbelow(4)))
+                    self.fleet.world.after(draws.randbelow(300_000), self._begin, order)
             case 4:
-                self._publish(pu.Resume() if draws.below(2) else pu.Withdraw())
+                self._publish(pu.Resume() if draws.randbelow(2) else pu.Withdraw())
             case _:
-                replica = draws.one_of(list(self.fleet.replicas.values()))
+                replica = draws.choice(list(self.fleet.replicas.values()))
                 if replica.is_running:
                     replica.stop()
-                    self.fleet.world.after(draws.below(300_000), replica.start)
+                    self.fleet.world.after(draws.randbelow(300_000), replica.start)
 
     def _begin(self, order) -> None:
-        self.fleet.publish(order, region=self.draws.below(3))
+        self.fleet.publish(order, region=self.draws.randbelow(3))
 
 
 def idle_size(nodes: int, seed=1, span=60) -> dict[str, float]:
--- a/cottonspread/lab/scale/hollow.py
+++ b/cottonspread/lab/scale/hollow.py
@@ -15,7 +15,7 @@
 from typing import Protocol
 
 from cottonspread.lab.listing import ANSWER
-from cottonspread.lab.sim.agent import NEAR, Agent, Caller
+from cottonspread.lab.sim.agent import ROUND_TRIP, Agent, Caller
 from cottonspread.lab.sim.fleet import Fleet
 from cottonspread.lab.sim.node import Process
 from cottonspread.lab.sim.world import SECOND
@@ -122,33 +122,33 @@
         self.http, self.meter = MemoryHttp(process.parts[0].discovery, self), process.meter
         self.out = False  # a call is out that an answer can come to
 
-    def ask(self):
+    def send_request(self):
         if self.http.sock is not None and self.http.sock.broken:  # the kernel knows that it ended
             self.http.close()
         fault = self.agent.refuses(self.process) if self.http.sock is None else None
         if fault is None:
             self.out = not self.agent.unheard(self.process)
-            super().ask()
+            super().send_request()
             return
         self.call, self.answer, self.out = self.call + 1, None, False
-        wait = round(Discovery.CONNECT * SECOND) if isinstance(fault, TimeoutError) else NEAR
+        wait = round(Discovery.CONNECT * SECOND) if isinstance(fault, TimeoutError) else ROUND_TRIP
         self.world.after(wait, self.fail, self.call, fault)
 
-    def look(self, call=None):
+    def answer_if_due(self, call=None):
         if self.out:
-            super().look(call)
+            super().answer_if_due(call)
 
     def reset(self):
         """The list machine's end of the connection broke, and its kernel said so."""
         if self.http.sock is not None:
             self.http.sock.broken = True
         if self.out:
-            self.world.after(NEAR, self.fail, self.call, ConnectionResetError("the list machine ended"))
+            self.world.after(ROUND_TRIP, self.fail, self.call, ConnectionResetError("the list machine ended"))
 
-    def take_turn(self):
+    def run_turn(self):
         self.out = False
         machine, began = self.agent.meter.answer_ns, time.thread_time_ns()
-        pause = super().take_turn()
+        pause = super().run_turn()
         spent = time.thread_time_ns() - began
         self.meter.client_ns += spent - (self.agent.meter.answer_ns - machine)
         if pause:
@@ -210,7 +210,7 @@
     def vanish(self, span):
         """The machine is lost for `span` and tells nobody: calls that are out run out, and new connections
         are not answered."""
-        self.world.note(self.name, "vanished")
+        self.world.add_trace_line(self.name, "vanished")
         self.gone = True
         for caller in self.callers:
             caller.out = False
@@ -218,14 +218,14 @@
 
     def end(self, span):
         """The process ends: its connections break and new ones are refused. Back after `span`."""
-        self.world.note(self.name, "ended")
+        self.world.add_trace_line(self.name, "ended")
         self.ended = True
         for caller in self.callers:
             caller.reset()
         self.world.after(span, self.come_back)
 
     def come_back(self):
-        self.world.note(self.name, "back")
+        self.world.add_trace_line(self.name, "back")
         self.gone = self.ended = False
         for caller in self.callers:
             if caller.http.sock is not None:
@@ -233,7 +233,7 @@
 
     def cut_ways(self, names, span):
         """Nothing comes from or to these nodes; what was sent meanwhile is lost."""
-        self.world.note(self.name, "cut off", len(names))
+        self.world.add_trace_line(self.name, "cut off", len(names))
         self.cut_off |= names
         for caller in self.callers:
             if caller.process.node.name in names:
@@ -251,9 +251,9 @@
         for client in self.control:
             client.begin()
 
-    def decide(self, event, at):
+    def step_reducer(self, event, at):
         began = time.thread_time_ns()
-        effects = super().decide(event, at)
+        effects = super().step_reducer(event, at)
         self.count(event, time.thread_time_ns() - began)
         if isinstance(event, ev.Heard):
             self.node.fleet.in_force(self.node, event.listed.version)
@@ -274,16 +274,16 @@
                 meter.line_steps += 1
                 meter.line_ns += spent
 
-    def die(self, how):
+    def exit(self, how):
         self.node.fleet.ended.add(self.meter)
-        super().die(how)
+        super().exit(how)
 
 
 class HollowFleet(Fleet):
     """`control`: factories of further control clients. `machines`: list machines that share the nodes."""
 
     process_type = HollowProcess
-    starts_over = (
+    start_window = (
         2 * SECOND
     )  # one watch: the nodes' watches end evenly, as in a fleet that was released node by node
 
@@ -293,7 +293,7 @@
         self.versions = {}  # by version: when each node had it in force
         super().__init__(plan, **options)
 
-    def agent_of(self, node):
+    def agent_for(self, node):
         if not self.list_machines:
             lag = round(self.plan.experiment.listing.lag_ms * 1000)
             self.list_machines = [ListMachine(self, n, self.entries, lag) for n in range(self.machine_count)]
@@ -315,7 +315,7 @@
     def change_lists(self, name, lifecycle):
         """The same change at every list machine, now; its version."""
         for machine in self.list_machines:
-            machine.changed(name, lifecycle, None, self.entry(self.hosts[name].machine))
+            machine.apply_change(name, lifecycle, None, self.entry(self.hosts[name].machine))
         return self.made()
 
     def change_weight(self):
@@ -323,7 +323,7 @@
         for machine in self.list_machines:
             name, entry = next(reversed(machine.book.entries.items()))
             machine.book.change(name, "Ready", None, entry | {"weight": entry["weight"] * 1.001})
-            machine.look()
+            machine.answer_waiting_calls()
         return self.made()
 
     def made(self):
--- a/cottonspread/lab/scale/hollow_faults.py
+++ b/cottonspread/lab/scale/hollow_faults.py
@@ -26,11 +26,11 @@
 from cottonspread.lab.scale.hollow_plans import BLOCK, WARM_S, ZONES, Size, experiment
 from cottonspread.lab.scale.hollow_sweeps import Figure, SweepPlan, apart, between
 from cottonspread.lab.scale.results import FaultRow, FaultRun
-from cottonspread.lab.sim import troubles
+from cottonspread.lab.sim import fault_injection
 from cottonspread.lab.sim.clients import Clients
+from cottonspread.lab.sim.contract import ContractError
+from cottonspread.lab.sim.invariants import InvariantError
 from cottonspread.lab.sim.node import NodeError
-from cottonspread.lab.sim.promises import BrokenPromiseError
-from cottonspread.lab.sim.seam import ContractError
 from cottonspread.lab.sim.world import SECOND
 
 AT_S = WARM_S + 1.0
@@ -59,18 +59,18 @@
         self.from_, self.lost, self.ends, self.spans = round(AT_S * SECOND), {}, Counter(), []
         self.whole_at, self.turned_away, self.without_answer = self.from_, 0, 0
 
-    def came_up(self, call):
-        super().came_up(call)
+    def on_up(self, call):
+        super().on_up(call)
         since = self.lost.pop(call.first, None)
         if since is not None:
             self.spans.append((self.world.now - since) / SECOND)
             if not self.lost:
                 self.whole_at = self.world.now
 
-    def over(self, call, how):
+    def end_call(self, call, how):
         if not call.done and self.world.now >= self.from_ and how not in ("cut", "left"):
             self.count(call, how)
-        super().over(call, how)
+        super().end_call(call, how)
 
     def count(self, call, how):
         if call.up:
@@ -200,8 +200,8 @@
     fleet.told["largest_group_connections_lost"] = count
     fleet.told["largest_group_servers"] = len(held)
     lost = Happening(at=AT_S, kind="vanish", on=[name], seconds=FOR_GOOD_S)
-    troubles.begin(fleet, lost)
-    fleet.change(round((AT_S + fleet.plan.experiment.listing.silent_s) * SECOND), name, "Gone", None)
+    fault_injection.inject(fleet, lost)
+    fleet.schedule_change(round((AT_S + fleet.plan.experiment.listing.silent_s) * SECOND), name, "Gone", None)
 
 
 EVENTS = (
@@ -302,10 +302,10 @@
     before, standing = Meter(), 0
     try:
         fleet.world.run(round(AT_S * SECOND) - 1)
-        before, standing = fleet.metered(), len(fleet.clients.standing)
+        before, standing = fleet.metered(), len(fleet.clients.established)
         fleet.world.run(round((AT_S + event.seconds) * SECOND))
-        fleet.promises.at_the_end()
-    except (BrokenPromiseError, ContractError, NodeError) as fault:
+        fleet.invariants.check_at_end()
+    except (InvariantError, ContractError, NodeError) as fault:
         broken = str(fault)
     lost, whole_at = len(fleet.clients.lost), fleet.clients.whole_at
     work = between(fleet.metered(), before)
@@ -335,7 +335,11 @@
     rules = sum(rule["broken"] for rule in audit["rules"].values()) + bool(broken)
     whole = None if lost or news.missing else max(whole_at, news.at) / SECOND - AT_S
     return Played(
-        {k: round(float(v), 4) for k, v in figures.items()}, whole, rules, fleet.world.sum(), offences
+        {k: round(float(v), 4) for k, v in figures.items()},
+        whole,
+        rules,
+        fleet.world.trace_digest(),
+        offences,
     )
 
 
--- a/cottonspread/lab/scale/hollow_news.py
+++ b/cottonspread/lab/scale/hollow_news.py
@@ -43,14 +43,14 @@
 def news(size: Size) -> dict[str, Figure]:
     """All machines are well: from the change to each module."""
     playing = Playing(replace(size, seconds=CHANGES + 3.0))
-    fleet, draws, made = playing.fleet, playing.fleet.world.draws("news"), {}
+    fleet, draws, made = playing.fleet, playing.fleet.world.random_stream("news"), {}
 
     def change(number):
         playing.change(number)
         made[fleet.list_machines[0].book.version] = fleet.world.now
 
     for number in range(CHANGES):
-        fleet.world.at(round((WARM_S + number) * SECOND) + draws.below(SECOND), change, number)
+        fleet.world.at(round((WARM_S + number) * SECOND) + draws.randbelow(SECOND), change, number)
     playing.until(WARM_S + CHANGES + 2.5)
     spans = []
     for version, reached in fleet.versions.items():
--- a/cottonspread/lab/sim/agent.py
+++ b/cottonspread/lab/sim/agent.py
@@ -12,7 +12,7 @@
 from cottonspread.lab.sim.world import SECOND
 
 GARBAGE = (b"<html>not found</html>", b"[" * 3000, b'{"generation": "x"}', b"")
-NEAR = 300  # microseconds there and back
+ROUND_TRIP = 300  # microseconds there and back
 
 
 class Agent:
@@ -22,32 +22,32 @@
 
     # What the world has to tell
 
-    def change(self, name, lifecycle, started_ms, entry):
+    def schedule_change(self, name, lifecycle, started_ms, entry):
         """A change comes here in its own time, and never before an earlier one."""
         self.told_last = max(self.told_last, self.world.now + self.lag + self.later)
-        self.world.at(self.told_last, self.changed, name, lifecycle, started_ms, entry)
+        self.world.at(self.told_last, self.apply_change, name, lifecycle, started_ms, entry)
 
-    def changed(self, name, lifecycle, started_ms, entry):
+    def apply_change(self, name, lifecycle, started_ms, entry):
         self.book.change(name, lifecycle, started_ms, self.book.entries.get(name) or entry)
-        self.look()
+        self.answer_waiting_calls()
 
     def weigh(self, held):
         self.book.weigh(held)
-        self.look()
+        self.answer_waiting_calls()
 
     def cut(self, span):
         self.silent = max(self.silent, self.world.now + span)
-        self.world.at(self.silent, self.look)
+        self.world.at(self.silent, self.answer_waiting_calls)
 
     def begin_anew(self):
         self.book.begin_anew()
         for caller in list(self.callers):
             caller.fail(caller.call, ConnectionResetError("begun anew"))
 
-    def look(self):
+    def answer_waiting_calls(self):
         self.callers = [one for one in self.callers if not one.process.dead]
         for caller in self.callers:
-            caller.look()
+            caller.answer_if_due()
 
     def serve(self, process):
         self.callers.append(self.caller(process))
@@ -74,9 +74,9 @@
 
     def wanted(self):
         self.process.discovery.wanted.set()
-        self.ask()
+        self.send_request()
 
-    def ask(self):
+    def send_request(self):
         """The next call."""
         self.call += 1
         found, self.answer = self.process.discovery, None
@@ -85,10 +85,10 @@
         self.world.after(
             round(wait * SECOND), self.fail, self.call, TimeoutError("the answer takes too long")
         )
-        self.world.at(self.due, self.look, self.call)
-        self.look()
+        self.world.at(self.due, self.answer_if_due, self.call)
+        self.answer_if_due()
 
-    def look(self, call=None):
+    def answer_if_due(self, call=None):
         """Whether there is an answer to the call that is out."""
         if call not in (None, self.call) or self.world.now < self.agent.silent:
             return
@@ -98,12 +98,12 @@
             or self.process.discovery.version != agent.book.version
             or agent.garbage
         ):
-            self.world.after(NEAR, self.process.alive, self.turn, self.call)
+            self.world.after(ROUND_TRIP, self.process.run_if_alive, self.turn, self.call)
 
     def fail(self, call, fault):
         if call == self.call:
             self.answer = fault
-            self.process.alive(self.turn, call)
+            self.process.run_if_alive(self.turn, call)
 
     def turn(self, call):
         """The answer is there; `get` gives it."""
@@ -116,11 +116,11 @@
         ):
             return
         self.call += 1
-        pause = self.take_turn()
+        pause = self.run_turn()
         if found.wanted.is_set():
-            self.world.after(round(pause * SECOND) + 1, self.process.alive, self.ask)
+            self.world.after(round(pause * SECOND) + 1, self.process.run_if_alive, self.send_request)
 
-    def take_turn(self):
+    def run_turn(self):
         """The list client's own turn; how many seconds it pauses then."""
         return self.process.discovery.turn()
 
@@ -152,7 +152,7 @@
                 "hosts": hosts,
             },
         )
-        agent.fleet.promises.told(self.process, said["reset"], hosts)
+        agent.fleet.invariants.told(self.process, said["reset"], hosts)
         return json.dumps(said).encode()
 
     def close(self):
--- a/cottonspread/lab/sim/clients.py
+++ b/cottonspread/lab/sim/clients.py
@@ -8,7 +8,7 @@
 
 from cottonspread.lab import wire
 from cottonspread.lab.players import comes_back
-from cottonspread.lab.sim.ways import Place
+from cottonspread.lab.sim.network import Place
 from cottonspread.lab.sim.world import SECOND
 
 TOLD_LATER = 50_000  # after its guard time a client waits so long before it leaves
@@ -74,7 +74,7 @@
                 side.close()
             return
         if side is None:
-            self.clients.over(self, "refused" if why == "ECONNREFUSED" else "lost")
+            self.clients.end_call(self, "refused" if why == "ECONNREFUSED" else "lost")
             return
         self.side = side
         self.clients.open[self] = None
@@ -91,10 +91,10 @@
                 )
             )
         except BrokenPipeError:
-            self.clients.over(self, "reset")
+            self.clients.end_call(self, "reset")
             return
         self.sent = world.now
-        self.clients.fleet.promises.opened(self)
+        self.clients.fleet.invariants.opened(self)
         world.after(int(self.kind.guard_ms) * 1000 + TOLD_LATER, self.waited_out)
 
     def arrived(self, side):
@@ -114,13 +114,13 @@
 
     def hear(self, line):
         now, clients = self.clients.world.now, self.clients
-        clients.fleet.promises.client_has(self, line)
+        clients.fleet.invariants.client_has(self, line)
         if not self.up or line.startswith(b"UP "):
             what, value = wire.answer(line)
             self.answers.append([now, what, value])
             if len(self.answers) == 1 and what == "UP":
                 self.up = now
-                clients.came_up(self)
+                clients.on_up(self)
         elif line == b"MOVE":
             self.how = self.how or "moved"
         elif line == b"BYE":
@@ -143,11 +143,11 @@
 
     def leave(self):
         if not self.done:
-            self.clients.over(self, "left")
+            self.clients.end_call(self, "left")
 
     def waited_out(self):
         if not self.done and not self.answers:
-            self.clients.over(self, "gave-up")
+            self.clients.end_call(self, "gave-up")
 
 
 class Clients:
@@ -161,7 +161,7 @@
             np.random.default_rng([self.plan.seed, 3, 0]).random(max(1, len(self.columns["at"]))).tolist()
         )
         self.ending = round(x.seconds * SECOND)
-        self.alive, self.place, self.made, self.open, self.standing = (
+        self.alive, self.place, self.made, self.open, self.established = (
             list(fleet.nodes),
             Place("client"),
             0,
@@ -169,7 +169,7 @@
             {},
         )
         self.counts = {"offered": 0, "up": 0, "busy": 0, "other": 0, "none": 0, "moved": 0, "broken": 0}
-        self.draws, self.crowding, self.late = self.world.draws("bad"), None, schedule.at.tolist()
+        self.draws, self.crowding, self.late = self.world.random_stream("bad"), None, schedule.at.tolist()
         for n, at in enumerate(self.columns["at"]):
             if only is None or n in only:
                 self.world.at(at, self.arrive, n, at)
@@ -202,10 +202,10 @@
         draw = self.columns["draw"][call.first] + 2654435761 * (call.tries + call.again)
         call.node = among[draw % len(among)]
         self.counts["offered"] += 1
-        self.fleet.promises.calls_made(call)
-        self.world.ways.connect(call, self.place, call.node.place, CONNECT_WAIT, call.connected)
+        self.fleet.invariants.calls_made(call)
+        self.world.network.connect(call, self.place, call.node.place, CONNECT_WAIT, call.connected)
 
-    def later(self, call, wait, again):
+    def schedule_call(self, call, wait, again):
         when = self.world.now + wait
         if when <= self.ending + SECOND:
             self.world.at(
@@ -224,9 +224,9 @@
                 ),
             )
 
-    def came_up(self, call):
+    def on_up(self, call):
         self.counts["up"] += 1
-        self.standing[call] = None
+        self.established[call] = None
         self.fleet.served(call)
         life, every = self.columns["life"][call.first], round(self.load.line_s * SECOND)
         self.world.after(life, call.leave)
@@ -234,15 +234,15 @@
             self.world.after(every, call.say, every)
 
     def break_off(self, share, span):
-        for call in list(self.standing):
+        for call in list(self.established):
             part = self.backs[call.first]
             if part < share and not call.done:
                 call.side.reset()
-                self.over(call, "broke-off")
-                self.later(call, round(part / share * span), True)
+                self.end_call(call, "broke-off")
+                self.schedule_call(call, round(part / share * span), True)
 
     def slow_readers(self, share, span):
-        for call in list(self.standing):
+        for call in list(self.established):
             if self.backs[call.first] < share:
                 call.slow = self.world.now + span
                 self.world.at(call.slow, call.arrived, call.side)
@@ -253,9 +253,9 @@
         """Its node has ended it."""
         if call.up:
             self.counts["moved" if call.how in ("moved", "bye") else "broken"] += 1
-        self.over(call, call.how or how)
+        self.end_call(call, call.how or how)
 
-    def over(self, call, how):
+    def end_call(self, call, how):
         if call.done:
             return
         call.done, now = True, self.world.now
@@ -266,8 +266,8 @@
         if call.side is not None:
             call.side.close()
         self.open.pop(call, None)
-        self.standing.pop(call, None)
-        self.fleet.promises.client_done(call, how)
+        self.established.pop(call, None)
+        self.fleet.invariants.client_done(call, how)
         self.fleet.put(
             "load",
             {
@@ -306,24 +306,24 @@
             self.backs[call.first],
         )
         if after:
-            self.later(call, *after)
+            self.schedule_call(call, *after)
 
     def finish(self):
         for call in list(self.open):
-            self.over(call, "cut")
+            self.end_call(call, "cut")
 
     # No players
 
     def bad(self, kinds, rate, span):
         for _ in range(round(rate * span / SECOND)):
-            self.world.after(self.draws.below(span), self.bad_one, self.draws.one_of(kinds or ALL_BAD))
+            self.world.after(self.draws.randbelow(span), self.bad_one, self.draws.choice(kinds or ALL_BAD))
 
     def bad_one(self, kind):
-        node = self.draws.one_of(self.alive or self.fleet.nodes)
+        node = self.draws.choice(self.alive or self.fleet.nodes)
         for _ in range(20 if kind == "crowd" else 1):
             self.made += 1
             one = Bad(self, kind, f"bx{self.made:x}", node)
-            self.world.ways.connect(one, self.place, node.place, CONNECT_WAIT, one.connected)
+            self.world.network.connect(one, self.place, node.place, CONNECT_WAIT, one.connected)
 
 
 class Bad:
@@ -363,7 +363,7 @@
         if self.kind == "same-id":
             victim = next(iter(self.clients.open), None)
             line = b"OPEN %s k c=%s,d=900\r\n" % ((victim.id if victim else self.id).encode(), name.encode())
-            self.clients.fleet.promises.stolen.add(victim.id if victim else self.id)
+            self.clients.fleet.invariants.stolen.add(victim.id if victim else self.id)
         elif line.count(b"%s") == 2:
             line %= self.id.encode(), name.encode()
         elif b"%s" in line:
@@ -374,11 +374,11 @@
         except BrokenPipeError:
             return
         if self.kind == "hangs-up":
-            world.after(self.clients.draws.below(4000), self.leave)
+            world.after(self.clients.draws.randbelow(4000), self.leave)
         elif self.kind == "shuts":
             side.end()
         world.after(self.PATIENCE, self.leave)
-        self.clients.fleet.promises.bad(self)
+        self.clients.fleet.invariants.bad(self)
 
     def leave(self):
         if not self.over:
--- a/cottonspread/lab/sim/fault_injection.py
+++ b/cottonspread/lab/sim/fault_injection.py
@@ -7,10 +7,10 @@
 STOP_WAIT = 3_700_000  # from SIGTERM to SIGKILL: the longest guard time, 3 s at most, and 0.7 s
 
 
-def begin(fleet, one):
+def inject(fleet, one):
     span = round(one.seconds * SECOND)
-    fleet.world.note("trouble", one.kind, *one.on)
-    fleet.promises.trouble(one)
+    fleet.world.add_trace_line("trouble", one.kind, *one.on)
+    fleet.invariants.trouble(one)
     if one.kind in HOST_FAULTS:
         for name in one.on:
             on_host(fleet, fleet.hosts[name], one, span)
@@ -47,7 +47,7 @@
     fleet.put_node("freeze", node)
     process.freeze(span)
     fleet.world.after(span, fleet.put_node, "thaw", node)
-    fleet.promises.stood_still(node, fleet.world.now, fleet.world.now + span)
+    fleet.invariants.stood_still(node, fleet.world.now, fleet.world.now + span)
 
 
 def kill(fleet, node, process, one, span):
@@ -73,7 +73,7 @@
 def at_last(fleet, process):
     """SIGKILL for what is still there: it had its time."""
     if not process.dead:
-        fleet.promises.overstayed(process)
+        fleet.invariants.overstayed(process)
         process.kill()
 
 
@@ -105,7 +105,7 @@
     fleet.put_node("quiesce", node)
     process.drain(True)
     fleet.front_notices(node, 300_000)
-    fleet.promises.drained(process)
+    fleet.invariants.drained(process)
     fleet.world.after(span, resume, fleet, node)
 
 
@@ -114,7 +114,7 @@
     process = node.process
     if process is not None:
         fleet.put_node("resume", node)
-        fleet.promises.resumed(process)
+        fleet.invariants.resumed(process)
         process.drain(False)
         fleet.world.after(50_000, fleet.take_in, node)
 
@@ -160,39 +160,39 @@
 
 def partition(fleet, one, span):
     """What is named (hosts, nodes, zones) and the rest do not reach each other; what was sent is held."""
-    names, ways = frozenset(one.on), fleet.world.ways
-    ways.cut(names)
-    fleet.world.after(span, ways.heal, names)
+    names, network = frozenset(one.on), fleet.world.network
+    network.cut(names)
+    fleet.world.after(span, network.heal, names)
 
 
 def slow_way(fleet, one, span):
     """`factor` times 10 ms more each way."""
-    extra, ways = (frozenset(one.on), round(one.factor * 10_000)), fleet.world.ways
-    ways.slower.append(extra)
-    fleet.world.after(span, ways.slower.remove, extra)
+    extra, network = (frozenset(one.on), round(one.factor * 10_000)), fleet.world.network
+    network.slower.append(extra)
+    fleet.world.after(span, network.slower.remove, extra)
 
 
 def struck(fleet, one, salt):
     """A share (`factor` tenths) of the connections between nodes and what is named."""
-    links = fleet.world.ways.between(frozenset(one.on))
-    return fleet.world.draws(salt, one.at).some_of(links, min(1.0, one.factor / 10)) if links else []
+    links = fleet.world.network.between(frozenset(one.on))
+    return fleet.world.random_stream(salt, one.at).sample(links, min(1.0, one.factor / 10)) if links else []
 
 
 def stall(fleet, one, span):
-    fleet.world.ways.stall(struck(fleet, one, "stall"), span)
+    fleet.world.network.stall(struck(fleet, one, "stall"), span)
 
 
 def snap(fleet, one, span):
     links = struck(fleet, one, "snap")
-    fleet.promises.snapped(links)
-    fleet.world.ways.snap(links)
+    fleet.invariants.snapped(links)
+    fleet.world.network.snap(links)
 
 
 def dead(fleet, one, span):
     """They bring nothing any more, and nobody is told."""
     for link in struck(fleet, one, "dead"):
         link.dead = True
-        fleet.promises.went_dead(link)
+        fleet.invariants.went_dead(link)
 
 
 # The list
@@ -210,7 +210,7 @@
 def list_garbage(fleet, one, span):
     for agent in agents(fleet, one):
         agent.garbage = 5
-        agent.look()
+        agent.answer_waiting_calls()
 
 
 def list_restart(fleet, one, span):
@@ -230,17 +230,17 @@
     up = [name for name, host in fleet.hosts.items() if host.model.state == "up" and not host.gone]
     if not up:
         return
-    draws = fleet.world.draws("contradict", one.at)
-    name, state = draws.one_of(up), draws.one_of(("Terminating", "Gone"))
+    draws = fleet.world.random_stream("contradict", one.at)
+    name, state = draws.choice(up), draws.choice(("Terminating", "Gone"))
     for agent in agents(fleet, one):
-        agent.change(name, state, None, fleet.entry(fleet.hosts[name].machine))
+        agent.schedule_change(name, state, None, fleet.entry(fleet.hosts[name].machine))
         fleet.world.after(span, taken_back, fleet, agent, name)
 
 
 def taken_back(fleet, agent, name):
     host = fleet.hosts[name]
     if host.model.state == "up":
-        agent.change(name, "Ready", None, fleet.entry(host.machine))
+        agent.schedule_change(name, "Ready", None, fleet.entry(host.machine))
 
 
 # All together
--- a/cottonspread/lab/sim/fleet.py
+++ b/cottonspread/lab/sim/fleet.py
@@ -9,13 +9,13 @@
 
 from cottonspread.lab import listing, tuning
 from cottonspread.lab import plan as plans
-from cottonspread.lab.sim import troubles
+from cottonspread.lab.sim import fault_injection
 from cottonspread.lab.sim.agent import Agent
 from cottonspread.lab.sim.clients import Clients
 from cottonspread.lab.sim.hosts import Host
+from cottonspread.lab.sim.invariants import Invariants
+from cottonspread.lab.sim.network import Network, Place
 from cottonspread.lab.sim.node import KILLED, Process
-from cottonspread.lab.sim.promises import Promises
-from cottonspread.lab.sim.ways import Place, Ways
 from cottonspread.lab.sim.world import EPOCH, SECOND, World
 
 NOTICED = 300_000  # until the front deals no more to a node that says no
@@ -28,17 +28,17 @@
 
     def __init__(self, fleet, number):
         self.fleet, self.number, self.plan = fleet, number, fleet.plan.nodes[number]
-        x, draws = fleet.plan.experiment, fleet.world.draws("node", number)
+        x, draws = fleet.plan.experiment, fleet.world.random_stream("node", number)
         self.name = self.plan.name
         self.place = Place(self.name, f"z{number % x.hosts.zones}")
         self.draws, self.starts, self.retuned, self.processes, self.waiting = draws, 0, 0, [], []
         self.skew, self.drift = (
-            draws.between(-x.ways.skew_us, x.ways.skew_us),
-            draws.between(-x.ways.drift_ppm, x.ways.drift_ppm),
+            draws.randint(-x.ways.skew_us, x.ways.skew_us),
+            draws.randint(-x.ways.drift_ppm, x.ways.drift_ppm),
         )
         self.shared = any(f.kind == "replace" and self.name in f.on for f in fleet.plan.faults)
         self.wanted, self.down_at, self.saved, self.generation = True, None, {}, 0
-        self.agent = fleet.agent_of(self)
+        self.agent = fleet.agent_for(self)
 
     def start(self):
         """A process as `serve` makes one."""
@@ -93,7 +93,7 @@
         if not taking:
             self.place.door = self.waiting.append if self.shared else None
             return
-        self.place.door = lambda side: (taking[0] if len(taking) == 1 else self.draws.one_of(taking)).came(
+        self.place.door = lambda side: (taking[0] if len(taking) == 1 else self.draws.choice(taking)).came(
             side
         )
         waiting, self.waiting = self.waiting, []
@@ -102,7 +102,7 @@
 
     def ended(self, process):
         self.processes.remove(process)
-        self.fleet.promises.process_ended(process)
+        self.fleet.invariants.process_ended(process)
         self.open_door()
         if self.processes:  # alone again
             self.processes[-1].limit(None)
@@ -125,7 +125,7 @@
 class Fleet:
     process_type = Process  # what a node starts
     clients_type = Clients
-    starts_over = SECOND // 10  # the nodes start within so long
+    start_window = SECOND // 10  # the nodes start within so long
 
     def __init__(self, plan, only=None, traced=False, policy=(), checked=True, seed=None):
         """`only`: see `Clients`.
@@ -134,10 +134,10 @@
         """
         self.plan, x = expanded(plan), plan.experiment
         self.world = World(plan.seed if seed is None else seed, traced)
-        self.world.ways = Ways(self.world, x.ways.same_us, x.ways.cross_us, x.ways.jitter_us)
+        self.world.network = Network(self.world, x.ways.same_us, x.ways.cross_us, x.ways.jitter_us)
         self.policy, self.addresses, self.reasons = policy, {}, {}
         self.entries = [self.entry(m) for m in plan.machines if not m.started]
-        self.promises = Promises(self, checked)
+        self.invariants = Invariants(self, checked)
         self.hosts = {m.name: Host(self, m) for m in plan.machines}
         self.addresses = {(h.machine.ip, h.machine.port): h.place for h in self.hosts.values()}
         self.nodes = [Node(self, n) for n in range(len(plan.nodes))]
@@ -146,17 +146,17 @@
         self.over = False
         for node in self.nodes:
             # They start together, as a fleet's machines do: not in the same microsecond.
-            self.world.at(node.draws.below(self.starts_over), node.start)
+            self.world.at(node.draws.randbelow(self.start_window), node.start)
         for after, name, lifecycle, started in listing.changes(self.plan):
-            self.change(after - round(x.listing.lag_ms * 1000), name, lifecycle, started)
+            self.schedule_change(after - round(x.listing.lag_ms * 1000), name, lifecycle, started)
         for one in self.plan.faults:
-            self.world.at(round(one.at * SECOND), troubles.begin, self, one)
+            self.world.at(round(one.at * SECOND), fault_injection.inject, self, one)
         if x.listing.weights_ms:
             self.world.after(
                 round(x.listing.weights_ms * 1000), self.weigh, round(x.listing.weights_ms * 1000)
             )
 
-    def agent_of(self, node):
+    def agent_for(self, node):
         """Where the node hears the list; nodes may share one."""
         lag = round(self.plan.experiment.listing.lag_ms * 1000)
         return Agent(self, node.name, self.entries, lag)
@@ -179,11 +179,11 @@
             "startedAtMs": 0,
         }
 
-    def change(self, after, name, lifecycle, started):
+    def schedule_change(self, after, name, lifecycle, started):
         machine = self.hosts[name].machine
         at = None if started is None else (EPOCH + round(started)) // 1000
         for agent in self.agents:
-            self.world.at(after, agent.change, name, lifecycle, at, self.entry(machine))
+            self.world.at(after, agent.schedule_change, name, lifecycle, at, self.entry(machine))
 
     def weigh(self, every):
         held = {
@@ -197,7 +197,7 @@
     # The record
 
     def put(self, kind, line):
-        if self.promises.checked:
+        if self.invariants.checked:
             self.records[kind].append(line)
 
     @property
@@ -213,10 +213,10 @@
     def heard(self, process, effect):
         """A log line of a node."""
         if effect.event in ("overdue", "fault"):
-            self.promises.broken(0, f"the node's log says {effect.event}", process.node.name, effect.pairs)
+            self.invariants.broken(0, f"the node's log says {effect.event}", process.node.name, effect.pairs)
 
     def stepped(self, process, event, effects):
-        self.promises.stepped(process)
+        self.invariants.stepped(process)
 
     # The play
 
@@ -224,7 +224,7 @@
         x = self.plan.experiment
         self.world.run(round((x.seconds + x.settle_s) * SECOND))
         self.clients.finish()
-        self.promises.at_the_end()
+        self.invariants.check_at_end()
         return self
 
     def stop_all(self, wait=6 * SECOND):
@@ -235,7 +235,7 @@
             for process in node.processes:
                 process.stop()
         self.world.run(self.world.now + wait)
-        self.promises.all_given_back()
+        self.invariants.check_all_released()
 
     # The front
 
@@ -259,7 +259,7 @@
 
     def __init__(self, fleet, node):
         self.fleet, self.node, self.taken = fleet, node, 0
-        fleet.world.ways.connect(self, fleet.clients.place, node.place, SECOND, self.connected)
+        fleet.world.network.connect(self, fleet.clients.place, node.place, SECOND, self.connected)
 
     def connected(self, side, why):
         if side is None:
--- a/cottonspread/lab/sim/generator.py
+++ b/cottonspread/lab/sim/generator.py
@@ -1,9 +1,9 @@
-"""Plays drawn from a seed: a small fleet, its traffic, and troubles in bursts that overlap on purpose."""
+"""Plays drawn from a seed: a small fleet, its traffic, and faults in bursts that overlap on purpose."""
 
 from cottonspread.lab import plan as plans
-from cottonspread.lab.sim.promises import CALM
-from cottonspread.lab.sim.scenario import Trial
-from cottonspread.lab.sim.world import SECOND, Draws
+from cottonspread.lab.sim.invariants import CALM
+from cottonspread.lab.sim.scenario import Scenario
+from cottonspread.lab.sim.world import SECOND, RandomStream
 
 TAIL = CALM // SECOND + 10  # seconds after the last trouble, so that progress can be judged
 EFFECTS = ("repeatable", "referenced", "once-only")
@@ -53,56 +53,56 @@
     hosts = [f"h{n}" for n in range(fleet["hosts.count"])]
     nodes = [f"n{n}" for n in range(fleet["nodes.count"])]
     zones = [f"z{n}" for n in range(fleet["hosts.zones"])]
-    kind = kind or draws.one_of(BAG)
-    seconds, factor, on = draws.between(2, 80) / 10, 3.0, []
+    kind = kind or draws.choice(BAG)
+    seconds, factor, on = draws.randint(2, 80) / 10, 3.0, []
     if kind in plans.HOST_FAULTS:
-        on = draws.some_of(hosts, draws.one_of((0.1, 0.2, 0.4, 0.6)))
-        factor = draws.one_of((2.0, 4.0, 10.0))
+        on = draws.sample(hosts, draws.choice((0.1, 0.2, 0.4, 0.6)))
+        factor = draws.choice((2.0, 4.0, 10.0))
         seconds = 0.0 if kind == "reset" else min(seconds, 4.0) if kind == "jam" else seconds
         if kind == "join":
             on, seconds = on[:1], 0.0
             at = max(0.1, at)
     elif kind in plans.NODE_FAULTS or kind in ("late-writes", "crowding"):
-        on = draws.some_of(nodes, draws.one_of((0.1, 0.3, 0.6)))
+        on = draws.sample(nodes, draws.choice((0.1, 0.3, 0.6)))
         seconds, factor = of_a_node(draws, kind, seconds, factor)
     elif kind in plans.LIST_FAULTS or kind in ("list-late", "contradict"):
-        on = draws.some_of(nodes, draws.one_of((0.3, 1.0)))
-        factor = draws.one_of((1.0, 3.0, 8.0))
+        on = draws.sample(nodes, draws.choice((0.3, 1.0)))
+        factor = draws.choice((1.0, 3.0, 8.0))
     elif kind == "zone-lost":
-        on = [draws.one_of(zones)]
+        on = [draws.choice(zones)]
     elif kind in ("partition", "slow-way", "stall", "snap", "dead"):
-        on = draws.some_of(hosts + nodes + zones, draws.one_of((0.1, 0.3)))
-        factor = draws.one_of((1.0, 3.0, 10.0))
+        on = draws.sample(hosts + nodes + zones, draws.choice((0.1, 0.3)))
+        factor = draws.choice((1.0, 3.0, 10.0))
     elif kind in ("store-slow", "reconnect", "slow-readers", "bad"):
-        factor = draws.one_of((1.0, 3.0, 8.0))
+        factor = draws.choice((1.0, 3.0, 8.0))
     return plans.Happening(at=at, kind=kind, seconds=seconds, on=on, factor=factor)
 
 
 def of_a_node(draws, kind, seconds, factor):
     """How long a node's own trouble lasts, and its factor."""
     if kind == "freeze":
-        return draws.one_of((0.05, 0.3, 1.0, 3.0, 6.0)), factor
+        return draws.choice((0.05, 0.3, 1.0, 3.0, 6.0)), factor
     if kind in ("reload", "retune", "replace"):
-        return 0.0, draws.one_of((0.0, 3.0))
+        return 0.0, draws.choice((0.0, 3.0))
     if kind == "quiesce":
         return max(seconds, 0.5), factor
     return seconds, factor
 
 
-def last(troubles):
-    return max([one.at + one.seconds for one in troubles] or [0.0])
+def last(faults):
+    return max([one.at + one.seconds for one in faults] or [0.0])
 
 
-def fitted(trial):
-    """As long as its troubles ask for."""
-    return Trial(
-        {**trial.fleet, "seconds": round(last(trial.troubles) + TAIL, 1)},
-        trial.types,
-        trial.loads,
-        trial.troubles,
-        trial.only,
-        trial.expected,
-        trial.remarks,
+def fitted(scenario):
+    """As long as its faults ask for."""
+    return Scenario(
+        {**scenario.fleet, "seconds": round(last(scenario.faults) + TAIL, 1)},
+        scenario.types,
+        scenario.loads,
+        scenario.faults,
+        scenario.only,
+        scenario.expected,
+        scenario.remarks,
     )
 
 
@@ -116,68 +116,68 @@
     return round(min(rate, fleet["hosts.count"] * 2.0 / 3 / work, ends / 3 / life), 2)
 
 
-def draw(seed):
+def generate(seed):
     """One seed, one play."""
-    d = Draws("trial", seed)
-    zones = d.between(1, 3)
+    d = RandomStream("trial", seed)
+    zones = d.randint(1, 3)
     fleet = {
         "seed": seed,
-        "nodes.count": d.between(1, 4),
-        "hosts.count": d.between(2, 7),
+        "nodes.count": d.randint(1, 4),
+        "hosts.count": d.randint(2, 7),
         "hosts.zones": zones,
-        "hosts.speed_sigma": d.one_of((0.0, 0.2)),
-        "hosts.reports": d.one_of((True, False, False)),
-        "hosts.traits.tells_load": d.one_of((True, True, False)),
-        "hosts.traits.drain": d.one_of(("paced", "at-once", "none")),
-        "hosts.traits.cancels": d.one_of((True, False)),
-        "hosts.traits.warm_s": d.one_of((4, 15)),
-        "nodes.sockets": d.one_of((128, 256, 1024)),
-        "nodes.grace_ms": d.one_of((200, 500)),
-        "list.lag_ms": d.one_of((20, 300, 1500)),
-        "list.silent_s": d.one_of((2, 6)),
-        "ways.cross_us": d.one_of((500, 5000)),
-        "ways.jitter_us": d.one_of((0, 300, 2000)),
-        "ways.skew_us": d.one_of((0, 5000)),
-        "ways.drift_ppm": d.one_of((0, 100)),
-        "load.groups": d.one_of((3, 20, 200)),
-        "load.retries": d.between(2, 4),
-        "load.line_s": d.one_of((0.5, 2, 2)),
+        "hosts.speed_sigma": d.choice((0.0, 0.2)),
+        "hosts.reports": d.choice((True, False, False)),
+        "hosts.traits.tells_load": d.choice((True, True, False)),
+        "hosts.traits.drain": d.choice(("paced", "at-once", "none")),
+        "hosts.traits.cancels": d.choice((True, False)),
+        "hosts.traits.warm_s": d.choice((4, 15)),
+        "nodes.sockets": d.choice((128, 256, 1024)),
+        "nodes.grace_ms": d.choice((200, 500)),
+        "list.lag_ms": d.choice((20, 300, 1500)),
+        "list.silent_s": d.choice((2, 6)),
+        "ways.cross_us": d.choice((500, 5000)),
+        "ways.jitter_us": d.choice((0, 300, 2000)),
+        "ways.skew_us": d.choice((0, 5000)),
+        "ways.drift_ppm": d.choice((0, 100)),
+        "load.groups": d.choice((3, 20, 200)),
+        "load.retries": d.randint(2, 4),
+        "load.line_s": d.choice((0.5, 2, 2)),
         "settle_s": 1,
     }
     if fleet["hosts.reports"]:
         fleet["nodes.settings.Limits.Probes"] = True
     types = []
-    for n in range(d.between(1, 3)):
-        effect = d.one_of(EFFECTS)
+    for n in range(d.randint(1, 3)):
+        effect = d.choice(EFFECTS)
         types.append(
             {
                 "name": f"t{n}",
                 "effect": effect,
-                "scope": d.one_of(SCOPES),
-                "remembered_ms": d.one_of((1000, 5000)),
-                "target_ms": d.one_of((100, 500)),
-                "guard_ms": d.one_of((400, 1500, 4800)),
-                "revenue": d.one_of((1, 5)),
-                "life_s": d.one_of((2, 8, 20)),
-                "load_us": d.one_of((2000, 10000)),
-                "message_ms": d.one_of((50, 100)),
+                "scope": d.choice(SCOPES),
+                "remembered_ms": d.choice((1000, 5000)),
+                "target_ms": d.choice((100, 500)),
+                "guard_ms": d.choice((400, 1500, 4800)),
+                "revenue": d.choice((1, 5)),
+                "life_s": d.choice((2, 8, 20)),
+                "load_us": d.choice((2000, 10000)),
+                "message_ms": d.choice((50, 100)),
             }
         )
-    loads = [{"kind": "poisson", "rate": bearable(fleet, types, d.one_of((2, 4, 8)))}]
-    troubles = []
-    for _ in range(d.between(1, 3)):
-        moment = d.between(5, 140) / 10
-        if d.below(3) == 0:
+    loads = [{"kind": "poisson", "rate": bearable(fleet, types, d.choice((2, 4, 8)))}]
+    faults = []
+    for _ in range(d.randint(1, 3)):
+        moment = d.randint(5, 140) / 10
+        if d.randbelow(3) == 0:
             loads.append(
                 {
                     "kind": "burst",
                     "start": moment,
-                    "seconds": d.one_of((0.05, 1)),
-                    "count": d.one_of((20, 60)),
+                    "seconds": d.choice((0.05, 1)),
+                    "count": d.choice((20, 60)),
                 }
             )
-        for _ in range(d.between(1, 4)):
-            troubles.append(
-                trouble(d, round(moment + d.one_of((0, 0, 1)) * d.between(0, 2000) / 1000, 3), fleet)
+        for _ in range(d.randint(1, 4)):
+            faults.append(
+                trouble(d, round(moment + d.choice((0, 0, 1)) * d.randint(0, 2000) / 1000, 3), fleet)
             )
-    return fitted(Trial(fleet, types, loads, sorted(troubles, key=lambda one: one.at)))
+    return fitted(Scenario(fleet, types, loads, sorted(faults, key=lambda one: one.at)))
--- a/cottonspread/lab/sim/hosts.py
+++ b/cottonspread/lab/sim/hosts.py
@@ -2,7 +2,7 @@
 
 from cottonspread.lab import wire
 from cottonspread.lab.serving import Serving, modelled
-from cottonspread.lab.sim.ways import Place
+from cottonspread.lab.sim.network import Place
 
 MOST_OUT = 64 * 1024  # bytes that a connection's reader may leave untaken
 
@@ -18,7 +18,7 @@
             return
         if side.inbox:
             data = side.take()
-            self.server.fleet.promises.host_has(self, data)
+            self.server.fleet.invariants.host_has(self, data)
             self.server.came(self, data)
         if not self.over and (side.ended or side.broke):
             self.server.end(self, "theirs")
@@ -47,7 +47,7 @@
 
     def put(self, line):
         self.fleet.put("hosts", line)
-        self.fleet.promises.host_said(line)
+        self.fleet.invariants.host_said(line)
 
     def open(self):
         self.place.door, self.gone = self.accept, False
@@ -63,7 +63,7 @@
         self.conns[conn] = None
 
     def write(self, conn, line):
-        self.fleet.promises.host_writes(conn, line)
+        self.fleet.invariants.host_writes(conn, line)
         try:
             conn.side.send(line + b"\r\n")
         except BrokenPipeError:
--- a/cottonspread/lab/sim/invariants.py
+++ b/cottonspread/lab/sim/invariants.py
@@ -3,7 +3,7 @@
 
 No code is shared with the node, and none of its words is believed but where its own books are counted
 over (`books`). Times allow the 50 ms that sockets get. The first promise that breaks ends the play:
-`BrokenPromiseError` says which, of whom, and when.
+`InvariantError` says which, of whom, and when.
 """
 
 from collections import Counter, defaultdict, deque
@@ -29,12 +29,12 @@
 )
 
 
-class BrokenPromiseError(AssertionError):
+class InvariantError(AssertionError):
     """A promise did not hold."""
 
-    def __init__(self, promise, what, at, full):
-        super().__init__(f"{promise}: {what}, at {at / SECOND:.6f} s: {full}")
-        self.promise, self.what, self.at, self.full = promise, what, at, full
+    def __init__(self, invariant, what, at, full):
+        super().__init__(f"{invariant}: {what}, at {at / SECOND:.6f} s: {full}")
+        self.invariant, self.what, self.at, self.full = invariant, what, at, full
 
 
 class Leg:
@@ -83,7 +83,7 @@
         )
 
 
-class Promises:
+class Invariants:
     def __init__(self, fleet, checked=True):
         self.fleet, self.world, self.checked = fleet, fleet.world, checked
         self.kinds = fleet.plan.experiment.load.types
@@ -96,13 +96,13 @@
         self.quiet_from, self.lines, self.echoes, self.reached, self.most = 0, {}, {}, set(), Counter()
         self.drains, self.shaky, self.came = {}, set(), defaultdict(deque)
 
-    def broken(self, promise, what, *full):
-        raise BrokenPromiseError(promise, what, self.world.now, full)
+    def broken(self, invariant, what, *full):
+        raise InvariantError(invariant, what, self.world.now, full)
 
-    def need(self, true, promise, what, *full):
-        self.seen[promise] += 1
+    def need(self, true, invariant, what, *full):
+        self.seen[invariant] += 1
         if not true and self.checked:
-            self.broken(promise, what, *full)
+            self.broken(invariant, what, *full)
 
     # Troubles, as far as they excuse
 
@@ -610,7 +610,7 @@
 
     # The end
 
-    def at_the_end(self):
+    def check_at_end(self):
         if not self.checked:
             return
         calm, asked = self.quiet_from + CALM, {}
@@ -631,7 +631,7 @@
             for process in node.processes:
                 self.books(process)
 
-    def all_given_back(self):
+    def check_all_released(self):
         """Every process was told to stop, and has."""
         for node in self.fleet.nodes:
             for process in node.processes:
--- a/cottonspread/lab/sim/network.py
+++ b/cottonspread/lab/sim/network.py
@@ -31,7 +31,7 @@
     """
 
     __slots__ = (
-        "ways",
+        "network",
         "place",
         "other",
         "owner",
@@ -47,8 +47,8 @@
         "waits",
     )
 
-    def __init__(self, ways, place, link):
-        self.ways, self.place, self.link, self.other, self.owner = ways, place, link, None, None
+    def __init__(self, network, place, link):
+        self.network, self.place, self.link, self.other, self.owner = network, place, link, None, None
         self.inbox, self.came_at, self.ended, self.broke = bytearray(), 0, False, False
         self.sent_end = self.closed = self.waits = False
         # when what was sent last arrives; bytes that the other side has not taken
@@ -59,7 +59,7 @@
         if self.broke or self.closed or self.sent_end:
             raise BrokenPipeError
         self.under_way += len(data)
-        self.ways.carry(self, DATA, data)
+        self.network.carry(self, DATA, data)
 
     def room(self):
         return max(0, WINDOW - self.under_way)
@@ -71,20 +71,20 @@
         other.under_way -= len(data)
         if other.waits and not other.closed:
             other.waits = False
-            self.ways.world.after(0, other.owner.room, other)
+            self.network.world.after(0, other.owner.room, other)
         return data
 
     def end(self):
         """No more is sent from here."""
         if not self.sent_end and not self.closed:
             self.sent_end = True
-            self.ways.carry(self, END)
+            self.network.carry(self, END)
 
     def reset(self):
         if not self.closed:
             self.closed = True
-            self.ways.carry(self, RESET)
-            self.ways.forget(self.link)
+            self.network.carry(self, RESET)
+            self.network.forget(self.link)
 
     def close(self):
         """As the kernel does: bytes that nobody took make it a reset."""
@@ -93,7 +93,7 @@
         elif not self.closed:
             self.end()
             self.closed = True
-            self.ways.forget(self.link)
+            self.network.forget(self.link)
 
 
 class Link:
@@ -104,13 +104,13 @@
         self.dead, self.stalled, self.held = False, 0, []  # a dead one takes everything and brings nothing
 
 
-class Ways:
+class Network:
     def __init__(self, world, same=200, cross=1500, jitter=300):
         """One way, in microseconds: within a zone, between zones, and what
         chance adds to a connection at most.
         """
         self.world, self.same, self.cross, self.jitter = world, same, cross, jitter
-        self.draws, self.links, self.made, self.cuts, self.slower = world.draws("ways"), {}, 0, [], []
+        self.draws, self.links, self.made, self.cuts, self.slower = world.random_stream("ways"), {}, 0, [], []
 
     def delay(self, a, b):
         return self.same if a.zone == b.zone else self.cross
@@ -142,7 +142,7 @@
         Nothing is heard of one that nobody answers until `wait` has passed.
         """
         attempt = [False]  # whether it is decided
-        jitter = self.draws.below(self.jitter + 1)
+        jitter = self.draws.randbelow(self.jitter + 1)
         for span in AGAIN:
             if span < wait:
                 self.world.after(
--- a/cottonspread/lab/sim/node.py
+++ b/cottonspread/lab/sim/node.py
@@ -15,8 +15,8 @@
 from cottonspread.front import handover
 from cottonspread.front.lateness import Door
 from cottonspread.interface import Ending, News
-from cottonspread.lab.sim.seam import Contract
-from cottonspread.lab.sim.ways import Place
+from cottonspread.lab.sim.contract import Contract
+from cottonspread.lab.sim.network import Place
 from cottonspread.lab.sim.world import EPOCH, SECOND
 from cottonspread.net import discovery, lines
 from cottonspread.net import events as ev
@@ -62,7 +62,7 @@
         self.read()
 
     def arrived(self, side):
-        self.process.world.after(self.process.draws.below(HOP), self.look)
+        self.process.world.after(self.process.draws.randbelow(HOP), self.look)
 
     def look(self):
         """What a read that waits gives now, if anything."""
@@ -114,11 +114,11 @@
 
     def write(self, data):
         world, process = self.process.world, self.process
-        late = process.late_writes and process.draws.part() < process.late_writes[0]
+        late = process.late_writes and process.draws.random() < process.late_writes[0]
         if late:  # the kernel takes half of it now, and the rest in its own time
             self.send(data[: len(data) // 2])
             self.rest = data[len(data) // 2 :]
-            world.after(process.draws.below(process.late_writes[1]), self.room, self.side)
+            world.after(process.draws.randbelow(process.late_writes[1]), self.room, self.side)
             return
         self.rest = data
         self.room(self.side)
@@ -195,7 +195,7 @@
         )
         process.probes[self] = None
         process.world.after(order.wait, self.end, Ending.TIMEOUT)
-        process.world.ways.connect(
+        process.world.network.connect(
             self, process.node.place, process.place_of(order.address), order.wait, self.up
         )
 
@@ -239,7 +239,7 @@
         """
         world = node.fleet.world
         self.world, self.node, self.values, self.shared = world, node, values, shared
-        self.draws = world.draws(node.name, "process", node.starts)
+        self.draws = world.random_stream(node.name, "process", node.starts)
         self.skew, self.drift = node.skew, node.drift
         self.parts = config.read_node(json.dumps(values), {})
         place, room, names, hearing, begin, known = self.parts
@@ -300,7 +300,7 @@
         if self.dead:
             return
         self.contract.told(event)
-        self.node.fleet.promises.node_hears(self, event)
+        self.node.fleet.invariants.node_hears(self, event)
         self.queue.append((self.clock(), event))
         self.most_queue = max(self.most_queue, len(self.queue))
         self.turn()
@@ -314,7 +314,7 @@
         """The reducer's thread gets to its queue."""
         if not self.awake:
             self.awake = True
-            self.world.at(max(self.world.now + self.draws.below(HOP), self.free_at), self.run)
+            self.world.at(max(self.world.now + self.draws.randbelow(HOP), self.free_at), self.run)
 
     def wake(self):
         """For its timers."""
@@ -344,7 +344,7 @@
         if isinstance(event, ev.Got) and event.end.client and event.end.conn.opening is None:
             self.door.lain(now, now - at)
         self.step(event, at)
-        self.free_at = self.world.now + STEP + self.draws.below(STEP // 2)
+        self.free_at = self.world.now + STEP + self.draws.randbelow(STEP // 2)
         if self.queue or self.urgent:
             self.turn()
         self.wake()
@@ -353,18 +353,18 @@
         fleet = self.node.fleet
         self.steps += 1
         try:
-            effects = self.decide(event, at)
+            effects = self.step_reducer(event, at)
         except Exception as fault:
             raise NodeError(
                 f"{self.node.name}: {type(event).__name__}: {fault!r}\n{traceback.format_exc(limit=-6)}"
             ) from fault
-        self.world.note(self.node.name, self.label(event), *map(self.label, effects))
+        self.world.add_trace_line(self.node.name, self.label(event), *map(self.label, effects))
         for effect in effects:
             self.contract.ordered(effect)
             self.carry_out(effect)
         fleet.stepped(self, event, effects)
 
-    def decide(self, event, at):
+    def step_reducer(self, event, at):
         """The reducer's step alone."""
         return self.reducer.step(self.clock(), event, at)
 
@@ -381,63 +381,63 @@
         world = self.world
         match effect:
             case ev.Read(end=end):
-                world.after(self.draws.below(HOP), self.alive, end.worker.read)
+                world.after(self.draws.randbelow(HOP), self.run_if_alive, end.worker.read)
             case ev.Drain(end=end):
-                world.after(self.draws.below(HOP), self.alive, end.worker.drain)
+                world.after(self.draws.randbelow(HOP), self.run_if_alive, end.worker.drain)
             case ev.Connect():
                 worker = Worker(self, effect.end)
                 self.live[worker] = None
-                world.after(self.draws.below(HOP), self.alive, self.connect, worker, effect)
+                world.after(self.draws.randbelow(HOP), self.run_if_alive, self.connect, worker, effect)
             case ev.Ask():
-                world.after(self.draws.below(HOP), self.alive, Probe, self, effect)
+                world.after(self.draws.randbelow(HOP), self.run_if_alive, Probe, self, effect)
             case ev.FollowList():
                 self.caller.wanted()
             case ev.Pass():
-                world.after(self.draws.below(HOP), self.alive, self.give, effect)
+                world.after(self.draws.randbelow(HOP), self.run_if_alive, self.give, effect)
             case ev.Stop():  # the last answers go out before the process may end
                 self.finished = True
                 self.writer_at = max(self.writer_at, world.now) + HOP
-                world.at(self.writer_at, self.alive, self.die, STOPPED)
+                world.at(self.writer_at, self.run_if_alive, self.exit, STOPPED)
             case ev.Say():
                 self.said(effect)
             case _:
-                self.writer_at = max(self.writer_at, world.now) + self.draws.below(HOP // 2)
-                world.at(self.writer_at, self.alive, self.write_out, effect)
+                self.writer_at = max(self.writer_at, world.now) + self.draws.randbelow(HOP // 2)
+                world.at(self.writer_at, self.run_if_alive, self.write_out, effect)
 
-    def alive(self, what, *args):
+    def run_if_alive(self, what, *args):
         """Nothing is done by a process that is dead, and what a stopped one was
         about to do is done once it goes on.
         """
         if self.dead:
             return
         if self.world.now < self.frozen:
-            self.world.at(self.frozen, self.alive, what, *args)
+            self.world.at(self.frozen, self.run_if_alive, what, *args)
         else:
             what(*args)
 
     def connect(self, worker, effect):
-        self.world.ways.connect(
+        self.world.network.connect(
             worker, self.node.place, self.place_of(effect.address), effect.wait, worker.connected
         )
 
     def write_out(self, effect):
         worker = effect.end.worker
-        promises = self.node.fleet.promises
+        invariants = self.node.fleet.invariants
         match effect:
             case ev.Write(end=end, data=data):
                 if effect.attempt and (why := self.must_not_begin(effect)):
                     self.post(ev.Written(end, False, why=why))
                     return
-                promises.writes(self, end, data)
+                invariants.writes(self, end, data)
                 worker.write(data)
             case ev.Finish(end=end):
-                promises.ends(self, end, "end")
+                invariants.ends(self, end, "end")
                 worker.finish()
             case ev.Cut(end=end, broken=broken):
-                promises.ends(self, end, "cut")
+                invariants.ends(self, end, "cut")
                 worker.cut_off(broken)
             case ev.Free(end=end):
-                promises.ends(self, end, "free")
+                invariants.ends(self, end, "free")
                 end.worker = None
                 worker.free()
 
@@ -457,7 +457,7 @@
 
     def came(self, side):
         """A connection that the machine has taken; the process gets to it in its own time."""
-        self.world.after(self.draws.below(HOP), self.alive, self.accepted, side)
+        self.world.after(self.draws.randbelow(HOP), self.run_if_alive, self.accepted, side)
 
     def accepted(self, side):
         if not self.door.admits(self.clock()):
@@ -468,14 +468,14 @@
             end = ev.End(True)
             worker = Worker(self, end, side)
             self.live[worker] = None
-            self.node.fleet.promises.accepted(self, side)
+            self.node.fleet.invariants.accepted(self, side)
             self.post(ev.Came(end))
 
     def turn_away(self, side, reason, retry_after):
         line = lines.busy(retry_after)
         with contextlib.suppress(BrokenPipeError):
             side.send(line)
-        self.node.fleet.promises.turned_away(self, side, line)
+        self.node.fleet.invariants.turned_away(self, side, line)
         self.reducer.figures.turned_away(lines.type_named(side.take()))
         side.close()
         self.ended[reason] += 1
@@ -493,9 +493,9 @@
 
     def kill(self):
         """All its connections break, and new ones are refused."""
-        self.die(KILLED)
+        self.exit(KILLED)
 
-    def die(self, how):
+    def exit(self, how):
         self.dead = how
         for worker in list(self.live):
             if worker.side is not None and not worker.gone:
@@ -543,7 +543,9 @@
         def given(handed):
             text = handover.pack(handed, mark)
             old.most, old.heir = old.reducer.most_ends, self
-            self.world.after(self.draws.below(20_000), self.alive, take, handover.unpack(text, mark))
+            self.world.after(
+                self.draws.randbelow(20_000), self.run_if_alive, take, handover.unpack(text, mark)
+            )
 
         def take(handed):
             if self.takes:  # it is too late for it
@@ -555,7 +557,7 @@
             self.node.open_door()
 
         old.hasten(ev.HandOverAsked(given))
-        self.world.after(round(ANSWER_WAIT * SECOND), self.alive, take, None)
+        self.world.after(round(ANSWER_WAIT * SECOND), self.run_if_alive, take, None)
 
     def limit(self, most):
         """While two processes share the limits of one; None: alone again."""
@@ -579,7 +581,9 @@
             ev.Adopted(
                 *ends,
                 standing,
-                lambda taken: heir.world.after(heir.draws.below(HOP), self.given, order, taken, new, heir),
+                lambda taken: heir.world.after(
+                    heir.draws.randbelow(HOP), self.given, order, taken, new, heir
+                ),
             )
         )
 
@@ -593,7 +597,7 @@
                 other.side.close()
         if taken:
             heir.limit(heir.most + 2)
-            self.node.fleet.promises.passed(self, order, new)
+            self.node.fleet.invariants.passed(self, order, new)
         self.post(ev.Passed(order.conn, taken))
         if not taken and not self.dead:
             for worker in workers:
--- a/cottonspread/lab/sim/scenario.py
+++ b/cottonspread/lab/sim/scenario.py
@@ -16,25 +16,25 @@
 import msgspec
 
 from cottonspread.lab import plan as plans
+from cottonspread.lab.sim.contract import ContractError
 from cottonspread.lab.sim.fleet import Fleet
+from cottonspread.lab.sim.invariants import InvariantError
 from cottonspread.lab.sim.node import NodeError
-from cottonspread.lab.sim.promises import BrokenPromiseError
-from cottonspread.lab.sim.seam import ContractError
 
 HOLDS = "holds"
-TRIAL_BLOCK = 64, 0  # of its addresses, which nobody binds
+ADDRESS_BLOCK = 64, 0  # of its addresses, which nobody binds
 
 
 @dataclass
-class Trial:
+class Scenario:
     """One play: keys of an experiment by their path, traffic types, shapes of arrivals,
-    troubles, and which first calls there are.
+    faults, and which first calls there are.
     """
 
     fleet: dict
     types: list
     loads: list
-    troubles: list
+    faults: list
     only: tuple = None
     expected: str = HOLDS
     remarks: list = field(default_factory=list)
@@ -53,7 +53,7 @@
             for part in way:
                 at = at.setdefault(part, {})
             at[key] = value
-        nested["faults"] = [msgspec.structs.asdict(one) for one in self.troubles]
+        nested["faults"] = [msgspec.structs.asdict(one) for one in self.faults]
         try:
             return plans.check(msgspec.convert(nested, plans.Experiment, strict=False), simulated=True)
         except msgspec.ValidationError as fault:
@@ -61,15 +61,15 @@
 
     def plan(self):
         x = self.experiment()
-        return plans.make(x, plans.Variant(name="only"), x.seed, TRIAL_BLOCK)
+        return plans.make(x, plans.Variant(name="only"), x.seed, ADDRESS_BLOCK)
 
 
 def read(text):
     """PlanError names the line."""
-    trial = Trial({}, [], [], [], remarks=[])
+    scenario = Scenario({}, [], [], [], remarks=[])
     for number, line in enumerate(text.splitlines(), 1):
         if line.startswith("#"):
-            trial.remarks.append(line[1:].strip())
+            scenario.remarks.append(line[1:].strip())
             continue
         line = line.split("#")[0].strip()
         words = line.split()
@@ -81,17 +81,17 @@
             }
             bare = [word for word in words[1:] if "=" not in word]
             if words[0] == "fleet":
-                trial.fleet |= said
+                scenario.fleet |= said
             elif words[0] == "type":
-                trial.types.append({"name": bare[0], **said})
+                scenario.types.append({"name": bare[0], **said})
             elif words[0] == "load":
-                trial.loads.append({"kind": bare[0], **said})
+                scenario.loads.append({"kind": bare[0], **said})
             elif words[0] == "only":
-                trial.only = tuple(map(int, bare))
+                scenario.only = tuple(map(int, bare))
             elif words[0] == ">":
-                trial.expected = line[1:].strip()
+                scenario.expected = line[1:].strip()
             else:
-                trial.troubles.append(
+                scenario.faults.append(
                     msgspec.convert(
                         {"at": round(float(words[0])) / 1000, "kind": bare[0], "on": bare[1:], **said},
                         plans.Happening,
@@ -100,7 +100,7 @@
                 )
         except (ValueError, IndexError, msgspec.ValidationError) as fault:
             raise plans.PlanError(f"line {number}: {fault}") from None
-    return trial
+    return scenario
 
 
 def plain(word):
@@ -125,17 +125,17 @@
     )
 
 
-def write(trial):
-    lines = [f"# {remark}" for remark in trial.remarks]
-    lines.append("fleet " + " ".join(f"{k}={brief(v)}" for k, v in trial.fleet.items()))
-    for name, key, many in (("type", "name", trial.types), ("load", "kind", trial.loads)):
+def write(scenario):
+    lines = [f"# {remark}" for remark in scenario.remarks]
+    lines.append("fleet " + " ".join(f"{k}={brief(v)}" for k, v in scenario.fleet.items()))
+    for name, key, many in (("type", "name", scenario.types), ("load", "kind", scenario.loads)):
         lines += [
             " ".join([name, one[key], *(f"{k}={brief(v)}" for k, v in one.items() if k != key)])
             for one in many
         ]
-    if trial.only is not None:
-        lines.append("only " + " ".join(map(str, trial.only)))
-    for one in trial.troubles:
+    if scenario.only is not None:
+        lines.append("only " + " ".join(map(str, scenario.only)))
+    for one in scenario.faults:
         words = [brief(one.at * 1000), one.kind, *one.on]
         words += [
             f"{key}={brief(value)}"
@@ -143,28 +143,28 @@
             if value != usual
         ]
         lines.append(" ".join(words))
-    return "\n".join([*lines, f"> {trial.expected}"]) + "\n"
+    return "\n".join([*lines, f"> {scenario.expected}"]) + "\n"
 
 
 @dataclass
 class Outcome:
-    """`broken`: the promise and what broke it, "" if all held; `told`: the
+    """`broken`: the promise and what broke it, "" if all held; `details`: the
     whole story; `fleet`: as it was left.
     """
 
     broken: str
-    told: str
+    details: str
     fleet: Fleet
 
 
-def play(trial, traced=False, plan=None):
+def run(scenario, traced=False, plan=None):
     """Plays it to its end, and until every node has stopped, or to the first promise that breaks."""
-    fleet = Fleet(plan or trial.plan(), trial.only, traced)
+    fleet = Fleet(plan or scenario.plan(), scenario.only, traced)
     try:
         fleet.run()
         fleet.stop_all()
-    except BrokenPromiseError as fault:
-        return Outcome(f"{fault.promise}: {fault.what}", str(fault), fleet)
+    except InvariantError as fault:
+        return Outcome(f"{fault.invariant}: {fault.what}", str(fault), fleet)
     except ContractError as fault:
         return Outcome(f"seam: {fault}", f"seam: {fault}, at {fleet.world.now / 1e6:.6f} s", fleet)
     except NodeError as fault:
--- a/cottonspread/lab/sim/world.py
+++ b/cottonspread/lab/sim/world.py
@@ -12,32 +12,32 @@
 EPOCH = 1_700_000_000 * SECOND  # Unix time at the start of every world
 
 
-class Draws:
+class RandomStream:
     """A stream of draws, named by what it is for."""
 
     def __init__(self, *name):
         self.name, self.drawn = ":".join(map(str, name)).encode(), 0
 
-    def number(self):
+    def next_uint32(self):
         """Below 2 to the 32; multiplied, for checksums of like texts keep their order."""
         self.drawn += 1
         return crc32(b"%s:%d" % (self.name, self.drawn)) * 2654435761 + 1013904223 & 0xFFFFFFFF
 
-    def below(self, n):
-        return self.number() * n >> 32
+    def randbelow(self, n):
+        return self.next_uint32() * n >> 32
 
-    def between(self, least, most):
-        return least + self.below(most - least + 1)
+    def randint(self, least, most):
+        return least + self.randbelow(most - least + 1)
 
-    def part(self):
-        return self.number() / 0x1_0000_0000
+    def random(self):
+        return self.next_uint32() / 0x1_0000_0000
 
-    def one_of(self, choices):
-        return choices[self.below(len(choices))]
+    def choice(self, choices):
+        return choices[self.randbelow(len(choices))]
 
-    def some_of(self, choices, share):
+    def sample(self, choices, share):
         """A share of them, one at least, in their order."""
-        ranked = sorted((self.number(), n) for n in range(len(choices)))
+        ranked = sorted((self.next_uint32(), n) for n in range(len(choices)))
         taken = {n for _, n in ranked[: max(1, round(len(choices) * share))]}
         return [one for n, one in enumerate(choices) if n in taken]
 
@@ -49,8 +49,8 @@
         self.hash, self.trace = hashlib.blake2b(digest_size=8), [] if traced else None
         self.records = {"load": [], "hosts": [], "list": [], "nodes": []}
 
-    def draws(self, *name):
-        return Draws(self.seed, *name)
+    def random_stream(self, *name):
+        return RandomStream(self.seed, *name)
 
     def at(self, when, what, *args):
         self.stamp += 1
@@ -59,14 +59,14 @@
     def after(self, span, what, *args):
         self.at(self.now + span, what, *args)
 
-    def note(self, *words):
+    def add_trace_line(self, *words):
         """A line of the trace."""
         line = f"{self.now} {' '.join(map(str, words))}"
         self.hash.update(line.encode())
         if self.trace is not None:
             self.trace.append(line)
 
-    def sum(self):
+    def trace_digest(self):
         return self.hash.hexdigest()
 
     def run(self, until):
--- a/tests/configstore/test_configuration_plays.py
+++ b/tests/configstore/test_configuration_plays.py
@@ -55,7 +55,7 @@
     for _ in range(2):
         play = RandomPlay(3)
         play.run()
-        sums.add(play.fleet.world.sum())
+        sums.add(play.fleet.world.trace_digest())
     assert len(sums) == 1
 
 
--- a/tests/lab/test_sim.py
+++ b/tests/lab/test_sim.py
@@ -10,14 +10,14 @@
 
 import pytest
 
-from cottonspread.lab.sim import drawing, scenario
+from cottonspread.lab.sim import generator, scenario
 
 ROOT = Path(__file__).parent.parent.parent
 SEEDS = (3, 85, 141, 336)
 PLAY = """
 import sys
-from cottonspread.lab.sim import drawing, scenario
-print([scenario.play(drawing.draw(int(seed))).fleet.world.sum() for seed in sys.argv[1:]])
+from cottonspread.lab.sim import generator, scenario
+print([scenario.run(generator.generate(int(seed))).fleet.world.trace_digest() for seed in sys.argv[1:]])
 """
 
 
@@ -39,11 +39,11 @@
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_promises_hold(seed):
-    assert scenario.play(drawing.draw(seed)).told == ""
+    assert scenario.run(generator.generate(seed)).details == ""
 
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_a_play_is_read_as_it_was_written(seed):
-    trial = drawing.draw(seed)
-    again = scenario.read(scenario.write(trial))
-    assert scenario.write(again) == scenario.write(trial) and again.experiment() == trial.experiment()
+    drawn = generator.generate(seed)
+    again = scenario.read(scenario.write(drawn))
+    assert scenario.write(again) == scenario.write(drawn) and again.experiment() == drawn.experiment()
--- a/tests/scale/test_hollow_counts.py
+++ b/tests/scale/test_hollow_counts.py
@@ -104,7 +104,7 @@
         fleet.world.run(8 * SECOND)
         assert fleet.clients.counts["up"] == 18
         meter = fleet.metered()
-        return fleet.world.sum(), meter.bytes_in, meter.line_steps
+        return fleet.world.trace_digest(), meter.bytes_in, meter.line_steps
 
     assert played(3) == played(3)
     assert played(3)[0] != played(4)[0]
--- a/tests/scale/test_hollow_faults.py
+++ b/tests/scale/test_hollow_faults.py
@@ -93,14 +93,14 @@
 
 def test_a_client_that_is_never_served_again_is_told(monkeypatch):
     """A fleet that is not whole says so: here no client comes back."""
-    monkeypatch.setattr(hollow_faults.CountedClients, "later", lambda *_: None)
+    monkeypatch.setattr(hollow_faults.CountedClients, "schedule_call", lambda *_: None)
     one = play_named("node-lost", small("node-lost"))
     assert one.seconds_until_whole is None and one.figures["not_back_at_the_end"] > 0
 
 
 def test_a_node_that_breaks_its_clients_off_is_an_offence(monkeypatch):
     """What stands is reset where SIGTERM should have asked it to move."""
-    monkeypatch.setattr(Process, "stop", lambda self: self.die("stopped"))
+    monkeypatch.setattr(Process, "stop", lambda self: self.exit("stopped"))
     one = play_named("node-restarted", small("node-restarted"))
     assert one.rules_broken >= 1 and one.offences
 
