--- a/benchmarks/crossings/mutants.py
+++ b/benchmarks/crossings/mutants.py
@@ -39,8 +39,8 @@
     (
         "the look at the host before the first byte",
         "net/reducer.py",
-        "if entry is None or entry.state is not io.State.UP or server is None "
-        "or server.address != leg.address:",
+        "if (\n            entry is None\n            or entry.state is not io.HostState.UP\n"
+        "            or server is None\n            or server.address != leg.address\n        ):",
         "if False:",
         [
             f"{ATTEMPTS}::test_nothing_is_sent_to_a_host_that_was_told_to_drain_while_the_connection_came_up",
@@ -51,8 +51,8 @@
     (
         "the address in that look",
         "net/reducer.py",
-        "server is None or server.address != leg.address:",
-        "server is None:",
+        "            or server is None\n            or server.address != leg.address\n",
+        "            or server is None\n",
         [f"{SCENARIO}[late_connect]"],
     ),
     (
--- a/cottonspread/config/platform.py
+++ b/cottonspread/config/platform.py
@@ -190,7 +190,7 @@
         )
         for n, t in enumerate(c.parts("Orgs"))
     )
-    return i.Begin(
+    return i.NodeConfig(
         seed,
         c.whole("Me", 0),
         c.whole("Balancers", least=1) if "Balancers" in c.values else 0,
@@ -211,7 +211,7 @@
             rules.number("TipMultiple", 1),
             rules.span("OverloadFor", 0),
         ),
-        i.ListRules(
+        i.ServerListRules(
             c.choice("MembershipMode", "push", ASKED), rules.span("AskEvery", 0), rules.span("DrainGrace", 0)
         ),
         i.Prices(*(costs.number(k, 0) for k in ("CrossZone", "Moves", "Probe", "Peer"))),
@@ -220,7 +220,7 @@
         kind.flag("Groups"),
         probes and how == "probe" and "x0" in told,
         c.choice("Weights", "nominal", MOVING),
-        i.Nines(goal.number("NinesPart", 0), goal.over_nothing("NinesFull", 3)),
+        i.AvailabilityGoal(goal.number("NinesPart", 0), goal.over_nothing("NinesFull", 3)),
     )
 
 
@@ -271,7 +271,7 @@
 
 
 def read_node(text, environment):
-    """What a node is told, as parts: (Place, Room, Names, Hearing, Begin, known list as JSON)."""
+    """What a node is told, as parts: (Place, Room, Names, Hearing, NodeConfig, known list as JSON)."""
     whole = Keys(parse(text, "configuration"), "")
     place = Place(
         *(
--- a/cottonspread/drill/codec.py
+++ b/cottonspread/drill/codec.py
@@ -15,14 +15,14 @@
     111: i.Ending.CONNECT_FAILED,
     104: i.Ending.RESET,
     125: i.Ending.CANCELLED,
-    114: i.Ending.MOOT,
+    114: i.Ending.NOT_SENT,
 }
-STATES = {"up": i.State.UP, "draining": i.State.DRAINING, "removed": i.State.GONE}
+STATES = {"up": i.HostState.UP, "draining": i.HostState.DRAINING, "removed": i.HostState.GONE}
 NEWS = {
-    "update": i.News.CHANGES,
-    "replace": i.News.FULL,
-    "restored": i.News.SAVED,
-    "unavailable": i.News.FAILED,
+    "update": i.ListUpdateKind.CHANGES,
+    "replace": i.ListUpdateKind.FULL,
+    "restored": i.ListUpdateKind.SAVED,
+    "unavailable": i.ListUpdateKind.FAILED,
 }
 TEXT_FIELDS = {"begin": "Config"}
 LOAD_CHANGED, MESSAGES_SLOW = 1, 2
@@ -65,7 +65,7 @@
 
 def arrived(f):
     options = int(f.get("Options", 0))
-    return i.Arrived(
+    return i.CallArrived(
         int(f["Call"]),
         int(f["Service"]),
         micros(f.get("ExpiresIn", 0)),
@@ -81,9 +81,9 @@
 def status_note(f):
     sort, call = int(f["Sort"]), int(f["Call"])
     if sort == LOAD_CHANGED:
-        return i.LoadTold(call, float(f["X"]))
+        return i.LoadReported(call, float(f["X"]))
     if sort == MESSAGES_SLOW:
-        return i.DelayTold(call, micros(f["X"]))
+        return i.DelayReported(call, micros(f["X"]))
     return None
 
 
@@ -94,7 +94,7 @@
 READERS = {
     "work_item": arrived,
     "inherited": arrived,
-    "accepted": lambda f: i.Accepted(int(f["Call"]), int(f.get("Trial", 0)), micros(f.get("WaitTime", 0))),
+    "accepted": lambda f: i.LegAccepted(int(f["Call"]), int(f.get("Trial", 0)), micros(f.get("WaitTime", 0))),
     "done": lambda f: i.LegEnded(
         int(f["Call"]),
         int(f.get("Trial", 0)),
@@ -102,13 +102,13 @@
         f.get("Terminal", "0") == "1",
         micros(f.get("WaitTime", 0)),
     ),
-    "expired": lambda f: i.Expired(int(f["Call"])),
+    "expired": lambda f: i.CallExpired(int(f["Call"])),
     "status_note": status_note,
     "fired": lambda f: i.TimerFired(f["Cookie"]),
     "pong": lambda f: probed(
         f["Host"], ENDINGS[int(f["Disposition"])], micros(f.get("WaitTime", 0)), values(f.get("Feedback"))
     ),
-    "peer": lambda f: i.PeerTold(int(f["Neighbour"]), data(f["Bytes"])),
+    "peer": lambda f: i.PeerMessageReceived(int(f["Neighbour"]), data(f["Bytes"])),
 }
 
 
@@ -123,7 +123,9 @@
 
 def read_list(fields, lines):
     try:
-        return i.Listed(NEWS[fields["Scope"]], int(fields.get("Index", 0)), tuple(entry(f) for f in lines))
+        return i.ListUpdate(
+            NEWS[fields["Scope"]], int(fields.get("Index", 0)), tuple(entry(f) for f in lines)
+        )
     except (KeyError, ValueError) as fault:
         raise DecodeError(f"view: {fault!r}") from fault
 
@@ -151,8 +153,8 @@
     i.Move: lambda a: f"move\tCall={a.call}",
     i.Timer: lambda a: f"set_timer\tFromNow={millis(a.after)}\tCookie={a.token}",
     i.Probe: lambda a: f"sample\tHost={a.host}",
-    i.Follow: lambda a: "listen\tWant=1",
-    i.Tell: tell_line,
+    i.Subscribe: lambda a: "listen\tWant=1",
+    i.SendToPeer: tell_line,
     i.Log: lambda a: "note_down\tMessage=" + " ".join(a.text.split()),
 }
 
--- a/cottonspread/drill/hosting.py
+++ b/cottonspread/drill/hosting.py
@@ -5,7 +5,7 @@
 
 from cottonspread.config import ConfigurationError, micros
 from cottonspread.drill import codec
-from cottonspread.interface import Arrived
+from cottonspread.interface import CallArrived
 from cottonspread.policy import Balancer
 
 
@@ -65,7 +65,7 @@
         event = codec.read_list(fields, entries) if name == "view" else codec.read(name, fields)
         if event is None or node not in self.nodes:
             return []
-        if isinstance(event, Arrived) and not 0 <= event.type < len(self.nodes[node].settings.types):
+        if isinstance(event, CallArrived) and not 0 <= event.type < len(self.nodes[node].settings.types):
             raise codec.DecodeError(f"{name}: no traffic type {event.type}")
         try:
             return [codec.write(a) for a in self.nodes[node].handle(now, event)]
--- a/cottonspread/driver.py
+++ b/cottonspread/driver.py
@@ -20,17 +20,17 @@
         self.last_leg_at, self.calls_since_leg = now, 0  # when a leg last went out, and calls that came since
         self.waiting = {}  # calls, by the server whose probe they wait for
         self.takes = {
-            io.Arrived: self.arrive,
-            io.Listed: self.listed,
-            io.Accepted: self.answered,
+            io.CallArrived: self.arrive,
+            io.ListUpdate: self.listed,
+            io.LegAccepted: self.answered,
             io.LegEnded: self.answered,
-            io.LoadTold: self.told,
-            io.DelayTold: self.told,
-            io.Expired: self.expire,
+            io.LoadReported: self.told,
+            io.DelayReported: self.told,
+            io.CallExpired: self.expire,
             io.TimerFired: self.timer,
-            io.Probed: self.probed,
+            io.ProbeEnded: self.probed,
             io.Inherited: self.inherit,
-            io.Retuned: self.retuned,
+            io.Reconfigured: self.retuned,
         }
 
     def handle(self, now, event):
@@ -121,7 +121,7 @@
         leg = call.legs[e.leg] if call and e.leg < len(call.legs) else None
         if leg is None or leg.ending:
             return  # an end may cross with ours: nothing is held for it any more
-        if isinstance(e, io.Accepted):
+        if isinstance(e, io.LegAccepted):
             self.accepted(leg, e)
             return
         self.leg_ended(leg, e.ending)
@@ -147,7 +147,7 @@
         leg = call.legs[-1] if call and call.legs else None
         if leg is None or leg.ending:
             return
-        if isinstance(e, io.LoadTold):
+        if isinstance(e, io.LoadReported):
             self.load_told(leg, e.load)
         else:
             self.delay_told(leg.host, e.delay)
@@ -187,7 +187,7 @@
         if e.token == "off":
             self.see_off()
         else:
-            self.out.append(io.Follow())
+            self.out.append(io.Subscribe())
 
     # Filled in by the decisions
 
@@ -224,11 +224,11 @@
         raise NotImplementedError
 
     def probe_ended(self, host, e):
-        """`Probed`: a probe of the server has ended; calls that wait for it are resumed after."""
+        """`ProbeEnded`: a probe of the server has ended; calls that wait for it are resumed after."""
         raise NotImplementedError
 
     def listed(self, e):
-        """`Listed`: a word from the list, or of an asking that failed."""
+        """`ListUpdate`: a word from the list, or of an asking that failed."""
         raise NotImplementedError
 
     def see_off(self):
--- a/cottonspread/front/reports.py
+++ b/cottonspread/front/reports.py
@@ -25,4 +25,4 @@
     `waited`: microseconds; `report`: values by name, `x0` load asked over what the host can do, `x1` seconds
     of work piled up; a value that is not there counts as not told.
     """
-    return io.Probed(host, ending, waited, report.get("x0", -1.0), report.get("x1", 0.0))
+    return io.ProbeEnded(host, ending, waited, report.get("x0", -1.0), report.get("x1", 0.0))
--- a/cottonspread/interface.py
+++ b/cottonspread/interface.py
@@ -1,6 +1,6 @@
 """What a front and the decision module say to each other.
 
-A front makes one `policy.Balancer` from a `Begin`, passes it every event with the time, and carries out
+A front makes one `policy.Balancer` from a `NodeConfig`, passes it every event with the time, and carries out
 the actions it gets back, in their order. Times and spans are whole microseconds of the front's own clock.
 Calls and hosts are named by whatever hashable id the front uses; the module gives the ids back as they came.
 """
@@ -26,16 +26,16 @@
     CONNECT_FAILED = "no connection"
     RESET = "connection broke"
     CANCELLED = "called off"
-    MOOT = "never sent"
+    NOT_SENT = "never sent"
 
 
-class State(Enum):
+class HostState(Enum):
     UP = "up"
     DRAINING = "draining"
     GONE = "gone"
 
 
-class News(Enum):
+class ListUpdateKind(Enum):
     """What a word from the server list holds."""
 
     CHANGES = "only what changed"
@@ -82,7 +82,7 @@
 
 
 @dataclass(frozen=True)
-class ListRules:
+class ServerListRules:
     ask: bool = False  # the list answers only when asked
     ask_every: int = 0  # unasked for this long, a node counts as told
     drain_grace: int = 0
@@ -97,7 +97,7 @@
 
 
 @dataclass(frozen=True)
-class Nines:
+class AvailabilityGoal:
     """A part of the result: over spans of 5 s, the tenfold steps by which the
     unserved share lies below the whole.
     """
@@ -107,7 +107,7 @@
 
 
 @dataclass(frozen=True)
-class Begin:
+class NodeConfig:
     """A node starts. Each part of the module takes from here only what it needs."""
 
     seed: int
@@ -119,24 +119,24 @@
     tenants: tuple = ()
     legs: LegLimits = field(default_factory=LegLimits)
     cold: ColdStart = field(default_factory=ColdStart)
-    listing: ListRules = field(default_factory=ListRules)
+    listing: ServerListRules = field(default_factory=ServerListRules)
     prices: Prices = field(default_factory=Prices)
     may_probe: bool = False
     may_tell: bool = False
     groups_share_work: bool = False
     loads_probed: bool = False  # a probe's answer tells the load asked of a host over what it can do
     weights_move: bool = False  # listed weights: nominal size over 1 + calls held a core, late
-    nines: Nines = field(default_factory=Nines)
+    nines: AvailabilityGoal = field(default_factory=AvailabilityGoal)
 
 
 class Entry(NamedTuple):  # made for every server at every word of the list: the cheapest type
     host: object
     zone: int = 0
     kind: int = 0
-    weight: float = 1.0  # as listed: its size, or what `Begin.weights_move` says
+    weight: float = 1.0  # as listed: its size, or what `NodeConfig.weights_move` says
     cell: int = 0
     started: int = 0  # 0: long ago
-    state: State = State.UP
+    state: HostState = HostState.UP
 
     def like(self, other):
         """Whether it differs from `other` by its weight at most."""
@@ -153,15 +153,15 @@
 
 
 @dataclass(frozen=True)
-class Listed:
-    news: News
+class ListUpdate:
+    news: ListUpdateKind
     version: int = 0
     entries: tuple = ()
     took: int = 0  # of one that failed: how long it was waited for
 
 
 @dataclass(frozen=True)
-class Arrived:
+class CallArrived:
     call: object
     type: int
     time_left: int
@@ -174,7 +174,7 @@
 
 
 @dataclass(frozen=True)
-class Accepted:
+class LegAccepted:
     call: object
     leg: int
     waited: int
@@ -190,19 +190,19 @@
 
 
 @dataclass(frozen=True)
-class LoadTold:
+class LoadReported:
     call: object
     load: float  # microseconds of work a second
 
 
 @dataclass(frozen=True)
-class DelayTold:
+class DelayReported:
     call: object
     delay: int  # what a message takes at the call's host now
 
 
 @dataclass(frozen=True)
-class Expired:
+class CallExpired:
     call: object
 
 
@@ -212,7 +212,7 @@
 
 
 @dataclass(frozen=True)
-class Probed:
+class ProbeEnded:
     host: object
     ending: Ending
     waited: int = 0
@@ -221,10 +221,10 @@
 
 
 @dataclass(frozen=True)
-class Retuned:
+class Reconfigured:
     """Other settings from now on. Calls that are open keep the type that they opened under."""
 
-    begin: Begin
+    begin: NodeConfig
 
 
 @dataclass(frozen=True)
@@ -236,7 +236,7 @@
 
 
 @dataclass(frozen=True)
-class PeerTold:
+class PeerMessageReceived:
     peer: int
     data: bytes
 
@@ -286,12 +286,12 @@
 
 
 @dataclass(frozen=True)
-class Follow:
+class Subscribe:
     """Open the standing subscription to the list."""
 
 
 @dataclass(frozen=True)
-class Tell:
+class SendToPeer:
     data: bytes
     peer: int = -1  # -1: every other node
 
--- a/cottonspread/lab/scale/module_node.py
+++ b/cottonspread/lab/scale/module_node.py
@@ -18,7 +18,7 @@
 def begin(seed=1, probed=False):
     """Settings of a node in a fleet of the target's size, groups sharing work."""
     kind = io.TrafficType("listen", io.Effect.REPEATABLE, "all", 5 * SECOND, SECOND, GUARD, 1.0, 140_000)
-    return io.Begin(
+    return io.NodeConfig(
         seed=seed,
         me=0,
         nodes=NODES,
@@ -27,7 +27,7 @@
         types=(kind,),
         legs=io.LegLimits(3, False, True, False, 0),
         cold=io.ColdStart(0.12, 20 * SECOND, 2.5, 2 * SECOND),
-        listing=io.ListRules(False, 10 * SECOND, SECOND // 2),
+        listing=io.ServerListRules(False, 10 * SECOND, SECOND // 2),
         prices=io.Prices(0.03, 0.03),
         groups_share_work=True,
         loads_probed=probed,
@@ -48,7 +48,7 @@
         self.balancer = Balancer(self.now, begin(seed, probed))
         self.standing = {}  # call: its server's number
         self.entries = {}  # server's name: its entry as last listed
-        self.list(io.News.FULL, [entry(n) for n in range(servers)])
+        self.list(io.ListUpdateKind.FULL, [entry(n) for n in range(servers)])
         for number in range(connections):
             group = "large" if number < large_group else f"group-{number % groups}"
             self.hold(group, number)
@@ -61,15 +61,15 @@
         """A word of the list; returns the module's actions."""
         self.version += 1
         self.entries.update((one.host, one) for one in entries)
-        return self.handle(io.Listed(news, self.version, tuple(entries)))
+        return self.handle(io.ListUpdate(news, self.version, tuple(entries)))
 
     def hold(self, group, number):
         """A connection that stands already; they are spread evenly, as the module keeps them."""
         server = number % self.servers
         call = self.next_call()
         held_by = f"server-{server}"
-        self.handle(io.Arrived(call, 0, GUARD, f"key-{call}", group, held_by=held_by))
-        self.handle(io.LoadTold(call, LOAD))
+        self.handle(io.CallArrived(call, 0, GUARD, f"key-{call}", group, held_by=held_by))
+        self.handle(io.LoadReported(call, LOAD))
         self.standing[call] = server
 
     def next_call(self):
@@ -80,16 +80,16 @@
     def arrive(self, group=None, key=None):
         """A call comes; returns (its id, whether the module sent it somewhere). Probes are answered."""
         call = self.next_call()
-        actions = self.handle(io.Arrived(call, 0, GUARD, key or f"key-{call}", group))
+        actions = self.handle(io.CallArrived(call, 0, GUARD, key or f"key-{call}", group))
         while actions and isinstance(actions[-1], io.Probe):
-            actions = self.handle(io.Probed(actions[-1].host, io.Ending.OK, load=0.2))
+            actions = self.handle(io.ProbeEnded(actions[-1].host, io.Ending.OK, load=0.2))
         return call, any(isinstance(action, io.Send) for action in actions)
 
     def whole_call(self, group=None):
         """A call comes, is accepted and ends."""
         call, sent = self.arrive(group)
         if sent:
-            self.handle(io.Accepted(call, 0, 0))
+            self.handle(io.LegAccepted(call, 0, 0))
             self.handle(io.LegEnded(call, 0, io.Ending.OK, True))
         self.now += 10
 
@@ -100,21 +100,22 @@
 
     def drain(self, number):
         """Server `number` is told to drain."""
-        return self.list(io.News.CHANGES, [entry(number, state=io.State.DRAINING)])
+        return self.list(io.ListUpdateKind.CHANGES, [entry(number, state=io.HostState.DRAINING)])
 
     def started_anew(self, number):
         """Server `number` is listed as started just now."""
-        return self.list(io.News.CHANGES, [entry(number, started=self.now)])
+        return self.list(io.ListUpdateKind.CHANGES, [entry(number, started=self.now)])
 
     def whole_list(self):
         """The whole list, read again unchanged."""
         return self.list(
-            io.News.FULL, [one for one in self.entries.values() if one.state is not io.State.GONE]
+            io.ListUpdateKind.FULL,
+            [one for one in self.entries.values() if one.state is not io.HostState.GONE],
         )
 
     def lose(self, numbers):
         """These servers vanish from the list at once."""
-        return self.list(io.News.CHANGES, [entry(n, state=io.State.GONE) for n in numbers])
+        return self.list(io.ListUpdateKind.CHANGES, [entry(n, state=io.HostState.GONE) for n in numbers])
 
     def break_off(self, numbers):
         """All connections on these servers break; returns the events that tell it."""
--- a/cottonspread/lab/scale/module_sweeps.py
+++ b/cottonspread/lab/scale/module_sweeps.py
@@ -96,7 +96,7 @@
     def loads(self):
         """Loads told on standing connections."""
         calls = self.chance.sample(sorted(self.node.standing), CALLS)
-        works = [lambda call=call: self.node.handle(io.LoadTold(call, 12_000.0)) for call in calls]
+        works = [lambda call=call: self.node.handle(io.LoadReported(call, 12_000.0)) for call in calls]
         self.note("load_told", Cost.of(works), False)
 
     def words(self):
@@ -138,7 +138,7 @@
     def ready(self):
         """Tells a load, other than the last; returns the look."""
         self.told += 1
-        self.node.handle(io.LoadTold(self.call, self.told))
+        self.node.handle(io.LoadReported(self.call, self.told))
         return self.node.look
 
 
--- a/cottonspread/lab/scale/reducer_node.py
+++ b/cottonspread/lab/scale/reducer_node.py
@@ -45,7 +45,7 @@
         self.version += 1
         entries = tuple(entry(n) for n in range(self.servers))
         addresses = {one.host: address(n) for n, one in enumerate(entries)}
-        return self.step(ev.Heard(io.Listed(io.News.FULL, self.version, entries), addresses))
+        return self.step(ev.Heard(io.ListUpdate(io.ListUpdateKind.FULL, self.version, entries), addresses))
 
     def adopt(self, number, group, waiting=()):
         """A connection that stands already; they are spread evenly, as the module keeps them. `waiting`: when
--- a/cottonspread/lab/sim/node.py
+++ b/cottonspread/lab/sim/node.py
@@ -14,7 +14,7 @@
 from cottonspread import config
 from cottonspread.front import handover
 from cottonspread.front.lateness import Door
-from cottonspread.interface import Ending, News
+from cottonspread.interface import Ending, ListUpdateKind
 from cottonspread.lab.sim.seam import Contract
 from cottonspread.lab.sim.ways import Place
 from cottonspread.lab.sim.world import EPOCH, SECOND
@@ -261,7 +261,7 @@
             None,
             not shared,
         )
-        version, listed, addresses, unread = discovery.read_list(known, names, News.SAVED)
+        version, listed, addresses, unread = discovery.read_list(known, names, ListUpdateKind.SAVED)
         self.door = Door(door_target(begin))
         self.discovery = discovery.Discovery(
             place.discovery,
--- a/cottonspread/net/departure.py
+++ b/cottonspread/net/departure.py
@@ -136,7 +136,7 @@
             for leg in conn.legs if not conn.up else ():
                 self.front.end_leg(leg, Ending.TIMEOUT)  # and no other leg is sent, see `send`
         for name in sorted(self.front.asking, key=str):  # calls that wait for a probe are lost as well
-            self.front.tell(io.Probed(name, Ending.FULL))
+            self.front.tell(io.ProbeEnded(name, Ending.FULL))
         self.front.asking.clear()
 
     def stop_when_done(self):
--- a/cottonspread/net/discovery.py
+++ b/cottonspread/net/discovery.py
@@ -11,7 +11,7 @@
 
 log = logging.getLogger("cottonspread.discovery")
 
-STATES = {"Ready": io.State.UP, "Terminating": io.State.DRAINING, "Gone": io.State.GONE}
+STATES = {"Ready": io.HostState.UP, "Terminating": io.HostState.DRAINING, "Gone": io.HostState.GONE}
 
 
 class ListError(ValueError):
@@ -21,7 +21,7 @@
 def read_entry(one, names, state):
     host, _, port = str(one.get("hostPort")).rpartition(":")
     address = None
-    if state is not io.State.GONE:  # what is gone needs no address
+    if state is not io.HostState.GONE:  # what is gone needs no address
         if not host or not 0 < int(port) < 65536:
             raise ValueError(f"hostPort: {one.get('hostPort')!r}")
         address = host, int(port)
@@ -44,7 +44,7 @@
 
 
 def read_list(said, names, news=None, before=None):
-    """An answer as JSON: (version, Listed, addresses by server, {server: why its entry could not be read}).
+    """An answer as JSON: (version, ListUpdate, addresses by server, {server: why its entry is unreadable}).
 
     An entry that cannot be read costs its own news alone: its server stays as it was told `before`
     (entry and address by server), but that it drains or is gone is taken in, for nothing may go there.
@@ -52,7 +52,7 @@
     """
     try:
         version, instances = int(said["generation"]), said["instances"]
-        news = news or (io.News.FULL if said["reset"] else io.News.CHANGES)
+        news = news or (io.ListUpdateKind.FULL if said["reset"] else io.ListUpdateKind.CHANGES)
         if not isinstance(instances, list):
             raise TypeError("instances: not a list")
     except FAULTS as fault:
@@ -75,9 +75,9 @@
             entry = entry._replace(state=state or entry.state)
         entries[name] = entry
         addresses.pop(name, None)
-        if entry.state is not io.State.GONE:
+        if entry.state is not io.HostState.GONE:
             addresses[name] = address
-    return version, io.Listed(news, version, tuple(entries.values())), addresses, unread
+    return version, io.ListUpdate(news, version, tuple(entries.values())), addresses, unread
 
 
 class Discovery:
@@ -199,7 +199,7 @@
         except (ValueError, RecursionError) as fault:
             raise ListError(f"no JSON: {fault}") from fault
         version, listed, addresses, unread = read_list(said, self.names, before=self.told)
-        full = listed.news is io.News.FULL
+        full = listed.news is io.ListUpdateKind.FULL
         if version < self.version:
             # An old answer must not bring back what is gone; only discovery
             # begun anew says it again and again.
@@ -228,10 +228,10 @@
         """What could not be read is said once, not at each list: the same
         entry comes again with every whole one.
         """
-        self.told = self.told if listed.news is io.News.CHANGES else {}
+        self.told = self.told if listed.news is io.ListUpdateKind.CHANGES else {}
         for entry in listed.entries:
             self.told[entry.host] = entry, addresses.get(entry.host)
-            if entry.state is io.State.GONE:
+            if entry.state is io.HostState.GONE:
                 del self.told[entry.host]
         if unread and unread != self.unread:
             name, why = next(iter(unread.items()))
--- a/cottonspread/net/events.py
+++ b/cottonspread/net/events.py
@@ -70,7 +70,7 @@
 class Heard:
     """Discovery has spoken."""
 
-    listed: io.Listed
+    listed: io.ListUpdate
     addresses: dict
 
 
@@ -135,7 +135,7 @@
 class Retuned:
     """SIGHUP with a file that is in order."""
 
-    begin: io.Begin
+    begin: io.NodeConfig
     names: object
     hearing: object
 
--- a/cottonspread/net/node.py
+++ b/cottonspread/net/node.py
@@ -14,7 +14,7 @@
 from dataclasses import replace
 
 from cottonspread.front.lateness import Door
-from cottonspread.interface import News
+from cottonspread.interface import ListUpdateKind
 from cottonspread.net import admin, discovery, lines, passing, workers
 from cottonspread.net import events as ev
 from cottonspread.net.admission import Admission
@@ -100,7 +100,7 @@
         self.most = self.all = most_ends(room, place.operator)
         self.workers = workers.Workers(Pool(), self.post, self.clock.now, lambda: (self.done.set(), ended()))
         self.lock, self.door = threading.Lock(), Door(door_target(begin))
-        version, listed, addresses, unread = discovery.read_list(known, names, News.SAVED)
+        version, listed, addresses, unread = discovery.read_list(known, names, ListUpdateKind.SAVED)
         self.discovery = discovery.Discovery(
             place.discovery,
             names,
--- a/cottonspread/net/reducer.py
+++ b/cottonspread/net/reducer.py
@@ -42,7 +42,7 @@
 SILENT = 9 * SECOND // 2
 STANDING_WAIT = 40 * SECOND  # for a connection that was open before the start
 PROBE_WAIT = SECOND // 4  # a host that takes longer to tell its load is no place for a new call
-NOT_LISTED = io.Entry(None, state=io.State.GONE)
+NOT_LISTED = io.Entry(None, state=io.HostState.GONE)
 PROBES_PART = 4  # one part in so many of all ends, at most, is probes: each has a thread and a descriptor
 
 
@@ -243,7 +243,7 @@
                 self.move(action.call, "moved")
             case io.Timer():
                 self.after(action.after, self.tell, io.TimerFired(action.token))
-            case io.Follow():
+            case io.Subscribe():
                 self.out.append(ev.FollowList())
             case io.Probe():
                 self.probe(action.host)
@@ -346,7 +346,7 @@
         self.read(conn.client)  # to notice when it leaves
         self.at(conn.guard + self.begin.tick, self.overdue, conn)
         self.tell(
-            io.Arrived(
+            io.CallArrived(
                 conn,
                 opening.type,
                 left,
@@ -387,7 +387,7 @@
             return
         conn.answered, conn.reason = True, conn.reason or reason
         if not conn.up:
-            self.tell(io.Expired(conn))
+            self.tell(io.CallExpired(conn))
         for leg in conn.legs:
             self.end_leg(leg, Ending.CANCELLED)
 
@@ -424,7 +424,7 @@
             and not self.begin.legs.two_at_once
         ):
             conn.legs.append(leg)
-            self.end_leg(leg, Ending.MOOT)
+            self.end_leg(leg, Ending.NOT_SENT)
             return
         if leg.host.address is None:  # listed nowhere any more
             conn.legs.append(leg)
@@ -491,7 +491,12 @@
         if leg.conn.opening.held_by is not None:  # it stands there already
             return ""
         entry, server = self.entries.get(leg.host.name), self.servers.get(leg.host.name)
-        if entry is None or entry.state is not io.State.UP or server is None or server.address != leg.address:
+        if (
+            entry is None
+            or entry.state is not io.HostState.UP
+            or server is None
+            or server.address != leg.address
+        ):
             return "host-drains"
         return "too-late" if leg.by and self.now >= leg.by else ""
 
@@ -501,7 +506,7 @@
         """
         if not leg.ended:
             self.out.append(ev.Say("not-sent", {"host": leg.host.name, "why": why}))
-        self.end_leg(leg, Ending.CONNECT_FAILED if why == "host-drains" else Ending.MOOT)
+        self.end_leg(leg, Ending.CONNECT_FAILED if why == "host-drains" else Ending.NOT_SENT)
 
     def end_leg(self, leg, ending, broken=False):
         """What comes late from an ended leg is dropped."""
@@ -510,7 +515,7 @@
         # A leg that was given up before its line went to the workers cannot have run: a call that must not
         # run twice was answered as failed, though it had never been sent.
         if not leg.begun and leg.conn.opening.held_by is None:
-            ending = {Ending.TIMEOUT: Ending.CONNECT_FAILED, Ending.CANCELLED: Ending.MOOT}.get(
+            ending = {Ending.TIMEOUT: Ending.CONNECT_FAILED, Ending.CANCELLED: Ending.NOT_SENT}.get(
                 ending, ending
             )
         leg.ended = True
@@ -558,7 +563,7 @@
             if self.heir:
                 self.busy.append(conn)
             if conn.opening.held_by is None:
-                self.tell(io.Accepted(conn, leg.number, 0))
+                self.tell(io.LegAccepted(conn, leg.number, 0))
             self.pass_on(leg, data, len(first) + 1)
         elif ending is Ending.OK:  # it ran, and to its end
             conn.answered = True
@@ -601,7 +606,7 @@
             self.tell_loads(leg.host, notes.mistaken)
             notes.mistaken.clear()
             if delay:
-                self.tell(io.DelayTold(leg.conn, delay))
+                self.tell(io.DelayReported(leg.conn, delay))
             if delay is not None:
                 return
         self.tell_load(leg, value)
@@ -610,7 +615,7 @@
         leg.heard.load = value
         self.usual += (value - self.usual) / 50 if self.usual else value
         if self.hearing.loads:
-            self.tell(io.LoadTold(leg.conn, value))
+            self.tell(io.LoadReported(leg.conn, value))
 
     def tell_loads(self, host, loads):
         for heard, load in loads:
@@ -640,7 +645,7 @@
 
     def tell_delay(self, leg, delay, over):
         leg.host.notes.told_at, leg.host.notes.over = self.now, over
-        self.tell(io.DelayTold(leg.conn, delay))
+        self.tell(io.DelayReported(leg.conn, delay))
 
     def listen(self):
         """A host that echoes nothing tells by that alone what its messages take, at least."""
@@ -677,13 +682,13 @@
         """
         host = self.server(name)
         if host.address is None:
-            self.tell(io.Probed(name, Ending.CONNECT_FAILED))
+            self.tell(io.ProbeEnded(name, Ending.CONNECT_FAILED))
         elif (
             self.probes * PROBES_PART >= self.most_ends
             or self.ends + 2 > self.most_ends
             or self.departure.hurries()
         ):
-            self.tell(io.Probed(name, Ending.FULL))
+            self.tell(io.ProbeEnded(name, Ending.FULL))
         else:
             self.asking.add(name)
             self.probes += 1
@@ -934,15 +939,15 @@
     def heard(self, e):
         for name, address in e.addresses.items():
             self.server(name).address = address
-        self.listed = self.listed or any(entry.state is io.State.UP for entry in e.listed.entries)
+        self.listed = self.listed or any(entry.state is io.HostState.UP for entry in e.listed.entries)
         self.tell(e.listed)
         # Weights that move come each second; what is said of the list is who came, left or began anew.
         new = [
             entry for entry in e.listed.entries if not entry.like(self.entries.get(entry.host, NOT_LISTED))
         ]
         self.entries.update((entry.host, entry) for entry in new)
-        gone = {entry.host for entry in e.listed.entries if entry.state is io.State.GONE}
-        if e.listed.news is not io.News.CHANGES:
+        gone = {entry.host for entry in e.listed.entries if entry.state is io.HostState.GONE}
+        if e.listed.news is not io.ListUpdateKind.CHANGES:
             gone |= self.servers.keys() - e.addresses.keys()
         for name in gone:
             self.entries.pop(name, None)
@@ -952,7 +957,7 @@
                 if not server.legs:
                     del self.servers[name]
         self.figures.hosts_listed = len(self.entries)
-        if new or gone or e.listed.news is not io.News.CHANGES:
+        if new or gone or e.listed.news is not io.ListUpdateKind.CHANGES:
             self.out.append(
                 ev.Say(
                     "list",
@@ -966,7 +971,7 @@
 
     def list_failed(self, e):
         if self.begin.listing.ask:  # the others are not told, and keep the last list
-            self.tell(io.Listed(io.News.FAILED, took=e.took))
+            self.tell(io.ListUpdate(io.ListUpdateKind.FAILED, took=e.took))
 
     # Other settings, and the next process
 
@@ -981,7 +986,7 @@
         for host in self.servers.values():
             host.notes.slow_from = self.slow_from
         self.figures.reconfig_ok += 1
-        self.tell(io.Retuned(e.begin))
+        self.tell(io.Reconfigured(e.begin))
 
     def not_retuned(self, e):
         self.figures.reconfig_failed += 1
@@ -1106,7 +1111,7 @@
         self.ended_ids.pop(one.id, None)  # the predecessor told it with the others that were open
         self.by_id[one.id] = conn
         self.ends += 2
-        self.tell(io.Arrived(conn, number, 0, one.key, one.group, one.tenant, one.load, held_by=one.host))
+        self.tell(io.CallArrived(conn, number, 0, one.key, one.group, one.tenant, one.load, held_by=one.host))
         if one.load:
             self.tell_load(leg, one.load)
         for end in (e.client, e.host):
--- a/cottonspread/policy/membership.py
+++ b/cottonspread/policy/membership.py
@@ -1,6 +1,6 @@
 """Membership: which servers there are, as the list tells."""
 
-from cottonspread.interface import News
+from cottonspread.interface import ListUpdateKind
 from cottonspread.state import SECOND
 from cottonspread.structures import NominalSizes, ServerTable
 
@@ -18,7 +18,7 @@
     def read(self, listed):
         """Takes in a word from the list; returns (servers now unfit for records, servers started anew,
         whether more is new than weights that move)."""
-        lost, started, known, new = [], [], len(self.hosts), listed.news is not News.CHANGES
+        lost, started, known, new = [], [], len(self.hosts), listed.news is not ListUpdateKind.CHANGES
         for host, entry in self.take_in(listed):
             new = self.sizes.take_in(entry, host.entry) or new or not entry.like(host.entry)
             if entry.started > host.entry.started:
--- a/cottonspread/policy/path.py
+++ b/cottonspread/policy/path.py
@@ -10,7 +10,7 @@
 
 from cottonspread import interface as io
 from cottonspread.driver import Driver
-from cottonspread.interface import Ending, News, State
+from cottonspread.interface import Ending, HostState, ListUpdateKind
 from cottonspread.policy.ceilings import Ceilings
 from cottonspread.policy.choice import Choice
 from cottonspread.policy.groups import Groups
@@ -49,9 +49,9 @@
                 continue  # chosen again, with what the probe told
             self.records.put(call.key, host, self.now)
             result = yield io.Send(call.id, host.name, until, remembered_until(call))
-            if isinstance(result, io.Accepted):
+            if isinstance(result, io.LegAccepted):
                 result = yield None  # it stands; its end closes the call
-            if result.ending is Ending.MOOT:
+            if result.ending is Ending.NOT_SENT:
                 break  # there is no time or no leg left for it
         if may_reject(call):
             yield io.Reject(call.id, self.retry_after())
@@ -71,7 +71,7 @@
         self.seen_off = deque()  # legs at servers that drain
         self.overdue_at = now  # see `Choice`
         if begin.listing.ask:
-            self.out.append(io.Follow())
+            self.out.append(io.Subscribe())
 
     def met(self, call):
         """A call has arrived."""
@@ -138,7 +138,7 @@
             if len(self.unanswered) >= Health.RUN:
                 # What all set-ups need is to blame: legs sent again by all nodes keep a session store jammed.
                 host = self.way
-        if ending not in (Ending.MOOT, Ending.ERROR) and not self.broke_alone(host, ending):
+        if ending not in (Ending.NOT_SENT, Ending.ERROR) and not self.broke_alone(host, ending):
             self.bad(host, ending)
 
     def broke_alone(self, host, ending):
@@ -208,7 +208,7 @@
 
     def listed(self, e):
         """A word from the list, or of an asking that failed."""
-        if e.news is News.FAILED:
+        if e.news is ListUpdateKind.FAILED:
             self.out.append(io.Timer(self.membership.wait_to_ask(e.took), "ask"))
             return
         self.membership.failures = 0
@@ -229,7 +229,7 @@
         """A server takes nothing new. If it drains its clients leave one by one, from half a second on."""
         self.records.drop_value(host)
         leaving = [] if host.drains else [leg for leg in host.legs if leg.accepted]
-        host.drains = host.entry.state is State.DRAINING
+        host.drains = host.entry.state is HostState.DRAINING
         if not host.drains or self.settings.moving > self.DEAREST_MOVE:
             return
         for n, leg in enumerate(leaving):
--- a/cottonspread/policy/retries.py
+++ b/cottonspread/policy/retries.py
@@ -2,7 +2,7 @@
 
 from cottonspread.interface import Effect, Ending
 
-NEVER_RAN = {Ending.FULL, Ending.CONNECT_FAILED, Ending.MOOT}
+NEVER_RAN = {Ending.FULL, Ending.CONNECT_FAILED, Ending.NOT_SENT}
 
 
 def may_have_run(call):
--- a/cottonspread/state.py
+++ b/cottonspread/state.py
@@ -6,7 +6,7 @@
 from zlib import crc32
 
 from cottonspread import interface as io
-from cottonspread.interface import Ending, State
+from cottonspread.interface import Ending, HostState
 
 SECOND = 1_000_000
 
@@ -51,7 +51,7 @@
 
 
 class Settings:
-    """What is in force, out of `Begin`. All parts of the policy hold this one object."""
+    """What is in force, out of `NodeConfig`. All parts of the policy hold this one object."""
 
     def __init__(self, begin, untold):
         """`untold`: the number of nodes to reckon with where none is told."""
@@ -109,7 +109,7 @@
     @property
     def up(self):
         """Whether the list lets it have something new."""
-        return self.entry.state is State.UP
+        return self.entry.state is HostState.UP
 
     def standing(self):
         """Its legs that are accepted and not asked to leave."""
--- a/cottonspread/structures/server_table.py
+++ b/cottonspread/structures/server_table.py
@@ -1,7 +1,7 @@
 """The servers by name, taken from the words of the list."""
 
 from cottonspread import interface as io
-from cottonspread.interface import News, State
+from cottonspread.interface import HostState, ListUpdateKind
 from cottonspread.state import Host
 
 
@@ -16,9 +16,9 @@
         """(server, its entry from now on) for each that a word from the list is about; the server still has
         the entry from before, or the new one if it was not known."""
         entries = list(listed.entries)
-        if listed.news is not News.CHANGES:
+        if listed.news is not ListUpdateKind.CHANGES:
             named = {entry.host for entry in entries}
-            entries += [io.Entry(name, state=State.GONE) for name in self.hosts if name not in named]
+            entries += [io.Entry(name, state=HostState.GONE) for name in self.hosts if name not in named]
         for entry in entries:
             host = self.hosts.get(entry.host)
             if host is None:
@@ -27,7 +27,7 @@
 
     def unlisted(self, name):
         """The server of this name; one that no list told of gets nothing new."""
-        return self.hosts.setdefault(name, Host(name, io.Entry(name, state=State.GONE)))
+        return self.hosts.setdefault(name, Host(name, io.Entry(name, state=HostState.GONE)))
 
     def up(self):
         """The servers that may get something new as far as the list goes."""
@@ -35,11 +35,11 @@
 
     def avoided(self, now):
         """How many listed servers get nothing new now: they drain, or are set aside."""
-        listed = [host for host in self.hosts.values() if host.entry.state is not State.GONE]
+        listed = [host for host in self.hosts.values() if host.entry.state is not HostState.GONE]
         return sum(not host.up or now < host.aside_until for host in listed)
 
     def drop_gone(self, hosts):
         """Forgets those of these servers that are gone and hold no leg."""
         for host in hosts:
-            if host.entry.state is State.GONE and not host.legs:
+            if host.entry.state is HostState.GONE and not host.legs:
                 self.hosts.pop(host.name, None)
--- a/tests/crossings/test_list.py
+++ b/tests/crossings/test_list.py
@@ -389,7 +389,9 @@
             agent.scripted.put(no_news)
         agent.scripted.put(falls_silent)
         agent.change(hosts[1], "Ready")
-        node.seen.wait(ev.Heard, lambda e: any(one.state is io.State.DRAINING for one in e.listed.entries))
+        node.seen.wait(
+            ev.Heard, lambda e: any(one.state is io.HostState.DRAINING for one in e.listed.entries)
+        )
         assert len(silences) == 1
         one = client(node, opening(1))
         peer = hosts[1].take()
--- a/tests/notation.py
+++ b/tests/notation.py
@@ -29,7 +29,7 @@
 
 
 def begin(o, types, tenants=()):
-    return io.Begin(
+    return io.NodeConfig(
         int(o.get("seed", 7)),
         0,
         int(o.get("nodes", 1)),
@@ -39,7 +39,7 @@
         tuple(io.Tenant(str(n), 1, 0, float(q)) for n, q in enumerate(o.get("quota", "").split(",")) if q),
         io.LegLimits(int(o.get("legs", 4)), False, True, "retry_after" in o, ms(o.get("retry_after", 0))),
         io.ColdStart(float(o.get("cold", 0.12)), ms(o.get("warm", 20000)), 2.5, ms(2000)),
-        io.ListRules(o.get("list") == "ask", ms(10000), ms(400)),
+        io.ServerListRules(o.get("list") == "ask", ms(10000), ms(400)),
         io.Prices(float(o.get("crossing", 0)), float(o.get("moving", 0.03))),
         False,
         "tell" in o,
@@ -59,7 +59,7 @@
         float(o.get("size", 1)),
         int(o.get("cell", 0)),
         ms(o.get("started", 0)),
-        io.State(o.get("state", "up")),
+        io.HostState(o.get("state", "up")),
     )
 
 
--- a/tests/scale/test_module_work.py
+++ b/tests/scale/test_module_work.py
@@ -19,14 +19,14 @@
     """So many connections more, each of a group of its own, all on one server."""
     for _ in range(count):
         call = node.next_call()
-        node.handle(io.Arrived(call, 0, GUARD, None, f"held-{call}", held_by=host))
-        node.handle(io.LoadTold(call, LOAD))
+        node.handle(io.CallArrived(call, 0, GUARD, None, f"held-{call}", held_by=host))
+        node.handle(io.LoadReported(call, LOAD))
 
 
 def settled(node):
     """The node after its groups' parts of all calls have become small, and a look at all servers."""
     for n in range(600):
-        node.handle(io.Arrived(f"warm-{n}", 0, 0, None, f"warm-{n}"))
+        node.handle(io.CallArrived(f"warm-{n}", 0, 0, None, f"warm-{n}"))
     node.look()
     return node
 
@@ -107,7 +107,7 @@
     def work(connections):
         node = ModuleNode(connections, 40, 40)
         node.look()
-        node.handle(io.LoadTold(next(iter(node.standing)), 2 * LOAD))
+        node.handle(io.LoadReported(next(iter(node.standing)), 2 * LOAD))
         return lines_run(node.look)
 
     few, many = work(40), work(400)
@@ -134,7 +134,7 @@
         node = ModuleNode(400, 200, 400)
         node.now += 10 * SECOND
         started = [entry(n, started=node.now - SECOND) for n in range(fresh)]
-        node.list(io.News.CHANGES, started)
+        node.list(io.ListUpdateKind.CHANGES, started)
         node.look()
         group = "group-150"  # it has a record: the call goes there at once
         node.whole_call(group)
--- a/tests/scale/test_overview.py
+++ b/tests/scale/test_overview.py
@@ -6,7 +6,7 @@
 from notation import begin, traffic_type
 
 from cottonspread import interface as io
-from cottonspread.interface import Ending, State
+from cottonspread.interface import Ending, HostState
 from cottonspread.policy import Balancer
 from cottonspread.policy.ceilings import Ceilings
 from cottonspread.state import SECOND
@@ -53,7 +53,7 @@
         self.site = site
         self.node = Balancer(self.now, begin(site, self.types))
         self.entries = {n: io.Entry(f"s{n}", n % 3) for n in range(SERVERS)}
-        self.tell(io.Listed(io.News.FULL, 1, tuple(self.entries.values())))
+        self.tell(io.ListUpdate(io.ListUpdateKind.FULL, 1, tuple(self.entries.values())))
 
     def tell(self, event):
         """Passes an event on, and answers what is asked for."""
@@ -62,16 +62,21 @@
                 self.open.setdefault(action.call, []).append(action.host)
             elif isinstance(action, io.Probe):
                 load = self.chance.choice((0.2, 0.5, 0.9, 1.5))
-                self.tell(io.Probed(action.host, Ending.OK, 0, load))
+                self.tell(io.ProbeEnded(action.host, Ending.OK, 0, load))
 
     def change(self):
         """The list tells of some server."""
         number = self.chance.randrange(SERVERS)
         news = self.chance.choice(
-            ({"state": State.DRAINING}, {"state": State.GONE}, {"state": State.UP}, {"started": self.now})
+            (
+                {"state": HostState.DRAINING},
+                {"state": HostState.GONE},
+                {"state": HostState.UP},
+                {"started": self.now},
+            )
         )
         self.entries[number] = self.entries[number]._replace(**news)
-        self.tell(io.Listed(io.News.CHANGES, 1, (self.entries[number],)))
+        self.tell(io.ListUpdate(io.ListUpdateKind.CHANGES, 1, (self.entries[number],)))
 
     def end(self, call, leg):
         """A leg ends. After an error the call may go on, and its next leg be accepted much later."""
@@ -90,23 +95,23 @@
             held = f"s{chance.randrange(SERVERS)}" if chance.random() < 0.2 else None
             if held:
                 self.open[self.calls] = [held]
-            self.tell(io.Arrived(self.calls, 0, SECOND, None, f"g{self.calls % 7}", held_by=held))
+            self.tell(io.CallArrived(self.calls, 0, SECOND, None, f"g{self.calls % 7}", held_by=held))
             return
         call = chance.choice(list(self.open))
         leg = len(self.open[call]) - 1
         if kind < 0.55:
-            self.tell(io.Accepted(call, leg, 0))
+            self.tell(io.LegAccepted(call, leg, 0))
         elif kind < 0.7:
             self.end(call, leg)
         elif kind < 0.8:
-            self.tell(io.LoadTold(call, chance.choice((0.0, 5000.0, chance.random() * 20_000))))
+            self.tell(io.LoadReported(call, chance.choice((0.0, 5000.0, chance.random() * 20_000))))
         elif kind < 0.93:
-            self.tell(io.DelayTold(call, chance.choice(DELAYS)))
+            self.tell(io.DelayReported(call, chance.choice(DELAYS)))
         elif kind < 0.98:
             self.change()
         else:
             faster = (traffic_type("t", {"message": chance.choice((20, 50, 400))}),)
-            self.tell(io.Retuned(begin(self.site, faster)))
+            self.tell(io.Reconfigured(begin(self.site, faster)))
 
 
 @pytest.mark.parametrize("seed", range(24))
--- a/tests/test_idle.py
+++ b/tests/test_idle.py
@@ -17,7 +17,7 @@
     """(microseconds, calls) of the longest stretch of CALLS calls or more, all of them turned away.
     Every attempt ends as `ending` says: in its time, or at once."""
     node = Balancer(0, begin({"nodes": 20} | site, (traffic_type("t", {}),)))
-    node.handle(0, io.Listed(io.News.FULL, 1, tuple(entry(f"s{n}") for n in range(servers))))
+    node.handle(0, io.ListUpdate(io.ListUpdateKind.FULL, 1, tuple(entry(f"s{n}") for n in range(servers))))
     ends, attempts, longest = [], {}, (0, 0)
     last, turned_away = 0, 0
 
@@ -40,7 +40,7 @@
             at, call, number = heapq.heappop(ends)
             carry_out(at, node.handle(at, io.LegEnded(call, number, ending, False)))
         call = f"c{now}"
-        carry_out(now, node.handle(now, io.Arrived(call, 0, 2 * SECOND, call, group and f"g{now % 5}")))
+        carry_out(now, node.handle(now, io.CallArrived(call, 0, 2 * SECOND, call, group and f"g{now % 5}")))
     assert len(attempts) > LASTS // IDLE, "hardly anything was tried"
     return longest
 
@@ -56,11 +56,11 @@
 def test_a_cold_server_is_no_last_resort():
     """Its budget is all nodes' together: calls that it may not have are turned away, however many come."""
     node = Balancer(0, begin({"nodes": 100, "seed": 5}, (traffic_type("t", {}),)))
-    node.handle(0, io.Listed(io.News.FULL, 1, (entry("a:started=1"),)))
+    node.handle(0, io.ListUpdate(io.ListUpdateKind.FULL, 1, (entry("a:started=1"),)))
     sent = [
         action
         for n in range(1, 121)  # twelve a second for ten seconds, in which the node draws five times
-        for action in node.handle(SECOND * n // 12, io.Arrived(f"c{n}", 0, 2 * SECOND, f"c{n}"))
+        for action in node.handle(SECOND * n // 12, io.CallArrived(f"c{n}", 0, 2 * SECOND, f"c{n}"))
         if isinstance(action, io.Send)
     ]
     assert not sent, len(sent)
--- a/tests/test_idle_widely.py
+++ b/tests/test_idle_widely.py
@@ -37,7 +37,7 @@
     def __init__(self, servers, rate, grouped, **site):
         self.node = Balancer(0, begin(site, (traffic_type("t", {}),)))
         self.servers = [f"s{number}" for number in range(servers)]
-        self.handle(0, io.Listed(io.News.FULL, 1, tuple(entry(name) for name in self.servers)))
+        self.handle(0, io.ListUpdate(io.ListUpdateKind.FULL, 1, tuple(entry(name) for name in self.servers)))
         self.between, self.grouped = SECOND // rate, grouped
         self.due = []  # (time, number, event) still to be told to the node, a heap
         self.told = itertools.count()
@@ -76,7 +76,7 @@
                 self.handle(at, event)
             number = now // self.between
             group = f"g{number % 5}" if self.grouped else None
-            self.handle(now, io.Arrived(f"c{now}", 0, 2 * SECOND, f"c{now}", group))
+            self.handle(now, io.CallArrived(f"c{now}", 0, 2 * SECOND, f"c{now}", group))
 
     def idle_time(self, now):
         """The longest time until now in which CALLS calls or more were all turned away, in microseconds."""
@@ -102,7 +102,7 @@
 
     def sent(self, now, action, leg):
         if self.sound:
-            self.tell(now + ANSWER_TIME, io.Accepted(action.call, leg, 0))
+            self.tell(now + ANSWER_TIME, io.LegAccepted(action.call, leg, 0))
             self.tell(now + ANSWER_TIME, io.LegEnded(action.call, leg, Ending.OK, True))
             return
         ending = self.chance.choice(self.endings)
@@ -122,7 +122,7 @@
             call = f"{name}.{number}"
             self.standing[call] = name
             group = f"g{number}" if grouped else None
-            self.handle(0, io.Arrived(call, 0, 2 * SECOND, call, group, held_by=name))
+            self.handle(0, io.CallArrived(call, 0, 2 * SECOND, call, group, held_by=name))
         for at in range(SECOND, LASTS, TELLING):
             self.run(at, at + TELLING)
             self.tell_delays(at + TELLING)
@@ -132,14 +132,14 @@
         delay = self.DELAYS[now // TELLING % len(self.DELAYS)]
         for call in one_of.values():
             if call in self.standing:  # a word told just now may have moved it
-                self.handle(now, io.DelayTold(call, delay))
+                self.handle(now, io.DelayReported(call, delay))
 
     def sent(self, now, action, leg):
         self.standing[action.call] = action.host
-        self.handle(now, io.Accepted(action.call, leg, 0))
+        self.handle(now, io.LegAccepted(action.call, leg, 0))
 
     def probed(self, now, name):
-        self.tell(now, io.Probed(name, Ending.OK, 0, self.load_told, 0))
+        self.tell(now, io.ProbeEnded(name, Ending.OK, 0, self.load_told, 0))
 
     def moved(self, now, call):
         self.standing.pop(call, None)
@@ -199,7 +199,7 @@
     play = Failing((Ending.CONNECT_FAILED,), 6, 12, False, 20)
     play.run(SECOND, 20 * SECOND)
     left = (entry("s0:state=draining"), entry("s1:state=gone"), entry("s2:state=draining"))
-    play.handle(20 * SECOND, io.Listed(io.News.CHANGES, 2, left))
+    play.handle(20 * SECOND, io.ListUpdate(io.ListUpdateKind.CHANGES, 2, left))
     play.tried.clear()
     play.run(20 * SECOND, 60 * SECOND)
     assert play.tried == {"s3", "s4", "s5"}
@@ -210,7 +210,7 @@
     play = Failing((Ending.CONNECT_FAILED,), 4, 12, False, 200)
     play.run(SECOND, 20 * SECOND)
     fresh = tuple(entry(f"f{number}:started=20000") for number in range(4))
-    play.handle(20 * SECOND, io.Listed(io.News.CHANGES, 2, fresh))
+    play.handle(20 * SECOND, io.ListUpdate(io.ListUpdateKind.CHANGES, 2, fresh))
     play.run(20 * SECOND, 24 * SECOND)
     to_fresh = sum(play.node.membership.hosts[one.host].sent.total(24 * SECOND, 4 * SECOND) for one in fresh)
     assert to_fresh <= 2, to_fresh  # eight draws, two windows for each of four, at 3 legs in 200
--- a/tests/test_many_nodes.py
+++ b/tests/test_many_nodes.py
@@ -29,11 +29,11 @@
             )
             for n in range(NODES)
         ]
-        self.list(io.News.FULL, *servers)
+        self.list(io.ListUpdateKind.FULL, *servers)
 
     def list(self, news, *servers):
         for node in self.all:
-            node.handle(self.now, io.Listed(news, 0, tuple(entry(word) for word in servers)))
+            node.handle(self.now, io.ListUpdate(news, 0, tuple(entry(word) for word in servers)))
 
     def call(self, node, group, **more):
         """Where a call of the group stands; None where it was rejected."""
@@ -41,12 +41,12 @@
         id = f"c{self.calls}"
         sent = [
             a
-            for a in self.all[node].handle(self.now, io.Arrived(id, 0, 2 * SECOND, id, group, **more))
+            for a in self.all[node].handle(self.now, io.CallArrived(id, 0, 2 * SECOND, id, group, **more))
             if isinstance(a, io.Send)
         ]
         if not sent:
             return None
-        self.all[node].handle(self.now, io.Accepted(id, 0, 0))
+        self.all[node].handle(self.now, io.LegAccepted(id, 0, 0))
         return sent[0].host
 
 
@@ -86,7 +86,7 @@
         asked[now // SECOND] += 1
         timer = next(
             a
-            for a in nodes.all[n].handle(now, io.Listed(io.News.FAILED, took=took))
+            for a in nodes.all[n].handle(now, io.ListUpdate(io.ListUpdateKind.FAILED, took=took))
             if isinstance(a, io.Timer)
         )
         due.append((now + took + timer.after, n))
@@ -138,7 +138,7 @@
     nodes = Nodes(legs=2)
     node, order = nodes.all[0], [host.name for host in nodes.all[0].rotation.ranked.first("g", 0)]
     for n, name in enumerate(order[:3]):
-        node.handle(nodes.now, io.Arrived(f"b{n}", 0, 2 * SECOND, f"b{n}", "other", held_by=name))
+        node.handle(nodes.now, io.CallArrived(f"b{n}", 0, 2 * SECOND, f"b{n}", "other", held_by=name))
         node.handle(nodes.now, io.LegEnded(f"b{n}", 0, io.Ending.CONNECT_FAILED, True))
     assert nodes.call(0, "g") in order[3:6]
 
@@ -165,11 +165,11 @@
     """The wait kept to the settings of the start."""
     site, types = {"list": "ask"}, (traffic_type("t", {}),)
     node = Balancer(0, begin(site, types))
-    node.handle(0, io.Retuned(replace(begin(site, types), listing=io.ListRules(True, 2 * SECOND))))
+    node.handle(0, io.Reconfigured(replace(begin(site, types), listing=io.ServerListRules(True, 2 * SECOND))))
     waits = [
         action.after
         for _ in range(50)
-        for action in node.handle(0, io.Listed(io.News.FAILED))
+        for action in node.handle(0, io.ListUpdate(io.ListUpdateKind.FAILED))
         if isinstance(action, io.Timer)
     ]
     assert len(waits) == 50 and max(waits) <= 4 * SECOND
@@ -190,7 +190,7 @@
 
     def node(n, again=0):
         one = Balancer(now, begin(site | {"seed": 1 + n + 1000 * again + 100_000 * seed}, types))
-        one.handle(now, io.Listed(io.News.FULL, 1, tuple(entry(word) for word in servers)))
+        one.handle(now, io.ListUpdate(io.ListUpdateKind.FULL, 1, tuple(entry(word) for word in servers)))
         return one
 
     now = SECOND
@@ -208,10 +208,10 @@
             calls += 1
             id = f"c{calls}"
             for action in nodes[n].handle(
-                now, io.Arrived(id, 0, 2 * SECOND, id, f"g{calls % 30}", returned=calls % 3 == 0)
+                now, io.CallArrived(id, 0, 2 * SECOND, id, f"g{calls % 30}", returned=calls % 3 == 0)
             ):
                 if isinstance(action, io.Send):
-                    nodes[n].handle(now, io.Accepted(id, 0, 0))
+                    nodes[n].handle(now, io.LegAccepted(id, 0, 0))
                     sent.setdefault(action.host, []).append(now)
                     ends.append((now + LASTS, nodes[n], id))
     carried = sum(len(times) for name, times in sent.items() if name[0] == "w") / 8 * LASTS / (20 * SECOND)
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -352,11 +352,11 @@
     assert now["a"].started == 9000 and now["b"] == first["b"] and "c" not in now
     assert unread.keys() == {"b", "c"} and addresses.keys() == {"a", "b"}
     if "lifecycle" not in bad:  # that nothing may go there any more is heard all the same
-        for word, state in (("Terminating", io.State.DRAINING), ("Gone", io.State.GONE)):
+        for word, state in (("Terminating", io.HostState.DRAINING), ("Gone", io.HostState.GONE)):
             now, addresses, unread = read(
                 instance("a"), instance("b", **bad | {"lifecycle": word}), before=before
             )
-            assert now["b"].state is state and ("b" in addresses) is (state is io.State.DRAINING)
+            assert now["b"].state is state and ("b" in addresses) is (state is io.HostState.DRAINING)
 
 
 def test_a_list_with_a_doubled_id_takes_the_later_word_and_one_without_servers_is_a_list():
@@ -367,12 +367,15 @@
         "instances": [instance("a"), instance("a", lifecycle="Terminating"), instance("b"), 7, {"weight": 1}],
     }
     version, listed, addresses, unread = discovery.read_list(said, names)
-    assert [(e.host, e.state) for e in listed.entries] == [("a", io.State.DRAINING), ("b", io.State.UP)]
+    assert [(e.host, e.state) for e in listed.entries] == [
+        ("a", io.HostState.DRAINING),
+        ("b", io.HostState.UP),
+    ]
     assert unread.keys() == {"a again", "None"} and addresses["a"] == addresses["b"] == ("10.1.0.18", 8080)
     long = "b" * 100  # named whole, or what is kept on disk would not know it
     assert discovery.read_list(said | {"instances": [instance(long, weight="x")]}, names)[3].keys() == {long}
     assert discovery.read_list(said | {"instances": []}, names)[1:] == (
-        io.Listed(io.News.FULL, 3, ()),
+        io.ListUpdate(io.ListUpdateKind.FULL, 3, ()),
         {},
         {},
     )
@@ -405,8 +408,8 @@
     assert told[0].listed.entries[0] == io.Entry("s-1", 0, -1, 1.0, 0, 7000) and told[0].addresses == {
         "s-1": ("10.1.0.18", 8080)
     }
-    assert told[1].listed.entries[0].state is io.State.DRAINING
-    assert told[3].listed.entries[0].state is io.State.GONE and not told[3].addresses
+    assert told[1].listed.entries[0].state is io.HostState.DRAINING
+    assert told[3].listed.entries[0].state is io.HostState.GONE and not told[3].addresses
 
 
 @pytest.mark.parametrize("known, first", ((True, "/api/targets?since=41&"), (False, "/api/targets")))
@@ -420,7 +423,9 @@
     get = one.http.get
     monkeypatch.setattr(one.http, "get", lambda path, wait: paths.append(path) or get(path, wait))
     one.turn()
-    assert heard.get(timeout=WAIT).listed.news is (io.News.CHANGES if known else io.News.FULL)
+    assert heard.get(timeout=WAIT).listed.news is (
+        io.ListUpdateKind.CHANGES if known else io.ListUpdateKind.FULL
+    )
     assert len(paths) == 1 and paths[0].startswith(first) and (known or paths[0] == first)
 
 
@@ -480,9 +485,9 @@
 
 
 def test_the_nines_reach_the_module_and_an_unknown_part_of_the_goal_is_skipped():
-    assert config.read_begin(WITH_TYPE, 1).nines == io.Nines(0, 3)
+    assert config.read_begin(WITH_TYPE, 1).nines == io.AvailabilityGoal(0, 3)
     begin = config.read_begin(WITH_TYPE | {"Goal": {"NinesPart": 0.2, "NinesFull": 2, "Odd": "x"}}, 1)
-    assert begin.nines == io.Nines(0.2, 2)
+    assert begin.nines == io.AvailabilityGoal(0.2, 2)
 
 
 def test_check_says_which_shape_the_settings_have(tmp_path, capsys):
--- a/tests/test_reducer.py
+++ b/tests/test_reducer.py
@@ -188,8 +188,8 @@
         return out
 
     def on_list(self, end, args, at):
-        listed = io.Listed(
-            io.News.SAVED if args[0] == "saved" else io.News[args[0].upper()],
+        listed = io.ListUpdate(
+            io.ListUpdateKind.SAVED if args[0] == "saved" else io.ListUpdateKind[args[0].upper()],
             1,
             tuple(entry(word) for word in args[1:]),
         )
@@ -446,7 +446,7 @@
     handle = world.reducer.module.handle
 
     def listen(now, event):
-        if isinstance(event, io.DelayTold):
+        if isinstance(event, io.DelayReported):
             told.append((now // 1000, event.delay // 1000))
         return handle(now, event)
 
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -29,13 +29,13 @@
 
 def event(verb, args, types):
     if verb == "list":
-        news = io.News.SAVED if args[0] == "saved" else io.News[args[0].upper()]
-        return io.Listed(news, 0, tuple(entry(w) for w in args[1:]))
+        news = io.ListUpdateKind.SAVED if args[0] == "saved" else io.ListUpdateKind[args[0].upper()]
+        return io.ListUpdate(news, 0, tuple(entry(w) for w in args[1:]))
     if verb in ("call", "open"):
         held = args.pop(1) if verb == "open" else None
         o = pairs(args[1:])
         names = [t.name for t in types]
-        return io.Arrived(
+        return io.CallArrived(
             args[0],
             names.index(o["type"]) if "type" in o else 0,
             ms(o.get("left", 1200)),
@@ -49,11 +49,11 @@
     if verb == "done":
         return io.LegEnded(args[0], int(args[1]), io.Ending[args[2].upper()], "closed" in args)
     if verb == "probed":
-        return io.Probed(args[0], io.Ending[args[1].upper()], 0, *map(float, args[2:]))
+        return io.ProbeEnded(args[0], io.Ending[args[1].upper()], 0, *map(float, args[2:]))
     if verb == "tune":
         site, *rest = [part.split() for part in " ".join(args).split("|")]
         types[:] = [traffic_type(words[0], pairs(words[1:])) for words in rest]
-        return io.Retuned(begin(pairs(site), types))
+        return io.Reconfigured(begin(pairs(site), types))
     if verb == "inherit":
         sent = [re.fullmatch(r"(\w+):(\d+)@(\d+)", word) for word in args]
         return io.Inherited(
@@ -62,10 +62,10 @@
         )
     id = args[0]
     return {
-        "accept": lambda: io.Accepted(id, int(args[1]), 0),
-        "load": lambda: io.LoadTold(id, float(args[1])),
-        "delay": lambda: io.DelayTold(id, ms(args[1])),
-        "expire": lambda: io.Expired(id),
+        "accept": lambda: io.LegAccepted(id, int(args[1]), 0),
+        "load": lambda: io.LoadReported(id, float(args[1])),
+        "delay": lambda: io.DelayReported(id, ms(args[1])),
+        "expire": lambda: io.CallExpired(id),
         "timer": lambda: io.TimerFired(id),
     }[verb]()
 
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -14,8 +14,8 @@
     site, types = {"nodes": 40}, (traffic_type("t", {}),)
     node = Balancer(0, begin(site, types))
     servers = [f"s{n}:started=1000" for n in range(4)] + ["w0", "w1"]
-    node.handle(SECOND, io.Listed(io.News.FULL, 1, tuple(entry(word) for word in servers)))
-    node.handle(SECOND, io.Arrived("before", 0, SECOND, None, "g"))
-    node.handle(SECOND, io.Retuned(replace(begin(site, types), cold=io.ColdStart())))
-    actions = node.handle(SECOND + 1000, io.Arrived("after", 0, SECOND, None, "other", returned=True))
+    node.handle(SECOND, io.ListUpdate(io.ListUpdateKind.FULL, 1, tuple(entry(word) for word in servers)))
+    node.handle(SECOND, io.CallArrived("before", 0, SECOND, None, "g"))
+    node.handle(SECOND, io.Reconfigured(replace(begin(site, types), cold=io.ColdStart())))
+    actions = node.handle(SECOND + 1000, io.CallArrived("after", 0, SECOND, None, "other", returned=True))
     assert isinstance(actions[0], io.Send)
