--- a/benchmarks/crossings/mutants.py
+++ b/benchmarks/crossings/mutants.py
@@ -265,8 +265,8 @@
     (
         "the bound on waits for an asked list",
         POLICY,
-        "most = max(SECOND, min(self.settings.ask_every, self.LONGEST_WAY - took))",
-        "most = max(SECOND, self.settings.ask_every)",
+        "most = max(SECOND, min(self.settings.poll_interval, self.LONGEST_WAY - took))",
+        "most = max(SECOND, self.settings.poll_interval)",
         [
             "tests/test_many_nodes.py::test_nodes_turned_away_by_an_overbooked_list_ask_as_seldom_as_the_terms_let_them"
         ],
--- a/cottonspread/cli/known.py
+++ b/cottonspread/cli/known.py
@@ -27,7 +27,7 @@
     """
 
     def __init__(self, parts, path, wait):
-        self.saved = saved.Saved(path, parts[4].weights_move) if path else None
+        self.saved = saved.Saved(path, parts[4].dynamic_weights) if path else None
         self.wait, self.told, self.began = wait, False, time.monotonic()
         if path:
             parts[-1] = known_list(saved.read(path), parts)
--- a/cottonspread/cli/node.py
+++ b/cottonspread/cli/node.py
@@ -213,8 +213,8 @@
             ("listen", place.listen == was.listen),
             ("operator", place.operator == was.operator),
             ("limits", room == had),
-            ("settings.MembershipMode", begin.listing.ask == old.listing.ask),
-            ("settings.Weights", begin.weights_move == old.weights_move),
+            ("settings.MembershipMode", begin.server_list.polled == old.server_list.polled),
+            ("settings.Weights", begin.dynamic_weights == old.dynamic_weights),
         )
         if not same
     ]
@@ -250,12 +250,12 @@
         + ("operators at {}:{}".format(*place.operator) if place.operator else "no address for operators")
     )
     print(
-        f"{len(names.types)} traffic types, node {begin.me} of {begin.nodes or 'an untold number'}, "
+        f"{len(names.types)} traffic types, node {begin.node_number} of {begin.nodes or 'an untold number'}, "
         f"{len(known['instances'])} servers known, room for {most_ends(room, place.operator)} connections"
     )
     print(
-        f"weights listed {'move with load' if begin.weights_move else 'are sizes'}, "
-        f"hosts' load {'told to probes' if begin.loads_probed else 'not asked for'}"
+        f"weights listed {'move with load' if begin.dynamic_weights else 'are sizes'}, "
+        f"hosts' load {'told to probes' if begin.probes_report_load else 'not asked for'}"
     )
     return 0
 
--- a/cottonspread/drill/codec.py
+++ b/cottonspread/drill/codec.py
@@ -146,7 +146,7 @@
 
 
 LINES = {
-    i.Send: lambda a: f"route\tCall={a.call}\tUntil={millis(a.until)}\tHost={a.host}",
+    i.Send: lambda a: f"route\tCall={a.call}\tUntil={millis(a.deadline)}\tHost={a.host}",
     i.Reject: reject_line,
     i.Release: lambda a: f"end_failed\tCall={a.call}",
     i.Cancel: lambda a: f"undo_send\tCall={a.call}\tTrial={a.leg}",
--- a/cottonspread/driver.py
+++ b/cottonspread/driver.py
@@ -51,8 +51,8 @@
     def arrive(self, e):
         """A call comes in, or is open already through this node. A group is its calls' key."""
         key = e.group if e.group is not None else e.key
-        kind, most = self.settings.types[e.type], self.settings.limits.most_legs
-        call = Call(e.call, kind, key, e.group, self.now + e.time_left, e.returned, most_legs=most)
+        kind, most = self.settings.types[e.type], self.settings.limits.max_legs
+        call = Call(e.call, kind, key, e.group, self.now + e.time_left, e.returned, max_legs=most)
         self.calls[call.id], call.path = call, self.path(call)
         self.calls_since_leg += 1
         self.met(call)
@@ -180,7 +180,7 @@
 
     def retuned(self, e):
         """Other settings from now on. A call keeps the type that it opened under."""
-        self.settings.take(e.begin)
+        self.settings.take(e.config)
 
     def timer(self, e):
         """It is time to see off a client of a server that drains, or to ask the list."""
--- a/cottonspread/interface.py
+++ b/cottonspread/interface.py
@@ -48,8 +48,8 @@
 class TrafficType:
     name: str
     effect: Effect
-    repeats_known_by: str  # "all", "zone" or "cell": the group of hosts that drops repeats
-    remembered_for: int  # how long that group remembers
+    deduplicated_by: str  # "all", "zone" or "cell": the group of hosts that drops repeats
+    deduplicated_for: int  # how long that group remembers
     setup_target: int
     guard_time: int
     revenue: float
@@ -66,11 +66,11 @@
 
 @dataclass(frozen=True)
 class LegLimits:
-    most_legs: int = 1
-    two_at_once: bool = False
+    max_legs: int = 1
+    parallel_legs: bool = False
     may_cancel: bool = False
     may_retry_after: bool = False  # a reject may say when to come back
-    longest_retry_after: int = 0
+    max_retry_after: int = 0
 
 
 @dataclass(frozen=True)
@@ -83,17 +83,17 @@
 
 @dataclass(frozen=True)
 class ServerListRules:
-    ask: bool = False  # the list answers only when asked
-    ask_every: int = 0  # unasked for this long, a node counts as told
+    polled: bool = False  # the list answers only when asked
+    poll_interval: int = 0  # unasked for this long, a node counts as told
     drain_grace: int = 0
 
 
 @dataclass(frozen=True)
 class Prices:
-    crossing: float = 0.0
-    moving: float = 0.0
-    probing: float = 0.0
-    telling: float = 0.0
+    zone_crossing: float = 0.0
+    move: float = 0.0
+    probe: float = 0.0
+    peer_message: float = 0.0
 
 
 @dataclass(frozen=True)
@@ -102,8 +102,8 @@
     unserved share lies below the whole.
     """
 
-    part: float = 0.0  # its weight; 0: it does not count
-    full: float = 3.0  # steps that earn all of it
+    weight: float = 0.0  # its weight; 0: it does not count
+    nines_for_full: float = 3.0  # steps that earn all of it
 
 
 @dataclass(frozen=True)
@@ -111,7 +111,7 @@
     """A node starts. Each part of the module takes from here only what it needs."""
 
     seed: int
-    me: int
+    node_number: int
     nodes: int  # 0: not told
     zone: int
     tick: int
@@ -119,26 +119,26 @@
     tenants: tuple = ()
     legs: LegLimits = field(default_factory=LegLimits)
     cold: ColdStart = field(default_factory=ColdStart)
-    listing: ServerListRules = field(default_factory=ServerListRules)
+    server_list: ServerListRules = field(default_factory=ServerListRules)
     prices: Prices = field(default_factory=Prices)
     may_probe: bool = False
-    may_tell: bool = False
+    may_message_peers: bool = False
     groups_share_work: bool = False
-    loads_probed: bool = False  # a probe's answer tells the load asked of a host over what it can do
-    weights_move: bool = False  # listed weights: nominal size over 1 + calls held a core, late
-    nines: AvailabilityGoal = field(default_factory=AvailabilityGoal)
+    probes_report_load: bool = False  # a probe's answer tells the load asked of a host over what it can do
+    dynamic_weights: bool = False  # listed weights: nominal size over 1 + calls held a core, late
+    availability: AvailabilityGoal = field(default_factory=AvailabilityGoal)
 
 
 class Entry(NamedTuple):  # made for every server at every word of the list: the cheapest type
     host: object
     zone: int = 0
     kind: int = 0
-    weight: float = 1.0  # as listed: its size, or what `NodeConfig.weights_move` says
+    weight: float = 1.0  # as listed: its size, or what `NodeConfig.dynamic_weights` says
     cell: int = 0
     started: int = 0  # 0: long ago
     state: HostState = HostState.UP
 
-    def like(self, other):
+    def equals_except_weight(self, other):
         """Whether it differs from `other` by its weight at most."""
         return (
             self.state is other.state
@@ -154,7 +154,7 @@
 
 @dataclass(frozen=True)
 class ListUpdate:
-    news: ListUpdateKind
+    kind: ListUpdateKind
     version: int = 0
     entries: tuple = ()
     took: int = 0  # of one that failed: how long it was waited for
@@ -217,14 +217,14 @@
     ending: Ending
     waited: int = 0
     load: float = -1.0  # asked of the host over what it can do, seconds ago; -1: not told
-    piled: float = 0.0  # seconds of work piled up
+    backlog: float = 0.0  # seconds of work piled up
 
 
 @dataclass(frozen=True)
 class Reconfigured:
     """Other settings from now on. Calls that are open keep the type that they opened under."""
 
-    begin: NodeConfig
+    config: NodeConfig
 
 
 @dataclass(frozen=True)
@@ -248,8 +248,8 @@
 class Send:
     call: object
     host: object
-    until: int  # time of the clock
-    by: int = 0  # its first byte may go out until then; 0: while the call is open
+    deadline: int  # time of the clock
+    send_by: int = 0  # its first byte may go out until then; 0: while the call is open
 
 
 @dataclass(frozen=True)
--- a/cottonspread/lab/scale/module_node.py
+++ b/cottonspread/lab/scale/module_node.py
@@ -20,17 +20,17 @@
     kind = io.TrafficType("listen", io.Effect.REPEATABLE, "all", 5 * SECOND, SECOND, GUARD, 1.0, 140_000)
     return io.NodeConfig(
         seed=seed,
-        me=0,
+        node_number=0,
         nodes=NODES,
         zone=0,
         tick=2000,
         types=(kind,),
         legs=io.LegLimits(3, False, True, False, 0),
         cold=io.ColdStart(0.12, 20 * SECOND, 2.5, 2 * SECOND),
-        listing=io.ServerListRules(False, 10 * SECOND, SECOND // 2),
+        server_list=io.ServerListRules(False, 10 * SECOND, SECOND // 2),
         prices=io.Prices(0.03, 0.03),
         groups_share_work=True,
-        loads_probed=probed,
+        probes_report_load=probed,
     )
 
 
--- a/cottonspread/lab/sim/node.py
+++ b/cottonspread/lab/sim/node.py
@@ -268,13 +268,15 @@
             names,
             self.post,
             version,
-            begin.listing.ask,
+            begin.server_list.polled,
             node.keep,
             may_watch(begin, listed, shared),
         )
         self.reducer = Reducer(self.clock(), begin, names, hearing, self.most, *node.fleet.policy)
         self.caller = node.agent.serve(self)
-        self.discovery.begin(listed, addresses, unread, trusted=begin.listing.ask or node.keep is not None)
+        self.discovery.begin(
+            listed, addresses, unread, trusted=begin.server_list.polled or node.keep is not None
+        )
         self.wake()
 
     def next_number(self):
--- a/cottonspread/lists/saved.py
+++ b/cottonspread/lists/saved.py
@@ -44,16 +44,16 @@
     costs a log line, and the node goes on.
     """
 
-    def __init__(self, path, weights_move=False):
-        """`weights_move`: news of weights alone is not written."""
-        self.path, self.known, self.failing, self.weights_move = path, {}, False, weights_move
+    def __init__(self, path, dynamic_weights=False):
+        """`dynamic_weights`: news of weights alone is not written."""
+        self.path, self.known, self.failing, self.dynamic_weights = path, {}, False, dynamic_weights
 
     def told(self, version, instances, whole):
         """An answer of discovery, as its JSON; `whole`: it is the whole list, and no change."""
         # Weights that move came each second, and each word was a write and an fsync. What was saved first,
         # which is nearer to the sizes, stays.
         if (
-            self.weights_move
+            self.dynamic_weights
             and not whole
             and all(
                 one | {"weight": 0} == self.known.get(str(one["instanceId"]), {}) | {"weight": 0}
--- a/cottonspread/net/discovery.py
+++ b/cottonspread/net/discovery.py
@@ -199,7 +199,7 @@
         except (ValueError, RecursionError) as fault:
             raise ListError(f"no JSON: {fault}") from fault
         version, listed, addresses, unread = read_list(said, self.names, before=self.told)
-        full = listed.news is io.ListUpdateKind.FULL
+        full = listed.kind is io.ListUpdateKind.FULL
         if version < self.version:
             # An old answer must not bring back what is gone; only discovery
             # begun anew says it again and again.
@@ -228,7 +228,7 @@
         """What could not be read is said once, not at each list: the same
         entry comes again with every whole one.
         """
-        self.told = self.told if listed.news is io.ListUpdateKind.CHANGES else {}
+        self.told = self.told if listed.kind is io.ListUpdateKind.CHANGES else {}
         for entry in listed.entries:
             self.told[entry.host] = entry, addresses.get(entry.host)
             if entry.state is io.HostState.GONE:
--- a/cottonspread/net/node.py
+++ b/cottonspread/net/node.py
@@ -70,12 +70,16 @@
     """Whether a known list is watched at once: a process that `follows`
     another waits for a list told to itself.
     """
-    return begin.listing.ask and not follows and bool(listed.entries)
+    return begin.server_list.polled and not follows and bool(listed.entries)
 
 
 def changeable(begin, was):
     """Settings that a node which runs takes over: what cannot change then stays as it was, in all parts."""
-    return replace(begin, listing=replace(begin.listing, ask=was.listing.ask), weights_move=was.weights_move)
+    return replace(
+        begin,
+        server_list=replace(begin.server_list, polled=was.server_list.polled),
+        dynamic_weights=was.dynamic_weights,
+    )
 
 
 def grow_table(sockets):
@@ -106,12 +110,12 @@
             names,
             self.post,
             version,
-            begin.listing.ask,
+            begin.server_list.polled,
             keep,
             may_watch(begin, listed, keep is not None),
         )
         self.reducer = Reducer(self.clock.now(), begin, names, hearing, self.most)
-        self.discovery.begin(listed, addresses, unread, trusted=begin.listing.ask or keep is not None)
+        self.discovery.begin(listed, addresses, unread, trusted=begin.server_list.polled or keep is not None)
         self.listener, self.shared, self.steps, self.ended = None, False, 0, Counter()
         self.closer = Closer(self.most_closing)
         self.admission, self.finished = None, False
--- a/cottonspread/net/reducer.py
+++ b/cottonspread/net/reducer.py
@@ -77,7 +77,7 @@
     began: int  # when it was accepted
     opening: lines.Opening = None
     type: io.TrafficType = None  # the one it opened under, whatever the settings become
-    most_legs: int = 1  # as they were then
+    max_legs: int = 1  # as they were then
     guard: int = 0
     legs: list = field(default_factory=list)
     answered: bool = False  # the final answer is given, or the client is gone
@@ -153,7 +153,7 @@
         self.after(LISTEN, self.listen)
         for action in self.module.actions():
             self.do(action)
-        if not begin.listing.ask:
+        if not begin.server_list.polled:
             self.out.append(ev.FollowList())
 
     def tune(self, begin):
@@ -232,7 +232,7 @@
     def do(self, action):
         match action:
             case io.Send():
-                self.send(action.call, action.host, action.until, action.by)
+                self.send(action.call, action.host, action.deadline, action.send_by)
             case io.Reject():
                 self.answer(action.call, lines.busy(action.retry_after), "rejected")
             case io.Release():
@@ -321,10 +321,10 @@
         if opening.id in self.by_id or opening.id in self.ended_ids:
             self.turn_out(conn, "id-in-use")
             return
-        conn.opening, conn.type, conn.most_legs = (
+        conn.opening, conn.type, conn.max_legs = (
             opening,
             self.begin.types[opening.type],
-            self.begin.legs.most_legs,
+            self.begin.legs.max_legs,
         )
         self.unopened.pop(conn, None)
         self.by_id[opening.id] = conn
@@ -362,7 +362,7 @@
             self.open_leg(Leg(conn, len(conn.legs), host, conn.guard), STANDING_WAIT // 4)
 
     def retry_after(self):
-        return self.begin.legs.longest_retry_after // 2 if self.begin.legs.may_retry_after else 0
+        return self.begin.legs.max_retry_after // 2 if self.begin.legs.may_retry_after else 0
 
     def client_lines(self, conn, data):
         if not conn.up:  # see `first_line`
@@ -419,9 +419,9 @@
             or conn.up
             or self.departure.hurries()
             or until <= self.now
-            or leg.number >= conn.most_legs
+            or leg.number >= conn.max_legs
             or out
-            and not self.begin.legs.two_at_once
+            and not self.begin.legs.parallel_legs
         ):
             conn.legs.append(leg)
             self.end_leg(leg, Ending.NOT_SENT)
@@ -943,11 +943,13 @@
         self.tell(e.listed)
         # Weights that move come each second; what is said of the list is who came, left or began anew.
         new = [
-            entry for entry in e.listed.entries if not entry.like(self.entries.get(entry.host, NOT_LISTED))
+            entry
+            for entry in e.listed.entries
+            if not entry.equals_except_weight(self.entries.get(entry.host, NOT_LISTED))
         ]
         self.entries.update((entry.host, entry) for entry in new)
         gone = {entry.host for entry in e.listed.entries if entry.state is io.HostState.GONE}
-        if e.listed.news is not io.ListUpdateKind.CHANGES:
+        if e.listed.kind is not io.ListUpdateKind.CHANGES:
             gone |= self.servers.keys() - e.addresses.keys()
         for name in gone:
             self.entries.pop(name, None)
@@ -957,12 +959,12 @@
                 if not server.legs:
                     del self.servers[name]
         self.figures.hosts_listed = len(self.entries)
-        if new or gone or e.listed.news is not io.ListUpdateKind.CHANGES:
+        if new or gone or e.listed.kind is not io.ListUpdateKind.CHANGES:
             self.out.append(
                 ev.Say(
                     "list",
                     {
-                        "news": e.listed.news.name.lower(),
+                        "news": e.listed.kind.name.lower(),
                         "version": e.listed.version,
                         "entries": len(e.listed.entries),
                     },
@@ -970,7 +972,7 @@
             )
 
     def list_failed(self, e):
-        if self.begin.listing.ask:  # the others are not told, and keep the last list
+        if self.begin.server_list.polled:  # the others are not told, and keep the last list
             self.tell(io.ListUpdate(io.ListUpdateKind.FAILED, took=e.took))
 
     # Other settings, and the next process
--- a/cottonspread/policy/membership.py
+++ b/cottonspread/policy/membership.py
@@ -10,17 +10,17 @@
 
     LONGEST_WAY = 9 * SECOND // 2  # from a call that fails to the next: after 6 s a change counts as told
 
-    def __init__(self, chance, settings, weights_move):
+    def __init__(self, chance, settings, dynamic_weights):
         super().__init__()
         self.chance, self.settings, self.failures = chance, settings, 0
-        self.sizes = NominalSizes(weights_move)
+        self.sizes = NominalSizes(dynamic_weights)
 
     def read(self, listed):
         """Takes in a word from the list; returns (servers now unfit for records, servers started anew,
         whether more is new than weights that move)."""
-        lost, started, known, new = [], [], len(self.hosts), listed.news is not ListUpdateKind.CHANGES
+        lost, started, known, new = [], [], len(self.hosts), listed.kind is not ListUpdateKind.CHANGES
         for host, entry in self.take_in(listed):
-            new = self.sizes.take_in(entry, host.entry) or new or not entry.like(host.entry)
+            new = self.sizes.take_in(entry, host.entry) or new or not entry.equals_except_weight(host.entry)
             if entry.started > host.entry.started:
                 started.append(host)
             host.entry = entry
@@ -36,6 +36,6 @@
         the time in which each node is to ask once, as far as a change that the list has by now allows, then
         late in it: an overbooked list answers nobody in time while nodes ask again at once."""
         self.failures += 1
-        most = max(SECOND, min(self.settings.ask_every, self.LONGEST_WAY - took))
+        most = max(SECOND, min(self.settings.poll_interval, self.LONGEST_WAY - took))
         least = max(0, most * 3 // 4 - took) if self.failures > 1 else 0
         return least + self.chance.below(most - least)
--- a/cottonspread/policy/path.py
+++ b/cottonspread/policy/path.py
@@ -35,7 +35,7 @@
         """A call from arrival to its final answer: yields what is to be done, is resumed with the result."""
         if call.legs:  # open already, when this node started
             yield None
-        while len(call.legs) < min(call.most_legs, self.settings.limits.most_legs) and may_go_again(
+        while len(call.legs) < min(call.max_legs, self.settings.limits.max_legs) and may_go_again(
             call, self.now
         ):
             until = self.leg_until(call)
@@ -60,7 +60,7 @@
 
     def __init__(self, now, begin):
         settings, chance = Settings(begin, SlowStart.UNTOLD), Chance(begin.seed)
-        super().__init__(now, settings, Membership(chance, settings, begin.weights_move), Records())
+        super().__init__(now, settings, Membership(chance, settings, begin.dynamic_weights), Records())
         self.chance, self.groups, self.loads = chance, Groups(), Loads()
         self.arrived = Ring(SECOND // 4, 64)  # calls, over up to 16 s
         self.readings, self.rotation = Readings(chance, settings), Rotation(chance)
@@ -70,7 +70,7 @@
         self.unanswered = set()  # servers whose set-ups timed out since one was answered
         self.seen_off = deque()  # legs at servers that drain
         self.overdue_at = now  # see `Choice`
-        if begin.listing.ask:
+        if begin.server_list.polled:
             self.out.append(io.Subscribe())
 
     def met(self, call):
@@ -88,14 +88,14 @@
         last = call.guard - 2 * self.settings.tick
         if last <= self.now:
             return 0
-        if len(call.legs) + 1 >= self.settings.limits.most_legs or self.way.trickle:
+        if len(call.legs) + 1 >= self.settings.limits.max_legs or self.way.trickle:
             return last
         # A server that takes calls and answers none costs one leg and not the call.
         return min(last, self.now + call.type.setup_target)
 
     def retry_after(self):
         """When a rejected client may come back, drawn so that not all come at once; 0: not said."""
-        half = self.settings.limits.longest_retry_after // 2 if self.settings.limits.may_retry_after else 0
+        half = self.settings.limits.max_retry_after // 2 if self.settings.limits.may_retry_after else 0
         return half + self.chance.below(half + 1)
 
     def load_of_new(self, call, host):
@@ -208,7 +208,7 @@
 
     def listed(self, e):
         """A word from the list, or of an asking that failed."""
-        if e.news is ListUpdateKind.FAILED:
+        if e.kind is ListUpdateKind.FAILED:
             self.out.append(io.Timer(self.membership.wait_to_ask(e.took), "ask"))
             return
         self.membership.failures = 0
--- a/cottonspread/policy/readings.py
+++ b/cottonspread/policy/readings.py
@@ -34,7 +34,7 @@
             return  # asked too often, or it tells no load
         host.asked, host.asked_at = e.load if e.ending is Ending.OK else self.SILENT, now
         if (
-            e.piled * SECOND >= self.settings.message_target
+            e.backlog * SECOND >= self.settings.message_target
         ):  # one that hangs is asked for no more than before
             host.asked = max(host.asked, 1.0)
         if e.ending is Ending.OK:  # one that does not answer tells nothing of how full the fleet is
--- a/cottonspread/policy/retries.py
+++ b/cottonspread/policy/retries.py
@@ -24,7 +24,7 @@
     """How long a repeat is known as one, from when the first leg that may have run was decided on; 0: no
     matter. A leg decided on in time may come up late, so the front keeps to it as well."""
     ran = may_have_run(call)
-    return ran[0].sent + call.type.remembered_for if ran and call.type.effect is Effect.REFERENCED else 0
+    return ran[0].sent + call.type.deduplicated_for if ran and call.type.effect is Effect.REFERENCED else 0
 
 
 def may_go_to(call, host):
@@ -32,7 +32,7 @@
     ran = may_have_run(call)
     if call.type.effect is not Effect.REFERENCED or not ran:
         return True
-    first, scope = ran[0].host.entry, call.type.repeats_known_by
+    first, scope = ran[0].host.entry, call.type.deduplicated_by
     if scope == "zone":
         return host.entry.zone == first.zone
     return scope == "all" or host.entry.cell == first.cell
@@ -41,5 +41,5 @@
 def may_reject(call):
     """A reject says that trying again is harmless."""
     effect = call.type.effect
-    known_by_all = effect is Effect.REFERENCED and call.type.repeats_known_by == "all"
+    known_by_all = effect is Effect.REFERENCED and call.type.deduplicated_by == "all"
     return effect is Effect.REPEATABLE or known_by_all or not may_have_run(call)
--- a/cottonspread/state.py
+++ b/cottonspread/state.py
@@ -62,9 +62,9 @@
         """Other settings from now on."""
         self.news = True
         self.types, self.limits, self.tick, self.cold = begin.types, begin.legs, begin.tick, begin.cold
-        self.zone, self.crossing, self.moving = begin.zone, begin.prices.crossing, begin.prices.moving
-        self.nodes, self.ask_every = begin.nodes or self.untold, begin.listing.ask_every
-        self.groups_share_work, self.probed = begin.groups_share_work, begin.loads_probed
+        self.zone, self.crossing, self.moving = begin.zone, begin.prices.zone_crossing, begin.prices.move
+        self.nodes, self.poll_interval = begin.nodes or self.untold, begin.server_list.poll_interval
+        self.groups_share_work, self.probed = begin.groups_share_work, begin.probes_report_load
         targets = [one.message_target for one in begin.types if one.message_target]
         self.message_target = min(targets, default=SECOND)
 
@@ -177,7 +177,7 @@
     returned: bool
     legs: list = field(default_factory=list)
     path: object = None
-    most_legs: int = 1
+    max_legs: int = 1
     bound: float = 0.0  # a server asked for more is passed over, see `Readings`
     probes: int = 0
     asked: Host = None  # whose probe it waited for: within the cold budget then
--- a/cottonspread/structures/nominal_sizes.py
+++ b/cottonspread/structures/nominal_sizes.py
@@ -7,12 +7,12 @@
 
     SMALLEST = 0.01  # a server listed without any weight still gets its turns
 
-    def __init__(self, weights_move):
-        self.weights_move, self.largest = weights_move, {}  # kind or server: the largest weight listed
+    def __init__(self, dynamic_weights):
+        self.dynamic_weights, self.largest = dynamic_weights, {}  # kind or server: the largest weight listed
 
     def take_in(self, entry, before):
         """An entry of the list, and the one before it of the same server; whether a size has changed."""
-        if not self.weights_move:
+        if not self.dynamic_weights:
             return entry.weight != before.weight
         alike = self.alike(entry)
         grows = entry.weight > self.largest.get(alike, 0)
--- a/cottonspread/structures/server_table.py
+++ b/cottonspread/structures/server_table.py
@@ -16,7 +16,7 @@
         """(server, its entry from now on) for each that a word from the list is about; the server still has
         the entry from before, or the new one if it was not known."""
         entries = list(listed.entries)
-        if listed.news is not ListUpdateKind.CHANGES:
+        if listed.kind is not ListUpdateKind.CHANGES:
             named = {entry.host for entry in entries}
             entries += [io.Entry(name, state=HostState.GONE) for name in self.hosts if name not in named]
         for entry in entries:
--- a/tests/test_idle.py
+++ b/tests/test_idle.py
@@ -27,7 +27,7 @@
             if isinstance(action, io.Send):
                 number = attempts.get(action.call, 0)
                 attempts[action.call] = number + 1
-                until = action.until if ending is io.Ending.TIMEOUT else now + 1000
+                until = action.deadline if ending is io.Ending.TIMEOUT else now + 1000
                 heapq.heappush(ends, (until, action.call, number))
                 if turned_away >= CALLS:
                     longest = max(longest, (now - last, turned_away))
--- a/tests/test_idle_widely.py
+++ b/tests/test_idle_widely.py
@@ -106,7 +106,7 @@
             self.tell(now + ANSWER_TIME, io.LegEnded(action.call, leg, Ending.OK, True))
             return
         ending = self.chance.choice(self.endings)
-        at = action.until if ending is Ending.TIMEOUT else now + ANSWER_TIME
+        at = action.deadline if ending is Ending.TIMEOUT else now + ANSWER_TIME
         self.tell(at, io.LegEnded(action.call, leg, ending, False))
 
 
--- a/tests/test_many_nodes.py
+++ b/tests/test_many_nodes.py
@@ -165,7 +165,9 @@
     """The wait kept to the settings of the start."""
     site, types = {"list": "ask"}, (traffic_type("t", {}),)
     node = Balancer(0, begin(site, types))
-    node.handle(0, io.Reconfigured(replace(begin(site, types), listing=io.ServerListRules(True, 2 * SECOND))))
+    node.handle(
+        0, io.Reconfigured(replace(begin(site, types), server_list=io.ServerListRules(True, 2 * SECOND)))
+    )
     waits = [
         action.after
         for _ in range(50)
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -423,7 +423,7 @@
     get = one.http.get
     monkeypatch.setattr(one.http, "get", lambda path, wait: paths.append(path) or get(path, wait))
     one.turn()
-    assert heard.get(timeout=WAIT).listed.news is (
+    assert heard.get(timeout=WAIT).listed.kind is (
         io.ListUpdateKind.CHANGES if known else io.ListUpdateKind.FULL
     )
     assert len(paths) == 1 and paths[0].startswith(first) and (known or paths[0] == first)
@@ -481,13 +481,13 @@
 )
 def test_a_node_probes_and_takes_weights_for_loads_only_where_its_settings_say_so(settings, probed, moving):
     begin = config.read_begin(WITH_TYPE | settings, 1)
-    assert (begin.loads_probed, begin.weights_move) == (probed, moving)
+    assert (begin.probes_report_load, begin.dynamic_weights) == (probed, moving)
 
 
 def test_the_nines_reach_the_module_and_an_unknown_part_of_the_goal_is_skipped():
-    assert config.read_begin(WITH_TYPE, 1).nines == io.AvailabilityGoal(0, 3)
+    assert config.read_begin(WITH_TYPE, 1).availability == io.AvailabilityGoal(0, 3)
     begin = config.read_begin(WITH_TYPE | {"Goal": {"NinesPart": 0.2, "NinesFull": 2, "Odd": "x"}}, 1)
-    assert begin.nines == io.AvailabilityGoal(0.2, 2)
+    assert begin.availability == io.AvailabilityGoal(0.2, 2)
 
 
 def test_check_says_which_shape_the_settings_have(tmp_path, capsys):
