--- a/cottonspread/drill/codec.py
+++ b/cottonspread/drill/codec.py
@@ -5,7 +5,7 @@
 from cottonspread import config
 from cottonspread import interface as i
 from cottonspread.config import micros
-from cottonspread.front.reports import probed, values
+from cottonspread.front.reports import parse_load_report, probe_ended
 
 ENDINGS = {
     0: i.Ending.OK,
@@ -105,8 +105,11 @@
     "expired": lambda f: i.CallExpired(int(f["Call"])),
     "status_note": status_note,
     "fired": lambda f: i.TimerFired(f["Cookie"]),
-    "pong": lambda f: probed(
-        f["Host"], ENDINGS[int(f["Disposition"])], micros(f.get("WaitTime", 0)), values(f.get("Feedback"))
+    "pong": lambda f: probe_ended(
+        f["Host"],
+        ENDINGS[int(f["Disposition"])],
+        micros(f.get("WaitTime", 0)),
+        parse_load_report(f.get("Feedback")),
     ),
     "peer": lambda f: i.PeerMessageReceived(int(f["Neighbour"]), data(f["Bytes"])),
 }
--- a/cottonspread/front/figures.py
+++ b/cottonspread/front/counters.py
@@ -15,39 +15,39 @@
     return text.replace("\\", r"\\").replace('"', r"\"").replace("\n", r"\n")
 
 
-class Figures:
+class Counters:
     """Counters of one process, as the operators read them."""
 
     def __init__(self, types):
         """`types`: names of the traffic types that are in force at first."""
-        self.answers, self.at_door = {}, {}
+        self.answers, self.refused_on_accept = {}, {}
         self.backend_calls = self.hosts_listed = self.hosts_down = self.reconfig_ok = self.reconfig_failed = 0
-        self.know(types)
+        self.add_types(types)
 
-    def know(self, types):
+    def add_types(self, types):
         """The names of the traffic types in force. What was counted under one that is gone stays."""
         for name in types:
             for answer in ANSWERS:
                 self.answers.setdefault((answer, name), 0)
-            self.at_door.setdefault(name, 0)
+            self.refused_on_accept.setdefault(name, 0)
 
-    def answered(self, answer, name):
+    def count_answer(self, answer, name):
         """Counts a final answer to a call of the traffic type of this name."""
         self.answers[answer, name] += 1
 
-    def turned_away(self, name):
+    def count_refused_on_accept(self, name):
         """BUSY before the reducer heard of it: by the thread that accepts, and no other."""
-        if name in self.at_door:
-            self.at_door[name] += 1
+        if name in self.refused_on_accept:
+            self.refused_on_accept[name] += 1
 
-    def numbers(self, inflight):
+    def samples(self, inflight):
         """Every figure, as (name, labels, value)."""
-        at_door = dict(self.at_door)
+        refused_on_accept = dict(self.refused_on_accept)
         for (answer, name), count in dict(self.answers).items():
             yield (
                 answer,
                 f'{{tier="{label(name)}"}}',
-                count + (at_door.get(name, 0) if answer == "busy" else 0),
+                count + (refused_on_accept.get(name, 0) if answer == "busy" else 0),
             )
         yield "inflight", "", inflight
         for name in ("backend_calls", "hosts_listed", "hosts_down", "reconfig_ok", "reconfig_failed"):
@@ -55,4 +55,4 @@
 
     def text(self, inflight):
         """All figures, a line each; `inflight`: calls that are open now."""
-        return "".join(f"app_{name}{labels} {value}\n" for name, labels, value in self.numbers(inflight))
+        return "".join(f"app_{name}{labels} {value}\n" for name, labels, value in self.samples(inflight))
--- a/cottonspread/front/handover.py
+++ b/cottonspread/front/handover.py
@@ -13,7 +13,7 @@
 
 
 @dataclass(frozen=True)
-class Standing:
+class OpenConnection:
     """An open connection, passed on between two lines."""
 
     id: str
@@ -29,7 +29,7 @@
 
 
 @dataclass(frozen=True)
-class HandOver:
+class HandoverState:
     """What a process tells its successor, so that it does not begin from nothing."""
 
     room: int  # connections that the successor may hold while both are there
@@ -39,11 +39,11 @@
     sent: tuple = ()  # (server, when, legs): what cold servers were sent, the oldest first
 
 
-def taken(module, now, **more):
+def snapshot(module, now, **more):
     """What the module keeps that its successor needs. It is only read."""
     records = [(key, host.name) for key, (host, _) in list(module.records.items())[-MOST_RECORDS:]]
     cold = [h for h in module.membership.hosts.values() if module.slow_start.part(h, now) < 1]
-    return HandOver(
+    return HandoverState(
         records=tuple(records),
         sent=tuple(
             (h.name, at, count) for h in cold for at, count in h.sent.kept(now, module.settings.cold.window)
@@ -57,18 +57,18 @@
     return json.dumps({"version": VERSION, "mark": mark, **asdict(handed)})
 
 
-def pack_standing(standing):
+def pack_connection(standing):
     """A standing connection as a line of JSON, to go with its two sockets."""
     return json.dumps({"version": VERSION, **asdict(standing)}).encode() + b"\n"
 
 
-def unpack_standing(line):
+def unpack_connection(line):
     """ValueError if it cannot be read."""
     said = json.loads(line)
     if not isinstance(said, dict) or said.pop("version", None) != VERSION:
         raise ValueError("no connection of this version")
     try:
-        one = Standing(**said)
+        one = OpenConnection(**said)
         return replace(
             one,
             waiting=tuple(map(int, one.waiting)),
@@ -89,7 +89,7 @@
     if said.get("mark") != mark:
         return None
     try:
-        return HandOver(
+        return HandoverState(
             max(2, int(said["room"])),
             bool(said["draining"]),
             tuple(map(str, said["ids"])),
--- a/cottonspread/front/lateness.py
+++ b/cottonspread/front/lateness.py
@@ -15,33 +15,33 @@
 class Lateness:
     """The node's own lateness over the last half to whole second."""
 
-    ORDINARY = SECOND // 50  # less is no news: a thread that waits its turn
+    NEGLIGIBLE = SECOND // 50  # less is no news: a thread that waits its turn
 
     def __init__(self):
         """Nothing was late so far."""
-        self.since, self.here, self.before = 0, 0, 0
+        self.since, self.current, self.previous = 0, 0, 0
 
-    def measured(self, now, late):
+    def record(self, now, late):
         """Something that was due was dealt with so many microseconds late."""
-        self.turn(now)
-        self.here = max(self.here, late)
+        self.end_half_second(now)
+        self.current = max(self.current, late)
 
-    def turn(self, now):
+    def end_half_second(self, now):
         """Begins another half second, once one is over."""
         if now - self.since >= HALF:
-            self.before = self.here if now - self.since < 2 * HALF else 0
-            self.since, self.here = now, 0
+            self.previous = self.current if now - self.since < 2 * HALF else 0
+            self.since, self.current = now, 0
 
-    def most(self, now):
+    def recent_max(self, now):
         """What the node may have been late by, with whatever is judged
         now; 0 if that is no more than ordinary.
         """
-        self.turn(now)
-        late = max(self.here, self.before)
-        return late if late > self.ORDINARY else 0
+        self.end_half_second(now)
+        late = max(self.current, self.previous)
+        return late if late > self.NEGLIGIBLE else 0
 
 
-class Door:
+class AdmissionLimiter:
     """Which new connections are turned away because the node itself cannot keep up.
 
     Judged by how long clients' first lines had lain when the reducer got to them, on the mean over a tenth of
@@ -51,52 +51,63 @@
     cut: what lies there can still be answered.
     """
 
-    STEP = SECOND // 10
-    SPAN = 5  # steps over which it is counted what the node got done
+    INTERVAL = SECOND // 10
+    INTERVALS = 5  # steps over which it is counted what the node got done
     CUT, GROW = 0.85, 1.01
-    NO_LIMIT = 2  # times what came: a limit so high is dropped
-    LEAST = 10.0  # a second: some always pass, or nothing would tell that the trouble is over
+    DROP_LIMIT_AT = 2  # times what came: a limit so high is dropped
+    MIN_RATE = 10.0  # a second: some always pass, or nothing would tell that the trouble is over
 
     def __init__(self, target):
         """`target`: microseconds for which first lines may lie."""
-        self.target, self.rate, self.tokens, self.filled = target, 0.0, 0.0, 0  # rate a second; 0: no limit
-        self.until, self.last, self.lain_sum, self.lain_count, self.came = 0, 0, 0, 0, 0
-        self.done, self.arrived = deque(maxlen=self.SPAN), deque(maxlen=self.SPAN)
+        # rate a second; 0: no limit
+        self.target, self.rate, self.tokens, self.refilled_at = target, 0.0, 0.0, 0
+        self.interval_end, self.last_mean, self.wait_sum, self.wait_count, self.arrived = 0, 0, 0, 0, 0
+        self.handled, self.arrivals = deque(maxlen=self.INTERVALS), deque(maxlen=self.INTERVALS)
 
-    def lain(self, now, late):
+    def record_wait(self, now, late):
         """The reducer got to a first line that had lain so long."""
-        self.look(now)
-        self.lain_sum += late
-        self.lain_count += 1
+        self.end_interval(now)
+        self.wait_sum += late
+        self.wait_count += 1
 
-    def look(self, now):
+    def end_interval(self, now):
         """Judges the step of a tenth of a second that is over, if one is."""
-        if now < self.until:
+        if now < self.interval_end:
             return
-        if now - self.until > self.SPAN * self.STEP:  # nothing came for a while
-            self.done.clear()
-            self.arrived.clear()
-        self.done.append(self.lain_count)
-        self.arrived.append(self.came)
-        mean = self.lain_sum // self.lain_count if self.lain_count else 0
-        a_second = SECOND / self.STEP / len(self.done)
-        if mean > self.target and self.last > self.target and mean > self.last - self.STEP // 10:
-            self.rate = max(self.LEAST, self.CUT * sum(self.done) * a_second)
+        if now - self.interval_end > self.INTERVALS * self.INTERVAL:  # nothing came for a while
+            self.handled.clear()
+            self.arrivals.clear()
+        self.handled.append(self.wait_count)
+        self.arrivals.append(self.arrived)
+        mean = self.wait_sum // self.wait_count if self.wait_count else 0
+        a_second = SECOND / self.INTERVAL / len(self.handled)
+        if (
+            mean > self.target
+            and self.last_mean > self.target
+            and mean > self.last_mean - self.INTERVAL // 10
+        ):
+            self.rate = max(self.MIN_RATE, self.CUT * sum(self.handled) * a_second)
         elif mean < self.target // 2 and self.rate:
             self.rate *= self.GROW
-            if self.rate > self.NO_LIMIT * max(sum(self.arrived) * a_second, self.LEAST):
+            if self.rate > self.DROP_LIMIT_AT * max(sum(self.arrivals) * a_second, self.MIN_RATE):
                 self.rate = 0.0
-        self.last, self.lain_sum, self.lain_count, self.came, self.until = mean, 0, 0, 0, now + self.STEP
+        self.last_mean, self.wait_sum, self.wait_count, self.arrived, self.interval_end = (
+            mean,
+            0,
+            0,
+            0,
+            now + self.INTERVAL,
+        )
 
     def admits(self, now):
         """Whether a connection that comes now is let in."""
-        self.look(now)
-        self.came += 1
+        self.end_interval(now)
+        self.arrived += 1
         if not self.rate:
             return True
-        most = max(1.0, self.rate * self.STEP / SECOND)
-        self.tokens = min(most, self.tokens + self.rate * (now - self.filled) / SECOND)
-        self.filled = now
+        most = max(1.0, self.rate * self.INTERVAL / SECOND)
+        self.tokens = min(most, self.tokens + self.rate * (now - self.refilled_at) / SECOND)
+        self.refilled_at = now
         if self.tokens < 1:
             return False
         self.tokens -= 1
--- a/cottonspread/front/reports.py
+++ b/cottonspread/front/reports.py
@@ -3,7 +3,7 @@
 from cottonspread import interface as io
 
 
-def values(text):
+def parse_load_report(text):
     """A load report, NAME:VALUE pairs set apart by commas, as values by name.
 
     One that is no finite number, negative or out of any range is left out: it must not cost the
@@ -19,7 +19,7 @@
     return {name: value for name, value in told.items() if 0 <= value < 1e15}
 
 
-def probed(host, ending, waited, report):
+def probe_ended(host, ending, waited, report):
     """The end of a probe.
 
     `waited`: microseconds; `report`: values by name, `x0` load asked over what the host can do, `x1` seconds
--- a/cottonspread/lab/scale/reducer_node.py
+++ b/cottonspread/lab/scale/reducer_node.py
@@ -53,7 +53,7 @@
         server = number % self.servers
         client, host = ev.End(True), ev.End(False)
         client.worker = host.worker = "a thread"
-        standing = handover.Standing(
+        standing = handover.OpenConnection(
             f"id-{number}", TYPE, f"server-{server}", self.now, 1000, f"key-{number}", group, 0, LOAD, waiting
         )
         taken = []
--- a/cottonspread/lab/sim/node.py
+++ b/cottonspread/lab/sim/node.py
@@ -13,7 +13,7 @@
 
 from cottonspread import config
 from cottonspread.front import handover
-from cottonspread.front.lateness import Door
+from cottonspread.front.lateness import AdmissionLimiter
 from cottonspread.interface import Ending, ListUpdateKind
 from cottonspread.lab.sim.seam import Contract
 from cottonspread.lab.sim.ways import Place
@@ -262,7 +262,7 @@
             not shared,
         )
         version, listed, addresses, unread = discovery.read_list(known, names, ListUpdateKind.SAVED)
-        self.door = Door(door_target(begin))
+        self.door = AdmissionLimiter(door_target(begin))
         self.discovery = discovery.Discovery(
             place.discovery,
             names,
@@ -344,7 +344,7 @@
         now = self.clock()
         at = getattr(event, "at", 0) or at or now
         if isinstance(event, ev.Got) and event.end.client and event.end.conn.opening is None:
-            self.door.lain(now, now - at)
+            self.door.record_wait(now, now - at)
         self.step(event, at)
         self.free_at = self.world.now + STEP + self.draws.below(STEP // 2)
         if self.queue or self.urgent:
@@ -478,7 +478,7 @@
         with contextlib.suppress(BrokenPipeError):
             side.send(line)
         self.node.fleet.promises.turned_away(self, side, line)
-        self.reducer.figures.turned_away(lines.type_named(side.take()))
+        self.reducer.counters.count_refused_on_accept(lines.type_named(side.take()))
         side.close()
         self.ended[reason] += 1
 
@@ -571,7 +571,7 @@
             return
         for worker in workers:
             worker.gone = True
-        standing = handover.unpack_standing(handover.pack_standing(order.standing))
+        standing = handover.unpack_connection(handover.pack_connection(order.standing))
         ends, new = (ev.End(True), ev.End(False)), []
         for end, worker in zip(ends, workers, strict=True):
             new.append(Worker(heir, end, worker.side))
--- a/cottonspread/net/lines.py
+++ b/cottonspread/net/lines.py
@@ -8,7 +8,7 @@
 import time
 from dataclasses import dataclass
 
-from cottonspread.front.reports import values
+from cottonspread.front.reports import parse_load_report
 from cottonspread.interface import Ending
 
 PING, PONG, ERR, MOVE, BYE = b"PING", b"PONG\r\n", b"ERR\r\n", b"MOVE\r\n", b"BYE"
@@ -212,7 +212,7 @@
     """
     word, _, rest = line.strip().partition(b" ")
     return {b"PONG": Ending.OK, b"ERR": Ending.ERROR}.get(word, Ending.FULL), (
-        values(rest.decode("latin-1")) if word == b"PONG" else {}
+        parse_load_report(rest.decode("latin-1")) if word == b"PONG" else {}
     )
 
 
--- a/cottonspread/net/node.py
+++ b/cottonspread/net/node.py
@@ -13,7 +13,7 @@
 from collections import Counter
 from dataclasses import replace
 
-from cottonspread.front.lateness import Door
+from cottonspread.front.lateness import AdmissionLimiter
 from cottonspread.interface import ListUpdateKind
 from cottonspread.net import admin, discovery, lines, passing, workers
 from cottonspread.net import events as ev
@@ -62,7 +62,7 @@
 
 
 def door_target(begin):
-    """How long first lines may lie here: see `Door`."""
+    """How long first lines may lie here: see `AdmissionLimiter`."""
     return min(t.setup_target for t in begin.types) // 4
 
 
@@ -103,7 +103,7 @@
         self.events, self.done = queue.Queue(QUEUE), threading.Event()
         self.most = self.all = most_ends(room, place.operator)
         self.workers = workers.Workers(Pool(), self.post, self.clock.now, lambda: (self.done.set(), ended()))
-        self.lock, self.door = threading.Lock(), Door(door_target(begin))
+        self.lock, self.door = threading.Lock(), AdmissionLimiter(door_target(begin))
         version, listed, addresses, unread = discovery.read_list(known, names, ListUpdateKind.SAVED)
         self.discovery = discovery.Discovery(
             place.discovery,
@@ -165,7 +165,7 @@
         if word == "health":
             return b"200 yes\n" if self.serves() else b"400 no\n"
         if word == "counters":
-            return b"200 the figures\n%sEOF\n" % self.reducer.figures.text(len(self.reducer.by_id)).encode()
+            return b"200 the figures\n%sEOF\n" % self.reducer.counters.text(len(self.reducer.by_id)).encode()
         if word not in ("quiesce", "resume"):
             return b"400 known calls: health, counters, quiesce, resume\n"
         if self.reducer.stopping:
@@ -303,7 +303,7 @@
             at = getattr(event, "at", 0) or at or now
             if isinstance(event, ev.Got) and event.end.client and event.end.conn.opening is None:
                 with self.lock:
-                    self.door.lain(now, now - at)
+                    self.door.record_wait(now, now - at)
             for effect in self.step(event, at):
                 self.carry_out(effect)
 
@@ -416,7 +416,9 @@
         except OSError:
             pass
         with contextlib.suppress(OSError):  # it has not come yet
-            self.reducer.figures.turned_away(lines.type_named(sock.recv(4096, socket.MSG_DONTWAIT)))
+            self.reducer.counters.count_refused_on_accept(
+                lines.type_named(sock.recv(4096, socket.MSG_DONTWAIT))
+            )
         self.closer.take(sock)
         self.ended[reason] += 1
         log.info("closed", extra={"pairs": {"reason": reason}})
--- a/cottonspread/net/passing.py
+++ b/cottonspread/net/passing.py
@@ -38,7 +38,7 @@
         try:
             socket.send_fds(
                 self.sock,
-                [handover.pack_standing(order.standing)],
+                [handover.pack_connection(order.standing)],
                 [worker.sock.fileno() for worker in workers],
             )
             taken = self.sock.recv(1) == TAKEN
@@ -64,7 +64,7 @@
             data += more
         sockets, taken = [socket.socket(fileno=fd) for fd in fds], False
         try:
-            standing, (client, host) = handover.unpack_standing(data), sockets
+            standing, (client, host) = handover.unpack_connection(data), sockets
             taken = adopt(standing, client, host)
         except ValueError as fault:
             log.warning("passing", extra={"pairs": {"why": fault}})
--- a/cottonspread/net/reducer.py
+++ b/cottonspread/net/reducer.py
@@ -15,9 +15,9 @@
 
 from cottonspread import interface as io
 from cottonspread.front import handover
-from cottonspread.front.figures import Figures
+from cottonspread.front.counters import Counters
 from cottonspread.front.lateness import Lateness
-from cottonspread.front.reports import probed
+from cottonspread.front.reports import probe_ended
 from cottonspread.interface import Ending
 from cottonspread.net import events as ev
 from cottonspread.net import lines
@@ -122,7 +122,7 @@
         self.busy_conns, self.busy_hosts = Busy(connection_is_busy, number), Busy(host_is_busy, number)
         self.asking = set()  # hosts with a probe under way whose end the module waits for
         self.probes = 0
-        self.figures = Figures(())
+        self.counters = Counters(())
         self.listed, self.departure = False, Departure(self)
         # a successor takes standing connections; the one on its way there
         self.heir, self.passing = False, None
@@ -161,7 +161,7 @@
         self.longest_wait = LONGEST_WAIT * max(t.guard_time for t in begin.types)
         targets = [t.message_target for t in begin.types if t.message_target]
         self.slow_from = min(targets, default=SECOND) // 3
-        self.figures.know(t.name for t in begin.types)
+        self.counters.add_types(t.name for t in begin.types)
 
     @property
     def stopping(self):
@@ -182,7 +182,7 @@
         """Everything that `event` and the passing of time ask for. `at`: when it happened; 0: now."""
         self.now = max(now, self.now)
         self.happened = min(at or self.now, self.now)
-        self.own.measured(self.now, self.now - min(self.happened, self.due()))
+        self.own.record(self.now, self.now - min(self.happened, self.due()))
         self.tell_module()  # what a fault left over
         while self.timers and self.timers[0][0] <= self.now:
             what, args = heapq.heappop(self.timers)[2:]
@@ -333,7 +333,7 @@
         # with the answer is not the call's.
         lain = self.now - self.happened
         conn.guard = self.happened + wait
-        left = max(0, wait - lain - min(self.own.most(self.now), (wait - lain) // 4))
+        left = max(0, wait - lain - min(self.own.recent_max(self.now), (wait - lain) // 4))
         # Two descriptors for every call, and some left to answer with: at the edge a call is turned away.
         turned = self.departure.turns_away(conn)
         if turned or self.ends + 1 > self.most_ends:
@@ -403,7 +403,7 @@
         conn.answered = True
         if conn.type and not conn.counted:
             conn.counted = True
-            self.figures.answered("busy" if line.startswith(b"BUSY") else "failure", conn.type.name)
+            self.counters.count_answer("busy" if line.startswith(b"BUSY") else "failure", conn.type.name)
         self.closed_id(conn)
         if line and not conn.client.writing:
             self.write(conn.client, line)
@@ -448,7 +448,7 @@
         """
         if leg.up or leg.ended:
             return
-        late, last = self.own.most(self.now), leg.conn.guard - 2 * self.begin.tick
+        late, last = self.own.recent_max(self.now), leg.conn.guard - 2 * self.begin.tick
         if not waited and late and leg.until + late <= last:
             self.at(leg.until + late, self.time_out, leg, True)
         elif not waited and late and self.now < last:
@@ -554,7 +554,7 @@
         conn = leg.conn
         if ending is None:
             leg.up = conn.up = conn.counted = True
-            self.figures.answered("success", conn.type.name)
+            self.counters.count_answer("success", conn.type.name)
             # Its host may have been called gone meanwhile, and taken back: watched under
             # another's name it would be silent unheard.
             leg.host = self.server(leg.host.name)
@@ -650,7 +650,7 @@
     def listen(self):
         """A host that echoes nothing tells by that alone what its messages take, at least."""
         self.after(LISTEN, self.listen)
-        late = self.own.most(self.now)  # an echo may have lain here so long
+        late = self.own.recent_max(self.now)  # an echo may have lain here so long
         for host in [host for host in self.busy_hosts.all() if host.legs]:
             # A client that takes nothing keeps its host from being read, which is no silence of the host's.
             heard = [leg for leg in host.waiting.all() if not leg.conn.client.writing]
@@ -701,8 +701,8 @@
         if e.host in self.asking:
             self.asking.discard(e.host)
             # A node that was late itself may have left the answer lying: no word on the host.
-            late = e.ending is Ending.TIMEOUT and self.own.most(self.now)
-            self.tell(probed(e.host, Ending.FULL if late else e.ending, e.waited, e.report))
+            late = e.ending is Ending.TIMEOUT and self.own.recent_max(self.now)
+            self.tell(probe_ended(e.host, Ending.FULL if late else e.ending, e.waited, e.report))
 
     # Ends and moves
 
@@ -786,8 +786,8 @@
         first = e.ok and not end.client and not end.leg.written
         if first:  # also if the leg has ended meanwhile: its host has the line
             end.leg.written = True
-            self.figures.backend_calls += 1
-        if end.client and conn.up and self.now - end.writing - self.own.most(self.now) > self.slow_from:
+            self.counters.backend_calls += 1
+        if end.client and conn.up and self.now - end.writing - self.own.recent_max(self.now) > self.slow_from:
             conn.legs[-1].heard.waiting.clear()  # echoes were late for want of a reader
         elif not end.client and end.leg.up and e.at:
             end.leg.heard.written(end.writing, e.at)
@@ -897,7 +897,7 @@
     def sweep(self):
         """What waits too long, looked at four times a second."""
         self.after(SWEEP, self.sweep)
-        late = self.own.most(self.now)
+        late = self.own.recent_max(self.now)
         for conn in self.busy_conns.all():
             self.sweep_end(conn.client)
             if (
@@ -909,7 +909,7 @@
             for leg in conn.legs:
                 if leg.end is not None:
                     self.sweep_end(leg.end)
-        self.figures.hosts_down = self.module.membership.avoided(self.now)
+        self.counters.hosts_down = self.module.membership.avoided(self.now)
         if self.departure.stopping:
             self.pass_to_successor(self.busy)
             self.departure.stop_when_done()
@@ -917,7 +917,7 @@
     def sweep_end(self, end):
         if end.freed:
             return
-        if end.writing and self.now - end.writing - self.own.most(self.now) > STUCK and not end.closing:
+        if end.writing and self.now - end.writing - self.own.recent_max(self.now) > STUCK and not end.closing:
             self.out.append(ev.Say("stuck", {"client": end.client}, "warning"))
             if end.client:
                 self.client_over(end.conn, "stuck")
@@ -958,7 +958,7 @@
                 server.address = None
                 if not server.legs:
                     del self.servers[name]
-        self.figures.hosts_listed = len(self.entries)
+        self.counters.hosts_listed = len(self.entries)
         if new or gone or e.listed.kind is not io.ListUpdateKind.CHANGES:
             self.out.append(
                 ev.Say(
@@ -987,11 +987,11 @@
         self.tune(e.begin)
         for host in self.servers.values():
             host.notes.slow_from = self.slow_from
-        self.figures.reconfig_ok += 1
+        self.counters.reconfig_ok += 1
         self.tell(io.Reconfigured(e.begin))
 
     def not_retuned(self, e):
-        self.figures.reconfig_failed += 1
+        self.counters.reconfig_failed += 1
 
     def inherit(self, e):
         self.ended_ids.update(dict.fromkeys(e.handed.ids))
@@ -1004,7 +1004,7 @@
         free = max(0, self.most_ends - self.ends)
         self.most_ends -= free // 2
         e.give(
-            handover.taken(
+            handover.snapshot(
                 self.module,
                 self.now,
                 room=free // 2,
@@ -1034,7 +1034,7 @@
                 ev.Pass(
                     conn,
                     *ends,
-                    handover.Standing(
+                    handover.OpenConnection(
                         opening.id,
                         conn.type.name,
                         leg.host.name,
--- a/tests/crossings/test_attempts.py
+++ b/tests/crossings/test_attempts.py
@@ -173,7 +173,7 @@
             assert one.hear() == b"UP r"
             one.close()
             assert peer.rest() == b""
-        assert node.reducer.figures.answers["success", "once"] == 3
+        assert node.reducer.counters.answers["success", "once"] == 3
 
 
 def test_an_answer_that_lies_in_the_queue_at_the_deadline_gives_one_final_answer(hosts, agent):
--- a/tests/crossings/test_handover.py
+++ b/tests/crossings/test_handover.py
@@ -12,7 +12,7 @@
 from cottonspread.front import handover
 from cottonspread.net import passing
 
-STANDING = handover.pack_standing(handover.Standing("id", "plain", "s-1", 1, 2))
+STANDING = handover.pack_connection(handover.OpenConnection("id", "plain", "s-1", 1, 2))
 
 
 def on_its_way(message, fds=2):
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -9,7 +9,7 @@
 from test_net import NODE, WAIT, Client, discovery_of, service, toy  # noqa: F401 (fixtures)
 
 from cottonspread import config
-from cottonspread.front.figures import ANSWERS, Figures
+from cottonspread.front.counters import ANSWERS, Counters
 from cottonspread.net import admin, lines
 from cottonspread.net import events as ev
 from cottonspread.net.node import Node, most_ends
@@ -101,25 +101,25 @@
     one.stop()
 
 
-# Figures
+# Counters
 
 
 def test_every_type_known_has_its_figures_zero_included_and_names_are_escaped():
-    figures = Figures(["plain", 'a"b\\c\nd'])
-    figures.answered("busy", "plain")
-    figures.turned_away("plain")
-    figures.turned_away("unheard-of")
-    text = figures.text(3)
+    counters = Counters(["plain", 'a"b\\c\nd'])
+    counters.count_answer("busy", "plain")
+    counters.count_refused_on_accept("plain")
+    counters.count_refused_on_accept("unheard-of")
+    text = counters.text(3)
     assert 'app_busy{tier="plain"} 2\n' in text and "app_inflight 3\n" in text
     assert 'app_success{tier="a\\"b\\\\c\\nd"} 0\n' in text
     assert all(
         re.fullmatch(r'app_[a-z_]+(\{tier="(?:[^"\\]|\\.)*"\})? \d+', line) for line in text.splitlines()
     )
-    figures.know(["new"])
-    assert 'app_failure{tier="new"} 0\n' in figures.text(0) and 'app_busy{tier="plain"} 2\n' in figures.text(
+    counters.add_types(["new"])
+    assert 'app_failure{tier="new"} 0\n' in counters.text(
         0
-    )
-    assert {name for name, _, _ in figures.numbers(0)} == {
+    ) and 'app_busy{tier="plain"} 2\n' in counters.text(0)
+    assert {name for name, _, _ in counters.samples(0)} == {
         *ANSWERS,
         "inflight",
         "backend_calls",
--- a/tests/test_lateness.py
+++ b/tests/test_lateness.py
@@ -2,32 +2,32 @@
 
 import pytest
 
-from cottonspread.front.lateness import SECOND, Door, Lateness
+from cottonspread.front.lateness import SECOND, AdmissionLimiter, Lateness
 
 
 def test_lateness_is_the_most_of_the_last_half_to_whole_second_and_the_ordinary_is_none():
     one = Lateness()
-    one.measured(0, 5_000)
-    assert one.most(10) == 0
-    one.measured(100, 300_000)
-    assert one.most(SECOND * 9 // 10) == 300_000
-    assert one.most(SECOND * 16 // 10) == 0
-    one.measured(9 * SECOND, 2 * SECOND)
-    assert one.most(12 * SECOND) == 0
+    one.record(0, 5_000)
+    assert one.recent_max(10) == 0
+    one.record(100, 300_000)
+    assert one.recent_max(SECOND * 9 // 10) == 300_000
+    assert one.recent_max(SECOND * 16 // 10) == 0
+    one.record(9 * SECOND, 2 * SECOND)
+    assert one.recent_max(12 * SECOND) == 0
 
 
 def played(arrivals, bears, pause=(0, 0), target=100_000):
     """A node that does `bears` calls a second, and none in `pause`. (turned away, waits
     of those done, (time, wait) of them).
     """
-    door, turned, queue, done, free = Door(target), [], [], [], 0
+    door, turned, queue, done, free = AdmissionLimiter(target), [], [], [], 0
     for at in sorted(arrivals):
         while queue and max(free, queue[0]) + SECOND // bears <= at:
             came = queue.pop(0)
             free = max(free, came)
             if pause[0] <= free < pause[1]:
                 free = pause[1]
-            door.lain(free, free - came)
+            door.record_wait(free, free - came)
             free += SECOND // bears
             done.append((free, free - came))
         if pause[0] <= at < pause[1]:
--- a/tests/test_reducer.py
+++ b/tests/test_reducer.py
@@ -172,8 +172,8 @@
         return +counted
 
     def figures(self):
-        figures = self.reducer.figures
-        return +Counter(figures.answers | {"backend_calls": figures.backend_calls})
+        counters = self.reducer.counters
+        return +Counter(counters.answers | {"backend_calls": counters.backend_calls})
 
     def act(self, now, verb, args):
         while verb != "asleep" and self.reducer.due() < now:  # the loop's own calls in between
@@ -242,7 +242,9 @@
         self.step(
             ev.Adopted(
                 *ends,
-                handover.Standing(args[2], args[3], args[4], self.now, 0, key, key, load=float(load or 0)),
+                handover.OpenConnection(
+                    args[2], args[3], args[4], self.now, 0, key, key, load=float(load or 0)
+                ),
                 lambda taken: self.out.append(["adopted", "yes" if taken else "no"]),
             )
         )
@@ -272,7 +274,7 @@
         words = [word.partition("=")[::2] for word in args]
         self.step(
             ev.Inherited(
-                handover.HandOver(
+                handover.HandoverState(
                     50,
                     "draining" in args,
                     tuple(v for k, v in words if k == "id"),
@@ -306,7 +308,7 @@
     def on_figures(self, end, args, at):
         told = {
             name + "." * bool(labels) + labels[7:-2]: value
-            for name, labels, value in self.reducer.figures.numbers(len(self.reducer.by_id))
+            for name, labels, value in self.reducer.counters.samples(len(self.reducer.by_id))
         }
         for word in args:
             assert told[word.split("=")[0]] == int(word.split("=")[1]), (word, told)
--- a/tests/test_succession.py
+++ b/tests/test_succession.py
@@ -181,7 +181,7 @@
 
 # Hand-over
 
-GOOD = handover.HandOver(7, True, ("a", "b"), (("k", "s-1"),), (("s-1", 5, 2),))
+GOOD = handover.HandoverState(7, True, ("a", "b"), (("k", "s-1"),), (("s-1", 5, 2),))
 
 
 def test_a_hand_over_is_read_as_it_was_written_and_only_by_who_asked():
@@ -525,11 +525,11 @@
     theirs.close()
 
 
-STANDING = handover.Standing("id1", "chat", "s-1", 5, 6, "k", None, 0, 7.5, (1, 2))
+STANDING = handover.OpenConnection("id1", "chat", "s-1", 5, 6, "k", None, 0, 7.5, (1, 2))
 
 
 def test_a_standing_connection_is_read_as_it_was_written():
-    assert handover.unpack_standing(handover.pack_standing(STANDING)) == STANDING
+    assert handover.unpack_connection(handover.pack_connection(STANDING)) == STANDING
 
 
 @pytest.mark.parametrize(
@@ -538,10 +538,10 @@
         b"\n",
         b"{\n",
         b"[]\n",
-        handover.pack_standing(STANDING)[:-9],
-        handover.pack_standing(STANDING).replace(b'"version": 1', b'"version": 2'),
-        handover.pack_standing(STANDING).replace(b'"type"', b'"odd"'),
-        handover.pack_standing(STANDING).replace(b'"began": 5', b'"began": null'),
+        handover.pack_connection(STANDING)[:-9],
+        handover.pack_connection(STANDING).replace(b'"version": 1', b'"version": 2'),
+        handover.pack_connection(STANDING).replace(b'"type"', b'"odd"'),
+        handover.pack_connection(STANDING).replace(b'"began": 5', b'"began": null'),
     ],
 )
 def test_a_standing_connection_that_cannot_be_read_is_left_where_it_is(line):
