--- a/benchmarks/crossings/mutants.py
+++ b/benchmarks/crossings/mutants.py
@@ -274,8 +274,8 @@
     (
         "a number of nodes that is not told",
         POLICY,
-        "    UNTOLD = 256 ",
-        "    UNTOLD = 1 ",
+        "    DEFAULT_NODES = 256 ",
+        "    DEFAULT_NODES = 1 ",
         [
             "tests/test_many_nodes.py::test_what_all_processes_send_a_cold_server_stays_within_its_budget_and_chance"
         ],
--- a/cottonspread/driver.py
+++ b/cottonspread/driver.py
@@ -91,7 +91,7 @@
 
     def move(self, leg):
         """Asks a connection's client to come again, and not to this server."""
-        leg.moved = True
+        leg.move_requested = True
         self.records.drop(leg.call.key, leg.host)
         self.out.append(io.Move(leg.call.id))
 
@@ -180,7 +180,7 @@
 
     def retuned(self, e):
         """Other settings from now on. A call keeps the type that it opened under."""
-        self.settings.take(e.config)
+        self.settings.apply(e.config)
 
     def timer(self, e):
         """It is time to see off a client of a server that drains, or to ask the list."""
--- a/cottonspread/front/handover.py
+++ b/cottonspread/front/handover.py
@@ -46,7 +46,9 @@
     return HandoverState(
         records=tuple(records),
         sent=tuple(
-            (h.name, at, count) for h in cold for at, count in h.sent.kept(now, module.settings.cold.window)
+            (h.name, at, count)
+            for h in cold
+            for at, count in h.sent.buckets_in(now, module.settings.cold.window)
         ),
         **more,
     )
--- a/cottonspread/policy/ceilings.py
+++ b/cottonspread/policy/ceilings.py
@@ -12,19 +12,23 @@
     CALM, CALM_DOUBLES_IN, JAM = 5 * SECOND, 4 * SECOND, 0.3  # a smaller part of slow servers is no jam
     LEAST = Loads.MEAN  # grows at least as one of this size would
 
-    def __init__(self, loads, chance, settings):
-        self.loads, self.chance, self.settings = loads, chance, settings
+    def __init__(self, loads, rng, settings):
+        self.loads, self.rng, self.settings = loads, rng, settings
         self.slow_at = -60 * SECOND  # when there last was a jam
 
     def cut(self, host, now):
         """Cuts; gives the connections too many, the ones that relieve the server most first."""
         host.ceiling, host.cut_at = host.load * self.CUT, now
-        standing = sorted(host.standing(), key=lambda leg: (-self.loads.frees(leg), leg.call.type.revenue))
-        over = host.load - host.ceiling - sum(self.loads.frees(leg) for leg in host.legs if leg.moved)
+        standing = sorted(
+            host.staying_legs(), key=lambda leg: (-self.loads.frees(leg), leg.call.type.revenue)
+        )
+        over = (
+            host.load - host.ceiling - sum(self.loads.frees(leg) for leg in host.legs if leg.move_requested)
+        )
         for leg in standing:
             weight = self.loads.frees(leg)
             # The last one goes by chance: nodes that each hold few would else all move one too many.
-            if over <= 0 or over < weight and self.chance.below(1000) >= 1000 * over / weight:
+            if over <= 0 or over < weight and self.rng.below(1000) >= 1000 * over / weight:
                 return
             over -= weight
             yield leg
@@ -35,7 +39,7 @@
             return True
         # One that holds nothing tells nothing: tried with one call now and then, by one node or so at a time.
         if not host.legs and now - host.cut_at > 2 * self.CALM:
-            return not self.chance.below(self.settings.nodes)
+            return not self.rng.below(self.settings.nodes)
         # Additive where little is left, or it would stay shut; and with no end: ceilings cut together and
         # dropped together let the whole jam back in.
         limit = host.ceiling + max(host.ceiling, self.LEAST) * (now - host.cut_at) / self.DOUBLES_IN
--- a/cottonspread/policy/choice.py
+++ b/cottonspread/policy/choice.py
@@ -8,7 +8,7 @@
 class Choice:
     """One look for a server: `host()` is the ordinary way. Made anew for each leg, for the fleet moves on."""
 
-    SHUT = SECOND // 4  # a server that is not open to new keys is not looked at again before
+    SKIP_TIME = SECOND // 4  # a server that is not open to new keys is not looked at again before
     # All servers may rest at once, the way to them too, or be slow or full, and a node that tries nothing
     # learns of no recovery. After so many calls without a leg, and so long (up to a second more by chance, or
     # all nodes would try in step), one is overdue and goes to the next server that is not cold.
@@ -23,14 +23,14 @@
         self.overdue = node.calls_since_leg >= self.MANY and self.now >= node.overdue_at
         # Nothing is heard of a server that holds nothing of this node. Unless fresh it goes by the others, or
         # nodes with one connection on every third server keep a whole jammed fleet full.
-        self.blind = self.settings.nodes == 1 or node.chance.below(1000) >= 2500 * self.seen.slow_part**2
+        self.blind = self.settings.nodes == 1 or node.rng.below(1000) >= 2500 * self.seen.slow_part**2
 
     def host(self):
         """The server for the next leg; None if no server may have it now."""
         rests = not self.health.may_send(self.node.way, self.now)
         host = None if rests and not self.overdue else self.usual()
         if host and self.overdue:  # what rests is tried, and goes on if it answers
-            host.aside_until = self.node.way.aside_until = self.now
+            host.ejected_until = self.node.way.ejected_until = self.now
         return host
 
     def usual(self):
@@ -38,7 +38,7 @@
         node, call = self.node, self.call
         recorded = node.records.find(call.key, self.now, len(node.calls))
         # One that was probed for this call and has room is taken: the rotation went on, and probed the next.
-        for host in (recorded, call.asked):
+        for host in (recorded, call.probed_host):
             if host and self.ready(host) and self.light(host):
                 return host
         # Where none fits the call is rejected at once: filling the last free server is how a jam spreads.
@@ -53,7 +53,7 @@
             return False
         if host in self.seen.marked and not (self.overdue or self.sound(host)):
             return False
-        return self.node.slow_start.may_send(host, self.now, host is call.asked or call.drawn)
+        return self.node.slow_start.may_send(host, self.now, host is call.probed_host or call.drawn_host)
 
     def sound(self, host):
         """Whether a marked server is not set aside, nor slow, nor at its ceiling."""
@@ -79,24 +79,24 @@
         if (heard or self.blind or self.overdue) and self.ready(host):
             return True
         # In a jam all are shut: they are not looked at one by one for each call.
-        host.shut_until = self.now + self.SHUT
+        host.skip_until = self.now + self.SKIP_TIME
         return False
 
     def in_turn(self):
         """The next of the rotation that is open, near ones first."""
         rotation = self.node.rotation
-        near = self.settings.crossing and self.first_of(rotation.in_zone(self.settings.zone))
+        near = self.settings.zone_crossing_price and self.first_of(rotation.in_zone(self.settings.zone))
         return near or self.first_of(rotation.following())
 
     def in_turn_of(self, few):
         """The same among a few servers."""
         rotation, zone = self.node.rotation, self.settings.zone
-        near = [host for host in few if host.entry.zone == zone] if self.settings.crossing else ()
+        near = [host for host in few if host.entry.zone == zone] if self.settings.zone_crossing_price else ()
         return self.first_of(rotation.among(near)) or self.first_of(rotation.among(few))
 
     def first_of(self, servers):
         """The first of these in turn that is open."""
-        now = self.now + self.SHUT if self.overdue else self.now  # then none counts as shut
+        now = self.now + self.SKIP_TIME if self.overdue else self.now  # then none counts as shut
         return self.node.rotation.next(self.open_to_new, now, servers)
 
     def for_group(self):
@@ -106,12 +106,12 @@
         few = self.few()
         # Servers replaced in a release stay empty while the others jam, so fresh ones come first.
         for host in self.fresh_first():
-            if host.shut_until <= self.now and self.open_to_new(host):
+            if host.skip_until <= self.now and self.open_to_new(host):
                 return host
         host = self.in_turn_of(few)
         # While there is room in the fleet a group is not turned away for the cost of one more server.
         if host is None and self.readings.room():
-            self.call.bound = self.readings.LOW
+            self.call.max_load_ratio = self.readings.LOW
             host = self.first_of(self.node.rotation.following())
         return host
 
@@ -120,9 +120,9 @@
         the order stands in for it."""
         rotation, group = self.node.rotation, self.call.group
         few, wanted = [], self.node.groups.servers(group, len(rotation.order))
-        for host in rotation.ranked.first(group, wanted):
+        for host in rotation.group_orders.first(group, wanted):
             few.append(host)
-            wanted -= not host.trickle
+            wanted -= not host.recovery_limit
             if not wanted:
                 break
         return few
@@ -130,11 +130,11 @@
     def fresh_first(self):
         """The fresh servers that the call may try before the group's own."""
         node, call = self.node, self.call
-        fresh = node.rotation.ranked.sorted(call.group, self.seen.fresh)
+        fresh = node.rotation.group_orders.sorted(call.group, self.seen.fresh)
         budget = node.slow_start.budget(node.slow_start.part(fresh[0], self.now)) if len(fresh) > 2 else 1
         if budget < 1:
             calls = node.arrived.total(self.now, self.settings.cold.window)
             part = node.groups.calls.part(call.group)
-            call.drawn = call.drawn or node.slow_start.draw(fresh, budget, part, calls)
-            return [h for h in fresh if h is call.drawn]
+            call.drawn_host = call.drawn_host or node.slow_start.draw(fresh, budget, part, calls)
+            return [h for h in fresh if h is call.drawn_host]
         return fresh if call.returned or self.seen.slow_part or self.readings.filled() else []
--- a/cottonspread/policy/groups.py
+++ b/cottonspread/policy/groups.py
@@ -1,6 +1,6 @@
 """Group spread: over how many servers the calls of one group may go."""
 
-from cottonspread.structures import FadingCounts
+from cottonspread.structures import DecayingCounts
 
 
 class Groups:
@@ -10,7 +10,7 @@
     DOUBT = 10  # calls; fewer tell little of a group's part
 
     def __init__(self):
-        self.calls = FadingCounts(self.MOST, self.DOUBT)
+        self.calls = DecayingCounts(self.MOST, self.DOUBT)
 
     def servers(self, group, listed):
         """How many of the listed servers it goes to: its part of them, and two more."""
--- a/cottonspread/policy/load.py
+++ b/cottonspread/policy/load.py
@@ -20,12 +20,12 @@
 
     def tell(self, leg, load):
         """The leg's own load is told, in microseconds of work a second."""
-        leg.told = load
+        leg.reported_load = load
         self.told.add(load)
 
     def of(self, leg):
         """The leg's weight."""
-        return round(self.MEAN * leg.told / self.told.mean) if leg.told else self.MEAN
+        return round(self.MEAN * leg.reported_load / self.told.mean) if leg.reported_load else self.MEAN
 
     def frees(self, leg):
         """What its server is relieved of by the leg's end: more if it is the last of its group there."""
--- a/cottonspread/policy/membership.py
+++ b/cottonspread/policy/membership.py
@@ -10,9 +10,9 @@
 
     LONGEST_WAY = 9 * SECOND // 2  # from a call that fails to the next: after 6 s a change counts as told
 
-    def __init__(self, chance, settings, dynamic_weights):
+    def __init__(self, rng, settings, dynamic_weights):
         super().__init__()
-        self.chance, self.settings, self.failures = chance, settings, 0
+        self.rng, self.settings, self.failures = rng, settings, 0
         self.sizes = NominalSizes(dynamic_weights)
 
     def read(self, listed):
@@ -38,4 +38,4 @@
         self.failures += 1
         most = max(SECOND, min(self.settings.poll_interval, self.LONGEST_WAY - took))
         least = max(0, most * 3 // 4 - took) if self.failures > 1 else 0
-        return least + self.chance.below(most - least)
+        return least + self.rng.below(most - least)
--- a/cottonspread/policy/overview.py
+++ b/cottonspread/policy/overview.py
@@ -48,7 +48,7 @@
             return
         self.looked_at = now
         self.sums.weigh_all(self.rotation.order, self.loads.told, self.loads.MEAN)
-        if self.settings.changed():  # by which others may be slow
+        if self.settings.take_change():  # by which others may be slow
             self.watched.update(self.rotation.places)
         self.marked = {h: None for h in self.marked if self.differs(h, now)}
         self.fresh = {h for h in self.marked if h.up and self.is_fresh(h, now)}
@@ -67,7 +67,7 @@
 
     def differs(self, host, now):
         """Whether a marked server is still to be looked into by each call that might go there."""
-        return self.is_fresh(host, now) or host.trickle or host.ceiling or self.near_slow(host, now)
+        return self.is_fresh(host, now) or host.recovery_limit or host.ceiling or self.near_slow(host, now)
 
     def near_slow(self, host, now):
         """Whether one more connection would make it slow."""
@@ -83,5 +83,7 @@
     def stands_apart(self, host, now):
         """Fresh ones and those set aside or tried would pull the mean down: sound ones would all seem well
         over it. So would, where probes tell of all nodes' calls, slow, silent and full ones."""
-        told = self.settings.probed and (self.readings.full(host, now) or self.near_slow(host, now))
-        return host in self.fresh or host.trickle or told
+        told = self.settings.probes_report_load and (
+            self.readings.full(host, now) or self.near_slow(host, now)
+        )
+        return host in self.fresh or host.recovery_limit or told
--- a/cottonspread/policy/path.py
+++ b/cottonspread/policy/path.py
@@ -23,7 +23,7 @@
 from cottonspread.policy.retries import may_go_again, may_reject, remembered_until
 from cottonspread.policy.rotation import Rotation
 from cottonspread.policy.slow_start import SlowStart
-from cottonspread.state import SECOND, Chance, Ring, Settings
+from cottonspread.state import SECOND, SeededRandom, Settings, SlidingCount
 
 
 class Balancer(Driver):
@@ -44,7 +44,7 @@
                 break
             # What other nodes put on a server is not in this one's counts: a connection or none on each.
             if self.readings.wanted(call, host, self.now):
-                call.probes, call.asked = call.probes + 1, host
+                call.probes, call.probed_host = call.probes + 1, host
                 yield io.Probe(host.name)
                 continue  # chosen again, with what the probe told
             self.records.put(call.key, host, self.now)
@@ -59,13 +59,13 @@
             yield io.Release(call.id)
 
     def __init__(self, now, begin):
-        settings, chance = Settings(begin, SlowStart.UNTOLD), Chance(begin.seed)
-        super().__init__(now, settings, Membership(chance, settings, begin.dynamic_weights), Records())
-        self.chance, self.groups, self.loads = chance, Groups(), Loads()
-        self.arrived = Ring(SECOND // 4, 64)  # calls, over up to 16 s
-        self.readings, self.rotation = Readings(chance, settings), Rotation(chance)
-        self.health, self.slow_start = Health(settings), SlowStart(chance, settings)
-        self.ceilings = Ceilings(self.loads, chance, settings)
+        settings, rng = Settings(begin, SlowStart.DEFAULT_NODES), SeededRandom(begin.seed)
+        super().__init__(now, settings, Membership(rng, settings, begin.dynamic_weights), Records())
+        self.rng, self.groups, self.loads = rng, Groups(), Loads()
+        self.arrived = SlidingCount(SECOND // 4, 64)  # calls, over up to 16 s
+        self.readings, self.rotation = Readings(rng, settings), Rotation(rng)
+        self.health, self.slow_start = Health(settings), SlowStart(rng, settings)
+        self.ceilings = Ceilings(self.loads, rng, settings)
         self.overview = Overview(self)
         self.unanswered = set()  # servers whose set-ups timed out since one was answered
         self.seen_off = deque()  # legs at servers that drain
@@ -75,11 +75,11 @@
 
     def met(self, call):
         """A call has arrived."""
-        call.bound = self.readings.bound()
+        call.max_load_ratio = self.readings.bound()
         self.groups.calls.add(call.group)
         self.arrived.add(self.now)
         if self.calls_since_leg == Choice.MANY:
-            patience = Choice.QUIET + Chance(self.chance.seed + self.last_leg_at).below(SECOND)
+            patience = Choice.QUIET + SeededRandom(self.rng.seed + self.last_leg_at).below(SECOND)
             self.overdue_at = self.last_leg_at + patience
 
     def leg_until(self, call):
@@ -88,7 +88,7 @@
         last = call.guard - 2 * self.settings.tick
         if last <= self.now:
             return 0
-        if len(call.legs) + 1 >= self.settings.limits.max_legs or self.way.trickle:
+        if len(call.legs) + 1 >= self.settings.limits.max_legs or self.way.recovery_limit:
             return last
         # A server that takes calls and answers none costs one leg and not the call.
         return min(last, self.now + call.type.setup_target)
@@ -96,7 +96,7 @@
     def retry_after(self):
         """When a rejected client may come back, drawn so that not all come at once; 0: not said."""
         half = self.settings.limits.max_retry_after // 2 if self.settings.limits.may_retry_after else 0
-        return half + self.chance.below(half + 1)
+        return half + self.rng.below(half + 1)
 
     def load_of_new(self, call, host):
         """What a call adds at the server, of which its own leg is a mean one until its load is told."""
@@ -124,7 +124,7 @@
         """The call went its way, or a side had it called off; a server that drains may do so by itself."""
         host = leg.host
         self.records.touch(leg.call.key, host, self.now)
-        host.sends_away |= leg.ending is Ending.CANCELLED and not (leg.moved or host.up)
+        host.moves_own_clients |= leg.ending is Ending.CANCELLED and not (leg.move_requested or host.up)
         if leg.ending is Ending.OK and not leg.accepted:
             self.good(host)
 
@@ -145,12 +145,12 @@
         """One that breaks while others stand was cut by itself: a server lost, or shedding, breaks more."""
         if ending not in (Ending.RESET, Ending.CONNECT_FAILED):
             return False
-        before, host.broke_at = host.broke_at, self.now
+        before, host.last_break_at = host.last_break_at, self.now
         return self.now - before > SECOND and any(leg.accepted for leg in host.legs)
 
     def good(self, host):
         """A server has answered a set-up."""
-        host.answers, host.shut_until = host.answers + 1, 0
+        host.answers, host.skip_until = host.answers + 1, 0
         self.unanswered.clear()
         self.health.good(self.way)
         if not self.health.slow(host, self.now):
@@ -160,7 +160,7 @@
         """A server is in trouble."""
         self.overview.watched[host] = None
         if self.health.bad(host, self.now):
-            self.out.append(io.Log(f"{host.name}: {ending.value}, aside for {host.rest // 1000} ms"))
+            self.out.append(io.Log(f"{host.name}: {ending.value}, aside for {host.ejection_time // 1000} ms"))
 
     def given_up(self, call):
         """The client has given up: legs not accepted are called off."""
@@ -192,13 +192,13 @@
             # It keeps no call, and one that is far no ceiling: it's not overloaded.
             self.health.bad(host, self.now)
             host.hung, host.ceiling = True, 0.0 if far else host.ceiling
-            self.relieve(host, delay, "far" if far else "hung", host.standing())
+            self.relieve(host, delay, "far" if far else "hung", host.staying_legs())
         elif self.health.overloaded(host, told, self.now):
             self.relieve(host, delay, "overloaded", list(self.ceilings.cut(host, self.now)))
 
     def relieve(self, host, delay, why, leaving):
         """Asks connections of a slow server to leave, if a move is worth its price."""
-        if leaving and self.settings.moving <= self.DEAREST_MOVE:
+        if leaving and self.settings.move_price <= self.DEAREST_MOVE:
             took = f"messages take {delay // 1000} ms"
             self.out.append(io.Log(f"{host.name}: {took}, {why}: {len(leaving)} asked to leave"))
             for leg in leaving:
@@ -228,9 +228,9 @@
     def lose(self, host):
         """A server takes nothing new. If it drains its clients leave one by one, from half a second on."""
         self.records.drop_value(host)
-        leaving = [] if host.drains else [leg for leg in host.legs if leg.accepted]
-        host.drains = host.entry.state is HostState.DRAINING
-        if not host.drains or self.settings.moving > self.DEAREST_MOVE:
+        leaving = [] if host.draining else [leg for leg in host.legs if leg.accepted]
+        host.draining = host.entry.state is HostState.DRAINING
+        if not host.draining or self.settings.move_price > self.DEAREST_MOVE:
             return
         for n, leg in enumerate(leaving):
             self.seen_off.append(leg)
@@ -239,5 +239,5 @@
     def see_off(self):
         """A server that drains cuts off its clients when it stops, unless it asks them to leave itself."""
         leg = self.seen_off.popleft()
-        if not (leg.ending or leg.moved or leg.host.up or leg.host.sends_away):
+        if not (leg.ending or leg.move_requested or leg.host.up or leg.host.moves_own_clients):
             self.move(leg)
--- a/cottonspread/policy/readings.py
+++ b/cottonspread/policy/readings.py
@@ -15,30 +15,34 @@
     FILLED, LAST = 0.4, 8  # mean of the last readings from which a group fills its servers in order
     SILENT = 9.0  # the load of one that does not answer
 
-    def __init__(self, chance, settings):
-        self.chance, self.settings, self.fleet = chance, settings, RunningMean(self.LAST)
+    def __init__(self, rng, settings):
+        self.rng, self.settings, self.fleet = rng, settings, RunningMean(self.LAST)
 
     def bound(self):
         """A call's own: drawn between LOW and HIGH."""
-        if not self.settings.probed:
+        if not self.settings.probes_report_load:
             return 0
-        return self.LOW + (self.HIGH - self.LOW) * self.chance.below(1000) / 1000
+        return self.LOW + (self.HIGH - self.LOW) * self.rng.below(1000) / 1000
 
     def wanted(self, call, host, now):
         """Whether the call is to wait for a probe of the server."""
-        return self.settings.probed and call.probes < self.MOST and now - host.asked_at > self.FRESH
+        return (
+            self.settings.probes_report_load
+            and call.probes < self.MOST
+            and now - host.load_ratio_at > self.FRESH
+        )
 
     def told(self, host, e, now):
         """A probe of the server has ended."""
         if e.ending is Ending.FULL or e.ending is Ending.OK and e.load < 0:
             return  # asked too often, or it tells no load
-        host.asked, host.asked_at = e.load if e.ending is Ending.OK else self.SILENT, now
+        host.load_ratio, host.load_ratio_at = e.load if e.ending is Ending.OK else self.SILENT, now
         if (
             e.backlog * SECOND >= self.settings.message_target
         ):  # one that hangs is asked for no more than before
-            host.asked = max(host.asked, 1.0)
+            host.load_ratio = max(host.load_ratio, 1.0)
         if e.ending is Ending.OK:  # one that does not answer tells nothing of how full the fleet is
-            self.fleet.add(min(host.asked, 1))
+            self.fleet.add(min(host.load_ratio, 1))
 
     def filled(self):
         """Whether servers are asked for so much that what groups cost them tells."""
@@ -46,20 +50,20 @@
 
     def room(self):
         """Whether the fleet has room by what was heard last."""
-        return self.settings.probed and self.fleet.mean < self.LOW
+        return self.settings.probes_report_load and self.fleet.mean < self.LOW
 
     def easy(self, host, now):
         """It has room: neither its listed weight nor this node's count of calls there is the measure."""
-        return self.settings.probed and self.known(host, now) and host.asked < self.LOW
+        return self.settings.probes_report_load and self.known(host, now) and host.load_ratio < self.LOW
 
     def known(self, host, now):
         """Whether there is a reading that still tells something."""
-        return now - host.asked_at <= self.LIFE
+        return now - host.load_ratio_at <= self.LIFE
 
     def full(self, host, now):
         """Or silent."""
-        return host.asked >= self.HIGH and self.known(host, now)
+        return host.load_ratio >= self.HIGH and self.known(host, now)
 
     def crowded(self, host, call, now):
         """Over the call's own bound."""
-        return self.known(host, now) and host.asked >= call.bound
+        return self.known(host, now) and host.load_ratio >= call.max_load_ratio
--- a/cottonspread/policy/records.py
+++ b/cottonspread/policy/records.py
@@ -1,10 +1,10 @@
 """Session affinity: a key goes back to the server that took it before."""
 
 from cottonspread.state import SECOND
-from cottonspread.structures import AgedMap
+from cottonspread.structures import LruMap
 
 
-class Records(AgedMap):
+class Records(LruMap):
     """Bounded memory of the server chosen for each key, dropped when idle since its connection ended."""
 
     IDLE = 600 * SECOND
--- a/cottonspread/policy/retries.py
+++ b/cottonspread/policy/retries.py
@@ -24,7 +24,7 @@
     """How long a repeat is known as one, from when the first leg that may have run was decided on; 0: no
     matter. A leg decided on in time may come up late, so the front keeps to it as well."""
     ran = may_have_run(call)
-    return ran[0].sent + call.type.deduplicated_for if ran and call.type.effect is Effect.REFERENCED else 0
+    return ran[0].sent_at + call.type.deduplicated_for if ran and call.type.effect is Effect.REFERENCED else 0
 
 
 def may_go_to(call, host):
--- a/cottonspread/policy/rotation.py
+++ b/cottonspread/policy/rotation.py
@@ -6,15 +6,15 @@
 class Rotation(CyclicOrder):
     """Servers in turn by their sizes, from a random start."""
 
-    RANKED = 40_000  # servers in the beginnings of all orders that are kept, 3 MB
+    MAX_PLACES = 40_000  # servers in the beginnings of all orders that are kept, 3 MB
 
-    def __init__(self, chance):
+    def __init__(self, rng):
         super().__init__()
-        self.chance, self.ranked = chance, OrderCache(self.RANKED)
+        self.rng, self.group_orders = rng, OrderCache(self.MAX_PLACES)
 
     def keep(self, hosts):
         """The servers now listed; new ones go behind the others."""
         first = hosts and not self.order
         super().keep(hosts)
-        self.at = self.chance.below(len(hosts)) if first else 0
-        self.ranked.keep(self.order)
+        self.at = self.rng.below(len(hosts)) if first else 0
+        self.group_orders.keep(self.order)
--- a/cottonspread/policy/slow_start.py
+++ b/cottonspread/policy/slow_start.py
@@ -8,11 +8,11 @@
 
     DRAWN = 3.0  # times a node's part of the budget: it seldom has a call to send there
     SHARED = 1.8  # the same where many are fresh and share it: as many go there as at 3 each
-    UNTOLD = 256  # nodes reckoned with where none is told: too many only cost time
+    DEFAULT_NODES = 256  # nodes reckoned with where none is told: too many only cost time
     AT_FIRST = 4  # set-ups in flight to a warm server before it answered any
 
-    def __init__(self, chance, settings):
-        self.chance, self.settings = chance, settings
+    def __init__(self, rng, settings):
+        self.rng, self.settings = rng, settings
         self.usual = 0.0  # connections that this node has on a warm server
 
     def part(self, host, now):
@@ -34,8 +34,8 @@
         all of them is shared out over its calls of a window, and a group keeps to its part of them: drawn for
         at each in turn, every cold server paid for one group more with nearly every call."""
         few = min(len(fresh), max(2, round(len(fresh) * part)))
-        goes = self.chance.below(10000) * max(1, calls) < 10000 * self.SHARED * budget * len(fresh)
-        return fresh[self.chance.below(few)] if goes else None
+        goes = self.rng.below(10000) * max(1, calls) < 10000 * self.SHARED * budget * len(fresh)
+        return fresh[self.rng.below(few)] if goes else None
 
     def may_send(self, host, now, drawn=False):
         """What others carry is the guide to what a fresh one could: it fills up in its warm-up time."""
@@ -54,7 +54,7 @@
             return True
         # The rule counts all nodes together, and no part of a leg can be sent: it draws once a window whether
         # it may send one: a leg a window from each node, or parts saved up, would push it over.
-        if now - host.drawn_at < window:
+        if now - host.last_draw_at < window:
             return False
-        host.drawn_at = now
-        return self.chance.below(10000) < 10000 * self.DRAWN * budget
+        host.last_draw_at = now
+        return self.rng.below(10000) < 10000 * self.DRAWN * budget
--- a/cottonspread/state.py
+++ b/cottonspread/state.py
@@ -11,7 +11,7 @@
 SECOND = 1_000_000
 
 
-class Chance:
+class SeededRandom:
     """Draws that depend on the node's seed and on how many came before."""
 
     def __init__(self, seed):
@@ -23,7 +23,7 @@
         return crc32(b"%d:%d" % (self.seed, self.drawn)) * n >> 32
 
 
-class Ring:
+class SlidingCount:
     """A count over the last `buckets` stretches of `width`, in buckets that are used again."""
 
     def __init__(self, width, buckets):
@@ -37,7 +37,7 @@
             self.stamps[at], self.counts[at] = stamp, 0
         self.counts[at] += amount
 
-    def kept(self, now, span):
+    def buckets_in(self, now, span):
         """(when, amount) of each bucket that `total` would count, the oldest first."""
         oldest = (now - span) // self.width
         return sorted(
@@ -53,25 +53,29 @@
 class Settings:
     """What is in force, out of `NodeConfig`. All parts of the policy hold this one object."""
 
-    def __init__(self, begin, untold):
-        """`untold`: the number of nodes to reckon with where none is told."""
-        self.untold = untold
-        self.take(begin)
+    def __init__(self, begin, default_nodes):
+        """`default_nodes`: the number of nodes to reckon with where none is told."""
+        self.default_nodes = default_nodes
+        self.apply(begin)
 
-    def take(self, begin):
+    def apply(self, begin):
         """Other settings from now on."""
-        self.news = True
+        self.unread_change = True
         self.types, self.limits, self.tick, self.cold = begin.types, begin.legs, begin.tick, begin.cold
-        self.zone, self.crossing, self.moving = begin.zone, begin.prices.zone_crossing, begin.prices.move
-        self.nodes, self.poll_interval = begin.nodes or self.untold, begin.server_list.poll_interval
-        self.groups_share_work, self.probed = begin.groups_share_work, begin.probes_report_load
+        self.zone, self.zone_crossing_price, self.move_price = (
+            begin.zone,
+            begin.prices.zone_crossing,
+            begin.prices.move,
+        )
+        self.nodes, self.poll_interval = begin.nodes or self.default_nodes, begin.server_list.poll_interval
+        self.groups_share_work, self.probes_report_load = begin.groups_share_work, begin.probes_report_load
         targets = [one.message_target for one in begin.types if one.message_target]
         self.message_target = min(targets, default=SECOND)
 
-    def changed(self):
+    def take_change(self):
         """Whether others came into force since this was last asked."""
-        news, self.news = self.news, False
-        return news
+        changed, self.unread_change = self.unread_change, False
+        return changed
 
 
 @dataclass(eq=False)
@@ -81,44 +85,46 @@
     name: object
     entry: io.Entry
     size: float = 1.0  # nominal, for its turn in the rotation
-    asked: float = 0.0  # load asked of it over what it can do, as a probe told
-    asked_at: int = -60 * SECOND
+    load_ratio: float = 0.0  # load asked of it over what it can do, as a probe told
+    load_ratio_at: int = -60 * SECOND
     legs: dict = field(default_factory=dict)  # legs out or standing, in order of sending
     setups: int = 0  # of these, not yet answered
     groups: Counter = field(default_factory=Counter)
     load: int = 0  # what its legs and groups weigh here, see `Loads`
-    turn: float = 0.0  # rotation: part of a turn saved up
+    turn_credit: float = 0.0  # rotation: part of a turn saved up
     answers: int = 0  # since it last started
-    drawn_at: int = -60 * SECOND  # cold: when chance was last asked for a leg to it
-    aside_until: int = 0  # health: no leg before this
-    shut_until: int = 0  # found not open to new keys: not looked at again before
-    trickle: int = 0  # health: legs allowed in a trickle period; 0: no limit
-    rest: int = 0
+    last_draw_at: int = -60 * SECOND  # cold: when chance was last asked for a leg to it
+    ejected_until: int = 0  # health: no leg before this
+    skip_until: int = 0  # found not open to new keys: not looked at again before
+    recovery_limit: int = 0  # health: legs allowed in a trickle period; 0: no limit
+    ejection_time: int = 0
     delay: int = 0  # what messages took, and when that was told
     delay_at: int = -10 * SECOND
-    same: int = 0  # health: words in a row that said the same
-    slow_from: int = 0  # health: slow in every word since then; 0: not slow
+    same_reports: int = 0  # health: words in a row that said the same
+    slow_since: int = 0  # health: slow in every word since then; 0: not slow
     hung: bool = False  # health: seen to hang, and not yet quick again
-    broke_at: int = -10 * SECOND  # health: when a standing connection last broke
+    last_break_at: int = -10 * SECOND  # health: when a standing connection last broke
     ceiling: float = 0.0  # overload: load it may hold from here; 0: no limit
     cut_at: int = -10 * SECOND
-    drains: bool = False  # told to, and its clients are to leave
-    sends_away: bool = False  # and it asks them to itself
-    sent: Ring = field(default_factory=lambda: Ring(SECOND // 4, 64))  # legs, over up to 16 s
+    draining: bool = False  # told to, and its clients are to leave
+    moves_own_clients: bool = False  # and it asks them to itself
+    sent: SlidingCount = field(default_factory=lambda: SlidingCount(SECOND // 4, 64))  # legs, over up to 16 s
 
     @property
     def up(self):
         """Whether the list lets it have something new."""
         return self.entry.state is HostState.UP
 
-    def standing(self):
+    def staying_legs(self):
         """Its legs that are accepted and not asked to leave."""
-        return [leg for leg in self.legs if leg.accepted and not leg.moved]
+        return [leg for leg in self.legs if leg.accepted and not leg.move_requested]
 
     def restart(self):
         """It was started anew: what was found out of the process before it is forgotten."""
-        self.shut_until = self.answers = self.trickle = self.rest = self.aside_until = self.delay = 0
-        self.ceiling, self.hung, self.drains, self.sends_away = 0, False, False, False
+        self.skip_until = self.answers = self.recovery_limit = self.ejection_time = self.ejected_until = (
+            self.delay
+        ) = 0
+        self.ceiling, self.hung, self.draining, self.moves_own_clients = 0, False, False, False
 
 
 @dataclass(eq=False)
@@ -128,11 +134,11 @@
     call: "Call"
     number: int
     host: Host
-    sent: int
-    told: float = 0.0  # its load as told; 0: not told
+    sent_at: int
+    reported_load: float = 0.0  # its load as told; 0: not told
     load: int = 0  # what it weighs, see `Loads`
     accepted: bool = False
-    moved: bool = False
+    move_requested: bool = False
     ending: Ending = None
 
     def accept(self):
@@ -151,18 +157,18 @@
             del groups[self.call.group]
 
 
-class SlowNote(NamedTuple):
+class SlowReport(NamedTuple):
     """A word of messages that take long at a server, beside the word before. Microseconds."""
 
     delay: int
-    before: int
-    since: int  # time between the two
-    lasts: bool  # the word before said slow too, and still counts
+    previous: int
+    interval: int  # time between the two
+    still_slow: bool  # the word before said slow too, and still counts
 
     @property
-    def grown(self):
+    def growth(self):
         """By how much messages take longer than they did while they were slow."""
-        return self.delay - self.before if self.lasts else self.delay
+        return self.delay - self.previous if self.still_slow else self.delay
 
 
 @dataclass(eq=False)
@@ -178,10 +184,10 @@
     legs: list = field(default_factory=list)
     path: object = None
     max_legs: int = 1
-    bound: float = 0.0  # a server asked for more is passed over, see `Readings`
+    max_load_ratio: float = 0.0  # a server asked for more is passed over, see `Readings`
     probes: int = 0
-    asked: Host = None  # whose probe it waited for: within the cold budget then
-    drawn: Host = None  # the fresh server that it is for, within the cold budget
+    probed_host: Host = None  # whose probe it waited for: within the cold budget then
+    drawn_host: Host = None  # the fresh server that it is for, within the cold budget
     ended: bool = False
 
     def open_leg(self, host, now, load):
--- a/cottonspread/structures/cyclic_order.py
+++ b/cottonspread/structures/cyclic_order.py
@@ -53,14 +53,14 @@
     def next(self, fits, now, among):
         """The next of `among` that is not shut and `fits(server)`, or None; one of half the largest takes
         every second turn. `among`: as `following`, `in_zone` or `among` give them."""
-        left = (one for one in among if one.shut_until <= now)
+        left = (one for one in among if one.skip_until <= now)
         while True:
             waiting = []
             for one in left:
                 if fits(one):
-                    one.turn += one.size / self.largest
-                    if one.turn >= 1:
-                        one.turn -= 1
+                    one.turn_credit += one.size / self.largest
+                    if one.turn_credit >= 1:
+                        one.turn_credit -= 1
                         self.at = self.places[one] + 1
                         return one
                     waiting.append(one)
--- a/cottonspread/structures/fading_counts.py
+++ b/cottonspread/structures/decaying_counts.py
@@ -3,7 +3,7 @@
 from collections import Counter
 
 
-class FadingCounts:
+class DecayingCounts:
     """How often each key was counted; all counts are halved once their total has come to `most`."""
 
     def __init__(self, most, doubt):
--- a/cottonspread/structures/aged_map.py
+++ b/cottonspread/structures/lru_map.py
@@ -3,7 +3,7 @@
 from collections import OrderedDict
 
 
-class AgedMap:
+class LruMap:
     """Key to value in order of last use, the longest idle first. Times are those of the caller's clock.
 
     Values are told apart by identity. An index makes `drop_value` cost a step for each key that it takes out.
--- a/cottonspread/structures/server_table.py
+++ b/cottonspread/structures/server_table.py
@@ -36,7 +36,7 @@
     def avoided(self, now):
         """How many listed servers get nothing new now: they drain, or are set aside."""
         listed = [host for host in self.hosts.values() if host.entry.state is not HostState.GONE]
-        return sum(not host.up or now < host.aside_until for host in listed)
+        return sum(not host.up or now < host.ejected_until for host in listed)
 
     def drop_gone(self, hosts):
         """Forgets those of these servers that are gone and hold no leg."""
--- a/cottonspread/structures/sums.py
+++ b/cottonspread/structures/sums.py
@@ -40,8 +40,8 @@
         for host in hosts:
             change = 0
             for leg in host.legs:
-                if leg.told:
-                    load = round(scale * leg.told / mean)
+                if leg.reported_load:
+                    load = round(scale * leg.reported_load / mean)
                     change += load - leg.load
                     leg.load = load
             host.load += change
--- a/tests/scale/test_module_work.py
+++ b/tests/scale/test_module_work.py
@@ -58,7 +58,7 @@
 
 def test_a_group_s_order_is_made_in_one_pass_and_made_once():
     node = settled(ModuleNode(1000, 500, 200))
-    orders = node.balancer.rotation.ranked
+    orders = node.balancer.rotation.group_orders
     before = orders.passes
     for _ in range(5):
         node.arrive("some group")
--- a/tests/scale/test_orders.py
+++ b/tests/scale/test_orders.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from cottonspread.structures import AgedMap, CyclicOrder, OrderCache
+from cottonspread.structures import CyclicOrder, LruMap, OrderCache
 
 SEEDS = range(60)
 
@@ -19,7 +19,7 @@
     """A server as far as these structures know one."""
     entry = SimpleNamespace(zone=chance.randrange(4))
     size = chance.choice((1.0, 1.0, 0.5, 3.0))
-    return SimpleNamespaceById(name=name, entry=entry, size=size, turn=0.0, shut_until=0)
+    return SimpleNamespaceById(name=name, entry=entry, size=size, turn_credit=0.0, skip_until=0)
 
 
 class SimpleNamespaceById(SimpleNamespace):
@@ -105,14 +105,14 @@
 
     def next(self, fits, now):
         """The next that fits."""
-        left = [h for h in self.order[self.at :] + self.order[: self.at] if h.shut_until <= now]
+        left = [h for h in self.order[self.at :] + self.order[: self.at] if h.skip_until <= now]
         while left:
             waiting = []
             for host in left:
                 if fits(host):
-                    host.turn += host.size / self.largest
-                    if host.turn >= 1:
-                        host.turn -= 1
+                    host.turn_credit += host.size / self.largest
+                    if host.turn_credit >= 1:
+                        host.turn_credit -= 1
                         self.at = self.order.index(host) + 1
                         return host
                     waiting.append(host)
@@ -149,7 +149,7 @@
             plain.keep(listed)
             rotation.keep([twins[one.name] for one in listed])
         for one in chance.sample(servers, len(servers) // 8):
-            one.shut_until = twins[one.name].shut_until = now + chance.randrange(9)
+            one.skip_until = twins[one.name].skip_until = now + chance.randrange(9)
         good = {one.name for one in plain.order if chance.random() < 0.5}
         few = [one for one in plain.order if chance.random() < 0.3]
         zone, kind = chance.randrange(5), chance.randrange(3)
@@ -165,7 +165,7 @@
         found = rotation.next(has_name(good), now, among)
         assert name_of(found) == name_of(expected)
         assert rotation.at == plain.at
-        assert [one.turn for one in rotation.order] == [one.turn for one in plain.order]
+        assert [one.turn_credit for one in rotation.order] == [one.turn_credit for one in plain.order]
 
 
 def test_servers_that_are_looked_at_may_shut_themselves_as_they_are():
@@ -177,7 +177,7 @@
 
     def fits(one):
         looked.append(one)
-        one.shut_until = 10
+        one.skip_until = 10
         return False
 
     assert rotation.next(fits, 1, rotation.following()) is None
@@ -231,7 +231,7 @@
 @pytest.mark.parametrize("seed", SEEDS)
 def test_records_hold_what_the_plain_map_holds(seed):
     chance, values = Random(seed), [server(f"s{n}", Random(n)) for n in range(6)]
-    plain, indexed = PlainRecords(), AgedMap()
+    plain, indexed = PlainRecords(), LruMap()
     for now in range(800):
         kind, key, value = chance.randrange(20), chance.randrange(60), chance.choice(values)
         for one in (plain, indexed):
--- a/tests/scale/test_overview.py
+++ b/tests/scale/test_overview.py
@@ -30,8 +30,8 @@
     fresh = {h for h in node.overview.marked if h.up and node.slow_start.part(h, now) < 1}
     near = [h for h in order if health.slow(h, now, health.NEAR)]
     full = [h for h in order if node.readings.full(h, now)]
-    probed = node.settings.probed
-    apart = {h for h in order if h in fresh or h.trickle or probed and (h in full or h in near)}
+    probed = node.settings.probes_report_load
+    apart = {h for h in order if h in fresh or h.recovery_limit or probed and (h in full or h in near)}
     heard = [h for h in order if h.legs or now - h.cut_at < Ceilings.CALM]
     slow = [h for h in heard if health.slow(h, now) and not h.hung or now - h.cut_at < Ceilings.CALM]
     weights = [leg.load - node.loads.of(leg) for h in order for leg in h.legs]
--- a/tests/test_many_nodes.py
+++ b/tests/test_many_nodes.py
@@ -10,7 +10,7 @@
 
 from cottonspread import interface as io
 from cottonspread.policy import Balancer
-from cottonspread.state import SECOND, Chance
+from cottonspread.state import SECOND, SeededRandom
 
 NODES = 40
 SERVERS = [f"s{n}:zone={n % 4}" for n in range(12)]
@@ -136,7 +136,7 @@
     and a traffic type fell under the gate.
     """
     nodes = Nodes(legs=2)
-    node, order = nodes.all[0], [host.name for host in nodes.all[0].rotation.ranked.first("g", 0)]
+    node, order = nodes.all[0], [host.name for host in nodes.all[0].rotation.group_orders.first("g", 0)]
     for n, name in enumerate(order[:3]):
         node.handle(nodes.now, io.CallArrived(f"b{n}", 0, 2 * SECOND, f"b{n}", "other", held_by=name))
         node.handle(nodes.now, io.LegEnded(f"b{n}", 0, io.Ending.CONNECT_FAILED, True))
@@ -149,7 +149,7 @@
     """
     nodes = Nodes()
     orders = {
-        g: [host.name for host in nodes.all[0].rotation.ranked.first(g, 0)]
+        g: [host.name for host in nodes.all[0].rotation.group_orders.first(g, 0)]
         for g in ("g1", "g2", "g3", "g4", "g5", "g6", "g7")
     }
     group, few = next(
@@ -187,7 +187,7 @@
     what a warm one carries in the end, as its guide.
     """
     site = {"nodes": told, "moving": 0.03}
-    types, chance = (traffic_type("t", {}),), Chance(seed)
+    types, chance = (traffic_type("t", {}),), SeededRandom(seed)
     servers = [f"w{n}" for n in range(8)] + [f"s{n}:started=1000" for n in range(4)]
 
     def node(n, again=0):
--- a/tests/test_readings.py
+++ b/tests/test_readings.py
@@ -5,13 +5,13 @@
 
 from cottonspread import interface as io
 from cottonspread.policy.readings import Readings
-from cottonspread.state import SECOND, Chance, Host, Settings
+from cottonspread.state import SECOND, Host, SeededRandom, Settings
 
 
 @pytest.fixture
 def readings():
     types = (traffic_type("t", {"message": 50}),)
-    return Readings(Chance(1), Settings(begin({"probe": "1"}, types), untold=1))
+    return Readings(SeededRandom(1), Settings(begin({"probe": "1"}, types), default_nodes=1))
 
 
 def host(name="a"):
--- a/tests/test_reducer.py
+++ b/tests/test_reducer.py
@@ -43,7 +43,7 @@
 from cottonspread.front import handover
 from cottonspread.net import events as ev
 from cottonspread.net.reducer import Reducer
-from cottonspread.state import Chance
+from cottonspread.state import SeededRandom
 
 FILES = sorted((Path(__file__).parent / "reducer").glob("*.txt"))
 
@@ -380,7 +380,7 @@
 @pytest.mark.parametrize("seed", range(150))
 def test_whatever_comes_is_answered_once_and_given_back(seed):
     """A hundred events drawn at random, each of which may happen; the world checks the rest."""
-    chance = Chance(seed)
+    chance = SeededRandom(seed)
 
     def one_of(choices):
         return choices[chance.below(len(choices))]
