--- a/cottonspread/front/handover.py
+++ b/cottonspread/front/handover.py
@@ -42,7 +42,7 @@
 def snapshot(module, now, **more):
     """What the module keeps that its successor needs. It is only read."""
     records = [(key, host.name) for key, (host, _) in list(module.records.items())[-MOST_RECORDS:]]
-    cold = [h for h in module.membership.hosts.values() if module.slow_start.part(h, now) < 1]
+    cold = [h for h in module.membership.hosts.values() if module.slow_start.capacity_share(h, now) < 1]
     return HandoverState(
         records=tuple(records),
         sent=tuple(
--- a/cottonspread/lab/sim/promises.py
+++ b/cottonspread/lab/sim/promises.py
@@ -497,7 +497,7 @@
             module.sums.legs,
         )
         for h in hosts:
-            load = sum(leg.load for leg in h.legs) + module.loads.GROUP * len(+h.groups)
+            load = sum(leg.load for leg in h.legs) + module.loads.GROUP_COST * len(+h.groups)
             self.need(h.load == load, BOOK, "load of a host", name, h.name, h.load, load)
             self.need(
                 h.setups == sum(not leg.accepted for leg in h.legs), BOOK, "set-ups of a host", name, h.name
@@ -520,7 +520,12 @@
             standing,
         )
         conns = len(reducer.conns)
-        self.need(len(module.records) <= module.records.MOST + reducer.most_ends + 1, BOUND, "records", name)
+        self.need(
+            len(module.records) <= module.records.MAX_IDLE_KEYS + reducer.most_ends + 1,
+            BOUND,
+            "records",
+            name,
+        )
         self.need(
             len(reducer.unopened) <= conns and len(reducer.told) == 0, BOUND, "clients without a line", name
         )
--- a/cottonspread/net/reducer.py
+++ b/cottonspread/net/reducer.py
@@ -909,7 +909,7 @@
             for leg in conn.legs:
                 if leg.end is not None:
                     self.sweep_end(leg.end)
-        self.counters.hosts_down = self.module.membership.avoided(self.now)
+        self.counters.hosts_down = self.module.membership.count_unavailable(self.now)
         if self.departure.stopping:
             self.pass_to_successor(self.busy)
             self.departure.stop_when_done()
--- a/cottonspread/policy/choice.py
+++ b/cottonspread/policy/choice.py
@@ -17,13 +17,13 @@
     def __init__(self, node, call):
         self.node, self.call, self.now, self.settings = node, call, node.now, node.settings
         self.seen, self.readings, self.health = node.overview, node.readings, node.health
-        self.seen.look(self.now)
+        self.seen.refresh(self.now)
         self.mean, load, self.mean_size = self.seen.means()
         self.mean_load = load / Loads.MEAN
         self.overdue = node.calls_since_leg >= self.MANY and self.now >= node.overdue_at
         # Nothing is heard of a server that holds nothing of this node. Unless fresh it goes by the others, or
         # nodes with one connection on every third server keep a whole jammed fleet full.
-        self.blind = self.settings.nodes == 1 or node.rng.below(1000) >= 2500 * self.seen.slow_part**2
+        self.blind = self.settings.nodes == 1 or node.rng.below(1000) >= 2500 * self.seen.slow_share**2
 
     def host(self):
         """The server for the next leg; None if no server may have it now."""
@@ -51,12 +51,12 @@
         call = self.call
         if not host.up or not may_go_to(call, host) or any(leg.host is host for leg in call.legs):
             return False
-        if host in self.seen.marked and not (self.overdue or self.sound(host)):
+        if host in self.seen.exceptional and not (self.overdue or self.sound(host)):
             return False
         return self.node.slow_start.may_send(host, self.now, host is call.probed_host or call.drawn_host)
 
     def sound(self, host):
-        """Whether a marked server is not set aside, nor slow, nor at its ceiling."""
+        """Whether an exceptional server is not set aside, nor slow, nor at its ceiling."""
         if not self.health.may_send(host, self.now) or self.seen.near_slow(host, self.now):
             return False
         return self.node.ceilings.room(host, self.call, self.now)
@@ -64,18 +64,18 @@
     def light(self, host):
         """Neither well over the mean of its size nor crowded by other nodes' calls."""
         over = well_over(len(host.legs), self.mean * max(1, host.size / self.mean_size))
-        if over and not self.readings.easy(host, self.now):
+        if over and not self.readings.has_room(host, self.now):
             return False
-        return self.overdue or not self.readings.crowded(host, self.call, self.now)
+        return self.overdue or not self.readings.exceeds_bound(host, self.call, self.now)
 
     def open_to_new(self, host):
         """Whether a new key may go there. Heavy connections gather on a server of few, so by load as well.
         Over the mean it is passed by, and not shut: with few connections each was over it in turn, and calls
         were rejected though every server was idle."""
         heavy = well_over(host.load / Loads.MEAN, self.mean_load * host.size / self.mean_size)
-        if not self.light(host) or heavy and not self.readings.easy(host, self.now):
+        if not self.light(host) or heavy and not self.readings.has_room(host, self.now):
             return False
-        heard = host.legs or host in self.seen.fresh or self.readings.known(host, self.now)
+        heard = host.legs or host in self.seen.cold or self.readings.is_current(host, self.now)
         if (heard or self.blind or self.overdue) and self.ready(host):
             return True
         # In a jam all are shut: they are not looked at one by one for each call.
@@ -110,7 +110,7 @@
                 return host
         host = self.in_turn_of(few)
         # While there is room in the fleet a group is not turned away for the cost of one more server.
-        if host is None and self.readings.room():
+        if host is None and self.readings.fleet_has_room():
             self.call.max_load_ratio = self.readings.LOW
             host = self.first_of(self.node.rotation.following())
         return host
@@ -130,11 +130,13 @@
     def fresh_first(self):
         """The fresh servers that the call may try before the group's own."""
         node, call = self.node, self.call
-        fresh = node.rotation.group_orders.sorted(call.group, self.seen.fresh)
-        budget = node.slow_start.budget(node.slow_start.part(fresh[0], self.now)) if len(fresh) > 2 else 1
+        cold = node.rotation.group_orders.sorted(call.group, self.seen.cold)
+        budget = (
+            node.slow_start.budget(node.slow_start.capacity_share(cold[0], self.now)) if len(cold) > 2 else 1
+        )
         if budget < 1:
             calls = node.arrived.total(self.now, self.settings.cold.window)
             part = node.groups.calls.part(call.group)
-            call.drawn_host = call.drawn_host or node.slow_start.draw(fresh, budget, part, calls)
-            return [h for h in fresh if h is call.drawn_host]
-        return fresh if call.returned or self.seen.slow_part or self.readings.filled() else []
+            call.drawn_host = call.drawn_host or node.slow_start.draw(cold, budget, part, calls)
+            return [h for h in cold if h is call.drawn_host]
+        return cold if call.returned or self.seen.slow_share or self.readings.fleet_busy() else []
--- a/cottonspread/policy/health.py
+++ b/cottonspread/policy/health.py
@@ -11,8 +11,8 @@
     PERIOD = 3 * SECOND // 4  # with the bucket it falls in, a second
     RUN = 3  # servers timed out with no answer between: not the trouble of one
     OPEN_AT = 8  # trickle that counts as no limit any more
-    EARLY = 0.7  # of the message target: slow already, where many nodes fill one server
-    NEAR = 0.4  # of the message target: one more connection makes a server slow
+    EARLY_SLOW_SHARE = 0.7  # of the message target: slow already, where many nodes fill one server
+    NEAR_SLOW_SHARE = 0.4  # of the message target: one more connection makes a server slow
     SAME = 100  # words that differ by a smaller part say the same
     NOTE_LIFE = 5 * SECOND // 2  # told once a second while it lasts: two words missed, and it is over
 
@@ -21,7 +21,9 @@
 
     def slow_threshold(self):
         """What messages take from which on they are slow, in microseconds."""
-        return self.settings.message_target * (self.EARLY if self.settings.probes_report_load else 1)
+        return self.settings.message_target * (
+            self.EARLY_SLOW_SHARE if self.settings.probes_report_load else 1
+        )
 
     def good(self, host):
         """A leg was answered: twice as many may go in the next period, and soon any number."""
@@ -46,13 +48,13 @@
             not host.recovery_limit or host.sent.total(now, self.PERIOD) < host.recovery_limit
         )
 
-    def slow(self, host, now, part=1):
+    def is_slow(self, host, now, part=1):
         """Whether messages take over this part of the message target there."""
         return host.delay >= self.slow_threshold() * part and now - host.delay_at < self.NOTE_LIFE
 
     def note(self, host, delay, now):
         """Messages take `delay` at the server now; returns a `SlowReport` if that is slow, else None."""
-        told = SlowReport(delay, host.delay, now - host.delay_at, self.slow(host, now))
+        told = SlowReport(delay, host.delay, now - host.delay_at, self.is_slow(host, now))
         host.delay, host.delay_at = delay, now
         if delay < self.slow_threshold():
             host.slow_since, host.hung = 0, False
--- a/cottonspread/policy/load.py
+++ b/cottonspread/policy/load.py
@@ -12,25 +12,25 @@
     """What connections weigh, in thousandths of a mean one: as told, else as a mean one."""
 
     MEAN = 1000
-    GROUP = 2 * MEAN  # what a group costs a server besides, which nobody tells
-    LAST = 50  # loads told of which the mean is kept
+    GROUP_COST = 2 * MEAN  # what a group costs a server besides, which nobody tells
+    WINDOW = 50  # loads told of which the mean is kept
 
     def __init__(self):
-        self.told = RunningMean(self.LAST)
+        self.reported = RunningMean(self.WINDOW)
 
-    def tell(self, leg, load):
+    def record(self, leg, load):
         """The leg's own load is told, in microseconds of work a second."""
         leg.reported_load = load
-        self.told.add(load)
+        self.reported.add(load)
 
-    def of(self, leg):
+    def weight_of(self, leg):
         """The leg's weight."""
-        return round(self.MEAN * leg.reported_load / self.told.mean) if leg.reported_load else self.MEAN
+        return round(self.MEAN * leg.reported_load / self.reported.mean) if leg.reported_load else self.MEAN
 
-    def frees(self, leg):
+    def freed_by(self, leg):
         """What its server is relieved of by the leg's end: more if it is the last of its group there."""
-        return leg.load + self.GROUP * (leg.host.groups[leg.call.group] == 1)
+        return leg.load + self.GROUP_COST * (leg.host.groups[leg.call.group] == 1)
 
-    def adds(self, call, host):
+    def added_by(self, call, host):
         """What a call would add: less where its group is there already and its work is shared."""
-        return self.MEAN + self.GROUP * (call.group not in host.groups)
+        return self.MEAN + self.GROUP_COST * (call.group not in host.groups)
--- a/cottonspread/policy/path.py
+++ b/cottonspread/policy/path.py
@@ -43,7 +43,7 @@
             if host is None:
                 break
             # What other nodes put on a server is not in this one's counts: a connection or none on each.
-            if self.readings.wanted(call, host, self.now):
+            if self.readings.needs_probe(call, host, self.now):
                 call.probes, call.probed_host = call.probes + 1, host
                 yield io.Probe(host.name)
                 continue  # chosen again, with what the probe told
@@ -75,7 +75,7 @@
 
     def met(self, call):
         """A call has arrived."""
-        call.max_load_ratio = self.readings.bound()
+        call.max_load_ratio = self.readings.draw_bound()
         self.groups.calls.add(call.group)
         self.arrived.add(self.now)
         if self.calls_since_leg == Choice.MANY:
@@ -100,7 +100,7 @@
 
     def load_of_new(self, call, host):
         """What a call adds at the server, of which its own leg is a mean one until its load is told."""
-        return Loads.MEAN, self.loads.adds(call, host)
+        return Loads.MEAN, self.loads.added_by(call, host)
 
     def leg_accepted(self, leg):
         """The server has taken the call. It is to blame for an error once another takes the same call: calls
@@ -112,7 +112,7 @@
 
     def leg_ended(self, leg, ending):
         """A leg has ended, whichever way."""
-        self.sums.add(leg.host, -1, -self.loads.frees(leg))
+        self.sums.add(leg.host, -1, -self.loads.freed_by(leg))
         leg.close(ending)
         if ending in (Ending.OK, Ending.CANCELLED):
             self.ended_well(leg)
@@ -132,7 +132,7 @@
         """A standing one that breaks counts too: the server is lost, or sheds load."""
         host, ending = leg.host, leg.ending
         self.records.drop(leg.call.key, host)
-        self.overview.mark(host)
+        self.overview.mark_exceptional(host)
         if ending is Ending.TIMEOUT:
             self.unanswered.add(host)
             if len(self.unanswered) >= Health.RUN:
@@ -153,7 +153,7 @@
         host.answers, host.skip_until = host.answers + 1, 0
         self.unanswered.clear()
         self.health.good(self.way)
-        if not self.health.slow(host, self.now):
+        if not self.health.is_slow(host, self.now):
             self.health.good(host)
 
     def bad(self, host, ending):
@@ -171,21 +171,21 @@
 
     def probe_ended(self, host, e):
         """What a probe tells of its server, or its silence."""
-        self.readings.told(host, e, self.now)
+        self.readings.record(host, e, self.now)
         self.overview.watched[host] = None
 
     def load_told(self, leg, load):
         """What a connection costs its server."""
-        self.loads.tell(leg, load)
-        self.sums.weigh(leg, self.loads.of(leg))
+        self.loads.record(leg, load)
+        self.sums.weigh(leg, self.loads.weight_of(leg))
 
     def delay_told(self, host, delay):
         """Messages take long at a server: one pause is passed over; what lasts, or is huge, is overload."""
         told = self.health.note(host, delay, self.now)
-        self.overview.mark(host)
+        self.overview.mark_exceptional(host)
         if told is None:
             return
-        if self.overview.slow_part >= Ceilings.JAM:
+        if self.overview.slow_share >= Ceilings.JAM_SHARE:
             self.ceilings.slow_at = self.now
         far = self.health.far(host, told)
         if far or self.health.hangs(host, told, self.now):
--- a/cottonspread/policy/records.py
+++ b/cottonspread/policy/records.py
@@ -7,10 +7,10 @@
 class Records(LruMap):
     """Bounded memory of the server chosen for each key, dropped when idle since its connection ended."""
 
-    IDLE = 600 * SECOND
-    MOST = 50_000  # of keys without a connection, so bounds memory to a few MiB
+    IDLE_TIMEOUT = 600 * SECOND
+    MAX_IDLE_KEYS = 50_000  # of keys without a connection, so bounds memory to a few MiB
 
-    def find(self, key, now, held):
-        """The key's server, or None. `held`: connections held, each of which may have a key of its own."""
-        self.trim(now - self.IDLE, self.MOST + held)
+    def find(self, key, now, open_calls):
+        """The key's server, or None. `open_calls`: calls held, each of which may have a key of its own."""
+        self.trim(now - self.IDLE_TIMEOUT, self.MAX_IDLE_KEYS + open_calls)
         return self.get(key)
--- a/cottonspread/policy/slow_start.py
+++ b/cottonspread/policy/slow_start.py
@@ -15,7 +15,7 @@
         self.rng, self.settings = rng, settings
         self.usual = 0.0  # connections that this node has on a warm server
 
-    def part(self, host, now):
+    def capacity_share(self, host, now):
         """What it can do at least, as a share of its full work."""
         started, cold = host.entry.started, self.settings.cold
         if not started or not cold.warm_after or now - started >= cold.warm_after:
@@ -29,17 +29,17 @@
             return math.inf  # none is cold, whatever was seen before these settings
         return max(1 / self.settings.nodes, cold.multiple * part * self.usual * cold.window / cold.warm_after)
 
-    def draw(self, fresh, budget, part, calls):
+    def draw(self, cold, budget, part, calls):
         """The one of many fresh servers that a call of a group is for, or None. What this node may send to
         all of them is shared out over its calls of a window, and a group keeps to its part of them: drawn for
         at each in turn, every cold server paid for one group more with nearly every call."""
-        few = min(len(fresh), max(2, round(len(fresh) * part)))
-        goes = self.rng.below(10000) * max(1, calls) < 10000 * self.SHARED * budget * len(fresh)
-        return fresh[self.rng.below(few)] if goes else None
+        few = min(len(cold), max(2, round(len(cold) * part)))
+        goes = self.rng.below(10000) * max(1, calls) < 10000 * self.SHARED * budget * len(cold)
+        return cold[self.rng.below(few)] if goes else None
 
     def may_send(self, host, now, drawn=False):
         """What others carry is the guide to what a fresh one could: it fills up in its warm-up time."""
-        part, window = self.part(host, now), self.settings.cold.window
+        part, window = self.capacity_share(host, now), self.settings.cold.window
         # After a restart of a node all its clients come at once: set-ups that wait too long are tried again
         # and double the work, so their number grows with the answers on warm servers too.
         if host.setups >= (1 if part < 1 else self.AT_FIRST) + host.answers:
--- a/cottonspread/structures/server_table.py
+++ b/cottonspread/structures/server_table.py
@@ -33,7 +33,7 @@
         """The servers that may get something new as far as the list goes."""
         return [host for host in self.hosts.values() if host.up]
 
-    def avoided(self, now):
+    def count_unavailable(self, now):
         """How many listed servers get nothing new now: they drain, or are set aside."""
         listed = [host for host in self.hosts.values() if host.entry.state is not HostState.GONE]
         return sum(not host.up or now < host.ejected_until for host in listed)
--- a/cottonspread/structures/sums.py
+++ b/cottonspread/structures/sums.py
@@ -11,7 +11,7 @@
         self.legs, self.load, self.size, self.count = 0, 0, 0, 0
         self.holding = 0  # servers that are up and hold legs
         self.weighed = NEVER  # how many loads had been told as all legs were last weighed
-        self.set_apart([])
+        self.exclude([])
 
     def add(self, host, legs, load):
         """A server's load changes by `load`, and the legs out or standing there, still to be counted in
@@ -22,9 +22,9 @@
             self.load += load
             held = len(host.legs)
             self.holding += bool(held + legs) - bool(held)
-        if host in self.apart:
-            self.apart_legs += legs
-            self.apart_load += load
+        if host in self.excluded:
+            self.excluded_legs += legs
+            self.excluded_load += load
 
     def weigh(self, leg, load):
         """A leg weighs `load` from now on."""
@@ -33,7 +33,7 @@
 
     def weigh_all(self, hosts, told, scale):
         """Every leg on servers that are up weighs the load told of it over the mean of all, in parts of
-        `scale`, from now on. To be followed by `set_apart`, whose sums do not follow this."""
+        `scale`, from now on. To be followed by `exclude`, whose sums do not follow this."""
         if self.weighed == told.added:  # no load was told since, so nothing weighs otherwise
             return
         self.weighed, mean = told.added, told.mean
@@ -48,24 +48,27 @@
             self.load += change
 
     def count_anew(self, hosts):
-        """The servers that are up, after one came or went: none of them stands apart until `set_apart` says
+        """The servers that are up, after one came or went: none of them stands apart until `exclude` says
         so, and what legs weigh on those that came back is to be looked at again."""
         self.legs, self.load = sum(len(host.legs) for host in hosts), sum(host.load for host in hosts)
         self.size, self.count = sum(host.size for host in hosts), len(hosts)
         self.holding, self.weighed = sum(1 for host in hosts if host.legs), NEVER
-        self.set_apart([])
+        self.exclude([])
 
-    def set_apart(self, hosts):
+    def exclude(self, hosts):
         """These of the servers that are up do not count in the means from now on."""
-        self.apart = set(hosts)
-        self.apart_legs, self.apart_load = sum(len(host.legs) for host in hosts), sum(h.load for h in hosts)
-        self.apart_size = sum(host.size for host in hosts)
+        self.excluded = set(hosts)
+        self.excluded_legs, self.excluded_load = (
+            sum(len(host.legs) for host in hosts),
+            sum(h.load for h in hosts),
+        )
+        self.excluded_size = sum(host.size for host in hosts)
 
     def means(self):
         """(legs, load, size; 1 for a size of 0) of a server that is up and not apart; of all if all are."""
-        count = self.count - len(self.apart)
+        count = self.count - len(self.excluded)
         if count <= 0:
             count = max(1, self.count)
             return self.legs / count, self.load / count, self.size / count or 1
-        legs, load = self.legs - self.apart_legs, self.load - self.apart_load
-        return legs / count, load / count, (self.size - self.apart_size) / count or 1
+        legs, load = self.legs - self.excluded_legs, self.load - self.excluded_load
+        return legs / count, load / count, (self.size - self.excluded_size) / count or 1
--- a/tests/scale/test_module_work.py
+++ b/tests/scale/test_module_work.py
@@ -146,14 +146,14 @@
 
 def test_no_record_of_a_connection_that_stands_is_dropped_for_their_number(monkeypatch):
     """50,000 were kept at most, and a node holds 76,190 connections."""
-    monkeypatch.setattr(Records, "MOST", 20)
+    monkeypatch.setattr(Records, "MAX_IDLE_KEYS", 20)
     node = ModuleNode(60, 4, 60)
     node.whole_call("group-0")
     assert {f"group-{n}" for n in range(60)} <= set(node.balancer.records.entries)
 
 
 def test_records_are_bounded_by_the_connections_held(monkeypatch):
-    monkeypatch.setattr(Records, "MOST", 20)
+    monkeypatch.setattr(Records, "MAX_IDLE_KEYS", 20)
     node = ModuleNode(60, 4, 60)
     for n in range(100):
         node.whole_call(f"passing-{n}")
--- a/tests/scale/test_overview.py
+++ b/tests/scale/test_overview.py
@@ -27,14 +27,14 @@
 def walked(node):
     """(servers apart, part of slow ones, legs, load, mean weights) by walks over all servers and legs."""
     now, health, order = node.now, node.health, node.rotation.order
-    fresh = {h for h in node.overview.marked if h.up and node.slow_start.part(h, now) < 1}
-    near = [h for h in order if health.slow(h, now, health.NEAR)]
-    full = [h for h in order if node.readings.full(h, now)]
+    fresh = {h for h in node.overview.exceptional if h.up and node.slow_start.capacity_share(h, now) < 1}
+    near = [h for h in order if health.is_slow(h, now, health.NEAR_SLOW_SHARE)]
+    full = [h for h in order if node.readings.is_full(h, now)]
     probed = node.settings.probes_report_load
     apart = {h for h in order if h in fresh or h.recovery_limit or probed and (h in full or h in near)}
-    heard = [h for h in order if h.legs or now - h.cut_at < Ceilings.CALM]
-    slow = [h for h in heard if health.slow(h, now) and not h.hung or now - h.cut_at < Ceilings.CALM]
-    weights = [leg.load - node.loads.of(leg) for h in order for leg in h.legs]
+    heard = [h for h in order if h.legs or now - h.cut_at < Ceilings.CALM_TIME]
+    slow = [h for h in heard if health.is_slow(h, now) and not h.hung or now - h.cut_at < Ceilings.CALM_TIME]
+    weights = [leg.load - node.loads.weight_of(leg) for h in order for leg in h.legs]
     return apart, len(slow) / (len(heard) + 2), weights
 
 
@@ -118,26 +118,26 @@
 def test_a_look_finds_what_a_walk_finds(seed):
     play = Play(seed)
     node, overview, looks = play.node, play.node.overview, 0
-    plain_look = overview.look
+    plain_look = overview.refresh
 
     def look(now):
         nonlocal looks
-        due = now - overview.looked_at >= overview.EVERY
+        due = now - overview.refreshed_at >= overview.REFRESH_INTERVAL
         plain_look(now)
         if due:
             looks += 1
             apart, slow_part, wrong_weights = walked(node)
-            assert node.sums.apart == apart
-            assert overview.slow_part == slow_part
+            assert node.sums.excluded == apart
+            assert overview.slow_share == slow_part
             assert not any(wrong_weights)
 
-    overview.look = look
+    overview.refresh = look
     for _ in range(STEPS):
         play.step()
         up = [h for h in node.membership.hosts.values() if h.up]
         assert (node.sums.legs, node.sums.load) == sums_of(up)
         assert node.sums.holding == sum(bool(h.legs) for h in up)
-        assert (node.sums.apart_legs, node.sums.apart_load) == sums_of(node.sums.apart)
+        assert (node.sums.excluded_legs, node.sums.excluded_load) == sums_of(node.sums.excluded)
     assert looks > STEPS / 20
 
 
@@ -146,12 +146,12 @@
     play = Play(0)
     node = play.node
     host = node.rotation.order[0]
-    node.overview.mark(host)
+    node.overview.mark_exceptional(host)
     host.cut_at = node.now
     for _ in range(3):
         node.now += SECOND
-        node.overview.look(node.now)
-        assert node.overview.slow_part == 1 / (1 + 2)
-    node.now += Ceilings.CALM
-    node.overview.look(node.now)
-    assert node.overview.slow_part == 0
+        node.overview.refresh(node.now)
+        assert node.overview.slow_share == 1 / (1 + 2)
+    node.now += Ceilings.CALM_TIME
+    node.overview.refresh(node.now)
+    assert node.overview.slow_share == 0
--- a/tests/test_readings.py
+++ b/tests/test_readings.py
@@ -23,16 +23,16 @@
     much, and it rejected beside idle ones.
     """
     for n in range(10):
-        readings.told(host(), io.ProbeEnded("a", io.Ending.TIMEOUT, 120_000), n)
-    assert not readings.filled()
+        readings.record(host(), io.ProbeEnded("a", io.Ending.TIMEOUT, 120_000), n)
+    assert not readings.fleet_busy()
     for n in range(10):
-        readings.told(host(), io.ProbeEnded("a", io.Ending.OK, 1_000, 0.8), n)
-    assert readings.filled()
+        readings.record(host(), io.ProbeEnded("a", io.Ending.OK, 1_000, 0.8), n)
+    assert readings.fleet_busy()
 
 
 def test_a_silent_server_counts_as_full_while_the_reading_lives(readings):
     one = host()
-    readings.told(one, io.ProbeEnded("a", io.Ending.TIMEOUT, 120_000), SECOND)
-    assert readings.full(one, 2 * SECOND) and not readings.full(one, SECOND + Readings.LIFE + 1)
-    readings.told(one, io.ProbeEnded("a", io.Ending.OK, 1_000, 0.3), 2 * SECOND)
-    assert not readings.full(one, 2 * SECOND)
+    readings.record(one, io.ProbeEnded("a", io.Ending.TIMEOUT, 120_000), SECOND)
+    assert readings.is_full(one, 2 * SECOND) and not readings.is_full(one, SECOND + Readings.MAX_AGE + 1)
+    readings.record(one, io.ProbeEnded("a", io.Ending.OK, 1_000, 0.3), 2 * SECOND)
+    assert not readings.is_full(one, 2 * SECOND)
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -80,7 +80,7 @@
     """What the node keeps in sums is what a plain count finds, after every event."""
     for host in node.membership.hosts.values():
         groups = {leg.call.group for leg in host.legs}
-        assert host.load == sum(leg.load for leg in host.legs) + node.loads.GROUP * len(groups)
+        assert host.load == sum(leg.load for leg in host.legs) + node.loads.GROUP_COST * len(groups)
         assert host.setups == sum(not leg.accepted for leg in host.legs)
     up = node.membership.up()
     assert (node.sums.legs, node.sums.load) == (sum(len(h.legs) for h in up), sum(h.load for h in up))
