--- a/cottonspread/cli/initial_list.py
+++ b/cottonspread/cli/initial_list.py
@@ -27,7 +27,7 @@
     """
 
     def __init__(self, parts, path, timeout):
-        self.saved = saved.SavedList(path, parts[4].weights_move) if path else None
+        self.saved = saved.SavedList(path, parts[4].dynamic_weights) if path else None
         self.timeout, self.received, self.started_at = timeout, False, time.monotonic()
         if path:
             parts[-1] = newer_list(saved.read(path), parts)
--- a/cottonspread/cli/node.py
+++ b/cottonspread/cli/node.py
@@ -219,8 +219,8 @@
             ("listen", endpoints.listen == was.listen),
             ("operator", endpoints.operator == was.operator),
             ("limits", resource_limits == old_limits),
-            ("settings.MembershipMode", begin.listing.ask == old.listing.ask),
-            ("settings.Weights", begin.weights_move == old.weights_move),
+            ("settings.MembershipMode", begin.server_list.polled == old.server_list.polled),
+            ("settings.Weights", begin.dynamic_weights == old.dynamic_weights),
         )
         if not same
     ]
@@ -260,13 +260,13 @@
         )
     )
     print(
-        f"{len(names.types)} traffic types, node {begin.me} of {begin.nodes or 'an untold number'}, "
+        f"{len(names.types)} traffic types, node {begin.node_number} of {begin.nodes or 'an untold number'}, "
         f"{len(known['instances'])} servers known, "
         f"room for {most_ends(resource_limits, endpoints.operator)} connections"
     )
     print(
-        f"weights listed {'move with load' if begin.weights_move else 'are sizes'}, "
-        f"hosts' load {'told to probes' if begin.loads_probed else 'not requests for'}"
+        f"weights listed {'move with load' if begin.dynamic_weights else 'are sizes'}, "
+        f"hosts' load {'told to probes' if begin.probes_report_load else 'not requests for'}"
     )
     return 0
 
--- a/cottonspread/config/platform.py
+++ b/cottonspread/config/platform.py
@@ -196,7 +196,7 @@
         )
         for n, t in enumerate(c.objects("Orgs"))
     )
-    return i.Begin(
+    return i.NodeConfig(
         seed,
         c.integer("Me", 0),
         c.integer("Balancers", least=1) if "Balancers" in c.values else 0,
@@ -217,7 +217,7 @@
             rules.number("TipMultiple", 1),
             rules.duration_us("OverloadFor", 0),
         ),
-        i.ListRules(
+        i.ServerListRules(
             c.choice("MembershipMode", "push", POLLED),
             rules.duration_us("AskEvery", 0),
             rules.duration_us("DrainGrace", 0),
@@ -228,7 +228,7 @@
         kind.flag("Groups"),
         probes and how == "probe" and "x0" in told,
         c.choice("Weights", "nominal", WEIGHTS_MOVE),
-        i.Nines(goal.number("NinesPart", 0), goal.positive_number("NinesFull", 3)),
+        i.AvailabilityGoal(goal.number("NinesPart", 0), goal.positive_number("NinesFull", 3)),
     )
 
 
@@ -281,7 +281,7 @@
 
 
 def read_node(text, environment):
-    """What a node is told, as parts: (Endpoints, ResourceLimits, Names, HostProtocol, Begin, known list
+    """What a node is told, as parts: (Endpoints, ResourceLimits, Names, HostProtocol, NodeConfig, known list
     as JSON).
     """
     root = ObjectReader(parse(text, "configuration"), "")
--- a/cottonspread/driver.py
+++ b/cottonspread/driver.py
@@ -20,17 +20,17 @@
         self.last_leg_at, self.calls_since_leg = now, 0  # when a leg last went out, and calls that came since
         self.waiting = {}  # calls, by the server whose probe they wait for
         self.takes = {
-            io.Arrived: self.arrive,
-            io.Listed: self.listed,
-            io.Accepted: self.answered,
+            io.CallArrived: self.arrive,
+            io.ListUpdate: self.listed,
+            io.LegAccepted: self.answered,
             io.LegEnded: self.answered,
-            io.LoadTold: self.told,
-            io.DelayTold: self.told,
-            io.Expired: self.expire,
+            io.LoadReported: self.told,
+            io.DelayReported: self.told,
+            io.CallExpired: self.expire,
             io.TimerFired: self.timer,
-            io.Probed: self.probed,
+            io.ProbeEnded: self.probed,
             io.Inherited: self.inherit,
-            io.Retuned: self.retuned,
+            io.Reconfigured: self.retuned,
         }
 
     def handle(self, now, event):
@@ -51,8 +51,8 @@
     def arrive(self, e):
         """A call comes in, or is open already through this node. A group is its calls' key."""
         key = e.group if e.group is not None else e.key
-        kind, most = self.settings.types[e.type], self.settings.limits.most_legs
-        call = Call(e.call, kind, key, e.group, self.now + e.time_left, e.returned, most_legs=most)
+        kind, most = self.settings.types[e.type], self.settings.limits.max_legs
+        call = Call(e.call, kind, key, e.group, self.now + e.time_left, e.returned, max_legs=most)
         self.calls[call.id], call.path = call, self.path(call)
         self.calls_since_leg += 1
         self.met(call)
@@ -91,7 +91,7 @@
 
     def move(self, leg):
         """Asks a connection's client to come again, and not to this server."""
-        leg.moved = True
+        leg.move_requested = True
         self.records.drop(leg.call.key, leg.host)
         self.out.append(io.Move(leg.call.id))
 
@@ -121,7 +121,7 @@
         leg = call.legs[e.leg] if call and e.leg < len(call.legs) else None
         if leg is None or leg.ending:
             return  # an end may cross with ours: nothing is held for it any more
-        if isinstance(e, io.Accepted):
+        if isinstance(e, io.LegAccepted):
             self.accepted(leg, e)
             return
         self.leg_ended(leg, e.ending)
@@ -147,7 +147,7 @@
         leg = call.legs[-1] if call and call.legs else None
         if leg is None or leg.ending:
             return
-        if isinstance(e, io.LoadTold):
+        if isinstance(e, io.LoadReported):
             self.load_told(leg, e.load)
         else:
             self.delay_told(leg.host, e.delay)
@@ -180,14 +180,14 @@
 
     def retuned(self, e):
         """Other settings from now on. A call keeps the type that it opened under."""
-        self.settings.take(e.begin)
+        self.settings.apply(e.config)
 
     def timer(self, e):
         """It is time to see off a client of a server that drains, or to ask the list."""
         if e.token == "off":
             self.see_off()
         else:
-            self.out.append(io.Follow())
+            self.out.append(io.Subscribe())
 
     # Filled in by the decisions
 
@@ -224,11 +224,11 @@
         raise NotImplementedError
 
     def probe_ended(self, host, e):
-        """`Probed`: a probe of the server has ended; calls that wait for it are resumed after."""
+        """`ProbeEnded`: a probe of the server has ended; calls that wait for it are resumed after."""
         raise NotImplementedError
 
     def listed(self, e):
-        """`Listed`: a word from the list, or of an asking that failed."""
+        """`ListUpdate`: a word from the list, or of an asking that failed."""
         raise NotImplementedError
 
     def see_off(self):
--- a/cottonspread/interface.py
+++ b/cottonspread/interface.py
@@ -1,6 +1,6 @@
 """What a front and the decision module say to each other.
 
-A front makes one `policy.Balancer` from a `Begin`, passes it every event with the time, and carries out
+A front makes one `policy.Balancer` from a `NodeConfig`, passes it every event with the time, and carries out
 the actions it gets back, in their order. Times and spans are whole microseconds of the front's own clock.
 Calls and hosts are named by whatever hashable id the front uses; the module gives the ids back as they came.
 """
@@ -26,16 +26,16 @@
     CONNECT_FAILED = "no connection"
     RESET = "connection broke"
     CANCELLED = "called off"
-    MOOT = "never sent"
+    NOT_SENT = "never sent"
 
 
-class State(Enum):
+class HostState(Enum):
     UP = "up"
     DRAINING = "draining"
     GONE = "gone"
 
 
-class News(Enum):
+class ListUpdateKind(Enum):
     """What a word from the server list holds."""
 
     CHANGES = "only what changed"
@@ -48,8 +48,8 @@
 class TrafficType:
     name: str
     effect: Effect
-    repeats_known_by: str  # "all", "zone" or "cell": the group of hosts that drops repeats
-    remembered_for: int  # how long that group remembers
+    deduplicated_by: str  # "all", "zone" or "cell": the group of hosts that drops repeats
+    deduplicated_for: int  # how long that group remembers
     setup_target: int
     guard_time: int
     revenue: float
@@ -66,11 +66,11 @@
 
 @dataclass(frozen=True)
 class LegLimits:
-    most_legs: int = 1
-    two_at_once: bool = False
+    max_legs: int = 1
+    parallel_legs: bool = False
     may_cancel: bool = False
     may_retry_after: bool = False  # a reject may say when to come back
-    longest_retry_after: int = 0
+    max_retry_after: int = 0
 
 
 @dataclass(frozen=True)
@@ -82,36 +82,36 @@
 
 
 @dataclass(frozen=True)
-class ListRules:
-    ask: bool = False  # the list answers only when asked
-    ask_every: int = 0  # unasked for this long, a node counts as told
+class ServerListRules:
+    polled: bool = False  # the list answers only when asked
+    poll_interval: int = 0  # unasked for this long, a node counts as told
     drain_grace: int = 0
 
 
 @dataclass(frozen=True)
 class Prices:
-    crossing: float = 0.0
-    moving: float = 0.0
-    probing: float = 0.0
-    telling: float = 0.0
+    zone_crossing: float = 0.0
+    move: float = 0.0
+    probe: float = 0.0
+    peer_message: float = 0.0
 
 
 @dataclass(frozen=True)
-class Nines:
+class AvailabilityGoal:
     """A part of the result: over spans of 5 s, the tenfold steps by which the
     unserved share lies below the whole.
     """
 
-    part: float = 0.0  # its weight; 0: it does not count
-    full: float = 3.0  # steps that earn all of it
+    weight: float = 0.0  # its weight; 0: it does not count
+    nines_for_full: float = 3.0  # steps that earn all of it
 
 
 @dataclass(frozen=True)
-class Begin:
+class NodeConfig:
     """A node starts. Each part of the module takes from here only what it needs."""
 
     seed: int
-    me: int
+    node_number: int
     nodes: int  # 0: not told
     zone: int
     tick: int
@@ -119,26 +119,26 @@
     tenants: tuple = ()
     legs: LegLimits = field(default_factory=LegLimits)
     cold: ColdStart = field(default_factory=ColdStart)
-    listing: ListRules = field(default_factory=ListRules)
+    server_list: ServerListRules = field(default_factory=ServerListRules)
     prices: Prices = field(default_factory=Prices)
     may_probe: bool = False
-    may_tell: bool = False
+    may_message_peers: bool = False
     groups_share_work: bool = False
-    loads_probed: bool = False  # a probe's answer tells the load asked of a host over what it can do
-    weights_move: bool = False  # listed weights: nominal size over 1 + calls held a core, late
-    nines: Nines = field(default_factory=Nines)
+    probes_report_load: bool = False  # a probe's answer tells the load asked of a host over what it can do
+    dynamic_weights: bool = False  # listed weights: nominal size over 1 + calls held a core, late
+    availability: AvailabilityGoal = field(default_factory=AvailabilityGoal)
 
 
 class Entry(NamedTuple):  # made for every server at every word of the list: the cheapest type
     host: object
     zone: int = 0
     kind: int = 0
-    weight: float = 1.0  # as listed: its size, or what `Begin.weights_move` says
+    weight: float = 1.0  # as listed: its size, or what `NodeConfig.dynamic_weights` says
     cell: int = 0
     started: int = 0  # 0: long ago
-    state: State = State.UP
+    state: HostState = HostState.UP
 
-    def like(self, other):
+    def equals_except_weight(self, other):
         """Whether it differs from `other` by its weight at most."""
         return (
             self.state is other.state
@@ -153,15 +153,15 @@
 
 
 @dataclass(frozen=True)
-class Listed:
-    news: News
+class ListUpdate:
+    kind: ListUpdateKind
     version: int = 0
     entries: tuple = ()
     took: int = 0  # of one that failed: how long it was waited for
 
 
 @dataclass(frozen=True)
-class Arrived:
+class CallArrived:
     call: object
     type: int
     time_left: int
@@ -174,7 +174,7 @@
 
 
 @dataclass(frozen=True)
-class Accepted:
+class LegAccepted:
     call: object
     leg: int
     waited: int
@@ -190,19 +190,19 @@
 
 
 @dataclass(frozen=True)
-class LoadTold:
+class LoadReported:
     call: object
     load: float  # microseconds of work a second
 
 
 @dataclass(frozen=True)
-class DelayTold:
+class DelayReported:
     call: object
     delay: int  # what a message takes at the call's host now
 
 
 @dataclass(frozen=True)
-class Expired:
+class CallExpired:
     call: object
 
 
@@ -212,19 +212,19 @@
 
 
 @dataclass(frozen=True)
-class Probed:
+class ProbeEnded:
     host: object
     ending: Ending
     waited: int = 0
     load: float = -1.0  # asked of the host over what it can do, seconds ago; -1: not told
-    piled: float = 0.0  # seconds of work piled up
+    backlog: float = 0.0  # seconds of work piled up
 
 
 @dataclass(frozen=True)
-class Retuned:
+class Reconfigured:
     """Other settings from now on. Calls that are open keep the type that they opened under."""
 
-    begin: Begin
+    config: NodeConfig
 
 
 @dataclass(frozen=True)
@@ -236,7 +236,7 @@
 
 
 @dataclass(frozen=True)
-class PeerTold:
+class PeerMessageReceived:
     peer: int
     data: bytes
 
@@ -248,8 +248,8 @@
 class Send:
     call: object
     host: object
-    until: int  # time of the clock
-    by: int = 0  # its first byte may go out until then; 0: while the call is open
+    deadline: int  # time of the clock
+    send_by: int = 0  # its first byte may go out until then; 0: while the call is open
 
 
 @dataclass(frozen=True)
@@ -286,12 +286,12 @@
 
 
 @dataclass(frozen=True)
-class Follow:
+class Subscribe:
     """Open the standing subscription to the list."""
 
 
 @dataclass(frozen=True)
-class Tell:
+class SendToPeer:
     data: bytes
     peer: int = -1  # -1: every other node
 
--- a/cottonspread/policy/slow_start.py
+++ b/cottonspread/policy/slow_start.py
@@ -8,14 +8,14 @@
 
     DRAWN = 3.0  # times a node's part of the budget: it seldom has a call to send there
     SHARED = 1.8  # the same where many are fresh and share it: as many go there as at 3 each
-    UNTOLD = 256  # nodes reckoned with where none is told: too many only cost time
+    DEFAULT_NODES = 256  # nodes reckoned with where none is told: too many only cost time
     AT_FIRST = 4  # set-ups in flight to a warm server before it answered any
 
-    def __init__(self, chance, settings):
-        self.chance, self.settings = chance, settings
+    def __init__(self, rng, settings):
+        self.rng, self.settings = rng, settings
         self.usual = 0.0  # connections that this node has on a warm server
 
-    def part(self, host, now):
+    def capacity_share(self, host, now):
         """What it can do at least, as a share of its full work."""
         started, cold = host.entry.started, self.settings.cold
         if not started or not cold.warm_after or now - started >= cold.warm_after:
@@ -29,17 +29,17 @@
             return math.inf  # none is cold, whatever was seen before these settings
         return max(1 / self.settings.nodes, cold.multiple * part * self.usual * cold.window / cold.warm_after)
 
-    def draw(self, fresh, budget, part, calls):
+    def draw(self, cold, budget, part, calls):
         """The one of many fresh servers that a call of a group is for, or None. What this node may send to
         all of them is shared out over its calls of a window, and a group keeps to its part of them: drawn for
         at each in turn, every cold server paid for one group more with nearly every call."""
-        few = min(len(fresh), max(2, round(len(fresh) * part)))
-        goes = self.chance.below(10000) * max(1, calls) < 10000 * self.SHARED * budget * len(fresh)
-        return fresh[self.chance.below(few)] if goes else None
+        few = min(len(cold), max(2, round(len(cold) * part)))
+        goes = self.rng.below(10000) * max(1, calls) < 10000 * self.SHARED * budget * len(cold)
+        return cold[self.rng.below(few)] if goes else None
 
     def may_send(self, host, now, drawn=False):
         """What others carry is the guide to what a fresh one could: it fills up in its warm-up time."""
-        part, window = self.part(host, now), self.settings.cold.window
+        part, window = self.capacity_share(host, now), self.settings.cold.window
         # After a restart of a node all its clients come at once: set-ups that wait too long are tried again
         # and double the work, so their number grows with the answers on warm servers too.
         if host.setups >= (1 if part < 1 else self.AT_FIRST) + host.answers:
@@ -54,7 +54,7 @@
             return True
         # The rule counts all nodes together, and no part of a leg can be sent: it draws once a window whether
         # it may send one: a leg a window from each node, or parts saved up, would push it over.
-        if now - host.drawn_at < window:
+        if now - host.last_draw_at < window:
             return False
-        host.drawn_at = now
-        return self.chance.below(10000) < 10000 * self.DRAWN * budget
+        host.last_draw_at = now
+        return self.rng.below(10000) < 10000 * self.DRAWN * budget
