--- a/cottonspread/lists/__init__.py
+++ b/cottonspread/lists/__init__.py
@@ -1,1 +1,1 @@
-"""Sources of the server list besides discovery."""
+"""Sources of the server list other than discovery."""
--- a/cottonspread/lists/saved.py
+++ b/cottonspread/lists/saved.py
@@ -1,5 +1,6 @@
-"""The last list that a node was told, in a file: what its successor begins
-with, draining servers marked as such.
+"""The last server list received from discovery, saved to a file: the next process starts with it.
+
+Draining servers are saved as draining.
 """
 
 import contextlib
@@ -11,9 +12,9 @@
 
 
 def write_atomically(path, text, durable=False):
-    """The file is the old one or the new one, never half of it.
+    """Replaces the file atomically: a reader sees the old text or the new one, never a part.
 
-    `durable`: after a power cut it is the new one, too. Raises OSError; nothing is left behind then.
+    `durable`: the new text also survives a power failure. On OSError the temporary file is removed.
     """
     temporary = f"{path}.{os.getpid()}.new"
     try:
@@ -31,7 +32,7 @@
 
 
 def sync_folder(folder):
-    """What was renamed and removed in the folder is so after a power cut. Raises OSError."""
+    """Makes renames and removals in the folder durable. Raises OSError."""
     opened = os.open(folder, os.O_RDONLY | os.O_DIRECTORY)
     try:
         os.fsync(opened)
@@ -40,18 +41,16 @@
 
 
 class SavedList:
-    """Keeps what discovery tells, as its JSON. A disk that takes nothing
-    costs a log line, and the node goes on.
-    """
+    """Saves the list from discovery as JSON. A file that cannot be written costs one log line."""
 
     def __init__(self, path, weights_move=False):
-        """`weights_move`: news of weights alone is not written."""
+        """`weights_move`: changes of weights alone are not saved."""
         self.path, self.entries, self.failing, self.weights_move = path, {}, False, weights_move
 
     def update(self, version, instances, full):
-        """An answer of discovery, as its JSON; `full`: it is the whole list, and no change."""
-        # Weights that move came each second, and each word was a write and an fsync. What was saved first,
-        # which is nearer to the sizes, stays.
+        """Saves a list as discovery sent it; `full`: the whole list, not changes to the last one."""
+        # Live weights change every second, and each change would cost a write and an fsync. The weights
+        # saved first stay: they are closer to the servers' sizes.
         if (
             self.weights_move
             and not full
@@ -74,13 +73,13 @@
             )
             self.failing = False
         except OSError as fault:
-            if not self.failing:  # once, not at each list
+            if not self.failing:  # logged once, not for each list
                 log.error("list-not-saved", extra={"pairs": {"file": self.path, "why": fault}})
             self.failing = True
 
 
 def read(path):
-    """The saved list as JSON, or None: none there, or not readable, which is no reason not to start."""
+    """The saved list as parsed JSON, or None if it is missing or unreadable: a node also starts without."""
     try:
         with open(path, encoding="utf-8") as file:
             said = json.load(file)
--- a/cottonspread/net/admin.py
+++ b/cottonspread/net/admin.py
@@ -1,9 +1,8 @@
-"""The operators' address: one line to a connection, one answer, in a thread of its
-own that never waits for the reducer.
+"""The operators' address: one command line per connection, one answer.
 
-It never waits for a caller either: all are read and written as they are ready. A caller that says
-nothing has a time limit, and the one that has said nothing for longest makes room for a new one, so that
-callers who never finish keep nobody out.
+It is served in its own thread, which never waits for the reducer nor for a single caller: all sockets are
+non-blocking. A caller that sends no complete line is closed after a timeout, and when the limit is reached
+the oldest caller is closed in favour of a new one, so that idle callers cannot lock others out.
 """
 
 import contextlib
@@ -14,15 +13,18 @@
 
 log = logging.getLogger("cottonspread.admin")
 
-MAX_CALLERS = 12  # callers at a time; with the listener and the selector they are descriptors set aside
+MAX_CALLERS = 12  # concurrent callers; their descriptors, the listener's and the selector's are reserved
 RESERVED_DESCRIPTORS = MAX_CALLERS + 3
-LINE_TIMEOUT = 2.0  # seconds for a whole line, and as long again to take the answer
-MAX_LINE = 256  # bytes of a call
+LINE_TIMEOUT = 2.0  # seconds to send a whole line, and as many again to receive the answer
+MAX_LINE = 256  # bytes of a command
 BACKLOG = 64
 
 
 class Caller:
+    """One connection to the operators' address."""
+
     def __init__(self, sock):
+        """`sock`: non-blocking."""
         self.sock, self.received, self.answer, self.deadline = (
             sock,
             b"",
@@ -32,15 +34,19 @@
 
 
 class Admin:
+    """The server of the operators' address."""
+
     def __init__(self, address, answer):
-        """`answer(word)`: what is said to a call, as bytes; it may wait for nothing.
+        """`answer(word)` returns the answer to a command, as bytes; it must not block.
 
-        OSError if the address is not to be had.
+        Raises OSError if the address cannot be bound.
         """
         try:
             self.listener = socket.create_server(address, backlog=BACKLOG)
         except OSError as fault:
-            fault.filename = "operator: {}:{}".format(*address)  # which of the node's two addresses it is
+            fault.filename = "operator: {}:{}".format(
+                *address
+            )  # tells which of the node's two addresses failed
             raise
         self.listener.setblocking(False)
         self.answer_to, self.callers, self.stopped = answer, {}, False
@@ -48,13 +54,14 @@
         self.selector.register(self.listener, selectors.EVENT_READ)
 
     def run(self):
+        """Serves callers until `stop`; then closes all sockets."""
         while not self.stopped:
             now = time.monotonic()
             deadline = min((c.deadline for c in self.callers.values()), default=now + 60)
             for key, _ in self.selector.select(max(0.0, deadline - now)):
                 try:
                     self.accept() if key.fileobj is self.listener else self.serve(self.callers[key.fileobj])
-                except KeyError:  # made room for another in this round
+                except KeyError:  # evicted earlier in this round, in favour of a new caller
                     pass
                 except OSError as fault:
                     if key.fileobj is not self.listener:
@@ -71,21 +78,23 @@
         self.listener.close()
 
     def stop(self):
-        """From another thread."""
+        """Ends `run`. Called from another thread."""
         self.stopped = True
         with contextlib.suppress(OSError):
             self.listener.shutdown(socket.SHUT_RDWR)  # wakes `run`
 
     def accept(self):
+        """Accepts one caller; at the limit the oldest caller is closed first."""
         sock, _ = self.listener.accept()
         sock.setblocking(False)
         if len(self.callers) >= MAX_CALLERS:
             self.evict(next(iter(self.callers.values())))
         self.callers[sock] = Caller(sock)
         self.selector.register(sock, selectors.EVENT_READ)
-        self.serve(self.callers[sock])  # its line mostly came with it
+        self.serve(self.callers[sock])  # the line has usually arrived already
 
     def serve(self, caller):
+        """Reads from, or writes to, a caller whose socket is ready."""
         if caller.answer:
             self.write(caller)
             return
@@ -93,7 +102,7 @@
             data = caller.sock.recv(4096)
         except BlockingIOError:
             return
-        if caller.answer is not None:  # all is said: what still comes is read, or the end would be a reset
+        if caller.answer is not None:  # answered: unread input would turn the close into a reset
             if not data:
                 self.close(caller.sock)
             return
@@ -108,16 +117,18 @@
         else:
             try:
                 answer = self.answer_to(line.strip().decode("ascii", "replace"))
-            except Exception:  # our own fault: in plain sight, and the others are answered
+            except Exception:  # a bug of ours: log it and go on serving the other callers
                 log.exception("fault", extra={"pairs": {"while": "operators' call"}})
                 answer = b"400 fault, see the log\n"
             self.reply(caller, answer)
 
     def reply(self, caller, answer):
+        """Starts sending the answer."""
         caller.answer, caller.deadline = answer, time.monotonic() + LINE_TIMEOUT
         self.write(caller)
 
     def write(self, caller):
+        """Sends as much of the answer as the socket takes, then shuts down the sending side."""
         with contextlib.suppress(BlockingIOError):
             caller.answer = caller.answer[caller.sock.send(caller.answer) :]
         if caller.answer:
@@ -127,7 +138,7 @@
             caller.sock.shutdown(socket.SHUT_WR)
 
     def evict(self, caller):
-        """Its time is up, or its place is wanted."""
+        """Closes a caller that has timed out or has to make room for a new one."""
         try:
             if caller.answer is None:
                 caller.sock.send(b"400 no whole line came\n")
@@ -136,6 +147,7 @@
         self.close(caller.sock)
 
     def close(self, sock):
+        """Forgets the caller and closes its socket."""
         if self.callers.pop(sock, None):
             self.selector.unregister(sock)
             sock.close()
--- a/cottonspread/net/discovery.py
+++ b/cottonspread/net/discovery.py
@@ -1,4 +1,4 @@
-"""Discovery: the list of servers and the watch on it, in a thread of its own."""
+"""The client of the discovery service: fetches the list of servers and watches it, in its own thread."""
 
 import json
 import logging
@@ -15,20 +15,21 @@
 
 
 class ListError(ValueError):
-    """An answer that is no list of servers."""
+    """A response that is not a valid list of servers."""
 
 
 def read_entry(one, names, state):
+    """One server of the list, as JSON: (entry, address as (host, port) or None if it is gone)."""
     host, _, port = str(one.get("hostPort")).rpartition(":")
     address = None
-    if state is not io.State.GONE:  # what is gone needs no address
+    if state is not io.State.GONE:  # a server that is gone needs no address
         if not host or not 0 < int(port) < 65536:
             raise ValueError(f"hostPort: {one.get('hostPort')!r}")
         address = host, int(port)
     weight = float(one.get("weight", 1))
     if not 0 <= weight < 1e15:
         raise ValueError(f"weight: {weight}")
-    # A server in a zone that the settings don't name is far from every node.
+    # -1: a zone that the settings do not name, remote from every node.
     return io.Entry(
         str(one["instanceId"]),
         names.zones.get(one.get("zone"), -1),
@@ -44,11 +45,11 @@
 
 
 def read_list(said, names, news=None, before=None):
-    """An answer as JSON: (version, Listed, addresses by server, {server: why its entry could not be read}).
+    """Reads a response as JSON: (version, Listed, addresses by server, {server: why its entry is invalid}).
 
-    An entry that cannot be read costs its own news alone: its server stays as it was told `before`
-    (entry and address by server), but that it drains or is gone is taken in, for nothing may go there.
-    One never told before is not there yet.
+    An invalid entry does not invalidate the list. Its server keeps the entry and address that it had in
+    `before` ({server: (entry, address)}), but a readable change to draining or gone is applied, because no
+    calls may go there any more. A server that is not in `before` is left out.
     """
     try:
         version, instances = int(said["generation"]), said["instances"]
@@ -64,7 +65,7 @@
             name, state = str(one["instanceId"]), STATE_OF_LIFECYCLE.get(one.get("lifecycle"))
             if state is None:
                 raise ValueError(f"lifecycle: {one.get('lifecycle')!r}")
-            if name in entries:  # the later word holds
+            if name in entries:  # the later entry wins
                 unread[name + " again"] = "listed twice"
             entry, address = read_entry(one, names, state)
         except UNREADABLE as fault:
@@ -81,52 +82,59 @@
 
 
 class Discovery:
-    """Follows the list and posts what it tells; a call that fails or hangs costs a pause and no entry.
+    """Watches the list and posts each change. After a failed or hanging request it retries; the list is kept.
 
-    A change counts as told 6 s after discovery had it and could be reached, whatever failed in
-    between. The longest way to it: a call that went silent just before runs out (WATCH_TIMEOUT_MS +
-    WATCH_MARGIN, 3 s), the pause after it (1 s at most, where the list is asked for as long as the module
-    says, 1.5 s at most), a connection that is not answered at first (CONNECT_TIMEOUT, 0.5 s), the answer: 5
-    s, and 1 s is left for a node that is late itself.
+    A change must be known within 6 s of the time when discovery had it and was reachable, whatever failed
+    before. The worst case takes 5 s, which leaves 1 s for delays of the node itself: a request that stopped
+    being answered just before the change times out (WATCH_TIMEOUT_MS + WATCH_MARGIN, 3 s), the retry delay
+    follows (at most 1 s, or at most 1.5 s where the list is polled and the policy sets the delay), then a
+    connection attempt that is not answered at first (CONNECT_TIMEOUT, 0.5 s), then the response.
     """
 
-    WATCH_TIMEOUT_MS = 2000  # a watch that hangs is given up this and the spare after it was begun
-    WATCH_MARGIN = 1.0
-    FULL_LIST_TIMEOUT = 2.0  # seconds for the whole list
-    FIRST_LIST_TIMEOUT = 1.0  # the same at the start, where a known list waits for it
-    CONNECT_TIMEOUT = 0.5
-    RETRY_DELAY, MAX_RETRY_DELAY = 0.05, 1.0
-    MAX_LOWER_VERSIONS = 3  # whole lists in a row with a lower version: discovery itself began anew
+    WATCH_TIMEOUT_MS = 2000  # how long the server may hold a watch
+    WATCH_MARGIN = 1.0  # seconds; a watch not answered by then is abandoned
+    FULL_LIST_TIMEOUT = 2.0  # seconds for a request of the full list
+    FIRST_LIST_TIMEOUT = 1.0  # the same at the start, while the initial list is held back until the response
+    CONNECT_TIMEOUT = 0.5  # seconds
+    RETRY_DELAY, MAX_RETRY_DELAY = 0.05, 1.0  # seconds; the delay doubles with each failure
+    MAX_LOWER_VERSIONS = 3  # full lists in a row with a lower version: discovery has restarted its count
 
     def __init__(self, address, names, post, version, ask=False, on_list=None, known=False):
+        """`post(event)` passes events to the reducer; `version`: of the initial list.
+
+        `ask`: the list is polled when the policy says so (MembershipMode "ask"), not watched all the time.
+        `on_list(version, instances, full)` gets each valid list as JSON after it has been posted.
+        `known`: the initial list is watched from its version on.
+        """
         self.http, self.names, self.post = HttpClient(address, self.CONNECT_TIMEOUT), names, post
-        # Where each call counts, a list that is known is watched from its version on: to ask for all of it
-        # first is a second call, of a discovery that may have room for neither.
+        # Where requests are limited, a known list is watched from its version on: fetching all of it first
+        # would be a second request to a server that may have capacity for neither.
         self.version, self.need_full_list, self.lower_versions, self.failures = version, not known, 0, 0
         self.ask, self.enabled, self.stopped, self.initial = ask, threading.Event(), False, None
-        self.wake = threading.Event()  # the pause that is on, or the next, is cut short
-        self.last_entries, self.unread = {}, {}  # the last word on each server; entries not readable
-        self.on_list = on_list  # is given each list as JSON, once it has been posted
-        self.target = self.http  # what is to be followed from now on
+        self.wake = threading.Event()  # ends the current retry delay, or the next one
+        self.last_entries, self.unread = {}, {}  # the last valid entry of each server; invalid entries
+        self.on_list = on_list
+        self.target = self.http  # the client to use from the next request on
 
     def change_address(self, address):
-        """From another thread: what the new address tells counts at once, so neither a watch at the old one
-        nor the wait for the next time to ask is waited for.
+        """Switches to another discovery address at once: ends the current watch and any retry delay or pause.
+
+        Called from another thread.
         """
         self.target = target = HttpClient(address, self.CONNECT_TIMEOUT)
         current = self.http
-        # The thread may have moved on just now, and a connection that was given up is given up for good:
-        # the list died.
+        # The thread may have switched to the new client already. An aborted client never recovers: aborting
+        # the new one would end all list updates.
         if current is not target:
             current.abort()
         self.enabled.set()
         self.wake.set()
 
     def start_with(self, listed, addresses, unread, trusted):
-        """The list that a process begins with.
+        """Sets the list that the process starts with.
 
-        Unless it is `trusted`, discovery is asked first, for what it has counts from the first moment; once
-        it has failed to answer, the known list is what there is.
+        If it is `trusted` it is posted at once. Otherwise discovery is asked first, because its list is
+        authoritative, and the initial list is posted only if that request fails.
         """
         self.record(listed, addresses, unread)
         self.initial = events.Heard(listed, addresses)
@@ -134,13 +142,14 @@
             self.publish_initial()
 
     def publish_initial(self):
+        """Posts the initial list if it is still held back."""
         initial, self.initial = self.initial, None
         if initial:
             self.post(initial)
 
     def switch_address(self):
-        """The list is kept until the new address has told the whole of it, whatever
-        version that begins with.
+        """Uses the new address from now on. The list is kept until the new address has sent a full one,
+        whatever its version.
         """
         while self.http is not self.target:
             self.http.close()
@@ -148,6 +157,7 @@
         self.need_full_list, self.lower_versions, self.failures = True, self.MAX_LOWER_VERSIONS - 1, 0
 
     def run(self):
+        """The thread: polls until `stop`."""
         while not self.stopped:
             self.enabled.wait()
             if self.stopped:
@@ -158,7 +168,7 @@
         self.http.close()
 
     def poll(self):
-        """One call. How many seconds to wait before the next."""
+        """Makes one request; returns how many seconds to wait before the next."""
         if self.http is not self.target:
             self.switch_address()
         self.wake.clear()
@@ -172,19 +182,19 @@
                 return 0
             self.failures += 1
             self.publish_initial()
-            if not isinstance(fault, (OSError, ValueError)):  # our own: in plain sight, and the list lives on
+            if not isinstance(fault, (OSError, ValueError)):  # a bug of ours: log it and keep the list
                 log.exception("fault")
-            # What cannot be read would come again: the whole list mends it.
+            # An invalid response would come again; a full list replaces it.
             self.need_full_list |= isinstance(fault, ListError)
             if self.failures in (1, 10, 100):
                 log.warning("discovery-fails", extra={"pairs": {"why": fault, "times": self.failures}})
-            if self.ask:  # the module is told and asks again in its own time
+            if self.ask:  # the policy learns of the failure and decides when to ask again
                 self.enabled.clear()
             self.post(events.ListFailed(round((time.monotonic() - began) * 1_000_000)))
             return min(self.RETRY_DELAY * 2 ** min(self.failures, 10), self.MAX_RETRY_DELAY)
 
     def next_request(self):
-        """What the next call asks for, and how many seconds it may take."""
+        """(path, timeout in seconds) of the next request."""
         if self.need_full_list:
             return "/api/targets", self.FIRST_LIST_TIMEOUT if self.initial else self.FULL_LIST_TIMEOUT
         return (
@@ -193,23 +203,24 @@
         )
 
     def fetch(self):
+        """Makes the request and posts its list; raises OSError, ResponseError or ListError."""
         body = self.http.get(*self.next_request())
         try:
             said = json.loads(body)
         except (ValueError, RecursionError) as fault:
-            raise ListError(f"no JSON: {fault}") from fault
+            raise ListError(f"invalid JSON: {fault}") from fault
         version, listed, addresses, unread = read_list(said, self.names, before=self.last_entries)
         full = listed.news is io.News.FULL
         if version < self.version:
-            # An old answer must not bring back what is gone; only discovery
-            # begun anew says it again and again.
+            # A stale response must not bring back servers that are gone. Only a discovery service that has
+            # restarted its version count repeats a lower version.
             self.need_full_list, self.lower_versions = True, self.lower_versions + full
             if self.lower_versions < self.MAX_LOWER_VERSIONS:
-                raise ListError(f"version {version} after {self.version}")
+                raise ListError(f"list version went back from {self.version} to {version}")
         elif version == self.version and not self.need_full_list:
-            return  # nothing new
+            return  # unchanged
         elif self.need_full_list and not full:
-            raise ListError("changes where the whole list was asked")
+            raise ListError("got changes in response to a request for the full list")
         self.version, self.need_full_list, self.lower_versions, self.initial = version, False, 0, None
         self.record(listed, addresses, unread)
         self.post(events.Heard(listed, addresses))
@@ -225,8 +236,8 @@
             )
 
     def record(self, listed, addresses, unread):
-        """What could not be read is said once, not at each list: the same
-        entry comes again with every whole one.
+        """Remembers the entries. Invalid entries are logged only when they differ from the last ones, because
+        each full list repeats them.
         """
         self.last_entries = self.last_entries if listed.news is io.News.CHANGES else {}
         for entry in listed.entries:
@@ -241,6 +252,7 @@
         self.unread = unread
 
     def stop(self):
+        """Ends the thread. Called from another thread."""
         self.stopped = True
         self.enabled.set()
         self.wake.set()
--- a/cottonspread/net/http.py
+++ b/cottonspread/net/http.py
@@ -1,4 +1,4 @@
-"""A small HTTP/1.1 client for one address: GET, and POST of JSON; answers bounded in size and time."""
+"""A small HTTP/1.1 client for one address: GET, and POST of JSON, with limits on response size and time."""
 
 import contextlib
 import socket
@@ -8,66 +8,70 @@
 
 
 class ResponseError(ValueError):
-    """What came back is no HTTP answer that can be used."""
+    """The response is malformed, too large, cut off or has a status other than 200."""
 
 
 class HttpClient:
-    """Keeps its connection from one call to the next where the other side allows it."""
+    """Keeps its connection alive between requests where the server allows it."""
 
     def __init__(self, address, connect_timeout):
+        """`address`: (host, port); `connect_timeout`: seconds."""
         self.address, self.connect_timeout = address, connect_timeout
         self.sock, self.buffered, self.deadline, self.aborted = None, b"", 0.0, False
-        self.response_started = False  # whether anything of the answer to the call that is out has come
+        self.response_started = False  # whether any byte of the current response has been received
 
     def abort(self):
-        """From another thread: a call that is out ends at once, and none begins."""
+        """Ends the current request at once and refuses further ones. Called from another thread."""
         self.aborted, sock = True, self.sock
         if sock is not None:
-            with contextlib.suppress(OSError):  # ended already
+            with contextlib.suppress(OSError):  # already closed
                 sock.shutdown(socket.SHUT_RDWR)
 
     def close(self):
+        """Closes the connection; the next request opens a new one."""
         if self.sock is not None:
             self.sock.close()
         self.sock, self.buffered = None, b""
 
     def get(self, path, wait):
-        """The body of the answer, within `wait` seconds for all of it; OSError or
-        ResponseError if there is none.
+        """Returns the response body. `wait`: seconds for the whole request.
+
+        Raises OSError or ResponseError.
         """
         return self.request(path, wait, None)
 
     def post(self, path, wait, body):
-        """As `get`, with JSON as bytes. It may be sent twice, so only what may come twice goes this way."""
+        """As `get`, with JSON as bytes. May send the request twice, so it must be idempotent."""
         return self.request(path, wait, body)
 
     def request(self, path, wait, body):
-        """What `get` and `post` have in common; `body`: None for GET."""
+        """Common part of `get` and `post`; `body`: None for GET."""
         reused = self.sock is not None
         self.deadline = time.monotonic() + wait
         try:
             try:
                 return self.exchange(path, body)
             except (ConnectionError, ResponseError):
-                # Only a reused connection may have been closed in the meantime, which tells nothing. An
-                # answer that says no, or is none, would only be had again.
+                # Retry only if a reused connection failed before any response byte: the server may have
+                # closed it while it was idle. An error response would only be repeated.
                 if not reused or self.response_started or self.aborted:
                     raise
                 self.close()
-                # In what is left of the time, so that two silences take no longer than one.
+                # The retry gets only the time left, so that two timeouts in a row take no longer than one.
                 return self.exchange(path, body)
         except (OSError, ResponseError):
             self.close()
             raise
 
     def exchange(self, path, body):
+        """Sends one request and returns the response body, connecting first if there is no connection."""
         self.response_started = bool(self.buffered)
         if self.sock is None:
             wait = min(self.time_left(), self.connect_timeout)
             self.sock = socket.create_connection(self.address, timeout=wait)
             self.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        if self.aborted:  # just while it was connecting
-            raise ConnectionAbortedError("given up")
+        if self.aborted:  # `abort` was called while connecting
+            raise ConnectionAbortedError("request aborted")
         host = "{}:{}".format(*self.address)
         method, size = ("GET", "") if body is None else ("POST", f"Content-Length: {len(body)}\r\n")
         head = f"{method} {path} HTTP/1.1\r\nHost: {host}\r\nAccept: application/json\r\n{size}\r\n"
@@ -85,13 +89,14 @@
         return answer
 
     def time_left(self):
-        """Seconds left for the answer; TimeoutError if there are none."""
+        """Seconds left until the deadline; raises TimeoutError if it has passed."""
         left = self.deadline - time.monotonic()
         if left <= 0:
-            raise TimeoutError("the answer takes too long")
+            raise TimeoutError("response timed out")
         return left
 
     def receive(self):
+        """Reads once from the socket into the buffer; returns False at the end of the stream."""
         self.sock.settimeout(self.time_left())
         got = self.sock.recv(65536)
         self.buffered += got
@@ -99,16 +104,18 @@
         return bool(got)
 
     def read_line(self, limit):
+        """Reads one line, without its line end; ResponseError if it is longer than about `limit` bytes."""
         while (end := self.buffered.find(b"\n")) < 0:
             if len(self.buffered) > limit or not self.receive():
-                raise ResponseError("cut off or too long in its head")
+                raise ResponseError("response head cut off or too long")
         line, self.buffered = self.buffered[:end].rstrip(b"\r"), self.buffered[end + 1 :]
         return line
 
     def read_head(self):
+        """Reads the status line and the headers: (status, headers by lower-case name)."""
         words = self.read_line(MAX_HEAD).split(None, 2)
         if len(words) < 2 or not words[0].startswith(b"HTTP/1.") or not words[1].isdigit():
-            raise ResponseError("no status line")
+            raise ResponseError("no HTTP status line")
         headers, size = {}, 0
         if words[0] == b"HTTP/1.0":
             headers["connection"] = "close"
@@ -116,11 +123,12 @@
             size += len(line)
             name, colon, value = line.decode("latin-1").partition(":")
             if not colon or size > MAX_HEAD:
-                raise ResponseError("headers cannot be read")
+                raise ResponseError("malformed or too large headers")
             headers[name.strip().lower()] = value.strip()
         return int(words[1]), headers
 
     def read_exactly(self, count):
+        """Reads `count` bytes of the body."""
         if count > MAX_BODY:
             raise ResponseError("body too large")
         while len(self.buffered) < count:
@@ -130,24 +138,26 @@
         return taken
 
     def read_body(self, headers, keep):
+        """Reads the body: (body, whether the connection can be reused)."""
         if headers.get("transfer-encoding", "").lower() == "chunked":
             return self.read_chunks(), keep
         if "content-length" in headers:
             if not headers["content-length"].isdigit():
-                raise ResponseError("length cannot be read")
+                raise ResponseError("invalid Content-Length")
             return self.read_exactly(int(headers["content-length"])), keep
-        while self.receive():  # up to the end of the connection
+        while self.receive():  # no length given: the body ends with the connection
             if len(self.buffered) > MAX_BODY:
                 raise ResponseError("body too large")
         return self.buffered, False
 
     def read_chunks(self):
+        """Reads a body in chunked transfer encoding."""
         parts, size = [], 0
         while True:
             try:
                 count = int(self.read_line(1024).split(b";")[0], 16)
             except ValueError:
-                raise ResponseError("chunk size cannot be read") from None
+                raise ResponseError("invalid chunk size") from None
             size += count
             if count < 0 or size > MAX_BODY:
                 raise ResponseError("body too large")
--- a/cottonspread/net/pool.py
+++ b/cottonspread/net/pool.py
@@ -1,17 +1,19 @@
-"""Buffers of one size, used again."""
+"""A pool of read buffers of one size."""
 
 from collections import deque
 
-BUFFER_SIZE = 4096 + 2  # the longest line with its CRLF
+BUFFER_SIZE = 4096 + 2  # the longest line of the protocol and its CRLF
 
 
 class BufferPool:
-    """Lends buffers; keeps at most `spare` of those given back."""
+    """Hands out buffers and keeps at most `spare` released ones for reuse."""
 
     def __init__(self, spare=64):
+        """`spare`: how many free buffers are kept."""
         self.free, self.spare, self.allocated = deque(maxlen=spare), spare, 0
 
     def acquire(self):
+        """A free buffer, or a new one."""
         try:
             return self.free.pop()
         except IndexError:
@@ -19,4 +21,5 @@
             return bytearray(BUFFER_SIZE)
 
     def release(self, buffer):
-        self.free.append(buffer)  # beyond `spare` the oldest falls out and is freed
+        """Returns a buffer to the pool."""
+        self.free.append(buffer)  # when `spare` are free the oldest is dropped
