--- a/cottonspread/cli/node.py
+++ b/cottonspread/cli/node.py
@@ -266,7 +266,7 @@
     )
     print(
         f"weights listed {'move with load' if begin.weights_move else 'are sizes'}, "
-        f"hosts' load {'told to probes' if begin.loads_probed else 'not requests for'}"
+        f"hosts' load {'told to probes' if begin.loads_probed else 'not asked for'}"
     )
     return 0
 
