--- a/cottonspread/cli/node.py
+++ b/cottonspread/cli/node.py
@@ -266,7 +266,7 @@
     )
     print(
         f"weights listed {'move with load' if begin.dynamic_weights else 'are sizes'}, "
-        f"hosts' load {'told to probes' if begin.probes_report_load else 'not requests for'}"
+        f"hosts' load {'told to probes' if begin.probes_report_load else 'not asked for'}"
     )
     return 0
 
