--- a/cottonspread/net/discovery.py
+++ b/cottonspread/net/discovery.py
@@ -49,7 +49,9 @@
 
 
 def read_list(said, names, news=None, before=None):
-    """Reads a response as JSON: (version, ListUpdate, addresses by server, {server: why its entry is invalid}).
+    """Reads a response as JSON.
+
+    Returns (version, ListUpdate, addresses by server, {server: why its entry is invalid}).
 
     An invalid entry does not invalidate the list. Its server keeps the entry and address that it had in
     `before` ({server: (entry, address)}), but a readable change to draining or gone is applied, because no
