--- a/cottonspread/configstore/callers.py
+++ b/cottonspread/configstore/callers.py
@@ -25,11 +25,11 @@
     m.Commit: m.CommitReply,
     m.ReadState: m.StateReply,
 }
-CONNECT_WAIT = 1.0
+CONNECT_TIMEOUT_S = 1.0
 """Seconds for a connection: one that a dropped packet costs its first try (a second) is tried anew."""
-THREADS_AT_MOST = 16
+MAX_THREADS = 16
 """A follower has three calls open, a publisher one for each replica, a replica one for each of the others."""
-STACK = 256 * 1024
+STACK_BYTES = 256 * 1024
 
 
 class CallError(Exception):
@@ -71,15 +71,15 @@
         with self._lock:
             idle = self._idle.setdefault(replica, [])
             caller = idle.pop() if idle else None
-            if caller is None and not self._stopped and len(self._all) < THREADS_AT_MOST:
-                caller = Caller(replica, self._is_idle)
+            if caller is None and not self._stopped and len(self._all) < MAX_THREADS:
+                caller = Caller(replica, self._mark_idle)
                 self._all.append(caller)
         if caller is None:
             done(CallError("too many calls at the same time"))
         else:
             caller.jobs.put(job)
 
-    def _is_idle(self, caller) -> None:
+    def _mark_idle(self, caller) -> None:
         with self._lock:
             self._idle[caller.replica].append(caller)
 
@@ -95,10 +95,10 @@
 class Caller:
     """One thread and its connection."""
 
-    def __init__(self, replica: str, is_idle: Callable):
-        self.replica, self._is_idle = replica, is_idle
-        self.http, self.jobs = Http(parse_address(replica), CONNECT_WAIT), queue.SimpleQueue()
-        before = threading.stack_size(STACK)
+    def __init__(self, replica: str, mark_idle: Callable):
+        self.replica, self._mark_idle = replica, mark_idle
+        self.http, self.jobs = Http(parse_address(replica), CONNECT_TIMEOUT_S), queue.SimpleQueue()
+        before = threading.stack_size(STACK_BYTES)
         try:
             threading.Thread(target=self._run, daemon=True).start()
         finally:
@@ -106,21 +106,21 @@
 
     def _run(self) -> None:
         while (job := self.jobs.get()) is not None:
-            outcome = self._make(job)
-            self._is_idle(self)  # before it is told: what follows from it may be the next call
+            outcome = self._perform(job)
+            self._mark_idle(self)  # before it is told: what follows from it may be the next call
             job.done(outcome)
         self.http.close()
 
-    def _make(self, job: Job):
+    def _perform(self, job: Job):
         try:
             wait = (job.deadline - now()) / m.SECOND
             if wait <= 0:
                 return CallError("too late")
-            return m.decode(self._ask(job.message, wait), REPLIES[type(job.message)])
+            return m.decode(self._send(job.message, wait), REPLIES[type(job.message)])
         except (OSError, ResponseError, m.MessageError) as fault:
             return CallError(str(fault) or type(fault).__name__)
 
-    def _ask(self, message: m.Message, wait: float) -> bytes:
+    def _send(self, message: m.Message, wait: float) -> bytes:
         if isinstance(message, m.WatchRequest):
             return self.http.get(f"{WATCH_PATH}?{m.to_query(message)}", wait)
         return self.http.post(POST_PATHS[type(message)], wait, m.encode(message))
--- a/cottonspread/configstore/canaries.py
+++ b/cottonspread/configstore/canaries.py
@@ -4,12 +4,12 @@
 
 from cottonspread.configstore.messages import SECOND, ReceivedReport
 
-SETTLE = 1 * SECOND
+SETTLE_TIME = 1 * SECOND
 """Between enough canaries in force and the next stage: time for a canary to find itself ill. Of the 3 s for a
 change, the rounds between regions take about 0.6 s and the last node's check and save some tens of ms."""
-CANARY_WAIT = 10 * SECOND
+CANARY_TIMEOUT = 10 * SECOND
 """Without enough canaries in force by then the version is withdrawn: a check that hangs is no good one."""
-ENOUGH_OF_THREE = 2
+REQUIRED_OF_THREE = 2
 """Two of three canaries, rounded up: on an ordinary day two machines fail, and silence of a third says
 little; one refusal says much."""
 
@@ -29,10 +29,10 @@
         self.names, self.why = names, ""
         """`why`: of BAD."""
         self.in_force: set[str] = set()
-        self._version, self._since, self._enough_at = version, now, None
-        self._enough = -(-len(names) * ENOUGH_OF_THREE // 3)
+        self._version, self._since, self._reached_at = version, now, None
+        self._required = -(-len(names) * REQUIRED_OF_THREE // 3)
 
-    def hear(self, now: int, reports: list[ReceivedReport]) -> None:
+    def add_reports(self, now: int, reports: list[ReceivedReport]) -> None:
         """Reports of one replica; what a canary said once is not taken back by an older report elsewhere."""
         for heard in reports:
             report = heard.report
@@ -42,20 +42,20 @@
                 self.why = self.why or f"{report.node}: {report.why}"
             elif report.in_force >= self._version:
                 self.in_force.add(report.node)
-        if self._enough_at is None and self.names and len(self.in_force) >= self._enough:
-            self._enough_at = now
+        if self._reached_at is None and self.names and len(self.in_force) >= self._required:
+            self._reached_at = now
 
     def verdict(self, now: int) -> Verdict:
         """What follows now."""
         if self.why:
             return Verdict.BAD
-        if self._enough_at is not None and now >= self._enough_at + SETTLE:
+        if self._reached_at is not None and now >= self._reached_at + SETTLE_TIME:
             return Verdict.GOOD
-        if self._enough_at is None and now >= self._since + CANARY_WAIT:
+        if self._reached_at is None and now >= self._since + CANARY_TIMEOUT:
             self.why = f"{len(self.in_force)} of {len(self.names)} canaries in force in time"
             return Verdict.BAD
         return Verdict.WAIT
 
-    def next_at(self) -> int:
+    def next_change_at(self) -> int:
         """When the verdict may change without a report."""
-        return self._since + CANARY_WAIT if self._enough_at is None else self._enough_at + SETTLE
+        return self._since + CANARY_TIMEOUT if self._reached_at is None else self._reached_at + SETTLE_TIME
--- a/cottonspread/configstore/client.py
+++ b/cottonspread/configstore/client.py
@@ -24,14 +24,14 @@
 
 log = logging.getLogger("cottonspread.configstore")
 
-TICK = 1.0
+MAX_WAIT_S = 1.0
 """Seconds that the thread waits at most."""
-LEVELS = {
-    core.Told.IN_FORCE: logging.INFO,
-    core.Told.BACK: logging.INFO,
-    core.Told.REFUSED: logging.ERROR,
-    core.Told.DISTRUSTED: logging.ERROR,
-    core.Told.CUT_OFF: logging.WARNING,
+LOG_LEVELS = {
+    core.NoticeKind.IN_FORCE: logging.INFO,
+    core.NoticeKind.RECONNECTED: logging.INFO,
+    core.NoticeKind.REFUSED: logging.ERROR,
+    core.NoticeKind.DISTRUSTED: logging.ERROR,
+    core.NoticeKind.CUT_OFF: logging.WARNING,
 }
 
 
@@ -78,52 +78,52 @@
         self._callers.stop()
         self._inbox.put(core.Tick())
 
-    def judged(self, version: int, ok: bool, why: str = "") -> None:
+    def report_health(self, version: int, ok: bool, why: str = "") -> None:
         """The node finds itself well or ill with this version."""
-        self._inbox.put(core.HealthReported(version, ok, why[: m.WHY_AT_MOST]))
+        self._inbox.put(core.HealthReported(version, ok, why[: m.MAX_WHY_LENGTH]))
 
     def _run(self) -> None:
         event = core.Started(self._saved, self._saved_why)
         while not self._stopped.is_set():
             try:
-                self._tell(event)
+                self._step(event)
             except Exception:  # our own: in plain sight, and the node follows on
                 log.exception("fault", extra={"pairs": {"while": type(event).__name__}})
-            event = self._next()
+            event = self._next_event()
 
-    def _next(self) -> core.Event:
-        wait = max(0.0, min(TICK, (self._core.wake_at - now()) / m.SECOND))
+    def _next_event(self) -> core.Event:
+        wait = max(0.0, min(MAX_WAIT_S, (self._core.wake_at - now()) / m.SECOND))
         try:
             return self._inbox.get(timeout=wait)
         except queue.Empty:
             return core.Tick()
 
-    def _tell(self, event: core.Event) -> None:
+    def _step(self, event: core.Event) -> None:
         events = [event]
         while events and not self._stopped.is_set():
             for effect in self._core.step(now(), events.pop(0)):
-                follows = self._carry_out(effect)
+                follows = self._execute(effect)
                 if follows is not None:
                     events.append(follows)
         self._view = self._core.view(now())
 
-    def _carry_out(self, effect: core.Effect) -> core.Event | None:
+    def _execute(self, effect: core.Effect) -> core.Event | None:
         match effect:
             case core.SendWatch():
-                self._ask(effect)
+                self._send_watch(effect)
             case core.Check():
-                return self._checked(effect.record)
+                return self._run_check(effect.record)
             case core.Save():
                 return self._save(effect.record)
             case core.Apply():
-                self._put_into_force(effect.record)
+                self._apply_record(effect.record)
             case core.Notice():
-                pairs = {"what": effect.what.value, "version": effect.version}
+                pairs = {"what": effect.kind.value, "version": effect.version}
                 pairs |= {"why": effect.why} if effect.why else {}
-                log.log(LEVELS[effect.what], "configuration", extra={"pairs": pairs})
+                log.log(LOG_LEVELS[effect.kind], "configuration", extra={"pairs": pairs})
         return None
 
-    def _ask(self, effect: core.SendWatch) -> None:
+    def _send_watch(self, effect: core.SendWatch) -> None:
         def done(outcome):
             if isinstance(outcome, CallError):
                 self._inbox.put(core.WatchFailed(effect.call, str(outcome)))
@@ -132,14 +132,14 @@
 
         self._callers.call(effect.replica, effect.request, effect.deadline, done)
 
-    def _checked(self, record: m.Record) -> core.Checked:
+    def _run_check(self, record: m.Record) -> core.Checked:
         try:
             self._check(record)
         except ConfigurationError as fault:
-            return core.Checked(False, str(fault)[: m.WHY_AT_MOST])
+            return core.Checked(False, str(fault)[: m.MAX_WHY_LENGTH])
         except Exception as fault:  # our own
             log.exception("fault", extra={"pairs": {"while": "check"}})
-            return core.Checked(False, f"our own fault: {type(fault).__name__}: {fault}"[: m.WHY_AT_MOST])
+            return core.Checked(False, f"our own fault: {type(fault).__name__}: {fault}"[: m.MAX_WHY_LENGTH])
         return core.Checked(True)
 
     def _save(self, record: m.Record | None) -> core.Saved:
@@ -149,12 +149,12 @@
             else:
                 storage.write(self._path, record)
         except OSError as fault:
-            return core.Saved(False, f"not saved: {fault}"[: m.WHY_AT_MOST])
+            return core.Saved(False, f"not saved: {fault}"[: m.MAX_WHY_LENGTH])
         return core.Saved(True)
 
-    def _put_into_force(self, record: m.Record) -> None:
+    def _apply_record(self, record: m.Record) -> None:
         def done(ok: bool, why: str = "") -> None:
-            self._inbox.put(core.Applied(ok, why[: m.WHY_AT_MOST]))
+            self._inbox.put(core.Applied(ok, why[: m.MAX_WHY_LENGTH]))
 
         try:
             self._apply(record, done)
--- a/cottonspread/configstore/driver.py
+++ b/cottonspread/configstore/driver.py
@@ -9,16 +9,16 @@
 from cottonspread.configstore import publisher as core
 from cottonspread.configstore.callers import CallError, Callers, now
 
-TICK = 1.0
+MAX_WAIT_S = 1.0
 """Seconds that a run waits at most for something to happen."""
 
 
-def run(replicas: tuple[str, ...], order: core.Order, progress: Callable) -> core.Done:
+def run(replicas: tuple[str, ...], command: core.Command, progress: Callable) -> core.Done:
     """Carries the order out to its end. `progress(step)` is told each `Progress`."""
-    publisher = core.Publisher(replicas, order, random.Random(os.urandom(8)).random)
+    publisher = core.Publisher(replicas, command, random.Random(os.urandom(8)).random)
     callers, inbox = Callers(), queue.SimpleQueue()
 
-    def make(effect: core.Call) -> None:
+    def start_call(effect: core.Call) -> None:
         def done(outcome):
             if isinstance(outcome, CallError):
                 inbox.put(core.CallFailed(effect.call, str(outcome)))
@@ -33,7 +33,7 @@
             for effect in publisher.step(now(), event):
                 match effect:
                     case core.Call():
-                        make(effect)
+                        start_call(effect)
                     case core.Progress():
                         progress(effect)
                     case core.Done():
@@ -46,25 +46,25 @@
 def next_event(inbox: queue.SimpleQueue, wake_at: int) -> core.Event:
     """What comes next, or a tick when it is time."""
     try:
-        return inbox.get(timeout=max(0.0, min(TICK, (wake_at - now()) / m.SECOND)))
+        return inbox.get(timeout=max(0.0, min(MAX_WAIT_S, (wake_at - now()) / m.SECOND)))
     except queue.Empty:
         return core.Tick()
 
 
 def read_states(replicas: tuple[str, ...], wait: float) -> dict:
     """Each replica's state with all reports, or the CallError of its call, within `wait` seconds."""
-    callers, inbox, found = Callers(), queue.SimpleQueue(), {}
+    callers, inbox, outcomes = Callers(), queue.SimpleQueue(), {}
     deadline = now() + round(wait * m.SECOND)
     try:
         for name in replicas:
             message = m.ReadState(reports=True)
             callers.call(name, message, deadline, lambda outcome, name=name: inbox.put((name, outcome)))
-        while len(found) < len(replicas) and now() < deadline + m.SECOND:
+        while len(outcomes) < len(replicas) and now() < deadline + m.SECOND:
             try:
                 name, outcome = inbox.get(timeout=wait + 1)
             except queue.Empty:
                 break
-            found[name] = outcome
+            outcomes[name] = outcome
     finally:
         callers.stop()
-    return {name: found.get(name, CallError("no reply")) for name in replicas}
+    return {name: outcomes.get(name, CallError("no reply")) for name in replicas}
--- a/cottonspread/configstore/follower.py
+++ b/cottonspread/configstore/follower.py
@@ -14,7 +14,7 @@
 - Each step is ended by exactly one event, `STEP_TIMEOUT` after its effect at the latest: what hangs is
   told as ok=False, and what comes of it later is dropped by the shell.
 - A step that fails is told with ok=False and a `why`: the old record stays in force, the new one is
-  reported as refused and tried again after `RECHECK` at the earliest or at a newer record. A failed
+  reported as refused and tried again after `RECHECK_DELAY` at the earliest or at a newer record. A failed
   `Apply` is followed by a `Save` of the old record.
 - `Notice` is a line of the log and nothing else.
 - `HealthReported` may be told at any time by the node's own health check of the version in force.
@@ -25,14 +25,14 @@
 from enum import StrEnum
 
 from cottonspread.configstore import messages as m
-from cottonspread.configstore.watches import ANSWER_GRACE, Watches
+from cottonspread.configstore.watches import REPLY_GRACE, Watches
 
-CUT_OFF = 20 * m.SECOND
+CUT_OFF_AFTER = 20 * m.SECOND
 """A node that heard of no replica with a majority for so long is cut off and says so: a watch of 10 s, its
 grace, a failure's pause and the age that a replica itself may tell, without a false alarm."""
-RECHECK = 60 * m.SECOND
+RECHECK_DELAY = 60 * m.SECOND
 """A refused record is asked for again after so long: a check costs a node some milliseconds."""
-HOLD = 1 * m.SECOND
+MAX_HOLD = 1 * m.SECOND
 """A node asks again once the record that it was told is in force or refused, so that its next watch reports
 it; no later than this, for a check or a disk may hang."""
 STEP_TIMEOUT = 5 * m.SECOND
@@ -138,21 +138,21 @@
     record: m.Record
 
 
-class Told(StrEnum):
+class NoticeKind(StrEnum):
     """What a `Notice` is about."""
 
     IN_FORCE = "in-force"
     REFUSED = "refused"
     DISTRUSTED = "distrusted"
     CUT_OFF = "cut-off"
-    BACK = "back"
+    RECONNECTED = "back"
 
 
 @dataclass(frozen=True, slots=True)
 class Notice:
     """A line of the log."""
 
-    what: Told
+    kind: NoticeKind
     version: int
     why: str = ""
 
@@ -189,43 +189,43 @@
     `wake_at`: when `Tick` is wanted next.
     """
 
-    def __init__(self, node: str, replicas: tuple[str, ...], chance):
-        """`chance()`: at least 0, below 1, from a seed."""
+    def __init__(self, node: str, replicas: tuple[str, ...], uniform):
+        """`uniform()`: at least 0, below 1, from a seed."""
         self.node, self.wake_at = node, 0
-        self._watches = Watches(node, replicas, chance)
+        self._watches = Watches(node, replicas, uniform)
         self._in_force: m.Record | None = None
-        self._floor = 0  # no version below was ever in force here
-        self._considered = 0  # generation of the newest record that was looked at
+        self._min_version = 0  # no version below was ever in force here
+        self._seen_generation = 0  # generation of the newest record that was looked at
         self._refused: m.Record | None = None
         self._refused_why, self._failing, self._failing_why = "", 0, ""
         self._recheck_at: int | None = None
-        self._under_way: m.Record | None = None
+        self._current: m.Record | None = None
         self._phase: _Phase | None = None
-        self._starting = False  # the record under way is the saved one
-        self._waiting: m.Record | None = None  # the newest that came meanwhile
-        self._contact: int | None = None
+        self._restoring_saved = False  # the record under way is the saved one
+        self._queued: m.Record | None = None  # the newest that came meanwhile
+        self._last_contact: int | None = None
         self._started, self._was_cut_off, self._hold_until = 0, False, 0
-        self._out: list[Effect] = []
+        self._effects: list[Effect] = []
 
     def step(self, now: int, event: Event) -> list[Effect]:
         """What follows from an event."""
-        self._out = []
+        self._effects = []
         match event:
             case Started():
                 self._start(now, event)
             case WatchReplied():
-                self._answered(now, event)
+                self._watch_replied(now, event)
             case WatchFailed():
                 self._watches.failed(now, event.call)
             case Checked() | Saved() | Applied():
-                self._go_on(now, event)
+                self._advance(now, event)
             case HealthReported():
-                self._judged(event)
+                self._health_reported(event)
         self._recheck(now)
         self._notice_cut_off(now)
-        self._ask(now)
-        self._plan_wake(now)
-        return self._out
+        self._send_watches(now)
+        self._schedule_wake(now)
+        return self._effects
 
     def view(self, now: int) -> View:
         """How it stands."""
@@ -237,12 +237,12 @@
             refused=self._refused.version if self._refused else 0,
             why=self._refused_why or self._failing_why,
             cut_off=self.is_cut_off(now),
-            contact_age_us=None if self._contact is None else now - self._contact,
+            contact_age_us=None if self._last_contact is None else now - self._last_contact,
         )
 
     def is_cut_off(self, now: int) -> bool:
-        """No replica that is one of a majority was heard for `CUT_OFF`."""
-        return now - (self._started if self._contact is None else self._contact) > CUT_OFF
+        """No replica that is one of a majority was heard for `CUT_OFF_AFTER`."""
+        return now - (self._started if self._last_contact is None else self._last_contact) > CUT_OFF_AFTER
 
     # Start
 
@@ -251,33 +251,35 @@
         if event.saved is None:
             return
         if not event.saved.is_valid():
-            self._out.append(Notice(Told.DISTRUSTED, event.saved.version, "saved record is damaged"))
+            self._effects.append(
+                Notice(NoticeKind.DISTRUSTED, event.saved.version, "saved record is damaged")
+            )
             return
-        self._floor, self._considered = event.saved.version, event.saved.generation
-        self._starting = True
-        self._begin(event.saved)
+        self._min_version, self._seen_generation = event.saved.version, event.saved.generation
+        self._restoring_saved = True
+        self._start_check(event.saved)
 
     # Answers
 
-    def _answered(self, now: int, event: WatchReplied) -> None:
-        fault = self._fault_of(event.answer, self._watches.since_of(event.call))
+    def _watch_replied(self, now: int, event: WatchReplied) -> None:
+        fault = self._why_distrusted(event.answer, self._watches.since_of(event.call))
         if fault:
             if self._watches.failed(now, event.call):
                 record = event.answer.record
-                self._out.append(Notice(Told.DISTRUSTED, record.version if record else 0, fault))
+                self._effects.append(Notice(NoticeKind.DISTRUSTED, record.version if record else 0, fault))
             return
-        if not self._watches.answered(now, event.call):
+        if not self._watches.replied(now, event.call):
             return
-        self._hear(now, event.answer.majority_age_us)
+        self._record_contact(now, event.answer.majority_age_us)
         if event.answer.record is not None:
-            self._hold_until = now + HOLD
+            self._hold_until = now + MAX_HOLD
             self._consider(event.answer.record)
 
-    def _hear(self, now: int, age: int | None) -> None:
-        if age is not None and (self._contact is None or now - age > self._contact):
-            self._contact = now - age
+    def _record_contact(self, now: int, age: int | None) -> None:
+        if age is not None and (self._last_contact is None or now - age > self._last_contact):
+            self._last_contact = now - age
 
-    def _fault_of(self, answer: m.WatchReply, since: int) -> str:
+    def _why_distrusted(self, answer: m.WatchReply, since: int) -> str:
         """Why the answer is not to be trusted, or empty."""
         record = answer.record
         if record is None:
@@ -286,49 +288,49 @@
             return "damaged record"
         if record.generation <= since:
             return "older than asked for"
-        if not record.reaches(self.node):
+        if not record.applies_to(self.node):
             return f"not for this node at stage {record.stage.name}"
-        for known in (self._in_force, self._under_way, self._waiting, self._refused):
+        for known in (self._in_force, self._current, self._queued, self._refused):
             if known is not None and known.version == record.version and known.digest != record.digest:
                 return "same version, other digest"
         return ""
 
     def _consider(self, record: m.Record) -> None:
-        if record.generation <= self._considered or record.version < self._floor:
+        if record.generation <= self._seen_generation or record.version < self._min_version:
             return
-        self._considered = record.generation
-        if self._under_way is not None:
-            self._waiting = record
+        self._seen_generation = record.generation
+        if self._current is not None:
+            self._queued = record
         else:
-            self._take_up(record)
+            self._start_or_update(record)
 
-    def _take_up(self, record: m.Record) -> None:
+    def _start_or_update(self, record: m.Record) -> None:
         if self._in_force is not None and record.version == self._in_force.version:
             self._in_force = record  # at another stage
         else:
-            self._begin(record)
+            self._start_check(record)
 
     # One record at a time: check, save, apply
 
-    def _begin(self, record: m.Record) -> None:
-        self._under_way, self._phase = record, _Phase.CHECKING
-        self._out.append(Check(record))
+    def _start_check(self, record: m.Record) -> None:
+        self._current, self._phase = record, _Phase.CHECKING
+        self._effects.append(Check(record))
 
-    def _go_on(self, now: int, event: Checked | Saved | Applied) -> None:
+    def _advance(self, now: int, event: Checked | Saved | Applied) -> None:
         match (self._phase, event):
-            case (_Phase.CHECKING, Checked(ok=True)) if self._starting:
+            case (_Phase.CHECKING, Checked(ok=True)) if self._restoring_saved:
                 self._apply()
             case (_Phase.CHECKING, Checked(ok=True)):
                 self._phase = _Phase.SAVING
-                self._out.append(Save(self._under_way))
+                self._effects.append(Save(self._current))
             case (_Phase.SAVING, Saved(ok=True)):
                 self._apply()
             case (_Phase.APPLYING, Applied(ok=True)):
-                self._taken()
-            case (_Phase.APPLYING, Applied(ok=False, why=why)) if not self._starting:
+                self._put_in_force()
+            case (_Phase.APPLYING, Applied(ok=False, why=why)) if not self._restoring_saved:
                 self._refuse(now, why)
                 self._phase = _Phase.RESTORING
-                self._out.append(Save(self._in_force))
+                self._effects.append(Save(self._in_force))
             case (_Phase.CHECKING, Checked(why=why)) | (_Phase.SAVING, Saved(why=why)):
                 self._refuse(now, why)
                 self._next()
@@ -340,63 +342,63 @@
 
     def _apply(self) -> None:
         self._phase = _Phase.APPLYING
-        self._out.append(Apply(self._under_way))
+        self._effects.append(Apply(self._current))
 
-    def _taken(self) -> None:
-        record = self._under_way
-        self._in_force, self._floor = record, record.version
-        self._considered = max(self._considered, record.generation)
+    def _put_in_force(self) -> None:
+        record = self._current
+        self._in_force, self._min_version = record, record.version
+        self._seen_generation = max(self._seen_generation, record.generation)
         self._refused, self._refused_why, self._recheck_at = None, "", None
         self._failing, self._failing_why = 0, ""
-        self._out.append(Notice(Told.IN_FORCE, record.version))
-        self._watches.hurry()
+        self._effects.append(Notice(NoticeKind.IN_FORCE, record.version))
+        self._watches.report_soon()
         self._next()
 
     def _refuse(self, now: int, why: str) -> None:
-        self._refused, self._refused_why = self._under_way, (why or "no reason told")[: m.WHY_AT_MOST]
-        self._recheck_at = now + RECHECK
-        self._out.append(Notice(Told.REFUSED, self._refused.version, self._refused_why))
-        self._watches.hurry()
+        self._refused, self._refused_why = self._current, (why or "no reason told")[: m.MAX_WHY_LENGTH]
+        self._recheck_at = now + RECHECK_DELAY
+        self._effects.append(Notice(NoticeKind.REFUSED, self._refused.version, self._refused_why))
+        self._watches.report_soon()
 
     def _next(self) -> None:
-        self._under_way, self._phase, self._starting = None, None, False
-        if self._waiting is not None:
-            record, self._waiting = self._waiting, None
-            self._take_up(record)
+        self._current, self._phase, self._restoring_saved = None, None, False
+        if self._queued is not None:
+            record, self._queued = self._queued, None
+            self._start_or_update(record)
 
     def _recheck(self, now: int) -> None:
         """A refusal may have had a cause that is gone, such as a full disk: what is newer than the version in
         force is asked for again, and told if it still stands.
         """
-        if self._recheck_at is None or self._recheck_at > now or self._under_way is not None:
+        if self._recheck_at is None or self._recheck_at > now or self._current is not None:
             return
         self._recheck_at = None
-        self._considered = self._in_force.generation if self._in_force else 0
+        self._seen_generation = self._in_force.generation if self._in_force else 0
 
-    def _judged(self, event: HealthReported) -> None:
+    def _health_reported(self, event: HealthReported) -> None:
         if self._in_force is None or event.version != self._in_force.version:
             return
         failing = 0 if event.ok else event.version
         if failing != self._failing:
-            self._failing, self._failing_why = failing, event.why[: m.WHY_AT_MOST]
-            self._watches.hurry()
+            self._failing, self._failing_why = failing, event.why[: m.MAX_WHY_LENGTH]
+            self._watches.report_soon()
 
     # Watches
 
-    def _ask(self, now: int) -> None:
+    def _send_watches(self, now: int) -> None:
         if self._is_holding(now):
             return
-        for call, replica, timeout in self._watches.due(now, self._considered):
+        for call, replica, timeout in self._watches.due(now, self._seen_generation):
             request = m.WatchRequest(
-                since=self._considered,
+                since=self._seen_generation,
                 timeout_ms=timeout // m.MILLISECOND,
                 report=self._report(now),
             )
-            self._out.append(SendWatch(call, replica, request, now + timeout + ANSWER_GRACE))
+            self._effects.append(SendWatch(call, replica, request, now + timeout + REPLY_GRACE))
 
     def _is_holding(self, now: int) -> bool:
         """The next watch waits a little, for it is to report what became of the record under way."""
-        return self._under_way is not None and now < self._hold_until
+        return self._current is not None and now < self._hold_until
 
     def _report(self, now: int) -> m.NodeReport:
         return m.NodeReport(
@@ -413,13 +415,13 @@
         if cut_off != self._was_cut_off:
             self._was_cut_off = cut_off
             version = self._in_force.version if self._in_force else 0
-            self._out.append(Notice(Told.CUT_OFF if cut_off else Told.BACK, version))
+            self._effects.append(Notice(NoticeKind.CUT_OFF if cut_off else NoticeKind.RECONNECTED, version))
 
-    def _plan_wake(self, now: int) -> None:
-        contact = self._started if self._contact is None else self._contact
-        times = [self._hold_until if self._is_holding(now) else self._watches.earliest()]
+    def _schedule_wake(self, now: int) -> None:
+        contact = self._started if self._last_contact is None else self._last_contact
+        times = [self._hold_until if self._is_holding(now) else self._watches.next_call_at()]
         if not self._was_cut_off:
-            times.append(contact + CUT_OFF + 1)
-        if self._recheck_at is not None and self._under_way is None:
+            times.append(contact + CUT_OFF_AFTER + 1)
+        if self._recheck_at is not None and self._current is None:
             times.append(self._recheck_at)
         self.wake_at = min((time for time in times if time is not None), default=NEVER)
--- a/cottonspread/configstore/seen.py
+++ b/cottonspread/configstore/majority.py
@@ -4,15 +4,15 @@
 
 from cottonspread.configstore import messages as m
 
-RECENT = 15 * m.SECOND
+REPORT_MAX_AGE = 15 * m.SECOND
 """A node whose report is older, and that has no watch open, is not chosen as a canary: it may be gone."""
 CANARIES_PERCENT = 2
-CANARIES_AT_LEAST = 2
+MIN_CANARIES = 2
 """Nodes that go first: 9 of 420. One alone could be ill for a reason of its own."""
 
 
 @dataclass(frozen=True, slots=True)
-class Seen:
+class MajorityState:
     """States of a majority, summed up."""
 
     highest: m.Position
@@ -30,14 +30,14 @@
         return self.committed.generation if self.committed else 0
 
 
-def summarize_replies(replies: list[m.StateReply]) -> Seen:
+def summarize_replies(replies: list[m.StateReply]) -> MajorityState:
     """What a majority's replies say together."""
     positions = [reply.accepted for reply in replies]
     highest = max(positions, key=lambda position: (position.generation, position.version, position.stage))
     records = [reply.accepted_record for reply in replies]
     committed = _newest([reply.committed for reply in replies])
     everywhere = [one for one in records if one is not None and one.stage == m.Stage.EVERYWHERE]
-    return Seen(
+    return MajorityState(
         highest=highest,
         committed=committed,
         good=_newest([reply.good for reply in replies] + everywhere),
@@ -57,7 +57,7 @@
                 heard.report.node
                 for reply in replies
                 for heard in reply.reports
-                if (heard.watching or heard.age_us <= RECENT) and not heard.report.cut_off
+                if (heard.watching or heard.age_us <= REPORT_MAX_AGE) and not heard.report.cut_off
             }
         )
     )
@@ -65,7 +65,7 @@
 
 def canary_threshold(nodes: tuple[str, ...], version: int) -> int:
     """The `canary_below` that makes so many of these nodes canaries as the constants say; 0 without nodes."""
-    count = max(CANARIES_AT_LEAST, -(-len(nodes) * CANARIES_PERCENT // 100))
+    count = max(MIN_CANARIES, -(-len(nodes) * CANARIES_PERCENT // 100))
     hashes = sorted(m.canary_hash(node, version) for node in nodes)[:count]
     return hashes[-1] + 1 if hashes else 0
 
--- a/cottonspread/configstore/messages.py
+++ b/cottonspread/configstore/messages.py
@@ -27,19 +27,19 @@
 
 MAX_BODY_LENGTH = 256 * 1024
 """Characters of a body: thirty times the largest operator's file met so far."""
-MESSAGE_AT_MOST = 4 * 1024 * 1024
-"""Bytes of a message: two bodies escaped as JSON, and the reports of `NODES_AT_MOST` nodes."""
-NAME_AT_MOST = 128
-WHY_AT_MOST = 200
-NODES_AT_MOST = 2_000
+MAX_MESSAGE_BYTES = 4 * 1024 * 1024
+"""Bytes of a message: two bodies escaped as JSON, and the reports of `MAX_NODES` nodes."""
+MAX_NAME_LENGTH = 128
+MAX_WHY_LENGTH = 200
+MAX_NODES = 2_000
 """Nodes whose reports a replica keeps: nearly five times the fleet it is made for."""
-NUMBER_AT_MOST = 2**53 - 1
+MAX_NUMBER = 2**53 - 1
 """The largest number that every JSON reader keeps exactly."""
-WATCH_AT_MOST_MS = 60_000
+MAX_WATCH_MS = 60_000
 
-Number = Annotated[int, Meta(ge=0, le=NUMBER_AT_MOST)]
-Name = Annotated[str, Meta(min_length=1, max_length=NAME_AT_MOST, pattern=r"\A[A-Za-z0-9._:-]+\Z")]
-Why = Annotated[str, Meta(max_length=WHY_AT_MOST)]
+Number = Annotated[int, Meta(ge=0, le=MAX_NUMBER)]
+Name = Annotated[str, Meta(min_length=1, max_length=MAX_NAME_LENGTH, pattern=r"\A[A-Za-z0-9._:-]+\Z")]
+Why = Annotated[str, Meta(max_length=MAX_WHY_LENGTH)]
 Digest = Annotated[str, Meta(pattern=r"\A[0-9a-f]{64}\Z")]
 Checksum = Annotated[str, Meta(pattern=r"\A[0-9a-f]{16}\Z")]
 Body = Annotated[str, Meta(max_length=MAX_BODY_LENGTH)]
@@ -72,15 +72,15 @@
     """Of the record: two proposals of one generation differ in it."""
 
 
-NOWHERE = Position()
+EMPTY_POSITION = Position()
 """The position of a replica that holds nothing."""
 
 
 class Record(Message, frozen=True, kw_only=True, omit_defaults=True):
     """A version at a stage, whole."""
 
-    generation: Annotated[int, Meta(ge=1, le=NUMBER_AT_MOST)]
-    version: Annotated[int, Meta(ge=1, le=NUMBER_AT_MOST)]
+    generation: Annotated[int, Meta(ge=1, le=MAX_NUMBER)]
+    version: Annotated[int, Meta(ge=1, le=MAX_NUMBER)]
     stage: Stage
     canary_below: Threshold
     """A node whose `canary_hash` for this version lies below is a canary."""
@@ -103,7 +103,7 @@
             self.generation, self.version, self.stage, self.canary_below, self.digest
         )
 
-    def reaches(self, node: str) -> bool:
+    def applies_to(self, node: str) -> bool:
         """The node may put it into force at this stage."""
         if self.stage == Stage.EVERYWHERE:
             return True
@@ -153,7 +153,7 @@
     why: Why = ""
     """Of `refused` or `failing`."""
     cut_off: bool = False
-    """The node had been cut off (see `follower.CUT_OFF`) when it asked."""
+    """The node had been cut off (see `follower.CUT_OFF_AFTER`) when it asked."""
 
 
 class WatchRequest(Message, frozen=True, kw_only=True, omit_defaults=True):
@@ -161,7 +161,7 @@
 
     since: Number
     """Generation of the newest record that the follower has considered; 0: none."""
-    timeout_ms: Annotated[int, Meta(ge=0, le=WATCH_AT_MOST_MS)]
+    timeout_ms: Annotated[int, Meta(ge=0, le=MAX_WATCH_MS)]
     report: NodeReport
 
 
@@ -215,11 +215,11 @@
     """Records accepted or committed up to this generation are left out."""
     good_since: Number = 0
     """`good` up to this generation is left out."""
-    timeout_ms: Annotated[int, Meta(ge=0, le=WATCH_AT_MOST_MS)] = 0
+    timeout_ms: Annotated[int, Meta(ge=0, le=MAX_WATCH_MS)] = 0
     """Wait so long for something committed over these (the other replicas ask so); 0: answer now."""
     reports: bool = False
     """With the nodes' reports."""
-    nodes: Annotated[list[Name], Meta(max_length=NODES_AT_MOST)] = []
+    nodes: Annotated[list[Name], Meta(max_length=MAX_NODES)] = []
     """Reports of these alone; empty: of all."""
 
 
@@ -247,9 +247,9 @@
     good: Record | None = None
     """The newest committed EVERYWHERE; None: none, or not over `since`."""
     majority_age_us: Number | None = None
-    reports: Annotated[list[ReceivedReport], Meta(max_length=NODES_AT_MOST)] = []
+    reports: Annotated[list[ReceivedReport], Meta(max_length=MAX_NODES)] = []
     reports_dropped: Number = 0
-    """Reports of nodes beyond `NODES_AT_MOST` that were not kept."""
+    """Reports of nodes beyond `MAX_NODES` that were not kept."""
 
 
 class ReplicaState(Message, frozen=True, kw_only=True, omit_defaults=True):
@@ -267,12 +267,12 @@
 
 def decode(data: bytes, kind: type):
     """A message of that kind; MessageError where it is too long, no JSON, or a field is out of its bounds."""
-    if len(data) > MESSAGE_AT_MOST:
+    if len(data) > MAX_MESSAGE_BYTES:
         raise MessageError(f"{kind.__name__}: {len(data)} bytes")
     try:
         return msgspec.json.decode(data, type=kind)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as fault:
-        raise MessageError(f"{kind.__name__}: {str(fault)[:WHY_AT_MOST]}") from None
+        raise MessageError(f"{kind.__name__}: {str(fault)[:MAX_WHY_LENGTH]}") from None
 
 
 def to_query(request: WatchRequest) -> str:
@@ -283,13 +283,13 @@
     return urlencode(pairs)
 
 
-QUERY_AT_MOST = 4_096
+MAX_QUERY_LENGTH = 4_096
 QUERY_FIELDS = {"since", "timeout_ms"}
 
 
 def from_query(query: str) -> WatchRequest:
     """The watch that a query asks; MessageError where a field is faulty."""
-    if len(query) > QUERY_AT_MOST:
+    if len(query) > MAX_QUERY_LENGTH:
         raise MessageError(f"query: {len(query)} characters")
     try:
         pairs = dict(parse_qsl(query, keep_blank_values=True, strict_parsing=True, max_num_fields=32))
@@ -297,4 +297,4 @@
         nested["report"] = {key: value for key, value in pairs.items() if key not in QUERY_FIELDS}
         return msgspec.convert(nested, WatchRequest, strict=False)
     except (msgspec.ValidationError, ValueError) as fault:
-        raise MessageError(f"query: {str(fault)[:WHY_AT_MOST]}") from None
+        raise MessageError(f"query: {str(fault)[:MAX_WHY_LENGTH]}") from None
--- a/cottonspread/configstore/overview.py
+++ b/cottonspread/configstore/overview.py
@@ -3,14 +3,14 @@
 from dataclasses import dataclass
 
 from cottonspread.configstore import messages as m
-from cottonspread.configstore.seen import RECENT
+from cottonspread.configstore.majority import REPORT_MAX_AGE
 
-NAMES_AT_MOST = 10
+MAX_NAMES = 10
 """Nodes named in each group; the rest is a number."""
 
 
 @dataclass(frozen=True)
-class ReplicaLine:
+class ReplicaStatus:
     """One replica."""
 
     name: str
@@ -23,7 +23,7 @@
 
 
 @dataclass(frozen=True)
-class NodeLine:
+class NodeStatus:
     """One node that is not in force, and why."""
 
     name: str
@@ -39,13 +39,13 @@
     version: int
     stage: str
     quorum: bool
-    replicas: list[ReplicaLine]
+    replicas: list[ReplicaStatus]
     in_force: int
-    waiting: list[NodeLine]
+    waiting: list[NodeStatus]
     """At stage CANARY: nodes whose turn has not come."""
-    behind: list[NodeLine]
-    refused: list[NodeLine]
-    not_heard: list[NodeLine]
+    behind: list[NodeStatus]
+    refused: list[NodeStatus]
+    not_heard: list[NodeStatus]
 
 
 def summarize(states: dict) -> Overview:
@@ -59,13 +59,13 @@
     groups = {"in_force": [], "waiting": [], "behind": [], "refused": [], "not_heard": []}
     for heard in newest_reports(replies):
         groups[group_of(heard, committed)].append(
-            NodeLine(heard.report.node, heard.report.in_force, heard.age_us, heard.report.why)
+            NodeStatus(heard.report.node, heard.report.in_force, heard.age_us, heard.report.why)
         )
     return Overview(
         version=committed.version if committed else 0,
         stage=committed.stage.name.lower() if committed else "",
         quorum=len(replies) > len(states) // 2,
-        replicas=[replica_line(name, state) for name, state in states.items()],
+        replicas=[replica_status(name, state) for name, state in states.items()],
         in_force=len(groups.pop("in_force")),
         **groups,
     )
@@ -89,7 +89,7 @@
 def group_of(heard: m.ReceivedReport, committed: m.Record | None) -> str:
     """Where a node stands."""
     report = heard.report
-    if not heard.watching and heard.age_us > RECENT or report.cut_off:
+    if not heard.watching and heard.age_us > REPORT_MAX_AGE or report.cut_off:
         return "not_heard"
     if committed is None:
         return "waiting"
@@ -97,15 +97,15 @@
         return "refused"
     if committed.stage != m.Stage.WITHDRAWN and report.in_force == committed.version:
         return "in_force"
-    return "behind" if committed.reaches(report.node) else "waiting"
+    return "behind" if committed.applies_to(report.node) else "waiting"
 
 
-def replica_line(name: str, state) -> ReplicaLine:
+def replica_status(name: str, state) -> ReplicaStatus:
     """One replica's part."""
     if not isinstance(state, m.StateReply):
-        return ReplicaLine(name, up=False, why=str(state))
+        return ReplicaStatus(name, up=False, why=str(state))
     committed = state.committed
-    return ReplicaLine(
+    return ReplicaStatus(
         name,
         up=True,
         generation=state.committed_generation,
@@ -131,18 +131,18 @@
     ):
         if nodes:
             out.append(f"{what}: {len(nodes)}")
-            out += [f"  {node_text(node)}" for node in nodes[:NAMES_AT_MOST]]
-            out += [f"  and {len(nodes) - NAMES_AT_MOST} more"] if len(nodes) > NAMES_AT_MOST else []
+            out += [f"  {node_text(node)}" for node in nodes[:MAX_NAMES]]
+            out += [f"  and {len(nodes) - MAX_NAMES} more"] if len(nodes) > MAX_NAMES else []
     return out + [replica_text(one) for one in overview.replicas]
 
 
-def node_text(node: NodeLine) -> str:
+def node_text(node: NodeStatus) -> str:
     """One node."""
     why = f": {node.why}" if node.why else ""
     return f"{node.name} version {node.version}, heard {node.age_us / m.SECOND:.1f} s ago{why}"
 
 
-def replica_text(one: ReplicaLine) -> str:
+def replica_text(one: ReplicaStatus) -> str:
     """One replica."""
     if not one.up:
         return f"replica {one.name}: does not answer: {one.why}"
--- a/cottonspread/configstore/publisher.py
+++ b/cottonspread/configstore/publisher.py
@@ -16,15 +16,15 @@
 from cottonspread.configstore import messages as m
 from cottonspread.configstore.calls import CALL_TIMEOUT, Calls
 from cottonspread.configstore.canaries import Canaries, Verdict
-from cottonspread.configstore.seen import Seen, canaries_of, canary_threshold, summarize_replies
+from cottonspread.configstore.majority import MajorityState, canaries_of, canary_threshold, summarize_replies
 
 PHASE_TIMEOUT = 5 * m.SECOND
 """Without a majority's replies for so long a run ends with NO_QUORUM; five calls to a replica fit into it."""
-POLL = 100 * m.MILLISECOND
+POLL_INTERVAL = 100 * m.MILLISECOND
 """Between two looks at the canaries' reports."""
-ROUNDS_AT_MOST = 8
+MAX_ROUNDS = 8
 """Proposals of one run that lost against another publisher's before it gives up."""
-CONFLICT_PAUSE = 200 * m.MILLISECOND
+CONFLICT_BACKOFF = 200 * m.MILLISECOND
 """Up to so much, drawn, and doubling with each lost round, so that one of two publishers gets through."""
 NEVER = 2**62
 """A `wake_at` that nobody needs to meet."""
@@ -49,7 +49,7 @@
     """Withdraw the version at stage CANARY and publish the body before it as a new version."""
 
 
-Order = Publish | Resume | Withdraw
+Command = Publish | Resume | Withdraw
 
 
 @dataclass(frozen=True, slots=True)
@@ -164,31 +164,31 @@
     `wake_at`: when `Tick` is wanted next. A round is: read a majority's states, propose, commit.
     """
 
-    def __init__(self, replicas: tuple[str, ...], order: Order, chance):
-        """`chance()`: at least 0, below 1, from a seed."""
+    def __init__(self, replicas: tuple[str, ...], command: Command, uniform):
+        """`uniform()`: at least 0, below 1, from a seed."""
         self.wake_at = 0
-        self._replicas, self._order, self._chance = replicas, order, chance
+        self._replicas, self._command, self._uniform = replicas, command, uniform
         self._majority = len(replicas) // 2 + 1
-        self._calls = Calls(chance)
+        self._calls = Calls(uniform)
         self._step: Step | None = None
         self._deadline, self._rounds = 0, 0
-        self._reads: dict[str, m.StateReply] = {}
+        self._states: dict[str, m.StateReply] = {}
         self._goal: _NewVersion | _ChangeStage | None = None
         self._base_generation = 0  # committed when this run began, or by this run
         self._record: m.Record | None = None  # proposed or committed by this run
         self._good: m.Record | None = None
-        self._agreed: set[str] = set()
+        self._acknowledged: set[str] = set()
         self._refused: set[str] = set()
         self._canaries: Canaries | None = None
-        self._withdrawn_why: str | None = None
+        self._withdraw_reason: str | None = None
         self._done = False
-        self._out: list[Effect] = []
+        self._effects: list[Effect] = []
 
     def step(self, now: int, event: Event) -> list[Effect]:
         """What follows from an event."""
-        self._out = []
+        self._effects = []
         if self._done:
-            return self._out
+            return self._effects
         match event:
             case Started():
                 self._begin_reading(now, now)
@@ -196,10 +196,10 @@
                 self._replied(now, event)
             case CallFailed():
                 self._calls.failed(now, event.call)
-        self._look_at_time(now)
+        self._check_deadline(now)
         self._make_calls(now)
-        self._plan_wake()
-        return self._out
+        self._schedule_wake()
+        return self._effects
 
     # Calls and time
 
@@ -218,148 +218,156 @@
     def _state_read(self, now: int, replica: str, reply: m.StateReply) -> None:
         match self._step:
             case Step.READING:
-                self._reads[replica] = reply
-                if len(self._reads) >= self._majority:
-                    self._decide(now, summarize_replies(list(self._reads.values())))
+                self._states[replica] = reply
+                if len(self._states) >= self._majority:
+                    self._decide(now, summarize_replies(list(self._states.values())))
             case Step.PROPOSING:
-                self._late_read(now, replica, reply)
+                self._late_state_read(now, replica, reply)
             case Step.CANARIES:
                 self._canaries_read(now, replica, reply)
 
-    def _look_at_time(self, now: int) -> None:
+    def _check_deadline(self, now: int) -> None:
         if self._done:
             return
         if self._step == Step.CANARIES:
             self._judge_canaries(now)
         elif now >= self._deadline:
-            self._end(Outcome.NO_QUORUM, f"no majority of replicas answered while {self._step}")
+            self._finish(Outcome.NO_QUORUM, f"no majority of replicas answered while {self._step}")
 
     def _make_calls(self, now: int) -> None:
         for call, replica, message in self._calls.due(now):
-            self._out.append(Call(call, replica, message, now + CALL_TIMEOUT))
+            self._effects.append(Call(call, replica, message, now + CALL_TIMEOUT))
 
-    def _plan_wake(self) -> None:
+    def _schedule_wake(self) -> None:
         if self._done:
             self.wake_at = NEVER
             return
-        other = self._canaries.next_at() if self._step == Step.CANARIES else self._deadline
-        calls = self._calls.earliest()
+        other = self._canaries.next_change_at() if self._step == Step.CANARIES else self._deadline
+        calls = self._calls.next_call_at()
         self.wake_at = other if calls is None else min(calls, other)
 
-    def _enter(self, now: int, step: Step, text: str) -> None:
+    def _enter_step(self, now: int, step: Step, text: str) -> None:
         self._step, self._deadline = step, now + PHASE_TIMEOUT
         version = self._record.version if self._record else 0
         stage = self._record.stage if self._record else None
-        self._out.append(Progress(step, version, stage, text))
+        self._effects.append(Progress(step, version, stage, text))
 
-    def _end(self, outcome: Outcome, why: str = "", version: int | None = None) -> None:
-        if self._withdrawn_why is not None and outcome != Outcome.WITHDRAWN:
-            why = f"{why} (on the way back: {self._withdrawn_why})"
+    def _finish(self, outcome: Outcome, why: str = "", version: int | None = None) -> None:
+        if self._withdraw_reason is not None and outcome != Outcome.WITHDRAWN:
+            why = f"{why} (on the way back: {self._withdraw_reason})"
         if version is None:
             version = self._record.version if self._record else 0
         self._calls.clear()
         self._done = True
-        self._out.append(Done(outcome, version, why))
+        self._effects.append(Done(outcome, version, why))
 
     # Reading
 
-    def _begin_reading(self, now: int, ask_at: int) -> None:
-        self._enter(now, Step.READING, "the replicas' states")
-        self._reads = {}
+    def _begin_reading(self, now: int, next_call_at: int) -> None:
+        self._enter_step(now, Step.READING, "the replicas' states")
+        self._states = {}
         self._calls.clear()
         for replica in self._replicas:
-            self._calls.want(replica, m.ReadState(reports=True), ask_at)
+            self._calls.schedule(replica, m.ReadState(reports=True), next_call_at)
 
-    def _decide(self, now: int, seen: Seen) -> None:
+    def _decide(self, now: int, majority_state: MajorityState) -> None:
         if self._goal is None:
-            self._base_generation = seen.committed_generation
-            self._good = seen.good
-            self._take_order(now, seen)
+            self._base_generation = majority_state.committed_generation
+            self._good = majority_state.good
+            self._start_command(now, majority_state)
         else:
-            self._check_goal(now, seen)
+            self._check_goal(now, majority_state)
         if not self._done and self._step == Step.READING:
-            bases = {replica: reply.accepted for replica, reply in self._reads.items()}
-            self._propose(now, seen.highest, seen.nodes, bases)
+            bases = {replica: reply.accepted for replica, reply in self._states.items()}
+            self._propose(now, majority_state.highest, majority_state.nodes, bases)
 
-    def _take_order(self, now: int, seen: Seen) -> None:
-        match self._order:
+    def _start_command(self, now: int, majority_state: MajorityState) -> None:
+        match self._command:
             case Publish():
-                self._take_publish(seen)
+                self._start_publish(majority_state)
             case Resume():
-                self._take_resume(now, seen)
+                self._start_resume(now, majority_state)
             case Withdraw():
-                self._take_withdraw(seen)
-
-    def _take_publish(self, seen: Seen) -> None:
-        committed = seen.committed
-        if _is_at_canaries(seen):
-            self._end(Outcome.UNDER_WAY, f"version {committed.version} is at its canaries", committed.version)
-        elif self._order.without_canaries:
-            self._goal = _NewVersion(self._order.body, m.Stage.EVERYWHERE)
-        elif not seen.nodes:
-            self._end(Outcome.NO_CANARIES, "no node has reported lately")
+                self._start_withdraw(majority_state)
+
+    def _start_publish(self, majority_state: MajorityState) -> None:
+        committed = majority_state.committed
+        if _is_at_canaries(majority_state):
+            self._finish(
+                Outcome.UNDER_WAY, f"version {committed.version} is at its canaries", committed.version
+            )
+        elif self._command.without_canaries:
+            self._goal = _NewVersion(self._command.body, m.Stage.EVERYWHERE)
+        elif not majority_state.nodes:
+            self._finish(Outcome.NO_CANARIES, "no node has reported lately")
         else:
-            self._goal = _NewVersion(self._order.body, m.Stage.CANARY)
+            self._goal = _NewVersion(self._command.body, m.Stage.CANARY)
 
-    def _take_resume(self, now: int, seen: Seen) -> None:
-        committed, highest = seen.committed, seen.highest
+    def _start_resume(self, now: int, majority_state: MajorityState) -> None:
+        committed, highest = majority_state.committed, majority_state.highest
         if committed is None or committed.stage == m.Stage.EVERYWHERE or highest.version > committed.version:
-            self._end(Outcome.NOTHING, "no committed version waits for its next stage")
+            self._finish(Outcome.NOTHING, "no committed version waits for its next stage")
         elif committed.stage == m.Stage.WITHDRAWN:
-            self._resume_way_back(committed)
+            self._resume_rollback(committed)
         elif highest.generation > committed.generation:
             # What another publisher proposed may be chosen already, and is gone on with.
             self._goal = _ChangeStage(committed, highest.stage)
         else:
             self._record = committed
-            self._begin_canaries(now, canaries_of(seen.nodes, committed))
+            self._begin_canaries(now, canaries_of(majority_state.nodes, committed))
 
-    def _resume_way_back(self, committed: m.Record) -> None:
-        self._record, self._withdrawn_why = committed, "withdrawn before"
+    def _resume_rollback(self, committed: m.Record) -> None:
+        self._record, self._withdraw_reason = committed, "withdrawn before"
         if self._good is None or self._good.version >= committed.version:
-            self._end(Outcome.NOTHING, "no version before the withdrawn one is known")
+            self._finish(Outcome.NOTHING, "no version before the withdrawn one is known")
         else:
             self._goal = _NewVersion(self._good.body, m.Stage.EVERYWHERE)
 
-    def _take_withdraw(self, seen: Seen) -> None:
-        committed = seen.committed
-        if not _is_at_canaries(seen):
-            self._end(Outcome.NOTHING, "no version is at its canaries")
+    def _start_withdraw(self, majority_state: MajorityState) -> None:
+        committed = majority_state.committed
+        if not _is_at_canaries(majority_state):
+            self._finish(Outcome.NOTHING, "no version is at its canaries")
             return
-        self._withdrawn_why = "withdrawn by order"
+        self._withdraw_reason = "withdrawn by order"
         self._goal = _ChangeStage(committed, m.Stage.WITHDRAWN)
 
-    def _check_goal(self, now: int, seen: Seen) -> None:
+    def _check_goal(self, now: int, majority_state: MajorityState) -> None:
         """After a lost round: whether the goal still stands."""
         match self._goal:
             case _NewVersion():
-                if seen.committed_generation > self._base_generation:
-                    self._superseded(seen)
+                if majority_state.committed_generation > self._base_generation:
+                    self._superseded(majority_state)
             case _ChangeStage(record=record):
-                committed = seen.committed
-                if seen.highest.version > record.version:
-                    self._superseded(seen)
+                committed = majority_state.committed
+                if majority_state.highest.version > record.version:
+                    self._superseded(majority_state)
                 elif committed is not None and _is_at(committed, record.version, self._goal.stage):
                     self._record = committed  # by another publisher
                     self._committed(now)
-                elif seen.highest.generation > record.generation and seen.highest.stage == m.Stage.WITHDRAWN:
-                    self._withdrawn_why = self._withdrawn_why or "withdrawn by another publisher"
+                elif (
+                    majority_state.highest.generation > record.generation
+                    and majority_state.highest.stage == m.Stage.WITHDRAWN
+                ):
+                    self._withdraw_reason = self._withdraw_reason or "withdrawn by another publisher"
                     self._goal = _ChangeStage(record, m.Stage.WITHDRAWN)
 
-    def _superseded(self, seen: Seen) -> None:
-        version = max(seen.highest.version, seen.committed.version if seen.committed else 0)
-        self._end(Outcome.SUPERSEDED, f"version {version} came first")
+    def _superseded(self, majority_state: MajorityState) -> None:
+        version = max(
+            majority_state.highest.version,
+            majority_state.committed.version if majority_state.committed else 0,
+        )
+        self._finish(Outcome.SUPERSEDED, f"version {version} came first")
 
     # Proposing
 
     def _propose(self, now: int, highest: m.Position, nodes: tuple[str, ...], bases) -> None:
         self._record = self._make_record(highest, nodes)
-        self._agreed, self._refused = set(), set()
+        self._acknowledged, self._refused = set(), set()
         if self._step != Step.READING:
             self._calls.clear()
-        self._enter(now, Step.PROPOSING, f"generation {self._record.generation}")
+        self._enter_step(now, Step.PROPOSING, f"generation {self._record.generation}")
         for replica, base in bases.items():
-            self._calls.want(replica, m.Accept(base=base, record=self._record), now)
+            self._calls.schedule(replica, m.Accept(base=base, record=self._record), now)
 
     def _make_record(self, highest: m.Position, nodes: tuple[str, ...]) -> m.Record:
         generation = highest.generation + 1
@@ -371,12 +379,12 @@
             case _ChangeStage(record=record, stage=stage):
                 return m.make_record(generation, record.version, stage, record.canary_below, record.body)
 
-    def _late_read(self, now: int, replica: str, reply: m.StateReply) -> None:
+    def _late_state_read(self, now: int, replica: str, reply: m.StateReply) -> None:
         """A replica that was slow to tell its state may still accept, where the proposal comes after it."""
         if self._comes_after(reply.accepted):
-            self._calls.want(replica, m.Accept(base=reply.accepted, record=self._record), now)
+            self._calls.schedule(replica, m.Accept(base=reply.accepted, record=self._record), now)
         else:
-            self._accept_lost(now, replica)
+            self._accept_failed(now, replica)
 
     def _comes_after(self, known: m.Position) -> bool:
         record = self._record
@@ -388,38 +396,38 @@
 
     def _accept_replied(self, now: int, replica: str, reply: m.AcceptReply) -> None:
         if not reply.accepted:
-            self._accept_lost(now, replica)
+            self._accept_failed(now, replica)
             return
-        self._agreed.add(replica)
-        if len(self._agreed) >= self._majority:
+        self._acknowledged.add(replica)
+        if len(self._acknowledged) >= self._majority:
             self._begin_committing(now)
 
-    def _accept_lost(self, now: int, replica: str) -> None:
+    def _accept_failed(self, now: int, replica: str) -> None:
         self._refused.add(replica)
         if len(self._replicas) - len(self._refused) >= self._majority:
             return
         self._rounds += 1
-        if self._rounds >= ROUNDS_AT_MOST:
-            self._end(Outcome.SUPERSEDED, "other publishers came first each time")
+        if self._rounds >= MAX_ROUNDS:
+            self._finish(Outcome.SUPERSEDED, "other publishers came first each time")
             return
-        pause = int((CONFLICT_PAUSE << self._rounds) * self._chance())
+        pause = int((CONFLICT_BACKOFF << self._rounds) * self._uniform())
         self._begin_reading(now, now + pause)
         self._deadline += pause
 
     # Committing
 
     def _begin_committing(self, now: int) -> None:
-        self._agreed = set()
-        self._enter(now, Step.COMMITTING, "accepted by a majority")
+        self._acknowledged = set()
+        self._enter_step(now, Step.COMMITTING, "accepted by a majority")
         for replica in self._replicas:
-            self._calls.want(replica, m.Commit(record=self._record), now)
+            self._calls.schedule(replica, m.Commit(record=self._record), now)
 
     def _commit_replied(self, now: int, replica: str, reply: m.CommitReply) -> None:
         if not reply.committed:
-            self._calls.want(replica, m.Commit(record=self._record), now + POLL)
+            self._calls.schedule(replica, m.Commit(record=self._record), now + POLL_INTERVAL)
             return
-        self._agreed.add(replica)
-        if len(self._agreed) >= self._majority:
+        self._acknowledged.add(replica)
+        if len(self._acknowledged) >= self._majority:
             self._committed(now)
 
     def _committed(self, now: int) -> None:
@@ -428,18 +436,18 @@
         match record.stage:
             case m.Stage.CANARY:
                 self._begin_canaries(now, ())
-            case m.Stage.EVERYWHERE if self._withdrawn_why is not None:
-                self._end(Outcome.WITHDRAWN, self._withdrawn_why)
+            case m.Stage.EVERYWHERE if self._withdraw_reason is not None:
+                self._finish(Outcome.WITHDRAWN, self._withdraw_reason)
             case m.Stage.EVERYWHERE:
-                self._end(Outcome.IN_FORCE)
+                self._finish(Outcome.IN_FORCE)
             case m.Stage.WITHDRAWN:
-                self._go_back(now)
+                self._roll_back(now)
 
-    def _go_back(self, now: int) -> None:
+    def _roll_back(self, now: int) -> None:
         good = self._good
-        self._withdrawn_why = self._withdrawn_why or "withdrawn"
+        self._withdraw_reason = self._withdraw_reason or "withdrawn"
         if good is None or good.version >= self._record.version:
-            self._end(Outcome.WITHDRAWN, f"{self._withdrawn_why}; no version before it is known")
+            self._finish(Outcome.WITHDRAWN, f"{self._withdraw_reason}; no version before it is known")
             return
         self._goal = _NewVersion(good.body, m.Stage.EVERYWHERE)
         self._propose_next(now)
@@ -452,46 +460,46 @@
     # Canaries
 
     def _begin_canaries(self, now: int, names: tuple[str, ...]) -> None:
-        reads = list(self._reads.values())
+        reads = list(self._states.values())
         names = names or canaries_of(summarize_replies(reads).nodes, self._record)
         self._canaries = Canaries(now, self._record.version, names)
-        self._enter(now, Step.CANARIES, f"{len(names)} nodes")
+        self._enter_step(now, Step.CANARIES, f"{len(names)} nodes")
         for replica in self._replicas:
             self._poll(replica, now)
 
-    def _poll(self, replica: str, ask_at: int) -> None:
+    def _poll(self, replica: str, next_call_at: int) -> None:
         generation = self._record.generation
         message = m.ReadState(
             since=generation, good_since=generation, reports=True, nodes=list(self._canaries.names)
         )
-        self._calls.want(replica, message, ask_at)
+        self._calls.schedule(replica, message, next_call_at)
 
     def _canaries_read(self, now: int, replica: str, reply: m.StateReply) -> None:
         if reply.committed_generation > self._record.generation:
-            self._end(Outcome.SUPERSEDED, f"generation {reply.committed_generation} came first")
+            self._finish(Outcome.SUPERSEDED, f"generation {reply.committed_generation} came first")
             return
-        self._canaries.hear(now, reply.reports)
-        self._poll(replica, now + POLL)
+        self._canaries.add_reports(now, reply.reports)
+        self._poll(replica, now + POLL_INTERVAL)
 
     def _judge_canaries(self, now: int) -> None:
         match self._canaries.verdict(now):
             case Verdict.GOOD:
                 self._goal = _ChangeStage(self._record, m.Stage.EVERYWHERE)
             case Verdict.BAD:
-                self._withdrawn_why = self._canaries.why
+                self._withdraw_reason = self._canaries.why
                 self._goal = _ChangeStage(self._record, m.Stage.WITHDRAWN)
             case Verdict.WAIT:
                 return
         self._propose_next(now)
 
 
-def _is_at_canaries(seen: Seen) -> bool:
+def _is_at_canaries(majority_state: MajorityState) -> bool:
     """A committed version waits for the word of its canaries, and no later one was proposed."""
-    committed = seen.committed
+    committed = majority_state.committed
     return (
         committed is not None
         and committed.stage == m.Stage.CANARY
-        and seen.highest.version == committed.version
+        and majority_state.highest.version == committed.version
     )
 
 
--- a/cottonspread/configstore/register.py
+++ b/cottonspread/configstore/register.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from cottonspread.configstore.messages import NOWHERE, Position, Record, ReplicaState, Stage
+from cottonspread.configstore.messages import EMPTY_POSITION, Position, Record, ReplicaState, Stage
 
 
 class RefusedError(Exception):
@@ -19,7 +19,7 @@
 
 def accepted_position(state: ReplicaState) -> Position:
     """The highest position ever accepted."""
-    return state.accepted.position if state.accepted else NOWHERE
+    return state.accepted.position if state.accepted else EMPTY_POSITION
 
 
 def generation_of(record: Record | None) -> int:
--- a/cottonspread/configstore/replica.py
+++ b/cottonspread/configstore/replica.py
@@ -6,7 +6,7 @@
 - `Store` is durable (whole file written, fsync, rename, fsync of the folder) before `Stored(ok=True)` is
   told. At most one is on its way. What depends on it is replied only as an effect of `Stored`, so the
   shell has no order to keep besides that of the effects. While one is on its way further writes wait
-  inside, at most `WRITES_WAITING`, others are turned away.
+  inside, at most `MAX_QUEUED_WRITES`, others are turned away.
 - A `Store` that fails is told as `Stored(ok=False)`: the write is refused, and the replica goes on with
   what it had. Whether the file is the old or the new one is then open, and harmless: what was not
   acknowledged may be there after a restart.
@@ -24,15 +24,15 @@
 
 from cottonspread.configstore import messages as m
 from cottonspread.configstore import register
-from cottonspread.configstore.peers import PEER_GRACE, PEER_WATCH, Peers
+from cottonspread.configstore.peers import PEER_REPLY_GRACE, PEER_WATCH_TIMEOUT, Peers
+from cottonspread.configstore.pending import PendingRequests
 from cottonspread.configstore.reports import Reports
-from cottonspread.configstore.waiting import Waiting
 
-WATCHES_AT_MOST = 2 * m.NODES_AT_MOST
+MAX_WATCHES = 2 * m.MAX_NODES
 """Two watches of each node are usual; more nodes than that are turned away."""
-READERS_AT_MOST = 64
+MAX_READERS = 64
 """The other replicas, staff and publishers."""
-WRITES_WAITING = 64
+MAX_QUEUED_WRITES = 64
 """Writes that wait for the one under way: many publishers and both other replicas."""
 NEVER = 2**62
 """A `wake_at` that nobody needs to meet."""
@@ -137,35 +137,35 @@
     `wake_at`: when `Tick` is wanted next. `state`: what is durable.
     """
 
-    def __init__(self, name: str, peers: tuple[str, ...], state: m.ReplicaState, chance):
-        """`peers`: the other replicas. `chance()`: at least 0, below 1, from a seed."""
+    def __init__(self, name: str, peers: tuple[str, ...], state: m.ReplicaState, uniform):
+        """`peers`: the other replicas. `uniform()`: at least 0, below 1, from a seed."""
         self.name, self.state, self.wake_at = name, state, 0
         self.reports = Reports()
-        self._peers = Peers(peers, chance)
+        self._peers = Peers(peers, uniform)
         self._writes: deque[_Write] = deque()
         self._storing: tuple[_Write, m.ReplicaState] | None = None
         self._token = 0
-        self._watches, self._readers = Waiting(), Waiting()
-        self._out: list[Effect] = []
+        self._watches, self._readers = PendingRequests(), PendingRequests()
+        self._effects: list[Effect] = []
 
     def step(self, now: int, event: Event) -> list[Effect]:
         """What follows from an event."""
-        self._out = []
+        self._effects = []
         match event:
             case RequestReceived():
-                self._asked(now, event)
+                self._request_received(now, event)
             case RequestAbandoned():
-                self._gone(event.request)
+                self._request_abandoned(event.request)
             case Stored():
                 self._stored(now, event)
             case PeerReplied():
-                self._peer_answered(now, event)
+                self._peer_replied(now, event)
             case PeerFailed():
                 self._peers.failed(now, event.call)
-        self._end_waits(now)
-        self._ask_peers(now)
-        self._plan_wake()
-        return self._out
+        self._expire_waiting(now)
+        self._call_peers(now)
+        self._schedule_wake()
+        return self._effects
 
     def majority_age(self, now: int) -> int | None:
         """How long ago this replica last knew itself to be one of a majority; None: not since its start."""
@@ -178,99 +178,99 @@
 
     # Requests
 
-    def _asked(self, now: int, event: RequestReceived) -> None:
+    def _request_received(self, now: int, event: RequestReceived) -> None:
         match event.message:
             case m.WatchRequest():
-                self._watch(now, event.request, event.message)
+                self._handle_watch(now, event.request, event.message)
             case m.ReadState():
-                self._read(now, event.request, event.message)
+                self._handle_read_state(now, event.request, event.message)
             case m.Accept() | m.Commit():
-                self._write(now, _Write(event.request, event.message))
-
-    def _gone(self, request: int) -> None:
-        self._watches.end(request)
-        self._readers.end(request)
-
-    def _watch(self, now: int, request: int, message: m.WatchRequest) -> None:
-        self.reports.hear(now, message.report)
-        if self._has_news(message) or message.timeout_ms == 0:
-            self._answer(now, request, message)
-        elif len(self._watches) >= WATCHES_AT_MOST:
-            self._out.append(Reject(request, "too many watches"))
+                self._queue_write(now, _Write(event.request, event.message))
+
+    def _request_abandoned(self, request: int) -> None:
+        self._watches.remove(request)
+        self._readers.remove(request)
+
+    def _handle_watch(self, now: int, request: int, message: m.WatchRequest) -> None:
+        self.reports.add(now, message.report)
+        if self._has_newer_record(message) or message.timeout_ms == 0:
+            self._reply_to_watch(now, request, message)
+        elif len(self._watches) >= MAX_WATCHES:
+            self._effects.append(Reject(request, "too many watches"))
         else:
             self._watches.add(request, message, now + message.timeout_ms * m.MILLISECOND)
 
     def _record_for(self, node: str) -> m.Record | None:
         """The newest committed record that the node may put into force."""
         committed = self.state.committed
-        if committed is not None and committed.reaches(node):
+        if committed is not None and committed.applies_to(node):
             return committed
         return self.state.good
 
-    def _has_news(self, message: m.WatchRequest) -> bool:
+    def _has_newer_record(self, message: m.WatchRequest) -> bool:
         return register.generation_of(self._record_for(message.report.node)) > message.since
 
-    def _answer(self, now: int, request: int, message: m.WatchRequest) -> None:
+    def _reply_to_watch(self, now: int, request: int, message: m.WatchRequest) -> None:
         record = self._record_for(message.report.node)
         generation = register.generation_of(record)
-        is_news = generation > message.since
+        is_newer = generation > message.since
         answer = m.WatchReply(
             generation=generation,
-            reset=is_news,
-            record=record if is_news else None,
+            reset=is_newer,
+            record=record if is_newer else None,
             majority_age_us=self.majority_age(now),
             replica=self.name,
         )
-        self._out.append(Reply(request, answer))
+        self._effects.append(Reply(request, answer))
 
-    def _read(self, now: int, request: int, message: m.ReadState) -> None:
-        if message.timeout_ms == 0 or self._is_newer_than(message):
-            self._tell_state(now, request, message)
-        elif len(self._readers) >= READERS_AT_MOST:
-            self._out.append(Reject(request, "too many readers"))
+    def _handle_read_state(self, now: int, request: int, message: m.ReadState) -> None:
+        if message.timeout_ms == 0 or self._has_newer_state(message):
+            self._reply_with_state(now, request, message)
+        elif len(self._readers) >= MAX_READERS:
+            self._effects.append(Reject(request, "too many readers"))
         else:
             self._readers.add(request, message, now + message.timeout_ms * m.MILLISECOND)
 
-    def _is_newer_than(self, message: m.ReadState) -> bool:
+    def _has_newer_state(self, message: m.ReadState) -> bool:
         return (
             register.generation_of(self.state.committed) > message.since
             or register.generation_of(self.state.good) > message.good_since
         )
 
-    def _tell_state(self, now: int, request: int, message: m.ReadState) -> None:
+    def _reply_with_state(self, now: int, request: int, message: m.ReadState) -> None:
         state = self.state
         reply = m.StateReply(
             replica=self.name,
             accepted=register.accepted_position(state),
-            accepted_record=_over(state.accepted, message.since),
-            committed=_over(state.committed, message.since),
+            accepted_record=_if_newer(state.accepted, message.since),
+            committed=_if_newer(state.committed, message.since),
             committed_generation=register.generation_of(state.committed),
-            good=_over(state.good, message.good_since),
+            good=_if_newer(state.good, message.good_since),
             majority_age_us=self.majority_age(now),
-            reports=self._told_reports(now, message) if message.reports else [],
+            reports=self._reports_for(now, message) if message.reports else [],
             reports_dropped=self.reports.dropped,
         )
-        self._out.append(Reply(request, reply))
+        self._effects.append(Reply(request, reply))
 
-    def _told_reports(self, now: int, message: m.ReadState) -> list[m.ReceivedReport]:
+    def _reports_for(self, now: int, message: m.ReadState) -> list[m.ReceivedReport]:
         watching = {wait.message.report.node for _, wait in self._watches}
-        return self.reports.told(now, message.nodes, watching)
+        return self.reports.select(now, message.nodes, watching)
 
     # Writes, one at a time
 
-    def _write(self, now: int, write: _Write) -> None:
-        if len(self._writes) >= WRITES_WAITING:
+    def _queue_write(self, now: int, write: _Write) -> None:
+        if len(self._writes) >= MAX_QUEUED_WRITES:
             if write.request is not None:
-                self._out.append(Reject(write.request, "too many writes"))
+                self._effects.append(Reject(write.request, "too many writes"))
             return
         self._writes.append(write)
-        self._begin_writes(now)
+        self._start_writes(now)
 
-    def _begin_writes(self, now: int) -> None:
+    def _start_writes(self, now: int) -> None:
         while self._storing is None and self._writes:
             write = self._writes.popleft()
             try:
-                state = _after(self.state, write.message)
+                state = _state_after(self.state, write.message)
             except register.RefusedError as fault:
                 self._refuse(write, str(fault))
                 continue
@@ -279,7 +279,7 @@
                 continue
             self._token += 1
             self._storing = write, state
-            self._out.append(Store(self._token, state))
+            self._effects.append(Store(self._token, state))
 
     def _stored(self, now: int, event: Stored) -> None:
         if self._storing is None or event.token != self._token:
@@ -289,82 +289,84 @@
         if event.ok:
             self.state = state
             self._acknowledge(write)
-            self._tell_news(now)
+            self._reply_to_waiting(now)
         else:
             self._refuse(write, f"not stored: {event.why}")
-        self._begin_writes(now)
+        self._start_writes(now)
 
     def _acknowledge(self, write: _Write) -> None:
         match write.message:
             case m.Accept():
                 reply = m.AcceptReply(accepted=True, position=register.accepted_position(self.state))
-                self._out.append(Reply(write.request, reply))
+                self._effects.append(Reply(write.request, reply))
             case m.Commit():
                 generation = register.generation_of(self.state.committed)
-                self._out.append(Reply(write.request, m.CommitReply(committed=True, generation=generation)))
+                self._effects.append(
+                    Reply(write.request, m.CommitReply(committed=True, generation=generation))
+                )
 
     def _refuse(self, write: _Write, why: str) -> None:
-        why = why[: m.WHY_AT_MOST]
+        why = why[: m.MAX_WHY_LENGTH]
         match write.message:
             case m.Accept():
                 position = register.accepted_position(self.state)
-                self._out.append(
+                self._effects.append(
                     Reply(write.request, m.AcceptReply(accepted=False, position=position, why=why))
                 )
             case m.Commit():
                 generation = register.generation_of(self.state.committed)
                 reply = m.CommitReply(committed=False, generation=generation, why=why)
-                self._out.append(Reply(write.request, reply))
+                self._effects.append(Reply(write.request, reply))
 
-    def _tell_news(self, now: int) -> None:
+    def _reply_to_waiting(self, now: int) -> None:
         """Answers whoever waits for what the state has now."""
         for request, wait in self._watches:
-            if self._has_news(wait.message):
-                self._watches.end(request)
-                self._answer(now, request, wait.message)
+            if self._has_newer_record(wait.message):
+                self._watches.remove(request)
+                self._reply_to_watch(now, request, wait.message)
         for request, wait in self._readers:
-            if self._is_newer_than(wait.message):
-                self._readers.end(request)
-                self._tell_state(now, request, wait.message)
+            if self._has_newer_state(wait.message):
+                self._readers.remove(request)
+                self._reply_with_state(now, request, wait.message)
 
     # The other replicas
 
-    def _peer_answered(self, now: int, event: PeerReplied) -> None:
-        if not self._peers.answered(now, event.call):
+    def _peer_replied(self, now: int, event: PeerReplied) -> None:
+        if not self._peers.replied(now, event.call):
             return
         reply = event.reply
         committed = register.generation_of(self.state.committed)
         good = register.generation_of(self.state.good)
         if register.generation_of(reply.committed) > committed or register.generation_of(reply.good) > good:
-            self._write(now, _Write(None, reply))
+            self._queue_write(now, _Write(None, reply))
 
-    def _ask_peers(self, now: int) -> None:
+    def _call_peers(self, now: int) -> None:
         message = m.ReadState(
             since=register.generation_of(self.state.committed),
             good_since=register.generation_of(self.state.good),
-            timeout_ms=PEER_WATCH // m.MILLISECOND,
+            timeout_ms=PEER_WATCH_TIMEOUT // m.MILLISECOND,
         )
         for call, peer in self._peers.due(now):
-            self._out.append(CallPeer(call, peer, message, now + PEER_WATCH + PEER_GRACE))
+            self._effects.append(CallPeer(call, peer, message, now + PEER_WATCH_TIMEOUT + PEER_REPLY_GRACE))
 
     # Time
 
-    def _end_waits(self, now: int) -> None:
-        for request, wait in self._watches.end_until(now):
-            self._answer(now, request, wait.message)
-        for request, wait in self._readers.end_until(now):
-            self._tell_state(now, request, wait.message)
+    def _expire_waiting(self, now: int) -> None:
+        for request, wait in self._watches.pop_expired(now):
+            self._reply_to_watch(now, request, wait.message)
+        for request, wait in self._readers.pop_expired(now):
+            self._reply_with_state(now, request, wait.message)
 
-    def _plan_wake(self) -> None:
-        times = self._watches.earliest(), self._readers.earliest(), self._peers.earliest()
+    def _schedule_wake(self) -> None:
+        times = self._watches.next_deadline(), self._readers.next_deadline(), self._peers.next_call_at()
         self.wake_at = min((time for time in times if time is not None), default=NEVER)
 
 
-def _over(record: m.Record | None, since: int) -> m.Record | None:
+def _if_newer(record: m.Record | None, since: int) -> m.Record | None:
     return record if register.generation_of(record) > since else None
 
 
-def _after(state: m.ReplicaState, message) -> m.ReplicaState:
+def _state_after(state: m.ReplicaState, message) -> m.ReplicaState:
     match message:
         case m.Accept():
             return register.accept(state, message.base, message.record)
--- a/cottonspread/configstore/reports.py
+++ b/cottonspread/configstore/reports.py
@@ -2,9 +2,9 @@
 
 from collections import OrderedDict
 
-from cottonspread.configstore.messages import NODES_AT_MOST, SECOND, NodeReport, ReceivedReport
+from cottonspread.configstore.messages import MAX_NODES, SECOND, NodeReport, ReceivedReport
 
-KEPT = 600 * SECOND
+REPORT_RETENTION = 600 * SECOND
 """A node not heard for so long is dropped. A restart takes well under a minute, a region that is cut off some
 minutes: who lags is named over both."""
 
@@ -14,38 +14,38 @@
 
     def __init__(self):
         self.dropped = 0
-        """Reports that were not kept since `NODES_AT_MOST` other nodes were."""
-        self._heard: OrderedDict[str, tuple[int, NodeReport]] = OrderedDict()
+        """Reports that were not kept since `MAX_NODES` other nodes were."""
+        self._reports: OrderedDict[str, tuple[int, NodeReport]] = OrderedDict()
 
     def __len__(self) -> int:
-        return len(self._heard)
+        return len(self._reports)
 
-    def hear(self, now: int, report: NodeReport) -> None:
+    def add(self, now: int, report: NodeReport) -> None:
         """A node's report."""
-        self._forget(now)
-        if report.node not in self._heard and len(self._heard) >= NODES_AT_MOST:
+        self._drop_expired(now)
+        if report.node not in self._reports and len(self._reports) >= MAX_NODES:
             self.dropped += 1
             return
-        self._heard[report.node] = now, report
-        self._heard.move_to_end(report.node)
+        self._reports[report.node] = now, report
+        self._reports.move_to_end(report.node)
 
-    def _forget(self, now: int) -> None:
-        while self._heard:
-            node, (heard, _) = next(iter(self._heard.items()))
-            if now - heard <= KEPT:
+    def _drop_expired(self, now: int) -> None:
+        while self._reports:
+            node, (heard, _) = next(iter(self._reports.items()))
+            if now - heard <= REPORT_RETENTION:
                 return
-            del self._heard[node]
+            del self._reports[node]
 
-    def told(self, now: int, nodes: list[str], watching: set[str]) -> list[ReceivedReport]:
+    def select(self, now: int, nodes: list[str], watching: set[str]) -> list[ReceivedReport]:
         """Reports of these nodes, or of all where none is named."""
-        self._forget(now)
-        named = nodes or list(self._heard)
+        self._drop_expired(now)
+        named = nodes or list(self._reports)
         return [
             ReceivedReport(
-                report=self._heard[node][1],
-                age_us=now - self._heard[node][0],
+                report=self._reports[node][1],
+                age_us=now - self._reports[node][0],
                 watching=node in watching,
             )
             for node in named
-            if node in self._heard
+            if node in self._reports
         ]
--- a/cottonspread/configstore/server.py
+++ b/cottonspread/configstore/server.py
@@ -23,24 +23,24 @@
 log = logging.getLogger("cottonspread.configstore")
 
 STATE_FILE = "replica.json"
-HEAD_AT_MOST = 8 * 1024
+MAX_HEAD_BYTES = 8 * 1024
 """Bytes of a request's head: twice the longest query and the usual headers."""
-UNREAD_AT_MOST = 32 * 1024 * 1024
+MAX_BUFFERED_BYTES = 32 * 1024 * 1024
 """Bytes of all requests that have come in part, together."""
-MAX_CONNECTIONS = core.WATCHES_AT_MOST + core.READERS_AT_MOST + core.WRITES_WAITING
-REQUEST_WAIT = 5 * m.SECOND
+MAX_CONNECTIONS = core.MAX_WATCHES + core.MAX_READERS + core.MAX_QUEUED_WRITES
+REQUEST_TIMEOUT = 5 * m.SECOND
 """For the rest of a request that has begun."""
-REPLY_WAIT = 10 * m.SECOND
+SEND_TIMEOUT = 10 * m.SECOND
 """For a peer to take its reply."""
-IDLE_WAIT = 60 * m.SECOND
+IDLE_TIMEOUT = 60 * m.SECOND
 """For the next request on a connection."""
-SWEEP = 1 * m.SECOND
+SWEEP_INTERVAL = 1 * m.SECOND
 """Between two looks at these times."""
-TICK = 0.25
+MAX_WAIT_S = 0.25
 """Seconds that the loop waits at most."""
 BACKLOG = 1024
-POSTS = {path: kind for kind, path in POST_PATHS.items()}
-REASONS = {200: "OK", 400: "Bad Request", 404: "Not Found", 503: "Service Unavailable"}
+POST_MESSAGES = {path: kind for kind, path in POST_PATHS.items()}
+REASON_PHRASES = {200: "OK", 400: "Bad Request", 404: "Not Found", 503: "Service Unavailable"}
 
 
 class RequestError(ValueError):
@@ -57,15 +57,15 @@
     def __init__(self, sock: socket.socket, at: int):
         self.sock, self.data, self.unsent = sock, b"", b""
         self.request: int | None = None
-        self.since = at
+        self.waiting_since = at
         """When it last began to wait, for bytes or for its reply to be taken."""
         self.closing = False
 
-    def take_request(self):
+    def next_request(self):
         """(method, target, body) of a request that is whole, or None. Raises RequestError."""
         head, end, rest = self.data.partition(b"\r\n\r\n")
         if not end:
-            if len(self.data) > HEAD_AT_MOST:
+            if len(self.data) > MAX_HEAD_BYTES:
                 raise RequestError(400, "the head is too long")
             return None
         method, target, size = self._read_head(head)
@@ -75,7 +75,7 @@
         return method, target, rest[:size]
 
     def _read_head(self, head: bytes):
-        if len(head) > HEAD_AT_MOST:
+        if len(head) > MAX_HEAD_BYTES:
             raise RequestError(400, "the head is too long")
         first, *lines = head.decode("latin-1").split("\r\n")
         words = first.split(" ")
@@ -88,7 +88,7 @@
         size = headers.get("content-length", "0")
         if "transfer-encoding" in headers or not size.isascii() or not size.isdigit() or len(size) > 9:
             raise RequestError(400, "the length cannot be read")
-        if int(size) > m.MESSAGE_AT_MOST:
+        if int(size) > m.MAX_MESSAGE_BYTES:
             raise RequestError(400, "the body is too long")
         self.closing = words[2] == "HTTP/1.0" or headers.get("connection", "").lower() == "close"
         return words[0], words[1], int(size)
@@ -100,8 +100,8 @@
     try:
         if method == "GET" and path == WATCH_PATH:
             return m.from_query(query)
-        if method == "POST" and path in POSTS:
-            return m.decode(body, POSTS[path])
+        if method == "POST" and path in POST_MESSAGES:
+            return m.decode(body, POST_MESSAGES[path])
     except m.MessageError as fault:
         raise RequestError(400, str(fault)) from fault
     raise RequestError(404, f"{method} {path[:100]}: not known here")
@@ -137,7 +137,7 @@
         peers: tuple[str, ...],
         folder: str,
         new: bool = False,
-        chance=None,
+        uniform=None,
     ):
         """`name` and `peers`: HOST:PORT. `new`: the first start, see `read_state`. Raises
         storage.StorageError, OSError.
@@ -145,81 +145,81 @@
         self._path = os.path.join(folder, STATE_FILE)
         os.makedirs(folder, exist_ok=True)
         state = read_state(self._path, new)
-        chance = chance or random.Random(f"{name} {os.getpid()}").random
-        self.core = core.Replica(name, peers, state, chance)
+        uniform = uniform or random.Random(f"{name} {os.getpid()}").random
+        self.core = core.Replica(name, peers, state, uniform)
         self._listener, self._selector = listener, selectors.DefaultSelector()
         self._connections: dict[socket.socket, Connection] = {}
-        self._asking: dict[int, Connection] = {}
-        self._requests, self._unread, self._swept, self._stopped = 0, 0, 0, False
+        self._pending: dict[int, Connection] = {}
+        self._requests, self._buffered, self._last_sweep, self._stopped = 0, 0, 0, False
         self._callers, self._inbox = Callers(), queue.SimpleQueue()
-        self._wake, self._ring = socket.socketpair()
-        for sock in (self._wake, self._ring, listener):
+        self._wake_reader, self._wake_writer = socket.socketpair()
+        for sock in (self._wake_reader, self._wake_writer, listener):
             sock.setblocking(False)
 
     def stop(self) -> None:
         """The loop ends soon."""
         self._stopped = True
-        self._rouse()
+        self._wake_loop()
 
-    def _rouse(self) -> None:
+    def _wake_loop(self) -> None:
         with contextlib.suppress(OSError):  # full: it is awake
-            self._ring.send(b"x")
+            self._wake_writer.send(b"x")
 
     def run(self) -> None:
         """Serves until `stop`."""
         self._selector.register(self._listener, selectors.EVENT_READ, self._accept)
-        self._selector.register(self._wake, selectors.EVENT_READ, self._woken)
+        self._selector.register(self._wake_reader, selectors.EVENT_READ, self._drain_wake)
         state = self.core.state
         log.info("serving", extra={"pairs": {"version": state.committed.version if state.committed else 0}})
-        self._tell(core.Tick())
+        self._step(core.Tick())
         try:
             while not self._stopped:
-                self._turn()
+                self._run_once()
         finally:
             self._close_all()
 
-    def _turn(self) -> None:
-        wait = max(0.0, min(TICK, (self.core.wake_at - now()) / m.SECOND))
+    def _run_once(self) -> None:
+        wait = max(0.0, min(MAX_WAIT_S, (self.core.wake_at - now()) / m.SECOND))
         for key, mask in self._selector.select(wait):
             if self._selector.get_map().get(key.fd) is key:  # not closed by what came before it
-                self._guarded(key.data, mask)
+                self._call_guarded(key.data, mask)
         while not self._inbox.empty():
-            self._tell(self._inbox.get())
+            self._step(self._inbox.get())
         if now() >= self.core.wake_at:
-            self._tell(core.Tick())
-        if now() - self._swept >= SWEEP:
+            self._step(core.Tick())
+        if now() - self._last_sweep >= SWEEP_INTERVAL:
             self._sweep()
 
     @staticmethod
-    def _guarded(what: Callable, mask: int) -> None:
+    def _call_guarded(what: Callable, mask: int) -> None:
         """Our own faults: in plain sight, and the replica goes on."""
         try:
             what(mask)
         except Exception:
             log.exception("fault", extra={"pairs": {"while": getattr(what, "__qualname__", "event")}})
 
-    def _woken(self, mask: int) -> None:
-        self._wake.recv(4096)
+    def _drain_wake(self, mask: int) -> None:
+        self._wake_reader.recv(4096)
 
     def _close_all(self) -> None:
         self._callers.stop()
         for connection in list(self._connections.values()):
             self._drop(connection)
-        for sock in (self._listener, self._wake, self._ring):
+        for sock in (self._listener, self._wake_reader, self._wake_writer):
             sock.close()
         self._selector.close()
 
     # The core
 
-    def _tell(self, event: core.Event) -> None:
+    def _step(self, event: core.Event) -> None:
         events = [event]
         while events:
             for effect in self.core.step(now(), events.pop(0)):
-                follows = self._carry_out(effect)
+                follows = self._execute(effect)
                 if follows is not None:
                     events.append(follows)
 
-    def _carry_out(self, effect: core.Effect) -> core.Event | None:
+    def _execute(self, effect: core.Effect) -> core.Event | None:
         match effect:
             case core.Store():
                 return self._store(effect)
@@ -236,7 +236,7 @@
             storage.write(self._path, effect.state)
         except OSError as fault:
             log.error("not-stored", extra={"pairs": {"why": fault}})
-            return core.Stored(effect.token, False, str(fault)[: m.WHY_AT_MOST])
+            return core.Stored(effect.token, False, str(fault)[: m.MAX_WHY_LENGTH])
         return core.Stored(effect.token, True)
 
     def _ask_peer(self, effect: core.CallPeer) -> None:
@@ -245,7 +245,7 @@
                 self._inbox.put(core.PeerFailed(effect.call, str(outcome)))
             else:
                 self._inbox.put(core.PeerReplied(effect.call, outcome))
-            self._rouse()
+            self._wake_loop()
 
         self._callers.call(effect.peer, effect.message, effect.deadline, done)
 
@@ -263,9 +263,9 @@
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         connection = Connection(sock, now())
         self._connections[sock] = connection
-        self._selector.register(sock, selectors.EVENT_READ, lambda mask: self._ready(connection, mask))
+        self._selector.register(sock, selectors.EVENT_READ, lambda mask: self._on_ready(connection, mask))
 
-    def _ready(self, connection: Connection, mask: int) -> None:
+    def _on_ready(self, connection: Connection, mask: int) -> None:
         if mask & selectors.EVENT_WRITE:
             self._send(connection)
         if mask & selectors.EVENT_READ and connection.sock in self._connections:
@@ -283,44 +283,44 @@
             self._drop(connection)
             return
         if not connection.data:
-            connection.since = now()
-        self._unread += len(data)
+            connection.waiting_since = now()
+        self._buffered += len(data)
         connection.data += data
-        if self._unread > UNREAD_AT_MOST:
+        if self._buffered > MAX_BUFFERED_BYTES:
             self._drop(connection)
             return
-        self._take_request(connection)
+        self._read_request(connection)
 
-    def _take_request(self, connection: Connection) -> None:
+    def _read_request(self, connection: Connection) -> None:
         before = len(connection.data)
         try:
-            request = connection.take_request()
-            self._unread -= before - len(connection.data)
+            request = connection.next_request()
+            self._buffered -= before - len(connection.data)
             if request is None:
                 return
             message = read_message(*request)
         except RequestError as fault:
             connection.closing = True
-            self._answer(connection, fault.status, str(fault).encode())
+            self._respond(connection, fault.status, str(fault).encode())
             return
         self._requests += 1
         connection.request = self._requests
-        self._asking[self._requests] = connection
-        self._tell(core.RequestReceived(self._requests, message))
+        self._pending[self._requests] = connection
+        self._step(core.RequestReceived(self._requests, message))
 
     def _reply(self, request: int, status: int, body: bytes) -> None:
-        connection = self._asking.pop(request, None)
+        connection = self._pending.pop(request, None)
         if connection is not None:
             connection.request = None
-            self._answer(connection, status, body)
+            self._respond(connection, status, body)
 
-    def _answer(self, connection: Connection, status: int, body: bytes) -> None:
+    def _respond(self, connection: Connection, status: int, body: bytes) -> None:
         more = "Retry-After: 1\r\n" if status == 503 else ""
         more += "Connection: close\r\n" if connection.closing else ""
         kind = "application/json" if status == 200 else "text/plain"
-        head = f"HTTP/1.1 {status} {REASONS[status]}\r\nContent-Type: {kind}\r\n{more}"
+        head = f"HTTP/1.1 {status} {REASON_PHRASES[status]}\r\nContent-Type: {kind}\r\n{more}"
         connection.unsent += f"{head}Content-Length: {len(body)}\r\n\r\n".encode() + body
-        connection.since = now()
+        connection.waiting_since = now()
         self._send(connection)
 
     def _send(self, connection: Connection) -> None:
@@ -343,21 +343,21 @@
     def _drop(self, connection: Connection) -> None:
         if self._connections.pop(connection.sock, None) is None:
             return
-        self._unread -= len(connection.data)
+        self._buffered -= len(connection.data)
         self._selector.unregister(connection.sock)
         connection.sock.close()
         if connection.request is not None:
-            del self._asking[connection.request]
-            self._tell(core.RequestAbandoned(connection.request))
+            del self._pending[connection.request]
+            self._step(core.RequestAbandoned(connection.request))
 
     def _sweep(self) -> None:
-        self._swept = now()
+        self._last_sweep = now()
         for connection in list(self._connections.values()):
             if connection.unsent:
-                wait = REPLY_WAIT
+                wait = SEND_TIMEOUT
             elif connection.request is not None:
                 continue  # the core ends it in its time
             else:
-                wait = REQUEST_WAIT if connection.data else IDLE_WAIT
-            if self._swept - connection.since > wait:
+                wait = REQUEST_TIMEOUT if connection.data else IDLE_TIMEOUT
+            if self._last_sweep - connection.waiting_since > wait:
                 self._drop(connection)
--- a/cottonspread/configstore/storage.py
+++ b/cottonspread/configstore/storage.py
@@ -11,7 +11,7 @@
 from cottonspread.configstore import messages
 from cottonspread.lists.saved import sync, write_whole
 
-FILE_AT_MOST = messages.MESSAGE_AT_MOST + 100
+MAX_FILE_LENGTH = messages.MAX_MESSAGE_BYTES + 100
 
 
 class StorageError(ValueError):
@@ -37,14 +37,14 @@
     """The message, or None where there is no file. Raises StorageError."""
     try:
         with open(path, encoding="utf-8") as file:
-            text = file.read(FILE_AT_MOST + 1)
+            text = file.read(MAX_FILE_LENGTH + 1)
     except FileNotFoundError:
         return None
     except (OSError, UnicodeDecodeError) as fault:
         raise StorageError(f"{path}: {fault}") from fault
-    told, _, body = text.partition("\n")
+    recorded, _, body = text.partition("\n")
     body = body.removesuffix("\n")
-    if len(text) > FILE_AT_MOST or told != checksum(body):
+    if len(text) > MAX_FILE_LENGTH or recorded != checksum(body):
         raise StorageError(f"{path}: damaged: its checksum does not fit")
     try:
         return messages.decode(body.encode(), kind)
--- a/cottonspread/configstore/watches.py
+++ b/cottonspread/configstore/watches.py
@@ -9,24 +9,24 @@
 
 from cottonspread.configstore.messages import MILLISECOND, SECOND
 
-WATCHES = 2
-WATCH = 10 * SECOND
+WATCH_COUNT = 2
+WATCH_TIMEOUT = 10 * SECOND
 """A watch without news. Two of some 500 bytes in 10 s are 100 bytes a second of the 6,000 that a node's whole
 control has; shorter ones would tell sooner only that a silent replica is silent, which delays no change."""
-WATCH_DRAWN = 0.2
+WATCH_JITTER = 0.2
 """So much of it is drawn, or all nodes would ask in the same moment ever after a change."""
-PROBE = 1 * SECOND
+PROBE_TIMEOUT = 1 * SECOND
 """The first watch at a replica, and each after a failure: soon answered or given up, so that a node that was
 cut off knows early that it is back, and does not hold on to a replica that swallows its calls."""
-ANSWER_GRACE = 2 * SECOND
+REPLY_GRACE = 2 * SECOND
 """An answer may take so much longer, over regions and a busy replica, before the watch is given up."""
-ASK_APART = 50 * MILLISECOND
+MIN_CALL_INTERVAL = 50 * MILLISECOND
 """Between two asks of a watch at least: a replica that always answers at once costs 20 calls a second."""
-RETRY = 250 * MILLISECOND
-RETRY_AT_MOST = 4 * SECOND
+RETRY_DELAY = 250 * MILLISECOND
+MAX_RETRY_DELAY = 4 * SECOND
 """After failures in a row the pause doubles from the one to the other, half of it drawn: 420 nodes come to
 a replica that returns within 4 s, 105 a second."""
-AWAY_AT_MOST = 6
+MAX_SPARE_REPLIES = 6
 """Answers of the spare after which a watch tries its own replica again: a minute, when nothing happens."""
 
 
@@ -34,19 +34,19 @@
 class Watch:
     """One of the two."""
 
-    home: str
-    at: str
-    ask_at: int = 0
-    asked_at: int = 0
+    preferred: str
+    replica: str
+    next_call_at: int = 0
+    called_at: int = 0
     call: int | None = None
     since: int = 0
     failures: int = 0
-    is_sure: bool = False
+    has_replied: bool = False
     """The replica answered the watch before."""
-    away: int = 0
+    spare_replies: int = 0
 
 
-def order(node: str, replicas: tuple[str, ...]) -> list[str]:
+def replica_order(node: str, replicas: tuple[str, ...]) -> list[str]:
     """The replicas in the order in which this node prefers them."""
     return sorted(replicas, key=lambda name: hashlib.sha256(f"{node} {name}".encode()).digest())
 
@@ -54,31 +54,31 @@
 class Watches:
     """The calls of one follower."""
 
-    def __init__(self, node: str, replicas: tuple[str, ...], chance):
-        self._order = order(node, replicas)
-        self._watches = [Watch(name, name) for name in self._order[:WATCHES]]
+    def __init__(self, node: str, replicas: tuple[str, ...], uniform):
+        self._order = replica_order(node, replicas)
+        self._watches = [Watch(name, name) for name in self._order[:WATCH_COUNT]]
         self._calls: dict[int, Watch] = {}
-        self._chance, self._call = chance, 0
-        self._hurried, self._report_call = False, None
+        self._uniform, self._call = uniform, 0
+        self._report_due, self._report_call = False, None
 
-    def hurry(self) -> None:
+    def report_soon(self) -> None:
         """There is something to report: with a watch that is about to ask, or else with a call of its own."""
-        self._hurried = True
+        self._report_due = True
 
     def due(self, now: int, since: int):
         """Whom to ask now, each as (call, replica, timeout). `since` is remembered for `since_of`."""
         for watch in self._watches:
-            if watch.call is None and watch.ask_at <= now:
+            if watch.call is None and watch.next_call_at <= now:
                 watch.call = self._new_call(watch)
-                watch.asked_at, watch.since = now, since
-                self._hurried = False
-                yield watch.call, watch.at, self._timeout() if watch.is_sure else PROBE
-        if self._hurried and all(watch.call is not None for watch in self._watches):
-            self._hurried = False
+                watch.called_at, watch.since = now, since
+                self._report_due = False
+                yield watch.call, watch.replica, self._timeout() if watch.has_replied else PROBE_TIMEOUT
+        if self._report_due and all(watch.call is not None for watch in self._watches):
+            self._report_due = False
             if self._report_call is None:
                 self._call += 1
                 self._report_call = self._call
-                yield self._call, self._watches[0].at, 0
+                yield self._call, self._watches[0].replica, 0
 
     def _new_call(self, watch: Watch) -> int:
         self._call += 1
@@ -86,15 +86,15 @@
         return self._call
 
     def _timeout(self) -> int:
-        drawn = int(WATCH * WATCH_DRAWN * self._chance())
-        return (WATCH - drawn) // MILLISECOND * MILLISECOND
+        drawn = int(WATCH_TIMEOUT * WATCH_JITTER * self._uniform())
+        return (WATCH_TIMEOUT - drawn) // MILLISECOND * MILLISECOND
 
     def since_of(self, call: int) -> int:
         """What the call asked from; 0 for one that is not under way, or only reports."""
         watch = self._calls.get(call)
         return watch.since if watch else 0
 
-    def answered(self, now: int, call: int) -> bool:
+    def replied(self, now: int, call: int) -> bool:
         """False: nobody waits for that call."""
         if call == self._report_call:
             self._report_call = None
@@ -102,17 +102,17 @@
         watch = self._calls.pop(call, None)
         if watch is None:
             return False
-        watch.call, watch.failures, watch.is_sure = None, 0, True
-        watch.ask_at = max(now, watch.asked_at + ASK_APART)
-        self._go_home(watch)
+        watch.call, watch.failures, watch.has_replied = None, 0, True
+        watch.next_call_at = max(now, watch.called_at + MIN_CALL_INTERVAL)
+        self._return_to_preferred(watch)
         return True
 
-    def _go_home(self, watch: Watch) -> None:
-        if watch.at == watch.home:
+    def _return_to_preferred(self, watch: Watch) -> None:
+        if watch.replica == watch.preferred:
             return
-        watch.away += 1
-        if watch.away >= AWAY_AT_MOST and self._is_free(watch.home):
-            watch.at, watch.away, watch.is_sure = watch.home, 0, False
+        watch.spare_replies += 1
+        if watch.spare_replies >= MAX_SPARE_REPLIES and self._is_free(watch.preferred):
+            watch.replica, watch.spare_replies, watch.has_replied = watch.preferred, 0, False
 
     def failed(self, now: int, call: int) -> bool:
         """The call has no answer, or one that is not to be trusted. False: nobody waits for that call."""
@@ -122,25 +122,25 @@
         watch = self._calls.pop(call, None)
         if watch is None:
             return False
-        watch.call, watch.is_sure = None, False
-        pause = min(RETRY << min(watch.failures, 16), RETRY_AT_MOST)
+        watch.call, watch.has_replied = None, False
+        pause = min(RETRY_DELAY << min(watch.failures, 16), MAX_RETRY_DELAY)
         watch.failures += 1
-        watch.ask_at = now + pause // 2 + int(pause / 2 * self._chance())
-        self._move(watch)
+        watch.next_call_at = now + pause // 2 + int(pause / 2 * self._uniform())
+        self._fail_over(watch)
         return True
 
-    def _move(self, watch: Watch) -> None:
+    def _fail_over(self, watch: Watch) -> None:
         """To the next replica in order that the other watch is not at."""
-        start = self._order.index(watch.at) + 1
+        start = self._order.index(watch.replica) + 1
         for step in range(len(self._order)):
             name = self._order[(start + step) % len(self._order)]
             if self._is_free(name):
-                watch.at, watch.away = name, 0
+                watch.replica, watch.spare_replies = name, 0
                 return
 
     def _is_free(self, name: str) -> bool:
-        return all(watch.at != name for watch in self._watches)
+        return all(watch.replica != name for watch in self._watches)
 
-    def earliest(self) -> int | None:
+    def next_call_at(self) -> int | None:
         """When the next of them asks; None: all wait for answers."""
-        return min((watch.ask_at for watch in self._watches if watch.call is None), default=None)
+        return min((watch.next_call_at for watch in self._watches if watch.call is None), default=None)
--- a/cottonspread/lab/scale/configuration_fleet.py
+++ b/cottonspread/lab/scale/configuration_fleet.py
@@ -252,7 +252,7 @@
             case fo.Apply(record=record):
                 span = shape.apply + int(shape.apply * self.chance())
                 self.world.after(span, self._applied, self.epoch, record)
-            case fo.Notice(what=what, version=version):
+            case fo.Notice(kind=what, version=version):
                 self.world.note("notice", self.name, what, version)
 
     def _ask(self, effect):
--- a/tests/configstore/drivers.py
+++ b/tests/configstore/drivers.py
@@ -96,8 +96,8 @@
 class FollowerDriver:
     """A follower whose checks, saves and applies wait for the test."""
 
-    def __init__(self, node="n1", replicas=REPLICAS, saved=None, chance=half):
-        self.core, self.now = fo.Follower(node, replicas, chance), 0
+    def __init__(self, node="n1", replicas=REPLICAS, saved=None, uniform=half):
+        self.core, self.now = fo.Follower(node, replicas, uniform), 0
         self.asks, self.work, self.notices = {}, [], []
         self.in_force, self.file = None, saved
         self.tell(fo.Started(saved))
@@ -189,7 +189,7 @@
                 self.replicas[name].watch(node, since=2**40, timeout_ms=0, **self.said.get(node, {}))
 
     def canaries(self, record):
-        return [node for node in self.nodes if record.reaches(node)]
+        return [node for node in self.nodes if record.applies_to(node)]
 
     def committed(self, name="r1"):
         return self.replicas[name].disk.committed
@@ -198,7 +198,7 @@
         """Every replica has accepted and committed these."""
         for one in records:
             for replica in self.replicas.values():
-                base = replica.disk.accepted.position if replica.disk.accepted else m.NOWHERE
+                base = replica.disk.accepted.position if replica.disk.accepted else m.EMPTY_POSITION
                 assert replica.reply(m.Accept(base=base, record=one)).accepted
                 assert replica.reply(m.Commit(record=one)).committed
 
@@ -211,8 +211,8 @@
 class PublisherDriver:
     """A publisher before a cluster."""
 
-    def __init__(self, cluster, order, chance=half):
-        self.cluster, self.core = cluster, pu.Publisher(REPLICAS, order, chance)
+    def __init__(self, cluster, order, uniform=half):
+        self.cluster, self.core = cluster, pu.Publisher(REPLICAS, order, uniform)
         self.calls, self.progress, self.done = [], [], None
         self.tell(pu.Started())
 
--- a/tests/configstore/test_configuration_plays.py
+++ b/tests/configstore/test_configuration_plays.py
@@ -97,7 +97,7 @@
     for message in (
         m.WatchRequest(since=3, timeout_ms=100, report=report),
         m.ReadState(reports=True, nodes=["n1"]),
-        m.Accept(base=m.NOWHERE, record=record(1, 1)),
+        m.Accept(base=m.EMPTY_POSITION, record=record(1, 1)),
         m.Commit(record=record(1, 1)),
     ):
         assert from_request(to_request("r1", message)) == message
--- a/tests/configstore/test_follower.py
+++ b/tests/configstore/test_follower.py
@@ -24,7 +24,7 @@
 
 def settle(driver):
     """Lets the pause between asks pass."""
-    driver.pass_time(watches.ASK_APART)
+    driver.pass_time(watches.MIN_CALL_INTERVAL)
 
 
 # What it takes
@@ -36,7 +36,7 @@
     assert driver.do_all() == STEPS
     assert driver.in_force == driver.file == record(1, 1)
     assert driver.view().version == 1 and driver.view().generation == 1
-    assert [(one.what, one.version) for one in driver.notices] == [(fo.Told.IN_FORCE, 1)]
+    assert [(one.kind, one.version) for one in driver.notices] == [(fo.NoticeKind.IN_FORCE, 1)]
 
 
 def test_a_newer_record_replaces_it_and_the_same_one_does_no_work():
@@ -78,7 +78,7 @@
     call, asked = next((call, ask) for call, ask in driver.asks.items() if ask.request.since == 5)
     driver.answer(wrong, call)
     assert driver.work == [] and driver.in_force == record(5, 5) and driver.view().version == 5
-    assert driver.notices[-1].what == fo.Told.DISTRUSTED
+    assert driver.notices[-1].kind == fo.NoticeKind.DISTRUSTED
     driver.pass_time(m.SECOND)
     assert asked.replica not in [ask.replica for ask in driver.asks.values() if ask.call > call]
 
@@ -120,7 +120,7 @@
     settle(driver)
     report = list(driver.asks.values())[-1].request.report
     assert (report.in_force, report.refused, report.why) == (1, 2, "bad port")
-    assert (driver.notices[-1].what, driver.notices[-1].why) == (fo.Told.REFUSED, "bad port")
+    assert (driver.notices[-1].kind, driver.notices[-1].why) == (fo.NoticeKind.REFUSED, "bad port")
 
 
 def test_a_first_record_that_cannot_be_applied_leaves_no_file():
@@ -139,7 +139,7 @@
     settle(driver)
     assert list(driver.asks.values())[-1].request.since == 2
     for _ in range(12):
-        driver.pass_time(fo.RECHECK // 10)
+        driver.pass_time(fo.RECHECK_DELAY // 10)
         for call in list(driver.asks):
             driver.answer(call=call)
     settle(driver)
@@ -173,7 +173,7 @@
     settle(driver)
     before = set(driver.asks)
     driver.answer(record(2, 2), max(before))
-    driver.pass_time(fo.HOLD - 1)
+    driver.pass_time(fo.MAX_HOLD - 1)
     assert set(driver.asks) == before - {max(before)}
     driver.pass_time(2)
     (new,) = set(driver.asks) - before
@@ -200,7 +200,7 @@
 
 def test_a_damaged_saved_record_is_said_and_not_used():
     driver = FollowerDriver(saved=msgspec.structs.replace(record(5, 5), body="half"))
-    assert driver.work == [] and driver.notices[0].what == fo.Told.DISTRUSTED
+    assert driver.work == [] and driver.notices[0].kind == fo.NoticeKind.DISTRUSTED
     assert {ask.request.since for ask in driver.asks.values()} == {0}
     driver.answer(record(5, 5))
     assert driver.do_all() == STEPS
@@ -211,7 +211,7 @@
     driver.do(ok=False, why="unknown key")
     assert driver.view().version == 0 and driver.view().refused == 5
     for _ in range(12):
-        driver.pass_time(fo.RECHECK // 10)
+        driver.pass_time(fo.RECHECK_DELAY // 10)
         for call in list(driver.asks):
             driver.answer(call=call)
     settle(driver)
@@ -232,12 +232,12 @@
     first, second = (ask.replica for ask in driver.asks.values())
     (spare,) = set(REPLICAS) - {first, second}
     driver.fail()
-    driver.pass_time(watches.RETRY)
+    driver.pass_time(watches.RETRY_DELAY)
     assert {ask.replica for ask in driver.asks.values()} == {second, spare}
 
 
 def test_the_orders_of_many_nodes_spread_over_the_replicas():
-    firsts = [watches.order(f"n{number}", REPLICAS)[0] for number in range(300)]
+    firsts = [watches.replica_order(f"n{number}", REPLICAS)[0] for number in range(300)]
     assert all(80 <= firsts.count(name) <= 120 for name in REPLICAS)
 
 
@@ -245,27 +245,27 @@
     driver = FollowerDriver()
     home = driver.asks[1].replica
     driver.fail(1)
-    for _ in range(watches.AWAY_AT_MOST):
-        driver.pass_time(watches.RETRY)
+    for _ in range(watches.MAX_SPARE_REPLIES):
+        driver.pass_time(watches.RETRY_DELAY)
         assert driver.asks[max(driver.asks)].replica != home
         driver.answer(call=max(driver.asks))
-    driver.pass_time(watches.RETRY)
+    driver.pass_time(watches.RETRY_DELAY)
     assert driver.asks[max(driver.asks)].replica == home
 
 
 @pytest.mark.parametrize("seed", range(5))
 def test_failures_are_tried_again_ever_more_seldom_within_bounds(seed):
-    driver = FollowerDriver(chance=random.Random(seed).random)
+    driver = FollowerDriver(uniform=random.Random(seed).random)
     for failures in range(30):
         driver.fail(max(driver.asks))
-        most = min(watches.RETRY << failures, watches.RETRY_AT_MOST)
+        most = min(watches.RETRY_DELAY << failures, watches.MAX_RETRY_DELAY)
         free = [watch for watch in driver.core._watches._watches if watch.call is None]
-        assert len(free) == 1 and most // 2 <= free[0].ask_at - driver.now <= most
+        assert len(free) == 1 and most // 2 <= free[0].next_call_at - driver.now <= most
         driver.pass_time(most)
     driver.answer(call=max(driver.asks))
-    driver.pass_time(watches.ASK_APART)
+    driver.pass_time(watches.MIN_CALL_INTERVAL)
     driver.fail(max(driver.asks))
-    driver.pass_time(watches.RETRY)
+    driver.pass_time(watches.RETRY_DELAY)
     assert len(driver.asks) == 2
 
 
@@ -275,52 +275,52 @@
         for call in list(driver.asks):
             driver.answer(call=call)
         driver.pass_time(10 * m.MILLISECOND)
-    assert max(driver.asks) <= 2 * (1 + 100 * 10 * m.MILLISECOND // watches.ASK_APART)
+    assert max(driver.asks) <= 2 * (1 + 100 * 10 * m.MILLISECOND // watches.MIN_CALL_INTERVAL)
 
 
 def test_timeouts_are_drawn_within_bounds_and_each_call_has_its_deadline():
     drawn = set()
     for seed in range(50):
-        driver = FollowerDriver(chance=random.Random(seed).random)
+        driver = FollowerDriver(uniform=random.Random(seed).random)
         driver.answer(), driver.answer()
         settle(driver)
         assert len(driver.asks) == 2
         for ask in driver.asks.values():
             timeout = ask.request.timeout_ms * m.MILLISECOND
-            assert watches.WATCH * (1 - watches.WATCH_DRAWN) <= timeout <= watches.WATCH
-            assert ask.deadline == watches.ASK_APART + timeout + watches.ANSWER_GRACE
+            assert watches.WATCH_TIMEOUT * (1 - watches.WATCH_JITTER) <= timeout <= watches.WATCH_TIMEOUT
+            assert ask.deadline == watches.MIN_CALL_INTERVAL + timeout + watches.REPLY_GRACE
             drawn.add(timeout)
     assert len(drawn) > 50
 
 
 def test_a_watch_at_another_replica_than_before_is_short():
     driver = FollowerDriver()
-    assert {ask.request.timeout_ms * m.MILLISECOND for ask in driver.asks.values()} == {watches.PROBE}
+    assert {ask.request.timeout_ms * m.MILLISECOND for ask in driver.asks.values()} == {watches.PROBE_TIMEOUT}
     home = driver.asks[1].replica
     driver.fail(1)
-    driver.pass_time(watches.RETRY)
-    for _ in range(watches.AWAY_AT_MOST):
+    driver.pass_time(watches.RETRY_DELAY)
+    for _ in range(watches.MAX_SPARE_REPLIES):
         driver.answer(call=max(driver.asks))
-        driver.pass_time(watches.ASK_APART)
+        driver.pass_time(watches.MIN_CALL_INTERVAL)
     ask = driver.asks[max(driver.asks)]
-    assert ask.replica == home and ask.request.timeout_ms * m.MILLISECOND == watches.PROBE
+    assert ask.replica == home and ask.request.timeout_ms * m.MILLISECOND == watches.PROBE_TIMEOUT
     driver.answer(call=max(driver.asks))
-    driver.pass_time(watches.ASK_APART)
+    driver.pass_time(watches.MIN_CALL_INTERVAL)
     ask = driver.asks[max(driver.asks)]
-    assert ask.replica == home and ask.request.timeout_ms * m.MILLISECOND > 5 * watches.PROBE
+    assert ask.replica == home and ask.request.timeout_ms * m.MILLISECOND > 5 * watches.PROBE_TIMEOUT
 
 
 def test_a_watch_after_a_failure_is_short_until_one_is_answered():
     driver = FollowerDriver()
     for _ in range(3):
         driver.fail(max(driver.asks))
-        driver.pass_time(watches.RETRY_AT_MOST)
+        driver.pass_time(watches.MAX_RETRY_DELAY)
         ask = driver.asks[max(driver.asks)]
-        assert ask.request.timeout_ms * m.MILLISECOND == watches.PROBE
-        assert ask.deadline <= driver.now + watches.PROBE + watches.ANSWER_GRACE
+        assert ask.request.timeout_ms * m.MILLISECOND == watches.PROBE_TIMEOUT
+        assert ask.deadline <= driver.now + watches.PROBE_TIMEOUT + watches.REPLY_GRACE
     driver.answer(call=max(driver.asks))
-    driver.pass_time(watches.ASK_APART)
-    assert driver.asks[max(driver.asks)].request.timeout_ms * m.MILLISECOND > 5 * watches.PROBE
+    driver.pass_time(watches.MIN_CALL_INTERVAL)
+    assert driver.asks[max(driver.asks)].request.timeout_ms * m.MILLISECOND > 5 * watches.PROBE_TIMEOUT
 
 
 def test_late_and_doubled_answers_are_nothing():
@@ -338,22 +338,22 @@
 def test_it_says_when_it_is_cut_off_and_when_it_is_back():
     driver = holding(record(1, 1))
     for _ in range(2):
-        driver.pass_time(fo.CUT_OFF)
+        driver.pass_time(fo.CUT_OFF_AFTER)
         assert not driver.view().cut_off
         driver.pass_time(1)
-        assert driver.view().cut_off and driver.notices[-1].what == fo.Told.CUT_OFF
+        assert driver.view().cut_off and driver.notices[-1].kind == fo.NoticeKind.CUT_OFF
         driver.fail(min(driver.asks))
-        driver.pass_time(watches.RETRY)
+        driver.pass_time(watches.RETRY_DELAY)
         assert driver.asks[max(driver.asks)].request.report.cut_off
         driver.answer(call=max(driver.asks))
-        assert not driver.view().cut_off and driver.notices[-1].what == fo.Told.BACK
+        assert not driver.view().cut_off and driver.notices[-1].kind == fo.NoticeKind.RECONNECTED
     assert driver.view().version == 1
 
 
-@pytest.mark.parametrize("age", [None, fo.CUT_OFF + 1])
+@pytest.mark.parametrize("age", [None, fo.CUT_OFF_AFTER + 1])
 def test_a_replica_without_a_majority_does_not_count_as_contact(age):
     driver = FollowerDriver()
-    driver.pass_time(fo.CUT_OFF)
+    driver.pass_time(fo.CUT_OFF_AFTER)
     driver.answer(age=age)
     driver.pass_time(1)
     assert driver.view().cut_off
@@ -364,6 +364,6 @@
 
 def test_a_cut_off_node_takes_what_it_is_told():
     driver = FollowerDriver()
-    driver.pass_time(fo.CUT_OFF + 1)
+    driver.pass_time(fo.CUT_OFF_AFTER + 1)
     driver.answer(record(1, 1, below=ALL), age=None)
     assert driver.do_all() == STEPS and driver.view().cut_off
--- a/tests/configstore/test_publisher.py
+++ b/tests/configstore/test_publisher.py
@@ -63,7 +63,7 @@
     assert (done.outcome, done.version) == (pu.Outcome.IN_FORCE, 2)
     for name in cluster.replicas:
         assert cluster.committed(name).stage == EVERYWHERE and cluster.committed(name).generation == 3
-    assert ca.SETTLE <= cluster.now < ca.SETTLE + m.SECOND
+    assert ca.SETTLE_TIME <= cluster.now < ca.SETTLE_TIME + m.SECOND
     steps = [one.step.value for one in driver.progress]
     assert steps == ["reading", "proposing", "committing", "canaries", "proposing", "committing"]
 
@@ -137,7 +137,7 @@
     driver = at_canaries(cluster)
     bad = cluster.committed()
     say(cluster, bad, in_force=0)
-    driver.run(ca.SETTLE * 3 // 4)
+    driver.run(ca.SETTLE_TIME * 3 // 4)
     assert driver.done is None
     say(cluster, bad, share=0.5, failing=0)
     assert driver.run().outcome == pu.Outcome.WITHDRAWN
@@ -147,7 +147,7 @@
     cluster = cluster_with(record(1, 1))
     done = at_canaries(cluster).run()
     assert done.outcome == pu.Outcome.WITHDRAWN and "0 of 2 canaries" in done.why
-    assert ca.CANARY_WAIT <= cluster.now < ca.CANARY_WAIT + m.SECOND
+    assert ca.CANARY_TIMEOUT <= cluster.now < ca.CANARY_TIMEOUT + m.SECOND
     assert cluster.committed().body == "body 1"
 
 
@@ -220,13 +220,13 @@
         while last.done is None:
             if last.progress[-1].step == pu.Step.CANARIES:
                 say(cluster, last.core._record, in_force=0)
-            last.run(POLL)
+            last.run(POLL_INTERVAL)
     assert last.done.outcome == pu.Outcome.IN_FORCE
     assert {cluster.committed(name).body for name in cluster.replicas} == {"later"}
     check_register(cluster)
 
 
-POLL = pu.POLL
+POLL_INTERVAL = pu.POLL_INTERVAL
 
 
 def test_a_lost_reply_is_asked_again_and_counts_once():
@@ -393,7 +393,7 @@
     driver = at_canaries(cluster)
     PublisherDriver(cluster, pu.Withdraw()).run()
     assert driver.run().outcome == pu.Outcome.SUPERSEDED
-    assert cluster.now < 2 * pu.POLL  # at its next look, not at the end of its wait
+    assert cluster.now < 2 * pu.POLL_INTERVAL  # at its next look, not at the end of its wait
 
 
 def test_an_uncommitted_leftover_is_superseded_and_its_version_is_not_used_again():
--- a/tests/configstore/test_replica.py
+++ b/tests/configstore/test_replica.py
@@ -8,7 +8,7 @@
 from cottonspread.configstore import peers, reports
 from cottonspread.configstore import replica as re
 
-NOWHERE = m.NOWHERE
+EMPTY_POSITION = m.EMPTY_POSITION
 
 
 def accept(base, new):
@@ -29,23 +29,23 @@
 def test_a_proposal_is_accepted_on_its_base_and_again():
     driver, one = ReplicaDriver(), record(1, 1)
     for _ in range(2):
-        reply = driver.reply(accept(NOWHERE, one))
+        reply = driver.reply(accept(EMPTY_POSITION, one))
         assert reply.accepted and reply.position == one.position
     assert driver.disk.accepted == one and driver.disk.committed is None
 
 
 def test_a_second_proposal_on_the_same_base_is_refused():
     driver, one = ReplicaDriver(), record(1, 1)
-    driver.reply(accept(NOWHERE, one))
+    driver.reply(accept(EMPTY_POSITION, one))
     for other in (record(1, 1, body="other"), record(2, 2), record(2, 1, WITHDRAWN)):
-        reply = driver.reply(accept(NOWHERE, other))
+        reply = driver.reply(accept(EMPTY_POSITION, other))
         assert not reply.accepted and reply.position == one.position
     assert driver.disk.accepted == one
 
 
 def test_an_uncommitted_leftover_is_superseded_by_a_higher_version():
     driver, left = ReplicaDriver(), record(1, 1, CANARY)
-    driver.reply(accept(NOWHERE, left))
+    driver.reply(accept(EMPTY_POSITION, left))
     assert driver.reply(accept(left.position, record(2, 2))).accepted
     assert driver.disk.accepted.version == 2
 
@@ -63,7 +63,7 @@
 )
 def test_what_does_not_follow_is_refused(new):
     driver, held = ReplicaDriver(), record(5, 5, EVERYWHERE)
-    driver.reply(accept(NOWHERE, held))
+    driver.reply(accept(EMPTY_POSITION, held))
     assert not driver.reply(accept(held.position, new)).accepted
     assert driver.disk.accepted == held
 
@@ -77,7 +77,7 @@
 )
 def test_a_damaged_record_is_neither_accepted_nor_committed(new):
     driver = ReplicaDriver()
-    assert not driver.reply(accept(NOWHERE, new)).accepted
+    assert not driver.reply(accept(EMPTY_POSITION, new)).accepted
     assert not driver.reply(m.Commit(record=new)).committed
     assert driver.disk == m.ReplicaState()
 
@@ -93,7 +93,7 @@
 
 def test_a_commit_replaces_a_proposal_that_lost_and_keeps_a_later_one():
     driver, lost, won = ReplicaDriver(), record(1, 1, body="lost"), record(1, 1, body="won")
-    driver.reply(accept(NOWHERE, lost))
+    driver.reply(accept(EMPTY_POSITION, lost))
     driver.reply(m.Commit(record=won))
     assert driver.disk.accepted == won
     second, later = record(2, 2), record(3, 3)
@@ -106,7 +106,7 @@
 # Durable before it is acknowledged
 
 
-@pytest.mark.parametrize("message", [accept(NOWHERE, record(1, 1)), m.Commit(record=record(1, 1))])
+@pytest.mark.parametrize("message", [accept(EMPTY_POSITION, record(1, 1)), m.Commit(record=record(1, 1))])
 def test_nothing_is_acknowledged_or_told_before_it_is_stored(message):
     driver = ReplicaDriver()
     driver.slow = True
@@ -114,7 +114,7 @@
     request = driver.ask(message)
     assert request not in driver.replies and watch not in driver.replies
     assert driver.core.state == m.ReplicaState()
-    assert driver.state().accepted == NOWHERE and driver.state().committed is None
+    assert driver.state().accepted == EMPTY_POSITION and driver.state().committed is None
     driver.finish_store()
     assert request in driver.replies
 
@@ -122,7 +122,7 @@
 def test_writes_are_stored_one_at_a_time_in_their_order():
     driver, one, other = ReplicaDriver(), record(1, 1), record(2, 2)
     driver.slow = True
-    requests = [driver.ask(accept(NOWHERE, one)), driver.ask(accept(one.position, other))]
+    requests = [driver.ask(accept(EMPTY_POSITION, one)), driver.ask(accept(one.position, other))]
     assert len(driver.stores) == 1
     driver.finish_store()
     assert requests[0] in driver.replies and len(driver.stores) == 1
@@ -133,18 +133,18 @@
 def test_a_failed_store_is_refused_and_changes_nothing():
     driver = ReplicaDriver()
     driver.broken = True
-    reply = driver.reply(accept(NOWHERE, record(1, 1)))
+    reply = driver.reply(accept(EMPTY_POSITION, record(1, 1)))
     assert not reply.accepted and "disk full" in reply.why
     assert not driver.reply(m.Commit(record=record(1, 1))).committed
     assert driver.core.state == m.ReplicaState()
     driver.broken = False
-    assert driver.reply(accept(NOWHERE, record(1, 1, body="other"))).accepted
+    assert driver.reply(accept(EMPTY_POSITION, record(1, 1, body="other"))).accepted
 
 
 def test_waiting_writes_are_bounded():
     driver = ReplicaDriver()
     driver.slow = True
-    requests = [driver.ask(accept(NOWHERE, record(1, 1))) for _ in range(re.WRITES_WAITING + 5)]
+    requests = [driver.ask(accept(EMPTY_POSITION, record(1, 1))) for _ in range(re.MAX_QUEUED_WRITES + 5)]
     assert len(driver.turned_away) == 4
     driver.finish_store()
     assert set(driver.replies) | set(driver.turned_away) == set(requests)
@@ -154,10 +154,10 @@
 def test_what_was_stored_is_known_after_a_restart(acknowledged):
     driver, one = ReplicaDriver(), record(1, 1)
     driver.slow = not acknowledged
-    driver.ask(accept(NOWHERE, one))
+    driver.ask(accept(EMPTY_POSITION, one))
     driver.restart()
     driver.slow = False
-    reply = driver.reply(accept(NOWHERE, record(1, 1, body="other")))
+    reply = driver.reply(accept(EMPTY_POSITION, record(1, 1, body="other")))
     assert reply.accepted != acknowledged
     driver.restart()
     driver.reply(m.Commit(record=driver.disk.accepted))
@@ -224,7 +224,7 @@
 
 
 def test_watches_are_bounded_and_end_with_their_connection(monkeypatch):
-    monkeypatch.setattr(re, "WATCHES_AT_MOST", 3)
+    monkeypatch.setattr(re, "MAX_WATCHES", 3)
     driver = ReplicaDriver()
     numbers = [driver.watch(f"n{number}") for number in range(4)]
     assert list(driver.turned_away) == numbers[3:]
@@ -262,7 +262,7 @@
 def test_a_node_not_heard_for_long_is_dropped():
     driver = ReplicaDriver()
     driver.watch("old", timeout_ms=1)
-    driver.pass_time(reports.KEPT)
+    driver.pass_time(reports.REPORT_RETENTION)
     driver.watch("new")
     assert len(driver.core.reports) == 2
     driver.now += 1
@@ -271,20 +271,20 @@
 
 def test_reports_are_bounded_in_number():
     driver = ReplicaDriver()
-    for number in range(m.NODES_AT_MOST + 10):
+    for number in range(m.MAX_NODES + 10):
         driver.watch(f"n{number}", timeout_ms=0)
     driver.watch("n1", timeout_ms=0, in_force=9)
     state = driver.state(reports=True)
-    assert len(state.reports) == m.NODES_AT_MOST and state.reports_dropped == 10
+    assert len(state.reports) == m.MAX_NODES and state.reports_dropped == 10
     assert state.reports[-1].report.in_force == 9
-    assert len(m.encode(state)) < m.MESSAGE_AT_MOST
+    assert len(m.encode(state)) < m.MAX_MESSAGE_BYTES
 
 
 # The other replicas
 
 
 def peer_reply(**fields):
-    return m.StateReply(replica="r2", accepted=NOWHERE, **fields)
+    return m.StateReply(replica="r2", accepted=EMPTY_POSITION, **fields)
 
 
 def test_the_others_are_watched_and_what_they_committed_is_taken():
@@ -341,10 +341,12 @@
         for call in driver.peer_calls[-2:]:
             driver.tell(re.PeerFailed(call.call, "refused"))
         asked = len(driver.peer_calls)
-        driver.pass_time(peers.PEER_RETRY_AT_MOST)
+        driver.pass_time(peers.MAX_PEER_RETRY_DELAY)
         assert len(driver.peer_calls) == asked + 2
     driver.tell(re.PeerFailed(driver.peer_calls[-1].call, "refused"))
-    assert peers.PEER_RETRY_AT_MOST * 3 // 4 <= driver.core.wake_at - driver.now <= peers.PEER_RETRY_AT_MOST
+    assert (
+        peers.MAX_PEER_RETRY_DELAY * 3 // 4 <= driver.core.wake_at - driver.now <= peers.MAX_PEER_RETRY_DELAY
+    )
 
 
 def test_a_peer_that_always_has_news_is_not_asked_without_pause():
@@ -352,8 +354,8 @@
     for _ in range(40):
         driver.tell(re.PeerReplied(driver.peer_calls[-1].call, peer_reply(committed=damaged(body="x"))))
         driver.pass_time(10 * m.MILLISECOND)
-    assert len(driver.peer_calls) <= 2 + 40 * 10 * m.MILLISECOND // peers.PEER_PAUSE + 1
+    assert len(driver.peer_calls) <= 2 + 40 * 10 * m.MILLISECOND // peers.PEER_CALL_DELAY + 1
 
 
 def test_canary_threshold_covers_all():
-    assert record(1, 1, CANARY, below=ALL).reaches("n1") and not record(1, 1, WITHDRAWN).reaches("n1")
+    assert record(1, 1, CANARY, below=ALL).applies_to("n1") and not record(1, 1, WITHDRAWN).applies_to("n1")
--- a/tests/configstore/test_shell_server.py
+++ b/tests/configstore/test_shell_server.py
@@ -14,7 +14,7 @@
 from cottonspread.configstore.callers import CallError, Callers, now
 
 RECORD = m.make_record(1, 1, m.Stage.EVERYWHERE, 0, '{"a": "\u00e9"}')
-ACCEPT = m.Accept(base=m.NOWHERE, record=RECORD)
+ACCEPT = m.Accept(base=m.EMPTY_POSITION, record=RECORD)
 WATCH = m.WatchRequest(since=0, timeout_ms=5_000, report=m.NodeReport(node="n1"))
 
 
@@ -74,9 +74,9 @@
     for cut in range(1, len(whole)):
         connection = server.Connection(None, 0)
         connection.data = whole[:cut]
-        assert connection.take_request() is None, cut
+        assert connection.next_request() is None, cut
         connection.data += whole[cut:] + b"next"
-        method, target, body = connection.take_request()
+        method, target, body = connection.next_request()
         assert server.read_message(method, target, body) == ACCEPT and connection.data == b"next"
 
 
@@ -119,11 +119,11 @@
 
 
 def test_slow_silent_and_idle_peers_are_given_up(running, monkeypatch):
-    waits = {"REQUEST_WAIT": b"GET /api", "IDLE_WAIT": b""}
+    waits = {"REQUEST_TIMEOUT": b"GET /api", "IDLE_TIMEOUT": b""}
     for name, data in waits.items():
         others = waits.keys() - {name}
         with monkeypatch.context() as patch:
-            patch.setattr(server, "SWEEP", 10_000)
+            patch.setattr(server, "SWEEP_INTERVAL", 10_000)
             patch.setattr(server, name, 100_000)
             for other in others:
                 patch.setattr(server, other, 3600 * m.SECOND)
@@ -132,8 +132,8 @@
 
 
 def test_a_peer_that_does_not_take_its_reply_is_given_up_and_a_watch_is_not(running, monkeypatch):
-    monkeypatch.setattr(server, "SWEEP", 10_000)
-    for name in ("REPLY_WAIT", "REQUEST_WAIT", "IDLE_WAIT"):
+    monkeypatch.setattr(server, "SWEEP_INTERVAL", 10_000)
+    for name in ("SEND_TIMEOUT", "REQUEST_TIMEOUT", "IDLE_TIMEOUT"):
         monkeypatch.setattr(server, name, 300_000)
     body = '"' + "x" * (m.MAX_BODY_LENGTH - 2) + '"'
     record = m.make_record(1, 1, m.Stage.EVERYWHERE, 0, body)
@@ -167,15 +167,15 @@
 
 
 def test_bytes_that_have_come_in_part_are_bounded_over_all_connections(running, monkeypatch):
-    monkeypatch.setattr(server, "UNREAD_AT_MOST", 3_000)
+    monkeypatch.setattr(server, "MAX_BUFFERED_BYTES", 3_000)
     part = b"POST /api/configuration/accept HTTP/1.1\r\nContent-Length: 100000\r\n\r\n" + b"x" * 2_000
     with running.connect(part) as held:
-        shells.until(lambda: running.server._unread == len(part), "held")
+        shells.until(lambda: running.server._buffered == len(part), "held")
         with running.connect(part) as over:
             assert answer(over) == (0, b"")
-        assert running.server._unread == len(part)
+        assert running.server._buffered == len(part)
         held.close()
-    shells.until(lambda: running.server._unread == 0, "given back")
+    shells.until(lambda: running.server._buffered == 0, "given back")
 
 
 def test_what_is_acknowledged_is_on_the_disk(running, tmp_path):
