--- a/benchmarks/soak/run.py
+++ b/benchmarks/soak/run.py
@@ -16,24 +16,24 @@
 from cottonspread.lab.soak import audit, plan, runner
 
 
-def spin():
+def keep_busy():
     """A busy process."""
     while True:
         pass
 
 
-def play_seed(seed, without, checkout):
+def run_seed(seed, without, checkout):
     """The verdict on one seed."""
     record = runner.SoakRun(plan.generate(seed, without), checkout).run()
-    found = audit.findings(record, runner.LONGEST_WAIT, runner.LIMITS)
+    violations = audit.violations(record, runner.MAX_WAIT, runner.RESOURCE_LIMITS)
     return {
         "seed": seed,
-        "void": audit.void(record),
-        "broken": found[:20],
-        "broken_count": len(found),
+        "void": audit.invalid_reason(record),
+        "broken": violations[:20],
+        "broken_count": len(violations),
         "calls": len(record.calls),
         "attempts": len(record.attempts),
-        "troubles": [one["what"] for one in record.faults],
+        "troubles": [fault["what"] for fault in record.faults],
         "ready_s": round(record.ready_s, 2),
         "ended_s": round(record.ended_s, 3),
         "memory_mb": round(record.memory_mb, 1),
@@ -51,26 +51,26 @@
     parser.add_argument("--busy", type=int, default=0)
     parser.add_argument("--checkout", type=Path, default=runner.ROOT)
     parser.add_argument("--out", type=Path)
-    given = parser.parse_args()
-    busy = [multiprocessing.Process(target=spin, daemon=True) for _ in range(given.busy)]
-    for one in busy:
-        one.start()
-    plays = []
-    for seed in range(given.first, given.last + 1):
-        plays.append(play_seed(seed, given.without, given.checkout))
-        print(json.dumps(plays[-1]), flush=True)
+    args = parser.parse_args()
+    busy = [multiprocessing.Process(target=keep_busy, daemon=True) for _ in range(args.busy)]
+    for process in busy:
+        process.start()
+    runs = []
+    for seed in range(args.first, args.last + 1):
+        runs.append(run_seed(seed, args.without, args.checkout))
+        print(json.dumps(runs[-1]), flush=True)
     commit = subprocess.run(
-        ["git", "rev-parse", "HEAD"], cwd=given.checkout, capture_output=True, text=True
+        ["git", "rev-parse", "HEAD"], cwd=args.checkout, capture_output=True, text=True
     ).stdout.strip()
     counts = {
-        "plays": len(plays),
-        "void": sum(bool(one["void"]) for one in plays),
-        "failed": sum(not one["void"] and bool(one["broken"]) for one in plays),
+        "plays": len(runs),
+        "void": sum(bool(run["void"]) for run in runs),
+        "failed": sum(not run["void"] and bool(run["broken"]) for run in runs),
     }
     command = " ".join(["python benchmarks/soak/run.py", *sys.argv[1:]])
-    told = {"commit": commit, "command": command, "busy": given.busy, **counts, "of_each": plays}
-    if given.out:
-        given.out.write_text(json.dumps(told, indent=1) + "\n")
+    report = {"commit": commit, "command": command, "busy": args.busy, **counts, "of_each": runs}
+    if args.out:
+        args.out.write_text(json.dumps(report, indent=1) + "\n")
     print(json.dumps(counts))
 
 
--- a/cottonspread/lab/soak/record.py
+++ b/cottonspread/lab/soak/record.py
@@ -32,7 +32,7 @@
 
 
 @dataclass(frozen=True)
-class Told:
+class ListUpdate:
     """The node was told that a host drains or is gone, or that it is up."""
 
     host: str
@@ -48,13 +48,13 @@
     faults: list
     calls: list = field(default_factory=list)
     attempts: list = field(default_factory=list)
-    told: list = field(default_factory=list)
+    list_updates: list = field(default_factory=list)
     pings: list = field(default_factory=list)  # (asked at, answered at or 0, first word)
     ready_s: float = 0.0
     term_at: float = 0.0
     ended_s: float = 0.0  # after SIGTERM; 0: it was killed
     exit_code: int = None
-    held_at_kill: list = field(default_factory=list)  # calls that stood as the process was killed or ended
+    open_at_exit: list = field(default_factory=list)  # calls that stood as the process was killed or ended
     memory_mb: float = 0.0
     descriptors: int = 0
     log: str = ""
--- a/cottonspread/lab/soak/runner.py
+++ b/cottonspread/lab/soak/runner.py
@@ -15,28 +15,28 @@
 from pathlib import Path
 from random import Random
 
-from cottonspread.lab.soak.loop import Line, Loop
-from cottonspread.lab.soak.plan import HOSTS, LASTS
+from cottonspread.lab.soak.loop import LineConnection, Loop
+from cottonspread.lab.soak.plan import HOSTS, TRAFFIC_SECONDS
 from cottonspread.lab.soak.record import Call, Record
-from cottonspread.lab.soak.stubs import Host, Listing
+from cottonspread.lab.soak.stubs import Host, HostList
 
 ROOT = Path(__file__).resolve().parents[3]
-KINDS = {"chat": 2.0, "once": 1.0}  # class: seconds that a client waits
-LONGEST_WAIT = max(KINDS.values())
+WAITS = {"chat": 2.0, "once": 1.0}  # class: seconds that a client waits
+MAX_WAIT = max(WAITS.values())
 KILL_AFTER = 0.7  # seconds after the longest deadline
-COMING = 0.4  # seconds after SIGTERM for which new clients come
-SENDS_EVERY = 0.5  # seconds between two lines of a standing client
-LIVES = (0.2, 4.0)  # seconds that a client stays
-PING_EVERY = 0.5
-LIMITS = (192, 1024)  # MB, descriptors
-OWN_DESCRIPTORS = 4096
+NEW_CLIENTS_AFTER_TERM = 0.4  # seconds after SIGTERM for which new clients come
+SEND_INTERVAL = 0.5  # seconds between two lines of a standing client
+LIFETIME = (0.2, 4.0)  # seconds that a client stays
+PING_INTERVAL = 0.5
+RESOURCE_LIMITS = (192, 1024)  # MB, descriptors
+DRIVER_DESCRIPTORS = 4096
 
 
 class Client:
     """One call, from its connect to its end."""
 
-    def __init__(self, soak_run, call, line, life):
-        self.soak_run, self.call, self.line, self.life = soak_run, call, line, life
+    def __init__(self, soak_run, call, line, lifetime):
+        self.soak_run, self.call, self.line, self.lifetime = soak_run, call, line, lifetime
         self.sock = socket.socket()
         self.sock.setblocking(False)
         self.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -49,14 +49,16 @@
     def connected(self):
         """Its connection is up, or was refused."""
         if self.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR):
-            self.soak_run.loop.forget(self.sock)
+            self.soak_run.loop.close_socket(self.sock)
             self.ended("reset", time.time())
             return
-        self.stream = Line(self.soak_run.loop, self.sock, self.heard, self.ended, self.soak_run.plan.stays)
-        if self.line and self.stream.say(self.line):
+        self.stream = LineConnection(
+            self.soak_run.loop, self.sock, self.on_line, self.ended, self.soak_run.plan.keeps_sending
+        )
+        if self.line and self.stream.send_line(self.line):
             self.call.sent_at = time.time()
 
-    def heard(self, line, at):
+    def on_line(self, line, at):
         """A line of the node."""
         call, word = self.call, line.split()[0].decode() if line.split() else ""
         if not call.up:
@@ -64,8 +66,8 @@
             call.answered_at = call.answered_at or at
             if word == "UP":
                 call.up = True
-                self.soak_run.standing[call.id] = self
-                self.soak_run.loop.at(at + self.life, self.leave)
+                self.soak_run.established[call.id] = self
+                self.soak_run.loop.at(at + self.lifetime, self.leave)
                 self.send()
         elif word == "MOVE":
             call.moved = True
@@ -79,11 +81,11 @@
         if self.sock.fileno() < 0:
             return
         if self.call.ended or self.call.moved:
-            if not self.stream.say(b"M -1"):
+            if not self.stream.send_line(b"M -1"):
                 return
-        elif self.stream.say(b"M %d" % len(self.call.echoes)):
+        elif self.stream.send_line(b"M %d" % len(self.call.echoes)):
             self.call.echoes.append((time.time(), 0.0))
-        wait = SENDS_EVERY if not self.soak_run.record.term_at else SENDS_EVERY / 10
+        wait = SEND_INTERVAL if not self.soak_run.record.term_at else SEND_INTERVAL / 10
         self.soak_run.loop.at(time.time() + wait, self.send)
 
     def leave(self):
@@ -91,15 +93,15 @@
         if self.soak_run.record.term_at:
             return
         if not self.call.ended:
-            self.soak_run.standing.pop(self.call.id, None)
+            self.soak_run.established.pop(self.call.id, None)
             self.call.host_ended = True  # by itself, that is
         self.stream.close()
 
     def ended(self, how, at):
         """By the node."""
-        self.soak_run.standing.pop(self.call.id, None)
+        self.soak_run.established.pop(self.call.id, None)
         self.call.ended, self.call.ended_at = how, at
-        self.call.host_ended = self.call.host_ended or self.soak_run.cuts(self.call)
+        self.call.host_ended = self.call.host_ended or self.soak_run.disconnected_by_host(self.call)
 
 
 class SoakRun:
@@ -107,30 +109,32 @@
 
     def __init__(self, plan, checkout=ROOT):
         self.checkout = checkout
-        self.plan, self.loop, self.chance = plan, Loop(), Random(plan.seed ^ 0x5EED)
-        self.record = Record(plan.seed, [vars(one) for one in plan.faults])
+        self.plan, self.loop, self.rng = plan, Loop(), Random(plan.seed ^ 0x5EED)
+        self.record = Record(plan.seed, [vars(fault) for fault in plan.faults])
         self.hosts = [Host(self.loop, self.record, number) for number in range(HOSTS)]
-        self.listing = Listing(self.loop, self.record, self.hosts, 2)
-        self.standing, self.idle, self.number = {}, [], 0
-        self.folder = tempfile.TemporaryDirectory()
-        self.file = Path(self.folder.name) / "node.json"
+        self.host_list = HostList(self.loop, self.record, self.hosts, 2)
+        self.established, self.idle_sockets, self.number = {}, [], 0
+        self.directory = tempfile.TemporaryDirectory()
+        self.file = Path(self.directory.name) / "node.json"
         with socket.create_server(("127.0.0.1", 0)) as free:
             self.address = free.getsockname()
 
-    def cuts(self, call):
+    def disconnected_by_host(self, call):
         """Whether a host that this call was sent to has cut its connections."""
         hosts = {attempt.host for attempt in self.record.attempts if attempt.call == call.id}
-        cutting = {f"h{one.host}" for one in self.plan.faults if one.what in ("refuse", "reset", "hang")}
+        cutting = {
+            f"h{fault.host}" for fault in self.plan.faults if fault.what in ("refuse", "reset", "hang")
+        }
         return bool(hosts & cutting)
 
-    def configure(self, turn):
+    def configure(self, version):
         """The configuration, whole; `turn`: which list, and which settings."""
-        address = self.listing.listeners[turn % 2].getsockname()
+        address = self.host_list.listeners[version % 2].getsockname()
         types = [
             {"Name": name, "Effect": effect, "SetupTarget": 300, "GuardTime": wait * 1000, "Revenue": 1}
-            for (name, wait), effect in zip(KINDS.items(), ("safe", "unsafe"), strict=True)
+            for (name, wait), effect in zip(WAITS.items(), ("safe", "unsafe"), strict=True)
         ]
-        limits = {"MostLegs": 3, "Cancel": True, "RetryAfter": True, "MaxRetryAfter": 2000 + turn}
+        limits = {"MostLegs": 3, "Cancel": True, "RetryAfter": True, "MaxRetryAfter": 2000 + version}
         settings = {
             "Balancers": 1,
             "Zones": ["here"],
@@ -146,7 +150,7 @@
             "listen": "{}:{}".format(*self.address),
             "discovery": "{}:{}".format(*address),
             "seed": f"{self.plan.seed:016x}",
-            "limits": {"memory_mb": LIMITS[0], "sockets": LIMITS[1]},
+            "limits": {"memory_mb": RESOURCE_LIMITS[0], "sockets": RESOURCE_LIMITS[1]},
             "settings": settings,
         }
         self.file.write_text(json.dumps(whole))
@@ -154,13 +158,13 @@
     def run(self):
         """The whole play; gives its record."""
         soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
-        resource.setrlimit(resource.RLIMIT_NOFILE, (max(soft, min(hard, OWN_DESCRIPTORS)), hard))
+        resource.setrlimit(resource.RLIMIT_NOFILE, (max(soft, min(hard, DRIVER_DESCRIPTORS)), hard))
         self.configure(0)
-        log = open(Path(self.folder.name) / "log", "w+")  # noqa: SIM115  closed at the end of the play
+        log = open(Path(self.directory.name) / "log", "w+")  # noqa: SIM115  closed at the end of the play
         command = [sys.executable, "-m", "cottonspread", "serve", "--config", str(self.file)]
         self.process = subprocess.Popen(command, cwd=self.checkout, stderr=log)
         try:
-            self.until_ready()
+            self.wait_until_ready()
             if self.record.ready_s:
                 self.drive()
         finally:
@@ -170,12 +174,12 @@
             log.seek(0)
             self.record.log = log.read()
             log.close()
-            self.folder.cleanup()
+            self.directory.cleanup()
             resource.setrlimit(resource.RLIMIT_NOFILE, (soft, hard))
-        self.record.late_s, self.record.load = self.loop.late, os.getloadavg()[0]
+        self.record.late_s, self.record.load = self.loop.max_delay, os.getloadavg()[0]
         return self.record
 
-    def until_ready(self):
+    def wait_until_ready(self):
         """Until a PING is answered."""
         began = time.time()
         while not self.record.ready_s and time.time() - began < 15:
@@ -184,20 +188,20 @@
             if any(word == "PONG" for _, _, word in self.record.pings):
                 self.record.ready_s = time.time() - began
         self.record.pings.clear()
-        self.loop.late = 0.0
+        self.loop.max_delay = 0.0
 
     def drive(self):
         """Calls and troubles, SIGTERM, and the earliest kill."""
-        self.begin = time.time()
+        self.started_at = time.time()
         for fault in self.plan.faults:
-            self.loop.at(self.begin + fault.at, self.begin_fault, fault)
-        self.loop.at(self.begin, self.next_call)
-        self.loop.at(self.begin + PING_EVERY, self.next_ping)
-        self.loop.run(self.begin + LASTS)
-        self.look_at_process()
+            self.loop.at(self.started_at + fault.at, self.begin_fault, fault)
+        self.loop.at(self.started_at, self.start_call)
+        self.loop.at(self.started_at + PING_INTERVAL, self.start_ping)
+        self.loop.run(self.started_at + TRAFFIC_SECONDS)
+        self.measure_process()
         self.record.term_at = time.time()
         self.process.send_signal(signal.SIGTERM)
-        kill_at = self.record.term_at + LONGEST_WAIT + KILL_AFTER
+        kill_at = self.record.term_at + MAX_WAIT + KILL_AFTER
         while time.time() < kill_at and self.process.poll() is None:
             self.loop.run(min(kill_at, time.time() + 0.01))
         if self.process.poll() is not None:
@@ -206,27 +210,27 @@
                 self.process.returncode,
             )
         self.loop.run(time.time() + 0.2)  # what has come already
-        self.record.held_at_kill = [id for id, one in self.standing.items() if not one.call.moved]
+        self.record.open_at_exit = [id for id, client in self.established.items() if not client.call.moved]
 
-    def next_call(self):
+    def start_call(self):
         """One call, and the next at the plan's rate."""
         now = time.time()
-        if self.record.term_at and now > self.record.term_at + COMING:
+        if self.record.term_at and now > self.record.term_at + NEW_CLIENTS_AFTER_TERM:
             return
         self.number += 1
-        kind = self.chance.choice(list(KINDS))
-        call = Call(f"{self.plan.seed:x}-{self.number:05x}", kind, KINDS[kind])
+        kind = self.rng.choice(list(WAITS))
+        call = Call(f"{self.plan.seed:x}-{self.number:05x}", kind, WAITS[kind])
         self.record.calls.append(call)
-        key = f"k{self.chance.randrange(50)}"
-        line = f"OPEN {call.id} {key} c={kind},d={round(KINDS[kind] * 1000)}".encode()
-        Client(self, call, line, self.chance.uniform(*LIVES))
-        self.loop.at(now + 1 / self.plan.rate, self.next_call)
+        key = f"k{self.rng.randrange(50)}"
+        line = f"OPEN {call.id} {key} c={kind},d={round(WAITS[kind] * 1000)}".encode()
+        Client(self, call, line, self.rng.uniform(*LIFETIME))
+        self.loop.at(now + 1 / self.plan.rate, self.start_call)
 
-    def next_ping(self):
+    def start_ping(self):
         """The front asks whether the node serves."""
         if not self.record.term_at:
             self.ping()
-            self.loop.at(time.time() + PING_EVERY, self.next_ping)
+            self.loop.at(time.time() + PING_INTERVAL, self.start_ping)
 
     def ping(self):
         """One PING on a connection of its own."""
@@ -236,47 +240,47 @@
         except OSError:
             sock.close()
             return
-        number, asked = len(self.record.pings), time.time()
-        self.record.pings.append((asked, 0.0, ""))
+        number, sent_at = len(self.record.pings), time.time()
+        self.record.pings.append((sent_at, 0.0, ""))
 
-        def heard(line, at):
-            self.record.pings[number] = (asked, at, line.split()[0].decode())
+        def on_line(line, at):
+            self.record.pings[number] = (sent_at, at, line.split()[0].decode())
             stream.close()
 
-        stream = Line(self.loop, sock, heard, lambda how, at: None)
-        stream.say(b"PING")
+        stream = LineConnection(self.loop, sock, on_line, lambda how, at: None)
+        stream.send_line(b"PING")
 
-    def begin_fault(self, one):
+    def begin_fault(self, fault):
         """One of the plan's troubles begins."""
-        if one.what == "crowd":
-            for number in range(one.size):
-                self.crowd(number)
-        elif one.what == "sighup":
+        if fault.what == "crowd":
+            for number in range(fault.size):
+                self.connect_idle_client(number)
+        elif fault.what == "sighup":
             self.number_of_reloads = getattr(self, "number_of_reloads", 0) + 1
             self.configure(self.number_of_reloads)
             self.signal(signal.SIGHUP)
-        elif one.what == "sigterm-again":
+        elif fault.what == "sigterm-again":
             self.signal(signal.SIGTERM)
-        elif one.what == "drain":
-            self.listing.change(self.hosts[one.host], False)
-            self.loop.at(time.time() + one.lasts, self.listing.change, self.hosts[one.host], True)
-        elif one.host >= 0:
-            self.hosts[one.host].begin(one.what)
-            self.loop.at(time.time() + one.lasts, self.hosts[one.host].end)
+        elif fault.what == "drain":
+            self.host_list.change(self.hosts[fault.host], False)
+            self.loop.at(time.time() + fault.lasts, self.host_list.change, self.hosts[fault.host], True)
+        elif fault.host >= 0:
+            self.hosts[fault.host].begin_fault(fault.what)
+            self.loop.at(time.time() + fault.lasts, self.hosts[fault.host].end_fault)
         else:
-            self.listing.fault = one.what
-            self.loop.at(time.time() + one.lasts, self.list_is_back)
+            self.host_list.fault = fault.what
+            self.loop.at(time.time() + fault.lasts, self.end_list_fault)
 
-    def list_is_back(self):
+    def end_list_fault(self):
         """It answers again."""
-        self.listing.fault = ""
+        self.host_list.fault = ""
 
     def signal(self, number):
         """To the process, if it is there still."""
         with contextlib.suppress(ProcessLookupError):
             self.process.send_signal(number)
 
-    def crowd(self, number):
+    def connect_idle_client(self, number):
         """One that connects and says nothing, or half a line, and stays."""
         sock = socket.socket()
         sock.setblocking(False)
@@ -284,9 +288,9 @@
             sock.connect_ex(self.address)
             if number % 3 == 0:
                 sock.send(b"OPEN half-")
-        self.idle.append(sock)
+        self.idle_sockets.append(sock)
 
-    def look_at_process(self):
+    def measure_process(self):
         """Its memory and descriptors."""
         status = Path(f"/proc/{self.process.pid}/status").read_text()
         self.record.memory_mb = int(status.split("VmHWM:")[1].split()[0]) / 1024
--- a/cottonspread/lab/soak/stubs.py
+++ b/cottonspread/lab/soak/stubs.py
@@ -6,12 +6,12 @@
 import time
 from urllib.parse import parse_qs, urlsplit
 
-from cottonspread.lab.soak.loop import Line
-from cottonspread.lab.soak.record import Attempt, Told
+from cottonspread.lab.soak.loop import LineConnection
+from cottonspread.lab.soak.record import Attempt, ListUpdate
 
-SLOW = 0.4  # seconds that a slow host takes for an answer
-LATE = 0.8  # seconds that a late list takes
-SILENCE_COUNTS = 6.0  # seconds after which a change counts as told, whether or not it arrived
+SLOW_DELAY = 0.4  # seconds that a slow host takes for an answer
+LATE_DELAY = 0.8  # seconds that a late list takes
+ASSUMED_KNOWN_AFTER = 6.0  # seconds after which a change counts as told, whether or not it arrived
 
 
 class Host:
@@ -19,7 +19,11 @@
 
     def __init__(self, loop, record, number):
         self.loop, self.record, self.name, self.fault = loop, record, f"h{number}", ""
-        self.ready, self.lines, self.calls = True, {}, {}  # connection: its call's id; call id: the `Call`
+        self.ready, self.connections, self.calls = (
+            True,
+            {},
+            {},
+        )  # connection: its call's id; call id: the `Call`
         self.listener = socket.create_server(("127.0.0.1", 0), backlog=1024)
         self.address = self.listener.getsockname()
         self.open()
@@ -35,48 +39,51 @@
             sock, _ = self.listener.accept()
         except OSError:
             return
-        line = Line(
-            self.loop, sock, lambda said, at: self.heard(line, said, at), lambda how, at: self.gone(line)
+        connection = LineConnection(
+            self.loop,
+            sock,
+            lambda line, at: self.on_line(connection, line, at),
+            lambda how, at: self.on_end(connection),
         )
-        self.lines[line] = None
+        self.connections[connection] = None
 
-    def gone(self, line):
+    def on_end(self, connection):
         """The node has ended it."""
-        self.lines.pop(line, None)
+        self.connections.pop(connection, None)
 
-    def heard(self, line, said, at):
+    def on_line(self, connection, line, at):
         """A line of the node: the first one is an attempt, the others are echoed."""
-        if self.lines.get(line) is not None:
+        if self.connections.get(connection) is not None:
             if self.fault != "hang":
-                line.say(said)
+                connection.send_line(line)
             return
-        call = said.split()[1].decode()
-        self.lines[line] = call
+        call = line.split()[1].decode()
+        self.connections[connection] = call
         self.record.attempts.append(Attempt(call, self.name, at, self.fault != "turn-away"))
         if self.fault == "reset":
-            self.drop(line, reset=True)
+            self.close_connection(connection, reset=True)
         elif self.fault == "turn-away":
-            line.say(b"BUSY")
-            self.drop(line)
+            connection.send_line(b"BUSY")
+            self.close_connection(connection)
         elif self.fault != "hang":
-            wait = SLOW if self.fault == "slow" else 0.0
-            self.loop.at(time.time() + wait, line.say, b"UP r" + call.encode())
+            wait = SLOW_DELAY if self.fault == "slow" else 0.0
+            self.loop.at(time.time() + wait, connection.send_line, b"UP r" + call.encode())
 
-    def drop(self, line, reset=False):
+    def close_connection(self, connection, reset=False):
         """Ends one from here."""
-        self.lines.pop(line, None)
-        line.close(reset)
+        self.connections.pop(connection, None)
+        connection.close(reset)
 
-    def begin(self, fault):
+    def begin_fault(self, fault):
         """The fault is on. Those that cut connections cut all that stand."""
         self.fault = fault
         if fault == "refuse":
-            self.loop.forget(self.listener)
+            self.loop.close_socket(self.listener)
         if fault in ("refuse", "reset"):
-            for line in list(self.lines):
-                self.drop(line, reset=True)
+            for connection in list(self.connections):
+                self.close_connection(connection, reset=True)
 
-    def end(self):
+    def end_fault(self):
         """It is over."""
         if self.fault == "refuse":
             self.listener = socket.create_server(self.address, backlog=1024)
@@ -84,54 +91,57 @@
         self.fault = ""
 
 
-class Listing:
+class HostList:
     """The list, on as many addresses as asked for. `fault`: as drawn, or ""."""
 
     def __init__(self, loop, record, hosts, addresses):
         self.loop, self.record, self.hosts, self.fault = loop, record, hosts, ""
-        self.version, self.watches = 1, []  # (line, version that it has, its time is over at)
+        self.version, self.long_polls = 1, []  # (line, version that it has, its time is over at)
         self.listeners = [socket.create_server(("127.0.0.1", 0)) for _ in range(addresses)]
-        for one in self.listeners:
-            one.setblocking(False)
-            loop.watch(one, selectors.EVENT_READ, lambda one=one: self.accept(one))
+        for listener in self.listeners:
+            listener.setblocking(False)
+            loop.watch(listener, selectors.EVENT_READ, lambda listener=listener: self.accept(listener))
 
     def accept(self, listener):
         """A node has connected."""
-        line = Line(
-            self.loop, listener.accept()[0], lambda said, at: self.heard(line, said), lambda how, at: None
+        connection = LineConnection(
+            self.loop,
+            listener.accept()[0],
+            lambda line, at: self.on_line(connection, line),
+            lambda how, at: None,
         )
 
-    def heard(self, line, said):
+    def on_line(self, connection, line):
         """The head of a call, line by line: its first line is all that counts."""
-        if not said.startswith(b"GET "):
+        if not line.startswith(b"GET "):
             return
-        asked = parse_qs(urlsplit(said.split()[1].decode()).query)
-        since = int(asked.get("since", ["-1"])[0])
-        until = time.time() + int(asked.get("timeout_ms", ["0"])[0]) / 1000
+        query = parse_qs(urlsplit(line.split()[1].decode()).query)
+        since = int(query.get("since", ["-1"])[0])
+        until = time.time() + int(query.get("timeout_ms", ["0"])[0]) / 1000
         if self.fault == "list-reset":
-            line.close(reset=True)
+            connection.close(reset=True)
         elif self.fault == "list-silent":
             return
         elif self.fault == "list-late":
-            self.loop.at(time.time() + LATE, self.serve, line, since, until)
+            self.loop.at(time.time() + LATE_DELAY, self.serve, connection, since, until)
         else:
-            self.serve(line, since, until)
+            self.serve(connection, since, until)
 
-    def serve(self, line, since, until):
+    def serve(self, connection, since, until):
         """Answers now, or once there is news."""
         if since != self.version or time.time() >= until:
-            self.answer(line)
+            self.answer(connection)
         else:
-            self.watches.append((line, until))
-            self.loop.at(until, self.time_out, line)
+            self.long_polls.append((connection, until))
+            self.loop.at(until, self.time_out, connection)
 
-    def time_out(self, line):
+    def time_out(self, connection):
         """A watch whose time is over is answered with what there is."""
-        if any(one is line for one, _ in self.watches):
-            self.watches = [(one, until) for one, until in self.watches if one is not line]
-            self.answer(line)
+        if any(one is connection for one, _ in self.long_polls):
+            self.long_polls = [(one, until) for one, until in self.long_polls if one is not connection]
+            self.answer(connection)
 
-    def answer(self, line):
+    def answer(self, connection):
         """The whole list; what it says counts as told now."""
         instances = [
             {
@@ -147,28 +157,28 @@
             for host in self.hosts
         ]
         body = json.dumps({"generation": self.version, "reset": True, "instances": instances}).encode()
-        if line.say(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body) + 2, body)):
+        if connection.send_line(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body) + 2, body)):
             for host in self.hosts:
-                self.tell(host, time.time())
+                self.record_update(host, time.time())
 
-    def tell(self, host, at):
+    def record_update(self, host, at):
         """The node has been told of the host, unless it was before."""
-        before = [told for told in self.record.told if told.host == host.name]
+        before = [update for update in self.record.list_updates if update.host == host.name]
         if not before or before[-1].up != host.ready:
-            self.record.told.append(Told(host.name, host.ready, at))
+            self.record.list_updates.append(ListUpdate(host.name, host.ready, at))
 
     def change(self, host, ready):
         """A host begins to drain, or is back."""
         host.ready = ready
         self.version += 1
         version = self.version
-        self.loop.at(time.time() + SILENCE_COUNTS, self.counts, host, ready, version)
+        self.loop.at(time.time() + ASSUMED_KNOWN_AFTER, self.assume_known, host, ready, version)
         if not self.fault:
-            watches, self.watches = self.watches, []
-            for line, _ in watches:
-                self.answer(line)
+            long_polls, self.long_polls = self.long_polls, []
+            for connection, _ in long_polls:
+                self.answer(connection)
 
-    def counts(self, host, ready, version):
+    def assume_known(self, host, ready, version):
         """It counts as told by now."""
         if host.ready is ready:
-            self.tell(host, time.time())
+            self.record_update(host, time.time())
--- a/tests/soak/test_audit.py
+++ b/tests/soak/test_audit.py
@@ -3,61 +3,61 @@
 import pytest
 
 from cottonspread.lab.soak import audit
-from cottonspread.lab.soak.record import Attempt, Call, Record, Told
+from cottonspread.lab.soak.record import Attempt, Call, ListUpdate, Record
 
 TERM = 110.0
 
 
-def sound():
+def valid_record():
     """A play in which nothing was wrong."""
     record = Record(1, [], ready_s=0.5, term_at=TERM, ended_s=2.1, exit_code=0, memory_mb=30, descriptors=90)
     for number, kind in enumerate(("chat", "once")):
         call = Call(f"c{number}", kind, 1.0, 100.0, ["UP"], 100.2, up=True, echoes=[(101.0, 101.1)])
         record.calls.append(call)
         record.attempts.append(Attempt(call.id, "h0", 100.1, True))
-    record.told = [Told("h0", True, 99.0)]
+    record.list_updates = [ListUpdate("h0", True, 99.0)]
     record.pings = [(101.0, 101.01, "PONG")]
     return record
 
 
-def changed(what):
+def violations_after(change):
     """The sound play with one thing wrong."""
-    record = sound()
-    what(record)
-    return audit.findings(record, 2.0, (192, 1024))
+    record = valid_record()
+    change(record)
+    return audit.violations(record, 2.0, (192, 1024))
 
 
-def refused(record, at, ended="end"):
+def reject(record, at, ended="end"):
     call = record.calls[0]
     call.up, call.answers, call.answered_at, call.ended, call.ended_at = False, ["BUSY"], at, ended, at
 
 
-def cut(record):
+def close_without_move(record):
     record.calls[0].ended, record.calls[0].ended_at = "reset", TERM + 1
 
 
-def unanswered(record, ended):
+def leave_unanswered(record, ended):
     call = record.calls[0]
     call.up, call.answers, call.echoes, call.ended, call.ended_at = False, [], [], ended, 100.5
 
 
-WRONG = {
-    "no answer": lambda r: unanswered(r, ""),
-    "closed unanswered": lambda r: unanswered(r, "end"),
-    "late answer": lambda r: refused(r, 101.06),
-    "two answers": lambda r: (refused(r, 100.2), r.calls[0].answers.append("ERR")),
-    "late attempt": lambda r: (refused(r, 100.2), r.attempts.append(Attempt("c0", "h1", 100.3, True))),
+DEFECTS = {
+    "no answer": lambda r: leave_unanswered(r, ""),
+    "closed unanswered": lambda r: leave_unanswered(r, "end"),
+    "late answer": lambda r: reject(r, 101.06),
+    "two answers": lambda r: (reject(r, 100.2), r.calls[0].answers.append("ERR")),
+    "late attempt": lambda r: (reject(r, 100.2), r.attempts.append(Attempt("c0", "h1", 100.3, True))),
     "attempt for nobody": lambda r: r.attempts.append(Attempt("x", "h1", 100.3, True)),
     "sent again": lambda r: r.attempts.append(Attempt("c1", "h1", 100.15, True)),
-    "sent to a draining host": lambda r: r.told.append(Told("h0", False, 99.5)),
+    "sent to a draining host": lambda r: r.list_updates.append(ListUpdate("h0", False, 99.5)),
     "PING answered": lambda r: r.pings.append((102.0, 102.1, "BUSY")),
     "PING answered nothing": lambda r: r.pings.append((102.0, 0.0, "")),
     "echo held": lambda r: r.calls[0].echoes.append((102.0, 103.1)),
     "killed": lambda r: setattr(r, "ended_s", 0.0),
     "killed: still there": lambda r: setattr(r, "ended_s", 2.75),
     "exit code": lambda r: setattr(r, "exit_code", 1),
-    "held at the end": lambda r: r.held_at_kill.append("c0"),
-    "cut without MOVE": cut,
+    "held at the end": lambda r: r.open_at_exit.append("c0"),
+    "cut without MOVE": close_without_move,
     "ready after": lambda r: setattr(r, "ready_s", 11.0),
     "memory": lambda r: setattr(r, "memory_mb", 200),
     "descriptors": lambda r: setattr(r, "descriptors", 1025),
@@ -65,29 +65,29 @@
 }
 
 
-def test_a_sound_play_is_passed():
-    assert changed(lambda record: None) == []
+def test_valid_record_has_no_violations():
+    assert violations_after(lambda record: None) == []
 
 
-@pytest.mark.parametrize("name", WRONG)
-def test_what_is_wrong_is_found(name):
-    found = changed(WRONG[name])
+@pytest.mark.parametrize("name", DEFECTS)
+def test_each_defect_is_reported(name):
+    found = violations_after(DEFECTS[name])
     assert any(line.startswith(name) for line in found), found
 
 
-def test_what_is_allowed_is_passed():
+def test_allowed_behaviour_is_not_reported():
     """A call answered in time, one sent again where no earlier attempt ran, one cut by its host."""
-    assert changed(lambda record: refused(record, 101.04)) == []
-    record = sound()
+    assert violations_after(lambda record: reject(record, 101.04)) == []
+    record = valid_record()
     record.attempts[1] = Attempt("c1", "h1", 100.05, False)
     record.attempts.append(Attempt("c1", "h0", 100.1, True))
     record.calls[0].host_ended = True
-    cut(record)
-    assert audit.findings(record, 2.0, (192, 1024)) == []
+    close_without_move(record)
+    assert audit.violations(record, 2.0, (192, 1024)) == []
 
 
-def test_a_late_generator_makes_the_run_void():
-    record = sound()
-    assert not audit.void(record)
+def test_a_late_generator_makes_the_run_invalid():
+    record = valid_record()
+    assert not audit.invalid_reason(record)
     record.late_s = 0.3
-    assert audit.void(record)
+    assert audit.invalid_reason(record)
