--- a/benchmarks/soak/run.py
+++ b/benchmarks/soak/run.py
@@ -1,9 +1,10 @@
-"""Plays seeds of the soak one after the other and writes what the audit says of each, failures too.
+"""Runs soak seeds one after the other and writes the audit's result of each, including failures.
 
     python benchmarks/soak/run.py 1 50 --busy 6 --out benchmarks/soak/results/busy.json
     python benchmarks/soak/run.py 17 17 --without crowd
 
-`--busy`: so many processes that spin beside it. `--without`: kinds of trouble left out, the rest as drawn.
+`--busy`: number of CPU-bound processes to run alongside. `--without`: a kind of fault to leave out; the rest
+of the plan is unchanged.
 """
 
 import argparse
@@ -17,13 +18,13 @@
 
 
 def keep_busy():
-    """A busy process."""
+    """Uses a core until the process is killed."""
     while True:
         pass
 
 
 def run_seed(seed, without, checkout):
-    """The verdict on one seed."""
+    """Runs one seed and returns its row of the results."""
     record = runner.SoakRun(plan.generate(seed, without), checkout).run()
     violations = audit.violations(record, runner.MAX_WAIT, runner.RESOURCE_LIMITS)
     return {
--- a/cottonspread/lab/soak/__init__.py
+++ b/cottonspread/lab/soak/__init__.py
@@ -1,1 +1,4 @@
-"""Soak: a node process against stand-ins on loopback; a seed draws its troubles, an audit its promises."""
+"""Soak tests: a node process runs against stub hosts and a stub host list on loopback.
+
+A seed determines the injected faults; an audit checks the recorded run for violations.
+"""
--- a/cottonspread/lab/soak/audit.py
+++ b/cottonspread/lab/soak/audit.py
@@ -1,31 +1,31 @@
-"""Whether a play kept the node's promises. Shares no code with the node."""
+"""Checks the record of a soak run for violations of what a node must do. Shares no code with the node."""
 
 import re
 from collections import defaultdict
 
-TOLERANCE = 0.05  # seconds: what a node may be late by
-DRAIN_GRACE = 0.5  # as the play's settings say
-KILL_AFTER = 0.7  # seconds after the longest deadline, counted from SIGTERM
-MAX_ECHO_DELAY = 1.0  # seconds for which an echo may be held back
+TOLERANCE = 0.05  # seconds by which a node may miss a deadline
+DRAIN_GRACE = 0.5  # seconds, as in the run's settings
+KILL_AFTER = 0.7  # seconds after the longest client wait, both counted from SIGTERM
+MAX_ECHO_DELAY = 1.0  # seconds
 READY_TIMEOUT = 10.0
-MAX_TIMER_DELAY = 0.25  # seconds that the generator may be late itself
-UNSAFE_TYPE = "once"  # the class that must not run twice
+MAX_TIMER_DELAY = 0.25  # seconds by which a timer of the load generator may be late
+UNSAFE_TYPE = "once"  # the traffic type whose calls must not run twice
 
 
 def invalid_reason(record):
-    """Why the run proves nothing; "" if it counts."""
-    return f"generator {record.late_s:.2f} s late" if record.late_s > MAX_TIMER_DELAY else ""
+    """Returns why the run is not a valid test, or "" if it is."""
+    return f"load generator {record.late_s:.2f} s late" if record.late_s > MAX_TIMER_DELAY else ""
 
 
 def violations(record, longest_wait, limits):
-    """Every promise that was broken, a line each. `longest_wait`: seconds; `limits`: (MB, descriptors)."""
+    """Returns one line for each violation. `longest_wait`: seconds; `limits`: (MB, descriptors)."""
     checks = (check_answers, check_late_attempts, check_repeats, check_drains, check_pings, check_echo_delays)
     found = [line for check in checks for line in check(record)]
     return found + check_shutdown(record, longest_wait) + check_resources(record, limits)
 
 
 def check_answers(record):
-    """One final answer to each call, before its deadline."""
+    """Each call must get one final answer, before its deadline."""
     for call in record.calls:
         if not call.sent_at or call.ended and call.ended_at < call.sent_at:
             continue
@@ -42,12 +42,12 @@
 
 
 def check_late_attempts(record):
-    """Nothing is sent for a call after its final answer, or its deadline."""
+    """No attempt may be made for a call after its final answer or its deadline."""
     calls = {call.id: call for call in record.calls}
     for attempt in record.attempts:
         call = calls.get(attempt.call)
         if call is None:
-            yield f"attempt for nobody: {attempt.call}"
+            yield f"attempt for an unknown call: {attempt.call}"
             continue
         last = call.sent_at + call.wait
         if call.answers:
@@ -57,7 +57,7 @@
 
 
 def check_repeats(record):
-    """A call that must not run twice goes out again only when no earlier attempt can have run."""
+    """A call that must not run twice may be sent again only if no earlier attempt can have run."""
     kinds = {call.id: call.kind for call in record.calls}
     attempts = defaultdict(list)
     for attempt in record.attempts:
@@ -69,7 +69,7 @@
 
 
 def check_drains(record):
-    """Nothing new to a host later than the grace after the node was told that it drains."""
+    """No attempt may go to a host once the grace time has passed since the node knew that it drains."""
     updates = defaultdict(list)
     for update in record.list_updates:
         updates[update.host].append(update)
@@ -80,7 +80,7 @@
 
 
 def check_pings(record):
-    """A node that serves says so to its front, within a second."""
+    """A serving node must answer a PING with PONG within a second."""
     for sent, answered, word in record.pings:
         stops = record.term_at and sent >= record.term_at - 1
         if not stops and (word != "PONG" or answered - sent > 1):
@@ -88,29 +88,32 @@
 
 
 def check_echo_delays(record):
-    """No echo is held back while a connection stands and its host answers."""
+    """No echo may be delayed while the connection is open and its host answers."""
     for call in record.calls:
         for sent, back in call.echoes:
             if back and back - sent > MAX_ECHO_DELAY and not call.host_ended:
-                yield f"echo held: {call.id} {back - sent:.2f} s"
+                yield f"echo delayed: {call.id} {back - sent:.2f} s"
 
 
 def check_shutdown(record, longest_wait):
-    """The process ends by itself, with 0, before the earliest kill; no client is held or cut without MOVE."""
+    """The process must exit by itself, with code 0, before the earliest SIGKILL.
+
+    It must not leave a client connected, and must not close an established connection without MOVE.
+    """
     found, last = [], longest_wait + KILL_AFTER
     if not record.ended_s or record.ended_s > last:
-        found.append(f"killed: still there {last:.1f} s after SIGTERM")
+        found.append(f"killed: still running {last:.1f} s after SIGTERM")
     elif record.exit_code != 0:
         found.append(f"exit code {record.exit_code}")
-    found += [f"held at the end: {call}" for call in record.open_at_exit]
+    found += [f"still connected at the end: {call}" for call in record.open_at_exit]
     for call in record.calls:
         if call.up and call.ended and not (call.moved or call.host_ended) and call.ended_at >= record.term_at:
-            found.append(f"cut without MOVE: {call.id}")
+            found.append(f"closed without MOVE: {call.id}")
     return found
 
 
 def check_resources(record, limits):
-    """Ready in time, inside its limits, and no traceback in the log."""
+    """The process must be ready in time, stay within its limits and log no traceback or failed accept."""
     found = []
     if not record.ready_s or record.ready_s > READY_TIMEOUT:
         found.append(f"ready after {record.ready_s:.1f} s")
--- a/cottonspread/lab/soak/loop.py
+++ b/cottonspread/lab/soak/loop.py
@@ -1,4 +1,4 @@
-"""One thread's sockets and timers, and how late it was itself."""
+"""A single-threaded event loop for sockets and timers that measures how late its timers fire."""
 
 import heapq
 import itertools
@@ -11,18 +11,18 @@
 
 
 class Loop:
-    """Callbacks for sockets that are ready and for times that have come."""
+    """Runs callbacks for ready sockets and for timers that are due."""
 
     def __init__(self):
         self.selector, self.timers, self.sequence = selectors.DefaultSelector(), [], itertools.count()
-        self.max_delay = 0.0  # seconds, the most that a timer was late
+        self.max_delay = 0.0  # the largest delay of a timer, in seconds
 
     def at(self, when, callback, *args):
-        """`what(*args)` at that time."""
+        """Schedules `callback(*args)` at Unix time `when`, in seconds."""
         heapq.heappush(self.timers, (when, next(self.sequence), callback, args))
 
     def run(self, until):
-        """Until that time."""
+        """Runs the loop until Unix time `until`, in seconds."""
         while (now := time.time()) < until:
             while self.timers and self.timers[0][0] <= now:
                 when, _, callback, args = heapq.heappop(self.timers)
@@ -34,14 +34,14 @@
                 key.data()
 
     def watch(self, sock, events, callback):
-        """`what()` whenever the socket is ready; again with other events."""
+        """Calls `callback()` whenever the socket is ready; a second call for a socket replaces the first."""
         if sock.fileno() in self.selector.get_map():
             self.selector.modify(sock, events, callback)
         else:
             self.selector.register(sock, events, callback)
 
     def close_socket(self, sock):
-        """Closes it."""
+        """Unregisters and closes a socket; does nothing if it is closed already."""
         if sock.fileno() >= 0:
             if sock.fileno() in self.selector.get_map():
                 self.selector.unregister(sock)
@@ -49,10 +49,13 @@
 
 
 class LineConnection:
-    """A connection that is read line by line: `heard(line, at)`, then `ended("end" or "reset", at)` once."""
+    """A connection that is read line by line.
+
+    Calls `on_line(line, at)` for each line, then `on_end("end" or "reset", at)` once.
+    """
 
     def __init__(self, loop, sock, on_line, on_end, keep_open=False):
-        """`stays`: not closed from here once the other side has ended its sending."""
+        """`keep_open`: leaves this side open after the peer has closed its sending side."""
         self.loop, self.sock, self.on_line, self.on_end, self.partial = loop, sock, on_line, on_end, b""
         self.keep_open = keep_open
         sock.setblocking(False)
@@ -60,7 +63,7 @@
         loop.watch(sock, selectors.EVENT_READ, self.read)
 
     def read(self):
-        """What has come."""
+        """Reads what is available; lines get the kernel's receive time where it is known."""
         try:
             data, stamps, _, _ = self.sock.recvmsg(65536, 64)
         except BlockingIOError:
@@ -78,7 +81,7 @@
             self.finish("end")
 
     def finish(self, how):
-        """Nothing more comes."""
+        """Handles the end of the incoming data."""
         if self.keep_open and how == "end":
             self.loop.selector.unregister(self.sock)
         else:
@@ -86,14 +89,14 @@
         self.on_end(how, time.time())
 
     def send_line(self, line):
-        """One line; whether it went out whole."""
+        """Sends one line and returns whether all of it was written."""
         try:
             return self.sock.send(line + b"\r\n") == len(line) + 2
         except OSError:
             return False
 
     def close(self, reset=False):
-        """From here."""
+        """Closes the connection from this side, with a TCP reset if `reset`."""
         if reset and self.sock.fileno() >= 0:
             self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         self.loop.close_socket(self.sock)
--- a/cottonspread/lab/soak/plan.py
+++ b/cottonspread/lab/soak/plan.py
@@ -1,4 +1,4 @@
-"""What happens in a play, drawn from its seed alone."""
+"""The plan of a soak run, generated from its seed alone."""
 
 from dataclasses import dataclass
 from random import Random
@@ -8,14 +8,17 @@
 HOST_FAULTS = ("hang", "refuse", "reset", "slow", "turn-away", "drain")
 LIST_FAULTS = ("list-silent", "list-reset", "list-late")
 IDLE_CLIENTS_CHANCE = 0.4
-IDLE_CLIENTS = (300, 900)  # idle clients, some with half a first line
+IDLE_CLIENTS = (300, 900)  # number of idle clients; some send half a first line
 KEEPS_SENDING_CHANCE = 0.5
 CALL_RATE = (10, 60)  # calls a second
 
 
 @dataclass(frozen=True)
 class Fault:
-    """One trouble: `what` from `at` on for `lasts` seconds; `host` a number or -1; `size` of a crowd."""
+    """A fault of kind `what`, from second `at` on for `lasts` seconds.
+
+    `host`: the number of the host that it concerns, or -1. `size`: the number of idle clients ("crowd").
+    """
 
     what: str
     at: float
@@ -26,18 +29,16 @@
 
 @dataclass(frozen=True)
 class Plan:
-    """What is played."""
+    """What happens in a run. `rate`: calls a second."""
 
     seed: int
     rate: int
     faults: tuple
-    keeps_sending: bool = (
-        False  # clients go on sending after the node's end of the connection, until the kill
-    )
+    keeps_sending: bool = False  # clients go on sending after the node has closed its side, until the kill
 
 
 def generate(seed, without=()):
-    """The plan of a seed. `without`: kinds of trouble that are left out of it, the rest as it was."""
+    """Returns the plan of a seed; kinds in `without` are left out and the rest of the plan is unchanged."""
     rng = Random(seed)
     rate = rng.randint(*CALL_RATE)
     faults = [
--- a/cottonspread/lab/soak/runner.py
+++ b/cottonspread/lab/soak/runner.py
@@ -1,4 +1,4 @@
-"""Plays a plan: one `serve` process, stand-in hosts and list, clients, and signals, all on loopback."""
+"""Runs a soak plan on loopback: one `serve` process, stub hosts and host list, clients, and signals."""
 
 import contextlib
 import errno
@@ -21,19 +21,19 @@
 from cottonspread.lab.soak.stubs import Host, HostList
 
 ROOT = Path(__file__).resolve().parents[3]
-WAITS = {"chat": 2.0, "once": 1.0}  # class: seconds that a client waits
+WAITS = {"chat": 2.0, "once": 1.0}  # by traffic type: seconds that a client waits for its answer
 MAX_WAIT = max(WAITS.values())
-KILL_AFTER = 0.7  # seconds after the longest deadline
-NEW_CLIENTS_AFTER_TERM = 0.4  # seconds after SIGTERM for which new clients come
-SEND_INTERVAL = 0.5  # seconds between two lines of a standing client
-LIFETIME = (0.2, 4.0)  # seconds that a client stays
+KILL_AFTER = 0.7  # seconds after the longest client wait, both counted from SIGTERM
+NEW_CLIENTS_AFTER_TERM = 0.4  # seconds after SIGTERM for which new clients still connect
+SEND_INTERVAL = 0.5  # seconds between two lines of a connected client
+LIFETIME = (0.2, 4.0)  # seconds that a client stays connected
 PING_INTERVAL = 0.5
-RESOURCE_LIMITS = (192, 1024)  # MB, descriptors
+RESOURCE_LIMITS = (192, 1024)  # of the node: MB, descriptors
 DRIVER_DESCRIPTORS = 4096
 
 
 class Client:
-    """One call, from its connect to its end."""
+    """A client with one call, from connecting to the end of its connection. `lifetime`: seconds."""
 
     def __init__(self, soak_run, call, line, lifetime):
         self.soak_run, self.call, self.line, self.lifetime = soak_run, call, line, lifetime
@@ -47,7 +47,7 @@
         soak_run.loop.watch(self.sock, selectors.EVENT_WRITE, self.connected)
 
     def connected(self):
-        """Its connection is up, or was refused."""
+        """Sends the first line once the connection is established; ends the call if it was refused."""
         if self.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR):
             self.soak_run.loop.close_socket(self.sock)
             self.ended("reset", time.time())
@@ -59,7 +59,7 @@
             self.call.sent_at = time.time()
 
     def on_line(self, line, at):
-        """A line of the node."""
+        """Handles a line from the node."""
         call, word = self.call, line.split()[0].decode() if line.split() else ""
         if not call.up:
             call.answers.append(word)
@@ -73,11 +73,11 @@
             call.moved = True
         elif word == "M":
             number = int(line.split()[1])
-            if number >= 0:  # said before it was told the end
+            if number >= 0:  # sent before the node's MOVE or close arrived
                 call.echoes[number] = (call.echoes[number][0], at)
 
     def send(self):
-        """A line for the host, and the next one later."""
+        """Sends a line for the host and schedules the next one."""
         if self.sock.fileno() < 0:
             return
         if self.call.ended or self.call.moved:
@@ -89,23 +89,23 @@
         self.soak_run.loop.at(time.time() + wait, self.send)
 
     def leave(self):
-        """Its time is over; once the node ends it stays, and goes on sending."""
+        """Closes the connection at the end of the lifetime, unless the node has been sent SIGTERM."""
         if self.soak_run.record.term_at:
             return
         if not self.call.ended:
             self.soak_run.established.pop(self.call.id, None)
-            self.call.host_ended = True  # by itself, that is
+            self.call.host_ended = True  # closed by the client itself, not by the node
         self.stream.close()
 
     def ended(self, how, at):
-        """By the node."""
+        """Records that the node ended the connection, or that it never came up."""
         self.soak_run.established.pop(self.call.id, None)
         self.call.ended, self.call.ended_at = how, at
         self.call.host_ended = self.call.host_ended or self.soak_run.disconnected_by_host(self.call)
 
 
 class SoakRun:
-    """One run of a plan. `checkout`: the folder whose cottonspread is played."""
+    """One run of a plan. `checkout`: the directory whose `cottonspread` package is tested."""
 
     def __init__(self, plan, checkout=ROOT):
         self.checkout = checkout
@@ -120,7 +120,7 @@
             self.address = free.getsockname()
 
     def disconnected_by_host(self, call):
-        """Whether a host that this call was sent to has cut its connections."""
+        """Returns whether a host that got this call has a fault that disconnects clients."""
         hosts = {attempt.host for attempt in self.record.attempts if attempt.call == call.id}
         cutting = {
             f"h{fault.host}" for fault in self.plan.faults if fault.what in ("refuse", "reset", "hang")
@@ -128,7 +128,7 @@
         return bool(hosts & cutting)
 
     def configure(self, version):
-        """The configuration, whole; `turn`: which list, and which settings."""
+        """Writes the node's configuration file; `version` selects the list address and one setting."""
         address = self.host_list.listeners[version % 2].getsockname()
         types = [
             {"Name": name, "Effect": effect, "SetupTarget": 300, "GuardTime": wait * 1000, "Revenue": 1}
@@ -156,11 +156,11 @@
         self.file.write_text(json.dumps(whole))
 
     def run(self):
-        """The whole play; gives its record."""
+        """Runs the plan and returns its record."""
         soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
         resource.setrlimit(resource.RLIMIT_NOFILE, (max(soft, min(hard, DRIVER_DESCRIPTORS)), hard))
         self.configure(0)
-        log = open(Path(self.directory.name) / "log", "w+")  # noqa: SIM115  closed at the end of the play
+        log = open(Path(self.directory.name) / "log", "w+")  # noqa: SIM115  closed at the end of the run
         command = [sys.executable, "-m", "cottonspread", "serve", "--config", str(self.file)]
         self.process = subprocess.Popen(command, cwd=self.checkout, stderr=log)
         try:
@@ -180,7 +180,7 @@
         return self.record
 
     def wait_until_ready(self):
-        """Until a PING is answered."""
+        """Waits until the node answers a PING with PONG, 15 s at most."""
         began = time.time()
         while not self.record.ready_s and time.time() - began < 15:
             self.ping()
@@ -191,7 +191,7 @@
         self.loop.max_delay = 0.0
 
     def drive(self):
-        """Calls and troubles, SIGTERM, and the earliest kill."""
+        """Starts calls and faults, sends SIGTERM, and waits until the earliest time of a SIGKILL."""
         self.started_at = time.time()
         for fault in self.plan.faults:
             self.loop.at(self.started_at + fault.at, self.begin_fault, fault)
@@ -209,11 +209,11 @@
                 time.time() - self.record.term_at,
                 self.process.returncode,
             )
-        self.loop.run(time.time() + 0.2)  # what has come already
+        self.loop.run(time.time() + 0.2)  # reads what has arrived already
         self.record.open_at_exit = [id for id, client in self.established.items() if not client.call.moved]
 
     def start_call(self):
-        """One call, and the next at the plan's rate."""
+        """Starts a call and schedules the next one at the plan's rate."""
         now = time.time()
         if self.record.term_at and now > self.record.term_at + NEW_CLIENTS_AFTER_TERM:
             return
@@ -227,13 +227,13 @@
         self.loop.at(now + 1 / self.plan.rate, self.start_call)
 
     def start_ping(self):
-        """The front asks whether the node serves."""
+        """Sends a health check as the front does, and schedules the next one."""
         if not self.record.term_at:
             self.ping()
             self.loop.at(time.time() + PING_INTERVAL, self.start_ping)
 
     def ping(self):
-        """One PING on a connection of its own."""
+        """Sends a PING on a connection of its own."""
         sock = socket.socket()
         try:
             sock.connect(self.address)
@@ -251,7 +251,7 @@
         stream.send_line(b"PING")
 
     def begin_fault(self, fault):
-        """One of the plan's troubles begins."""
+        """Starts one of the plan's faults."""
         if fault.what == "crowd":
             for number in range(fault.size):
                 self.connect_idle_client(number)
@@ -272,16 +272,16 @@
             self.loop.at(time.time() + fault.lasts, self.end_list_fault)
 
     def end_list_fault(self):
-        """It answers again."""
+        """Lets the host list answer normally again."""
         self.host_list.fault = ""
 
     def signal(self, number):
-        """To the process, if it is there still."""
+        """Sends a signal to the process, if it still runs."""
         with contextlib.suppress(ProcessLookupError):
             self.process.send_signal(number)
 
     def connect_idle_client(self, number):
-        """One that connects and says nothing, or half a line, and stays."""
+        """Connects a client that sends nothing, or half a line, and stays connected."""
         sock = socket.socket()
         sock.setblocking(False)
         with contextlib.suppress(OSError):
@@ -291,7 +291,7 @@
         self.idle_sockets.append(sock)
 
     def measure_process(self):
-        """Its memory and descriptors."""
+        """Records the process's peak memory and its open descriptors."""
         status = Path(f"/proc/{self.process.pid}/status").read_text()
         self.record.memory_mb = int(status.split("VmHWM:")[1].split()[0]) / 1024
         self.record.descriptors = len(os.listdir(f"/proc/{self.process.pid}/fd"))
--- a/cottonspread/lab/soak/stubs.py
+++ b/cottonspread/lab/soak/stubs.py
@@ -1,4 +1,4 @@
-"""The hosts and the list of a play, with their troubles."""
+"""Stub hosts and a stub host list for a soak run, with their faults."""
 
 import json
 import selectors
@@ -9,32 +9,29 @@
 from cottonspread.lab.soak.loop import LineConnection
 from cottonspread.lab.soak.record import Attempt, ListUpdate
 
-SLOW_DELAY = 0.4  # seconds that a slow host takes for an answer
-LATE_DELAY = 0.8  # seconds that a late list takes
-ASSUMED_KNOWN_AFTER = 6.0  # seconds after which a change counts as told, whether or not it arrived
+SLOW_DELAY = 0.4  # seconds until a slow host answers
+LATE_DELAY = 0.8  # seconds until a late list answers
+ASSUMED_KNOWN_AFTER = 6.0  # seconds after which the node must know of a change, received or not
 
 
 class Host:
-    """One host. `fault`: the kind that it is in, or ""."""
+    """A host. `fault`: the kind of the current fault, or ""."""
 
     def __init__(self, loop, record, number):
         self.loop, self.record, self.name, self.fault = loop, record, f"h{number}", ""
-        self.ready, self.connections, self.calls = (
-            True,
-            {},
-            {},
-        )  # connection: its call's id; call id: the `Call`
+        # `connections` maps a connection to its call's ID, `calls` a call's ID to the `Call`
+        self.ready, self.connections, self.calls = True, {}, {}
         self.listener = socket.create_server(("127.0.0.1", 0), backlog=1024)
         self.address = self.listener.getsockname()
         self.open()
 
     def open(self):
-        """Connections are taken."""
+        """Starts accepting connections."""
         self.listener.setblocking(False)
         self.loop.watch(self.listener, selectors.EVENT_READ, self.accept)
 
     def accept(self):
-        """One has come."""
+        """Accepts a connection."""
         try:
             sock, _ = self.listener.accept()
         except OSError:
@@ -48,11 +45,11 @@
         self.connections[connection] = None
 
     def on_end(self, connection):
-        """The node has ended it."""
+        """Drops a connection that the node has closed."""
         self.connections.pop(connection, None)
 
     def on_line(self, connection, line, at):
-        """A line of the node: the first one is an attempt, the others are echoed."""
+        """Handles a line from the node: the first one is an attempt, the others are echoed."""
         if self.connections.get(connection) is not None:
             if self.fault != "hang":
                 connection.send_line(line)
@@ -70,12 +67,12 @@
             self.loop.at(time.time() + wait, connection.send_line, b"UP r" + call.encode())
 
     def close_connection(self, connection, reset=False):
-        """Ends one from here."""
+        """Closes a connection from the host's side."""
         self.connections.pop(connection, None)
         connection.close(reset)
 
     def begin_fault(self, fault):
-        """The fault is on. Those that cut connections cut all that stand."""
+        """Starts a fault; "refuse" and "reset" also reset all established connections."""
         self.fault = fault
         if fault == "refuse":
             self.loop.close_socket(self.listener)
@@ -84,7 +81,7 @@
                 self.close_connection(connection, reset=True)
 
     def end_fault(self):
-        """It is over."""
+        """Ends the current fault."""
         if self.fault == "refuse":
             self.listener = socket.create_server(self.address, backlog=1024)
             self.open()
@@ -92,18 +89,18 @@
 
 
 class HostList:
-    """The list, on as many addresses as asked for. `fault`: as drawn, or ""."""
+    """The host list, served on several addresses. `fault`: the kind of the current fault, or ""."""
 
     def __init__(self, loop, record, hosts, addresses):
         self.loop, self.record, self.hosts, self.fault = loop, record, hosts, ""
-        self.version, self.long_polls = 1, []  # (line, version that it has, its time is over at)
+        self.version, self.long_polls = 1, []  # (connection, Unix time at which it times out)
         self.listeners = [socket.create_server(("127.0.0.1", 0)) for _ in range(addresses)]
         for listener in self.listeners:
             listener.setblocking(False)
             loop.watch(listener, selectors.EVENT_READ, lambda listener=listener: self.accept(listener))
 
     def accept(self, listener):
-        """A node has connected."""
+        """Accepts a connection from the node."""
         connection = LineConnection(
             self.loop,
             listener.accept()[0],
@@ -112,7 +109,7 @@
         )
 
     def on_line(self, connection, line):
-        """The head of a call, line by line: its first line is all that counts."""
+        """Handles a line of a request's head; only the request line matters."""
         if not line.startswith(b"GET "):
             return
         query = parse_qs(urlsplit(line.split()[1].decode()).query)
@@ -128,7 +125,7 @@
             self.serve(connection, since, until)
 
     def serve(self, connection, since, until):
-        """Answers now, or once there is news."""
+        """Answers now if the list has changed since version `since`, else once it changes or at `until`."""
         if since != self.version or time.time() >= until:
             self.answer(connection)
         else:
@@ -136,13 +133,13 @@
             self.loop.at(until, self.time_out, connection)
 
     def time_out(self, connection):
-        """A watch whose time is over is answered with what there is."""
+        """Answers a long poll whose time is over with the current list."""
         if any(one is connection for one, _ in self.long_polls):
             self.long_polls = [(one, until) for one, until in self.long_polls if one is not connection]
             self.answer(connection)
 
     def answer(self, connection):
-        """The whole list; what it says counts as told now."""
+        """Sends the full list and records that the node knows its content from now on."""
         instances = [
             {
                 "instanceId": host.name,
@@ -162,13 +159,13 @@
                 self.record_update(host, time.time())
 
     def record_update(self, host, at):
-        """The node has been told of the host, unless it was before."""
+        """Records that the node knows the host's state, unless it knew that state before."""
         before = [update for update in self.record.list_updates if update.host == host.name]
         if not before or before[-1].up != host.ready:
             self.record.list_updates.append(ListUpdate(host.name, host.ready, at))
 
     def change(self, host, ready):
-        """A host begins to drain, or is back."""
+        """Puts a host into draining, or back into service."""
         host.ready = ready
         self.version += 1
         version = self.version
@@ -179,6 +176,6 @@
                 self.answer(connection)
 
     def assume_known(self, host, ready, version):
-        """It counts as told by now."""
+        """Records the change as known to the node, whether or not the list could send it."""
         if host.ready is ready:
             self.record_update(host, time.time())
--- a/tests/soak/test_audit.py
+++ b/tests/soak/test_audit.py
@@ -1,4 +1,4 @@
-"""The soak's audit finds each broken promise in the record of a play that is otherwise sound."""
+"""The soak's audit finds each kind of violation in the record of an otherwise correct run."""
 
 import pytest
 
@@ -9,7 +9,7 @@
 
 
 def valid_record():
-    """A play in which nothing was wrong."""
+    """Returns the record of a run without violations."""
     record = Record(1, [], ready_s=0.5, term_at=TERM, ended_s=2.1, exit_code=0, memory_mb=30, descriptors=90)
     for number, kind in enumerate(("chat", "once")):
         call = Call(f"c{number}", kind, 1.0, 100.0, ["UP"], 100.2, up=True, echoes=[(101.0, 101.1)])
@@ -21,7 +21,7 @@
 
 
 def violations_after(change):
-    """The sound play with one thing wrong."""
+    """Returns the violations in a valid record after `change` has altered it."""
     record = valid_record()
     change(record)
     return audit.violations(record, 2.0, (192, 1024))
@@ -47,17 +47,17 @@
     "late answer": lambda r: reject(r, 101.06),
     "two answers": lambda r: (reject(r, 100.2), r.calls[0].answers.append("ERR")),
     "late attempt": lambda r: (reject(r, 100.2), r.attempts.append(Attempt("c0", "h1", 100.3, True))),
-    "attempt for nobody": lambda r: r.attempts.append(Attempt("x", "h1", 100.3, True)),
+    "attempt for an unknown call": lambda r: r.attempts.append(Attempt("x", "h1", 100.3, True)),
     "sent again": lambda r: r.attempts.append(Attempt("c1", "h1", 100.15, True)),
     "sent to a draining host": lambda r: r.list_updates.append(ListUpdate("h0", False, 99.5)),
     "PING answered": lambda r: r.pings.append((102.0, 102.1, "BUSY")),
     "PING answered nothing": lambda r: r.pings.append((102.0, 0.0, "")),
-    "echo held": lambda r: r.calls[0].echoes.append((102.0, 103.1)),
+    "echo delayed": lambda r: r.calls[0].echoes.append((102.0, 103.1)),
     "killed": lambda r: setattr(r, "ended_s", 0.0),
-    "killed: still there": lambda r: setattr(r, "ended_s", 2.75),
+    "killed: still running": lambda r: setattr(r, "ended_s", 2.75),
     "exit code": lambda r: setattr(r, "exit_code", 1),
-    "held at the end": lambda r: r.open_at_exit.append("c0"),
-    "cut without MOVE": close_without_move,
+    "still connected at the end": lambda r: r.open_at_exit.append("c0"),
+    "closed without MOVE": close_without_move,
     "ready after": lambda r: setattr(r, "ready_s", 11.0),
     "memory": lambda r: setattr(r, "memory_mb", 200),
     "descriptors": lambda r: setattr(r, "descriptors", 1025),
@@ -76,7 +76,7 @@
 
 
 def test_allowed_behaviour_is_not_reported():
-    """A call answered in time, one sent again where no earlier attempt ran, one cut by its host."""
+    """A call answered in time, one sent again where no earlier attempt ran, one closed by its host."""
     assert violations_after(lambda record: reject(record, 101.04)) == []
     record = valid_record()
     record.attempts[1] = Attempt("c1", "h1", 100.05, False)
--- a/tests/soak/test_soak.py
+++ b/tests/soak/test_soak.py
@@ -1,11 +1,11 @@
-"""A short soak: each seed draws a play of ten seconds, and the audit has nothing to say.
+"""A short soak test: the audit finds no violation in a ten-second run of each seed.
 
-Seeds 3, 8 and 10 hold a crowd. What happened there: hundreds of clients connected and said nothing or half
-a line, and usual clients got their BUSY up to two seconds past their deadline. The accepting thread waited
-up to 50 ms for each of them while the reducer turned out who was idle, and whoever had sent a full line
-stood behind them in the listener's queue. What showed it: `late answer: a-0009c BUSY 2.95 s`, for calls that
-wait 1 s, by the kernel's times at the client, while the generator was 0.05 s late at most. Mended in
-`net/admission.py`; docs/incidents/2026-12-03-silent-crowd.md.
+Seeds 3, 8 and 10 open hundreds of idle connections that send nothing or half a line. They guard against late
+answers to other clients: the accepting thread waited up to 50 ms for each idle connection while the reducer
+closed idle ones, and clients that had sent a full line queued behind them in the listener's backlog. They got
+BUSY up to two seconds after their deadline (`late answer: a-0009c BUSY 2.95 s` for calls that wait 1 s, by
+the kernel's timestamps at the client, with the load generator 0.05 s late at most). Fixed in
+`net/admission.py`; see docs/incidents/2026-12-03-silent-crowd.md.
 """
 
 import pytest
@@ -18,7 +18,7 @@
     record = runner.SoakRun(plan.generate(seed)).run()
     found = audit.violations(record, runner.MAX_WAIT, runner.RESOURCE_LIMITS)
     assert not found, found[:10]
-    assert not audit.invalid_reason(record), audit.invalid_reason(record)  # a void run is no pass
+    assert not audit.invalid_reason(record), audit.invalid_reason(record)  # an invalid run does not pass
     assert len(record.calls) > 50
 
 
