--- a/cottonspread/lab/scale/hollow_faults.py
+++ b/cottonspread/lab/scale/hollow_faults.py
@@ -61,7 +61,7 @@
 
     def on_up(self, call):
         super().on_up(call)
-        since = self.lost.pop(call.first, None)
+        since = self.lost.pop(call.schedule_index, None)
         if since is not None:
             self.spans.append((self.world.now - since) / SECOND)
             if not self.lost:
@@ -75,7 +75,7 @@
     def count(self, call, how):
         if call.up:
             self.ends[how] += 1
-            self.lost.setdefault(call.first, self.world.now)
+            self.lost.setdefault(call.schedule_index, self.world.now)
         elif call.answers and call.answers[0][1] == "BUSY":
             self.turned_away += 1
         elif not call.answers:
--- a/cottonspread/lab/sim/agent.py
+++ b/cottonspread/lab/sim/agent.py
@@ -11,35 +11,41 @@
 from cottonspread.lab.listing import Book
 from cottonspread.lab.sim.world import SECOND
 
-GARBAGE = (b"<html>not found</html>", b"[" * 3000, b'{"generation": "x"}', b"")
+GARBAGE_BODIES = (b"<html>not found</html>", b"[" * 3000, b'{"generation": "x"}', b"")
 ROUND_TRIP = 300  # microseconds there and back
 
 
 class Agent:
     def __init__(self, fleet, name, entries, lag):
-        self.fleet, self.world, self.name, self.lag, self.later = fleet, fleet.world, name, lag, 0
-        self.book, self.silent, self.garbage, self.told_last, self.callers = Book(entries), 0, 0, 0, []
+        self.fleet, self.world, self.name, self.lag, self.extra_lag = fleet, fleet.world, name, lag, 0
+        self.book, self.silent_until, self.garbage_left, self.last_change_at, self.callers = (
+            Book(entries),
+            0,
+            0,
+            0,
+            [],
+        )
 
     # What the world has to tell
 
     def schedule_change(self, name, lifecycle, started_ms, entry):
         """A change comes here in its own time, and never before an earlier one."""
-        self.told_last = max(self.told_last, self.world.now + self.lag + self.later)
-        self.world.at(self.told_last, self.apply_change, name, lifecycle, started_ms, entry)
+        self.last_change_at = max(self.last_change_at, self.world.now + self.lag + self.extra_lag)
+        self.world.at(self.last_change_at, self.apply_change, name, lifecycle, started_ms, entry)
 
     def apply_change(self, name, lifecycle, started_ms, entry):
         self.book.change(name, lifecycle, started_ms, self.book.entries.get(name) or entry)
         self.answer_waiting_calls()
 
-    def weigh(self, held):
+    def update_weights(self, held):
         self.book.weigh(held)
         self.answer_waiting_calls()
 
-    def cut(self, span):
-        self.silent = max(self.silent, self.world.now + span)
-        self.world.at(self.silent, self.answer_waiting_calls)
+    def go_silent(self, span):
+        self.silent_until = max(self.silent_until, self.world.now + span)
+        self.world.at(self.silent_until, self.answer_waiting_calls)
 
-    def begin_anew(self):
+    def restart(self):
         self.book.begin_anew()
         for caller in list(self.callers):
             caller.fail(caller.call, ConnectionResetError("begun anew"))
@@ -49,7 +55,7 @@
         for caller in self.callers:
             caller.answer_if_due()
 
-    def serve(self, process):
+    def attach(self, process):
         self.callers.append(self.caller(process))
         return self.callers[-1]
 
@@ -79,9 +85,9 @@
     def send_request(self):
         """The next call."""
         self.call += 1
-        found, self.answer = self.process.discovery, None
-        _, wait = found.call()
-        self.due = self.world.now + (0 if found.whole else found.WATCH_MS * 1000)
+        discovery, self.answer = self.process.discovery, None
+        _, wait = discovery.call()
+        self.due = self.world.now + (0 if discovery.whole else discovery.WATCH_MS * 1000)
         self.world.after(
             round(wait * SECOND), self.fail, self.call, TimeoutError("the answer takes too long")
         )
@@ -90,34 +96,34 @@
 
     def answer_if_due(self, call=None):
         """Whether there is an answer to the call that is out."""
-        if call not in (None, self.call) or self.world.now < self.agent.silent:
+        if call not in (None, self.call) or self.world.now < self.agent.silent_until:
             return
         agent = self.agent
         if (
             self.world.now >= self.due
             or self.process.discovery.version != agent.book.version
-            or agent.garbage
+            or agent.garbage_left
         ):
-            self.world.after(ROUND_TRIP, self.process.run_if_alive, self.turn, self.call)
+            self.world.after(ROUND_TRIP, self.process.run_if_alive, self.handle_answer, self.call)
 
     def fail(self, call, fault):
         if call == self.call:
             self.answer = fault
-            self.process.run_if_alive(self.turn, call)
+            self.process.run_if_alive(self.handle_answer, call)
 
-    def turn(self, call):
+    def handle_answer(self, call):
         """The answer is there; `get` gives it."""
-        found = self.process.discovery
+        discovery = self.process.discovery
         if (
             call != self.call
-            or not found.wanted.is_set()
+            or not discovery.wanted.is_set()
             or self.answer is None
-            and self.world.now < self.agent.silent
+            and self.world.now < self.agent.silent_until
         ):
             return
         self.call += 1
         pause = self.run_turn()
-        if found.wanted.is_set():
+        if discovery.wanted.is_set():
             self.world.after(round(pause * SECOND) + 1, self.process.run_if_alive, self.send_request)
 
     def run_turn(self):
@@ -133,27 +139,27 @@
     def body(self, path):
         """What the list has to say to this call now."""
         agent, book = self.agent, self.agent.book
-        if agent.garbage:
-            agent.garbage -= 1
-            return GARBAGE[agent.garbage % len(GARBAGE)]
+        if agent.garbage_left:
+            agent.garbage_left -= 1
+            return GARBAGE_BODIES[agent.garbage_left % len(GARBAGE_BODIES)]
         query = urllib.parse.parse_qs(urllib.parse.urlsplit(path).query)
         since = int(query["since"][0]) if "since" in query else -1
-        said = book.whole() if since < 0 or since > book.version else book.since(since)
-        said = said or {"generation": book.version, "reset": False, "instances": []}
-        hosts = [[e["instanceId"], e["lifecycle"], e["startedAtMs"]] for e in said["instances"]]
-        agent.fleet.put(
+        answer = book.whole() if since < 0 or since > book.version else book.since(since)
+        answer = answer or {"generation": book.version, "reset": False, "instances": []}
+        hosts = [[e["instanceId"], e["lifecycle"], e["startedAtMs"]] for e in answer["instances"]]
+        agent.fleet.add_record(
             "list",
             {
                 "k": "told",
                 "t": self.world.now,
                 "node": self.process.node.name,
-                "version": said["generation"],
-                "whole": said["reset"],
+                "version": answer["generation"],
+                "whole": answer["reset"],
                 "hosts": hosts,
             },
         )
-        agent.fleet.invariants.told(self.process, said["reset"], hosts)
-        return json.dumps(said).encode()
+        agent.fleet.invariants.told(self.process, answer["reset"], hosts)
+        return json.dumps(answer).encode()
 
     def close(self):
         pass
--- a/cottonspread/lab/sim/clients.py
+++ b/cottonspread/lab/sim/clients.py
@@ -8,12 +8,12 @@
 
 from cottonspread.lab import wire
 from cottonspread.lab.players import comes_back
-from cottonspread.lab.sim.network import Place
+from cottonspread.lab.sim.network import Endpoint
 from cottonspread.lab.sim.world import SECOND
 
-TOLD_LATER = 50_000  # after its guard time a client waits so long before it leaves
-CONNECT_WAIT = 3 * SECOND
-ALL_BAD = (
+ANSWER_TOLERANCE = 50_000  # after its guard time a client waits so long before it leaves
+CONNECT_TIMEOUT = 3 * SECOND
+BAD_KINDS = (
     "garbage",
     "endless",
     "half",
@@ -34,7 +34,7 @@
 
     __slots__ = (
         "clients",
-        "first",
+        "schedule_index",
         "id",
         "kind",
         "key",
@@ -51,23 +51,38 @@
         "up",
         "lines",
         "line",
-        "asked",
-        "echoes",
-        "slowest",
+        "unanswered_lines",
+        "echo_count",
+        "max_echo_delay",
         "how",
         "done",
-        "slow",
-        "taken",
+        "slow_until",
+        "accepted_at",
     )
 
-    def __init__(self, clients, first, kind, key, group, intended, again=False, retry=False, tries=0):
-        self.clients, self.first, self.kind, self.key, self.group = clients, first, kind, key, group
+    def __init__(
+        self, clients, schedule_index, kind, key, group, intended, again=False, retry=False, tries=0
+    ):
+        self.clients, self.schedule_index, self.kind, self.key, self.group = (
+            clients,
+            schedule_index,
+            kind,
+            key,
+            group,
+        )
         self.intended, self.again, self.retry, self.tries = intended, again, retry, tries
         self.id, self.node, self.begun, self.sent, self.side = "", None, 0, 0, None
-        self.answers, self.up, self.lines, self.line, self.asked = [], 0, wire.Lines(), 0, []
-        self.echoes, self.slowest, self.how, self.done, self.slow, self.taken = 0, 0, "", False, 0, 0
+        self.answers, self.up, self.lines, self.line, self.unanswered_lines = [], 0, wire.Lines(), 0, []
+        self.echo_count, self.max_echo_delay, self.how, self.done, self.slow_until, self.accepted_at = (
+            0,
+            0,
+            "",
+            False,
+            0,
+            0,
+        )
 
-    def connected(self, side, why):
+    def on_connected(self, side, why):
         world = self.clients.world
         if self.done:
             if side is not None:
@@ -77,7 +92,7 @@
             self.clients.end_call(self, "refused" if why == "ECONNREFUSED" else "lost")
             return
         self.side = side
-        self.clients.open[self] = None
+        self.clients.open_calls[self] = None
         try:
             side.send(
                 wire.opening(
@@ -95,24 +110,24 @@
             return
         self.sent = world.now
         self.clients.fleet.invariants.opened(self)
-        world.after(int(self.kind.guard_ms) * 1000 + TOLD_LATER, self.waited_out)
+        world.after(int(self.kind.guard_ms) * 1000 + ANSWER_TOLERANCE, self.on_guard_expired)
 
-    def arrived(self, side):
+    def on_readable(self, side):
         world = self.clients.world
-        if self.done or world.now < self.slow:
+        if self.done or world.now < self.slow_until:
             return
-        if side.inbox:
-            for line in self.lines.take(side.take()):
-                self.hear(line)
+        if side.received:
+            for line in self.lines.take(side.recv()):
+                self.on_line(line)
                 if self.done:
                     return
-        if side.broke or side.ended:
-            self.clients.ended(self, "reset" if side.broke else "end")
+        if side.was_reset or side.eof:
+            self.clients.on_node_ended(self, "reset" if side.was_reset else "end")
 
-    def room(self, side):
+    def on_writable(self, side):
         pass
 
-    def hear(self, line):
+    def on_line(self, line):
         now, clients = self.clients.world.now, self.clients
         clients.fleet.invariants.client_has(self, line)
         if not self.up or line.startswith(b"UP "):
@@ -125,19 +140,19 @@
             self.how = self.how or "moved"
         elif line == b"BYE":
             self.how = self.how or "bye"
-        elif line.startswith(b"e") and self.asked:
-            self.echoes += 1
-            self.slowest = max(self.slowest, now - self.asked.pop(0))
+        elif line.startswith(b"e") and self.unanswered_lines:
+            self.echo_count += 1
+            self.max_echo_delay = max(self.max_echo_delay, now - self.unanswered_lines.pop(0))
 
-    def say(self, every):
+    def send_echo_line(self, every):
         world = self.clients.world
         if self.done:
             return
-        world.after(every, self.say, every)
-        if world.now < self.slow:
+        world.after(every, self.send_echo_line, every)
+        if world.now < self.slow_until:
             return
         self.line += 1
-        self.asked.append(world.now)
+        self.unanswered_lines.append(world.now)
         with contextlib.suppress(BrokenPipeError):  # it hears of its end in a moment
             self.side.send(b"e%d\r\n" % self.line)
 
@@ -145,7 +160,7 @@
         if not self.done:
             self.clients.end_call(self, "left")
 
-    def waited_out(self):
+    def on_guard_expired(self):
         if not self.done and not self.answers:
             self.clients.end_call(self, "gave-up")
 
@@ -156,64 +171,73 @@
         self.fleet, self.world, self.plan = fleet, fleet.world, fleet.plan
         x = self.plan.experiment
         self.load, self.types, self.calls = x.load, x.load.types, schedule
-        self.columns = {name: getattr(schedule, name).tolist() for name in schedule.__struct_fields__}
-        self.backs = (
-            np.random.default_rng([self.plan.seed, 3, 0]).random(max(1, len(self.columns["at"]))).tolist()
+        self.schedule_columns = {
+            name: getattr(schedule, name).tolist() for name in schedule.__struct_fields__
+        }
+        self.reconnect_draws = (
+            np.random.default_rng([self.plan.seed, 3, 0])
+            .random(max(1, len(self.schedule_columns["at"])))
+            .tolist()
         )
-        self.ending = round(x.seconds * SECOND)
-        self.alive, self.place, self.made, self.open, self.established = (
+        self.traffic_end = round(x.seconds * SECOND)
+        self.in_rotation, self.endpoint, self.connection_count, self.open_calls, self.established = (
             list(fleet.nodes),
-            Place("client"),
+            Endpoint("client"),
             0,
             {},
             {},
         )
         self.counts = {"offered": 0, "up": 0, "busy": 0, "other": 0, "none": 0, "moved": 0, "broken": 0}
-        self.draws, self.crowding, self.late = self.world.random_stream("bad"), None, schedule.at.tolist()
-        for n, at in enumerate(self.columns["at"]):
+        self.random, self.sole_target, self.late = self.world.random_stream("bad"), None, schedule.at.tolist()
+        for n, at in enumerate(self.schedule_columns["at"]):
             if only is None or n in only:
                 self.world.at(at, self.arrive, n, at)
         for shape in self.load.shapes:
             if shape.kind == "reconnect":
                 self.world.at(
-                    round(shape.start * SECOND), self.break_off, shape.share, round(shape.seconds * SECOND)
+                    round(shape.start * SECOND),
+                    self.disconnect_share,
+                    shape.share,
+                    round(shape.seconds * SECOND),
                 )
 
     # The front
 
-    def front(self, node, deals):
-        if deals and node not in self.alive:
-            self.alive = [one for one in self.fleet.nodes if one in self.alive or one is node]
-        elif not deals and node in self.alive:
-            self.alive.remove(node)
+    def set_in_rotation(self, node, enabled):
+        if enabled and node not in self.in_rotation:
+            self.in_rotation = [each for each in self.fleet.nodes if each in self.in_rotation or each is node]
+        elif not enabled and node in self.in_rotation:
+            self.in_rotation.remove(node)
 
     # Arrivals
 
     def arrive(self, n, at):
-        c = self.columns
+        c = self.schedule_columns
         self.call(Call(self, n, self.types[c["kind"][n]], f"k0-{n}", f"g{c['group'][n]}", at))
 
     def call(self, call):
-        self.made += 1
-        call.id, call.begun = f"0x{self.made:x}", self.world.now
-        among = self.alive or self.fleet.nodes
-        if self.crowding is not None and self.world.now < self.crowding[0]:
-            among = [self.crowding[1]]
-        draw = self.columns["draw"][call.first] + 2654435761 * (call.tries + call.again)
-        call.node = among[draw % len(among)]
+        self.connection_count += 1
+        call.id, call.begun = f"0x{self.connection_count:x}", self.world.now
+        candidates = self.in_rotation or self.fleet.nodes
+        if self.sole_target is not None and self.world.now < self.sole_target[0]:
+            candidates = [self.sole_target[1]]
+        draw = self.schedule_columns["draw"][call.schedule_index] + 2654435761 * (call.tries + call.again)
+        call.node = candidates[draw % len(candidates)]
         self.counts["offered"] += 1
         self.fleet.invariants.calls_made(call)
-        self.world.network.connect(call, self.place, call.node.place, CONNECT_WAIT, call.connected)
+        self.world.network.connect(
+            call, self.endpoint, call.node.endpoint, CONNECT_TIMEOUT, call.on_connected
+        )
 
     def schedule_call(self, call, wait, again):
         when = self.world.now + wait
-        if when <= self.ending + SECOND:
+        if when <= self.traffic_end + SECOND:
             self.world.at(
                 when,
                 self.call,
                 Call(
                     self,
-                    call.first,
+                    call.schedule_index,
                     call.kind,
                     call.key,
                     call.group,
@@ -227,29 +251,29 @@
     def on_up(self, call):
         self.counts["up"] += 1
         self.established[call] = None
-        self.fleet.served(call)
-        life, every = self.columns["life"][call.first], round(self.load.line_s * SECOND)
+        self.fleet.on_call_up(call)
+        life, every = self.schedule_columns["life"][call.schedule_index], round(self.load.line_s * SECOND)
         self.world.after(life, call.leave)
         if every and life > every:
-            self.world.after(every, call.say, every)
+            self.world.after(every, call.send_echo_line, every)
 
-    def break_off(self, share, span):
+    def disconnect_share(self, share, span):
         for call in list(self.established):
-            part = self.backs[call.first]
-            if part < share and not call.done:
+            position = self.reconnect_draws[call.schedule_index]
+            if position < share and not call.done:
                 call.side.reset()
                 self.end_call(call, "broke-off")
-                self.schedule_call(call, round(part / share * span), True)
+                self.schedule_call(call, round(position / share * span), True)
 
     def slow_readers(self, share, span):
         for call in list(self.established):
-            if self.backs[call.first] < share:
-                call.slow = self.world.now + span
-                self.world.at(call.slow, call.arrived, call.side)
+            if self.reconnect_draws[call.schedule_index] < share:
+                call.slow_until = self.world.now + span
+                self.world.at(call.slow_until, call.on_readable, call.side)
 
     # Ends
 
-    def ended(self, call, how):
+    def on_node_ended(self, call, how):
         """Its node has ended it."""
         if call.up:
             self.counts["moved" if call.how in ("moved", "bye") else "broken"] += 1
@@ -265,10 +289,10 @@
             self.counts["busy" if call.answers[0][1] == "BUSY" else "other"] += 1
         if call.side is not None:
             call.side.close()
-        self.open.pop(call, None)
+        self.open_calls.pop(call, None)
         self.established.pop(call, None)
         self.fleet.invariants.client_done(call, how)
-        self.fleet.put(
+        self.fleet.add_record(
             "load",
             {
                 "k": "call",
@@ -288,45 +312,49 @@
                 "end": now,
                 "how": how,
                 "lines": call.line,
-                "echoes": call.echoes,
-                "slowest": call.slowest,
-                "unanswered": now - call.asked[0]
-                if call.asked and not call.slow and how not in ("left", "broke-off", "cut")
+                "echoes": call.echo_count,
+                "slowest": call.max_echo_delay,
+                "unanswered": now - call.unanswered_lines[0]
+                if call.unanswered_lines and not call.slow_until and how not in ("left", "broke-off", "cut")
                 else 0,
             },
         )
-        after = comes_back(
+        next_call = comes_back(
             self.load,
             call.kind,
             how,
             call.up,
             call.answers[0][1:] if call.answers else None,
             call.tries,
-            self.columns["draw"][call.first] % 1000 < 1000 * self.load.honour,
-            self.backs[call.first],
+            self.schedule_columns["draw"][call.schedule_index] % 1000 < 1000 * self.load.honour,
+            self.reconnect_draws[call.schedule_index],
         )
-        if after:
-            self.schedule_call(call, *after)
+        if next_call:
+            self.schedule_call(call, *next_call)
 
     def finish(self):
-        for call in list(self.open):
+        for call in list(self.open_calls):
             self.end_call(call, "cut")
 
     # No players
 
-    def bad(self, kinds, rate, span):
+    def start_bad_clients(self, kinds, rate, span):
         for _ in range(round(rate * span / SECOND)):
-            self.world.after(self.draws.randbelow(span), self.bad_one, self.draws.choice(kinds or ALL_BAD))
+            self.world.after(
+                self.random.randbelow(span), self.start_bad_client, self.random.choice(kinds or BAD_KINDS)
+            )
 
-    def bad_one(self, kind):
-        node = self.draws.choice(self.alive or self.fleet.nodes)
+    def start_bad_client(self, kind):
+        node = self.random.choice(self.in_rotation or self.fleet.nodes)
         for _ in range(20 if kind == "crowd" else 1):
-            self.made += 1
-            one = Bad(self, kind, f"bx{self.made:x}", node)
-            self.world.network.connect(one, self.place, node.place, CONNECT_WAIT, one.connected)
+            self.connection_count += 1
+            bad_client = BadClient(self, kind, f"bx{self.connection_count:x}", node)
+            self.world.network.connect(
+                bad_client, self.endpoint, node.endpoint, CONNECT_TIMEOUT, bad_client.on_connected
+            )
 
 
-class Bad:
+class BadClient:
     """A client that is no player: it is owed an error or a close, and must cost the others nothing."""
 
     LINES = {
@@ -340,10 +368,10 @@
         "hangs-up": b"OPEN %s k c=%s,d=900\r\n",
         "shuts": b"OPEN %s k c=%s,d=900\r\n",
     }
-    PATIENCE = 12 * SECOND
+    LIFETIME = 12 * SECOND
 
     def __init__(self, clients, kind, id, node):
-        self.clients, self.kind, self.id, self.node, self.side, self.began, self.over = (
+        self.clients, self.kind, self.id, self.node, self.side, self.connected_at, self.closed = (
             clients,
             kind,
             id,
@@ -352,16 +380,16 @@
             0,
             False,
         )
-        self.taken = 0  # when a process had it
+        self.accepted_at = 0  # when a process had it
 
-    def connected(self, side, why):
+    def on_connected(self, side, why):
         if side is None:
             return
-        self.side, self.began, world = side, self.clients.world.now, self.clients.world
+        self.side, self.connected_at, world = side, self.clients.world.now, self.clients.world
         name = self.clients.types[0].name
         line = self.LINES.get(self.kind, b"")
         if self.kind == "same-id":
-            victim = next(iter(self.clients.open), None)
+            victim = next(iter(self.clients.open_calls), None)
             line = b"OPEN %s k c=%s,d=900\r\n" % ((victim.id if victim else self.id).encode(), name.encode())
             self.clients.fleet.invariants.stolen.add(victim.id if victim else self.id)
         elif line.count(b"%s") == 2:
@@ -374,22 +402,22 @@
         except BrokenPipeError:
             return
         if self.kind == "hangs-up":
-            world.after(self.clients.draws.randbelow(4000), self.leave)
+            world.after(self.clients.random.randbelow(4000), self.leave)
         elif self.kind == "shuts":
-            side.end()
-        world.after(self.PATIENCE, self.leave)
-        self.clients.fleet.invariants.bad(self)
+            side.shutdown_write()
+        world.after(self.LIFETIME, self.leave)
+        self.clients.fleet.invariants.on_bad_client(self)
 
     def leave(self):
-        if not self.over:
-            self.over = True
+        if not self.closed:
+            self.closed = True
             self.side.close()
 
-    def arrived(self, side):
-        if side.inbox:
-            side.take()
-        if side.ended or side.broke:
+    def on_readable(self, side):
+        if side.received:
+            side.recv()
+        if side.eof or side.was_reset:
             self.leave()
 
-    def room(self, side):
+    def on_writable(self, side):
         pass
--- a/cottonspread/lab/sim/fault_injection.py
+++ b/cottonspread/lab/sim/fault_injection.py
@@ -4,107 +4,107 @@
 from cottonspread.lab.plan import AT_ONCE, HOST_FAULTS
 from cottonspread.lab.sim.world import SECOND
 
-STOP_WAIT = 3_700_000  # from SIGTERM to SIGKILL: the longest guard time, 3 s at most, and 0.7 s
-
-
-def inject(fleet, one):
-    span = round(one.seconds * SECOND)
-    fleet.world.add_trace_line("trouble", one.kind, *one.on)
-    fleet.invariants.trouble(one)
-    if one.kind in HOST_FAULTS:
-        for name in one.on:
-            on_host(fleet, fleet.hosts[name], one, span)
-    elif one.kind in ON_NODES:
-        for name in one.on:
-            ON_NODES[one.kind](fleet, fleet.by_name[name], one, span)
+STOP_TIMEOUT = 3_700_000  # from SIGTERM to SIGKILL: the longest guard time, 3 s at most, and 0.7 s
+
+
+def inject(fleet, fault):
+    span = round(fault.seconds * SECOND)
+    fleet.world.add_trace_line("trouble", fault.kind, *fault.on)
+    fleet.invariants.trouble(fault)
+    if fault.kind in HOST_FAULTS:
+        for name in fault.on:
+            inject_host_fault(fleet, fleet.hosts[name], fault, span)
+    elif fault.kind in NODE_ACTIONS:
+        for name in fault.on:
+            NODE_ACTIONS[fault.kind](fleet, fleet.by_name[name], fault, span)
     else:
-        ELSEWHERE[one.kind](fleet, one, span)
+        OTHER_ACTIONS[fault.kind](fleet, fault, span)
 
 
-def on_host(fleet, host, one, span):
-    if one.kind == "join":
-        host.mend(one)
+def inject_host_fault(fleet, host, fault, span):
+    if fault.kind == "join":
+        host.mend(fault)
         return
-    host.fault(one)
-    if one.kind not in AT_ONCE and one.kind != "hang" and span:
-        fleet.world.after(span, host.mend, one)
+    host.fault(fault)
+    if fault.kind not in AT_ONCE and fault.kind != "hang" and span:
+        fleet.world.after(span, host.mend, fault)
 
 
 # Nodes
 
 
-def on_alive(what):
+def for_running_process(action):
     """A trouble of a node's process; without one there is none."""
 
-    def begun(fleet, node, one, span):
+    def run(fleet, node, fault, span):
         if node.process is not None:
-            what(fleet, node, node.process, one, span)
+            action(fleet, node, node.process, fault, span)
 
-    return begun
+    return run
 
 
-def freeze(fleet, node, process, one, span):
-    fleet.put_node("freeze", node)
+def freeze(fleet, node, process, fault, span):
+    fleet.record_node_event("freeze", node)
     process.freeze(span)
-    fleet.world.after(span, fleet.put_node, "thaw", node)
+    fleet.world.after(span, fleet.record_node_event, "thaw", node)
     fleet.invariants.stood_still(node, fleet.world.now, fleet.world.now + span)
 
 
-def kill(fleet, node, process, one, span):
-    node.wanted = False
+def kill(fleet, node, process, fault, span):
+    node.should_run = False
     for each in list(node.processes):
         each.kill()
-    fleet.front_notices(node, round(fleet.plan.experiment.nodes.front_notice_s * SECOND))
+    fleet.schedule_removal(node, round(fleet.plan.experiment.nodes.front_notice_s * SECOND))
     if span:
-        fleet.world.after(span, start_anew, fleet, node)
+        fleet.world.after(span, restart, fleet, node)
 
 
-def stop(fleet, node, process, one, span):
-    node.wanted = False
-    fleet.put_node("stopping", node)
+def stop(fleet, node, process, fault, span):
+    node.should_run = False
+    fleet.record_node_event("stopping", node)
     for each in list(node.processes):
         each.stop()
-        fleet.world.after(STOP_WAIT, at_last, fleet, each)
-    fleet.front_notices(node, 300_000)
+        fleet.world.after(STOP_TIMEOUT, kill_if_running, fleet, each)
+    fleet.schedule_removal(node, 300_000)
     if span:
-        fleet.world.after(span, start_anew, fleet, node)
+        fleet.world.after(span, restart, fleet, node)
 
 
-def at_last(fleet, process):
+def kill_if_running(fleet, process):
     """SIGKILL for what is still there: it had its time."""
     if not process.dead:
         fleet.invariants.overstayed(process)
         process.kill()
 
 
-def start_anew(fleet, node):
-    if node.wanted or fleet.over:  # another trouble has brought it back
+def restart(fleet, node):
+    if node.should_run or fleet.stopping:  # another trouble has brought it back
         return
     if node.processes:
-        fleet.world.after(50_000, start_anew, fleet, node)
+        fleet.world.after(50_000, restart, fleet, node)
     else:
-        node.wanted = True
+        node.should_run = True
         node.start()
-        fleet.world.after(50_000, fleet.take_in, node)
+        fleet.world.after(50_000, fleet.start_health_checks, node)
 
 
-def reload(fleet, node, process, one, span):
+def reload(fleet, node, process, fault, span):
     """SIGHUP: every second time with a file that is cut off."""
     values = dict(process.values)
-    if one.factor < 1:
+    if fault.factor < 1:
         values.pop("settings")
     process.retune(values)
 
 
-def retune(fleet, node, process, one, span):
-    node.retuned += 1
-    process.retune(tuning.values(fleet.plan, node.number, node.retuned))
+def retune(fleet, node, process, fault, span):
+    node.settings_version += 1
+    process.retune(tuning.values(fleet.plan, node.number, node.settings_version))
 
 
-def quiesce(fleet, node, process, one, span):
-    fleet.put_node("quiesce", node)
+def quiesce(fleet, node, process, fault, span):
+    fleet.record_node_event("quiesce", node)
     process.drain(True)
-    fleet.front_notices(node, 300_000)
+    fleet.schedule_removal(node, 300_000)
     fleet.invariants.drained(process)
     fleet.world.after(span, resume, fleet, node)
 
@@ -113,36 +113,36 @@
     """Of whatever process is there by then: one that replaces a drained one is drained too."""
     process = node.process
     if process is not None:
-        fleet.put_node("resume", node)
+        fleet.record_node_event("resume", node)
         fleet.invariants.resumed(process)
         process.drain(False)
-        fleet.world.after(50_000, fleet.take_in, node)
+        fleet.world.after(50_000, fleet.start_health_checks, node)
 
 
-def replace(fleet, node, process, one, span):
+def replace(fleet, node, process, fault, span):
     if len(node.processes) == 1 and not process.reducer.stopping:
-        fleet.put_node("replacing", node)
-        fleet.world.after(20_000, replaced, fleet, process, node.start(), 0)
+        fleet.record_node_event("replacing", node)
+        fleet.world.after(20_000, stop_replaced, fleet, process, node.start(), 0)
 
 
-def replaced(fleet, old, new, tries):
+def stop_replaced(fleet, old, new, tries):
     """SIGTERM for the old process once the new one serves."""
     if new.takes and new.reducer.listed and not old.dead:
         old.stop()
-        fleet.world.after(STOP_WAIT, at_last, fleet, old)
+        fleet.world.after(STOP_TIMEOUT, kill_if_running, fleet, old)
     elif tries < 300 and not new.dead and not old.dead:
-        fleet.world.after(20_000, replaced, fleet, old, new, tries + 1)
+        fleet.world.after(20_000, stop_replaced, fleet, old, new, tries + 1)
 
 
-def late_writes(fleet, node, process, one, span):
+def late_writes(fleet, node, process, fault, span):
     """The kernel takes half of what is written, and the rest up to `factor` tenths of a second later."""
-    process.late_writes = 0.3, round(one.factor * SECOND / 10)
+    process.late_writes = 0.3, round(fault.factor * SECOND / 10)
     fleet.world.after(span, setattr, process, "late_writes", None)
 
 
-ON_NODES = {
-    name: on_alive(what)
-    for name, what in (
+NODE_ACTIONS = {
+    name: for_running_process(action)
+    for name, action in (
         ("freeze", freeze),
         ("kill", kill),
         ("stop", stop),
@@ -158,39 +158,41 @@
 # The ways
 
 
-def partition(fleet, one, span):
+def partition(fleet, fault, span):
     """What is named (hosts, nodes, zones) and the rest do not reach each other; what was sent is held."""
-    names, network = frozenset(one.on), fleet.world.network
-    network.cut(names)
+    names, network = frozenset(fault.on), fleet.world.network
+    network.partition(names)
     fleet.world.after(span, network.heal, names)
 
 
-def slow_way(fleet, one, span):
+def slow_way(fleet, fault, span):
     """`factor` times 10 ms more each way."""
-    extra, network = (frozenset(one.on), round(one.factor * 10_000)), fleet.world.network
-    network.slower.append(extra)
-    fleet.world.after(span, network.slower.remove, extra)
+    slowdown, network = (frozenset(fault.on), round(fault.factor * 10_000)), fleet.world.network
+    network.slowdowns.append(slowdown)
+    fleet.world.after(span, network.slowdowns.remove, slowdown)
 
 
-def struck(fleet, one, salt):
+def affected_links(fleet, fault, salt):
     """A share (`factor` tenths) of the connections between nodes and what is named."""
-    links = fleet.world.network.between(frozenset(one.on))
-    return fleet.world.random_stream(salt, one.at).sample(links, min(1.0, one.factor / 10)) if links else []
+    links = fleet.world.network.links_touching(frozenset(fault.on))
+    return (
+        fleet.world.random_stream(salt, fault.at).sample(links, min(1.0, fault.factor / 10)) if links else []
+    )
 
 
-def stall(fleet, one, span):
-    fleet.world.network.stall(struck(fleet, one, "stall"), span)
+def stall(fleet, fault, span):
+    fleet.world.network.stall(affected_links(fleet, fault, "stall"), span)
 
 
-def snap(fleet, one, span):
-    links = struck(fleet, one, "snap")
+def reset_connections(fleet, fault, span):
+    links = affected_links(fleet, fault, "snap")
     fleet.invariants.snapped(links)
-    fleet.world.network.snap(links)
+    fleet.world.network.reset_links(links)
 
 
-def dead(fleet, one, span):
+def dead(fleet, fault, span):
     """They bring nothing any more, and nobody is told."""
-    for link in struck(fleet, one, "dead"):
+    for link in affected_links(fleet, fault, "dead"):
         link.dead = True
         fleet.invariants.went_dead(link)
 
@@ -198,46 +200,46 @@
 # The list
 
 
-def agents(fleet, one):
-    return list(dict.fromkeys(node.agent for node in fleet.nodes if not one.on or node.name in one.on))
+def agents(fleet, fault):
+    return list(dict.fromkeys(node.agent for node in fleet.nodes if not fault.on or node.name in fault.on))
 
 
-def list_cut(fleet, one, span):
-    for agent in agents(fleet, one):
-        agent.cut(span)
+def list_cut(fleet, fault, span):
+    for agent in agents(fleet, fault):
+        agent.go_silent(span)
 
 
-def list_garbage(fleet, one, span):
-    for agent in agents(fleet, one):
-        agent.garbage = 5
+def list_garbage(fleet, fault, span):
+    for agent in agents(fleet, fault):
+        agent.garbage_left = 5
         agent.answer_waiting_calls()
 
 
-def list_restart(fleet, one, span):
-    for agent in agents(fleet, one):
-        agent.begin_anew()
+def list_restart(fleet, fault, span):
+    for agent in agents(fleet, fault):
+        agent.restart()
 
 
-def list_late(fleet, one, span):
+def list_late(fleet, fault, span):
     """Changes come so much later; `factor` seconds."""
-    for agent in agents(fleet, one):
-        agent.later = round(one.factor * SECOND)
-        fleet.world.after(span, setattr, agent, "later", 0)
+    for agent in agents(fleet, fault):
+        agent.extra_lag = round(fault.factor * SECOND)
+        fleet.world.after(span, setattr, agent, "extra_lag", 0)
 
 
-def contradict(fleet, one, span):
+def contradict(fleet, fault, span):
     """Agents of the nodes that are named tell a host that is well as draining or gone, and take it back."""
     up = [name for name, host in fleet.hosts.items() if host.model.state == "up" and not host.gone]
     if not up:
         return
-    draws = fleet.world.random_stream("contradict", one.at)
-    name, state = draws.choice(up), draws.choice(("Terminating", "Gone"))
-    for agent in agents(fleet, one):
+    random = fleet.world.random_stream("contradict", fault.at)
+    name, state = random.choice(up), random.choice(("Terminating", "Gone"))
+    for agent in agents(fleet, fault):
         agent.schedule_change(name, state, None, fleet.entry(fleet.hosts[name].machine))
-        fleet.world.after(span, taken_back, fleet, agent, name)
+        fleet.world.after(span, retract_change, fleet, agent, name)
 
 
-def taken_back(fleet, agent, name):
+def retract_change(fleet, agent, name):
     host = fleet.hosts[name]
     if host.model.state == "up":
         agent.schedule_change(name, "Ready", None, fleet.entry(host.machine))
@@ -246,39 +248,39 @@
 # All together
 
 
-def store_slow(fleet, one, span):
+def store_slow(fleet, fault, span):
     """What all set-ups need takes `factor` tenths of a second more."""
     for host in fleet.hosts.values():
-        host.model.store = round(one.factor * SECOND / 10)
+        host.model.store = round(fault.factor * SECOND / 10)
         fleet.world.after(span, setattr, host.model, "store", 0)
 
 
-def reconnect(fleet, one, span):
-    fleet.clients.break_off(min(1.0, one.factor / 10), span or SECOND)
+def reconnect(fleet, fault, span):
+    fleet.clients.disconnect_share(min(1.0, fault.factor / 10), span or SECOND)
 
 
-def slow_readers(fleet, one, span):
-    fleet.clients.slow_readers(min(1.0, one.factor / 10), span)
+def slow_readers(fleet, fault, span):
+    fleet.clients.slow_readers(min(1.0, fault.factor / 10), span)
 
 
-def crowding(fleet, one, span):
+def send_all_to_one_node(fleet, fault, span):
     """The front deals everything to one node."""
-    fleet.clients.crowding = fleet.world.now + span, fleet.by_name[one.on[0]]
+    fleet.clients.sole_target = fleet.world.now + span, fleet.by_name[fault.on[0]]
 
 
-def bad(fleet, one, span):
-    fleet.clients.bad(
-        [name for name in one.on if name not in fleet.by_name and name not in fleet.hosts],
-        10 * one.factor,
+def start_bad_clients(fleet, fault, span):
+    fleet.clients.start_bad_clients(
+        [name for name in fault.on if name not in fleet.by_name and name not in fleet.hosts],
+        10 * fault.factor,
         span,
     )
 
 
-ELSEWHERE = {
+OTHER_ACTIONS = {
     "partition": partition,
     "slow-way": slow_way,
     "stall": stall,
-    "snap": snap,
+    "snap": reset_connections,
     "dead": dead,
     "list-cut": list_cut,
     "list-garbage": list_garbage,
@@ -288,6 +290,6 @@
     "store-slow": store_slow,
     "reconnect": reconnect,
     "slow-readers": slow_readers,
-    "crowding": crowding,
-    "bad": bad,
+    "crowding": send_all_to_one_node,
+    "bad": start_bad_clients,
 }
--- a/cottonspread/lab/sim/fleet.py
+++ b/cottonspread/lab/sim/fleet.py
@@ -14,13 +14,13 @@
 from cottonspread.lab.sim.clients import Clients
 from cottonspread.lab.sim.hosts import Host
 from cottonspread.lab.sim.invariants import Invariants
-from cottonspread.lab.sim.network import Network, Place
+from cottonspread.lab.sim.network import Endpoint, Network
 from cottonspread.lab.sim.node import KILLED, Process
 from cottonspread.lab.sim.world import EPOCH, SECOND, World
 
 NOTICED = 300_000  # until the front deals no more to a node that says no
-LIST_WAIT = 2 * SECOND  # for a list that discovery tells; then the saved one is trusted
-PINGS = 100_000  # the front asks a node that is to come in
+LIST_TIMEOUT = 2 * SECOND  # for a list that discovery tells; then the saved one is trusted
+PING_INTERVAL = 100_000  # the front asks a node that is to come in
 
 
 class Node:
@@ -28,35 +28,41 @@
 
     def __init__(self, fleet, number):
         self.fleet, self.number, self.plan = fleet, number, fleet.plan.nodes[number]
-        x, draws = fleet.plan.experiment, fleet.world.random_stream("node", number)
+        x, random = fleet.plan.experiment, fleet.world.random_stream("node", number)
         self.name = self.plan.name
-        self.place = Place(self.name, f"z{number % x.hosts.zones}")
-        self.draws, self.starts, self.retuned, self.processes, self.waiting = draws, 0, 0, [], []
+        self.endpoint = Endpoint(self.name, f"z{number % x.hosts.zones}")
+        self.random, self.start_count, self.settings_version, self.processes, self.pending_sides = (
+            random,
+            0,
+            0,
+            [],
+            [],
+        )
         self.skew, self.drift = (
-            draws.randint(-x.ways.skew_us, x.ways.skew_us),
-            draws.randint(-x.ways.drift_ppm, x.ways.drift_ppm),
+            random.randint(-x.ways.skew_us, x.ways.skew_us),
+            random.randint(-x.ways.drift_ppm, x.ways.drift_ppm),
         )
-        self.shared = any(f.kind == "replace" and self.name in f.on for f in fleet.plan.faults)
-        self.wanted, self.down_at, self.saved, self.generation = True, None, {}, 0
+        self.shares_listener = any(f.kind == "replace" and self.name in f.on for f in fleet.plan.faults)
+        self.should_run, self.down_at, self.saved_instances, self.generation = True, None, {}, 0
         self.agent = fleet.agent_for(self)
 
     def start(self):
         """A process as `serve` makes one."""
-        self.starts += 1
-        values = tuning.values(self.fleet.plan, self.number, self.retuned)
+        self.start_count += 1
+        values = tuning.values(self.fleet.plan, self.number, self.settings_version)
         # the list that the process before it was told, from the folder that both share
-        if self.shared and self.saved:
+        if self.shares_listener and self.saved_instances:
             values["known"] = {
                 "generation": self.generation,
                 "reset": True,
-                "instances": list(self.saved.values()),
+                "instances": list(self.saved_instances.values()),
             }
-        process = self.fleet.process_type(self, values, self.shared)
+        process = self.fleet.process_type(self, values, self.shares_listener)
         self.processes.append(process)
-        process.takes = not self.shared
-        if self.shared:
+        process.takes = not self.shares_listener
+        if self.shares_listener:
             self.wait_until_ready(process)
-        self.open_door()
+        self.update_listener()
         return process
 
     @property
@@ -68,49 +74,49 @@
         """As the succession does: it serves once it knows a list that discovery told."""
         if process.dead:
             return
-        told = not process.discovery.whole or self.fleet.world.now - process.began >= LIST_WAIT
-        if not process.reducer.listed or not told:
+        list_received = not process.discovery.whole or self.fleet.world.now - process.began >= LIST_TIMEOUT
+        if not process.reducer.listed or not list_received:
             self.fleet.world.after(20_000, self.wait_until_ready, process)
         elif len(self.processes) > 1:
             process.take_from(self.processes[-2])
         else:
             process.takes = True
-            self.open_door()
+            self.update_listener()
 
-    def keep(self, version, instances, whole):
+    def save_list(self, version, instances, whole):
         """What discovery told last, as a process saves it."""
         if whole:
-            self.saved = {}
+            self.saved_instances = {}
         self.generation = version
         for one in instances:
-            self.saved[one["instanceId"]] = one
+            self.saved_instances[one["instanceId"]] = one
             if one["lifecycle"] == "Gone":
-                del self.saved[one["instanceId"]]
+                del self.saved_instances[one["instanceId"]]
 
-    def open_door(self):
+    def update_listener(self):
         """Who takes connections now. The platform's listener holds them for whoever comes."""
-        taking = [p for p in self.processes if p.takes]
-        if not taking:
-            self.place.door = self.waiting.append if self.shared else None
+        accepting = [p for p in self.processes if p.takes]
+        if not accepting:
+            self.endpoint.on_connect = self.pending_sides.append if self.shares_listener else None
             return
-        self.place.door = lambda side: (taking[0] if len(taking) == 1 else self.draws.choice(taking)).came(
-            side
-        )
-        waiting, self.waiting = self.waiting, []
-        for side in waiting:
-            self.place.door(side)
-
-    def ended(self, process):
+        self.endpoint.on_connect = lambda side: (
+            accepting[0] if len(accepting) == 1 else self.random.choice(accepting)
+        ).came(side)
+        pending_sides, self.pending_sides = self.pending_sides, []
+        for side in pending_sides:
+            self.endpoint.on_connect(side)
+
+    def on_process_exit(self, process):
         self.processes.remove(process)
         self.fleet.invariants.process_ended(process)
-        self.open_door()
+        self.update_listener()
         if self.processes:  # alone again
             self.processes[-1].limit(None)
-        elif process.dead == KILLED or not self.wanted:
-            self.fleet.put_node("killed" if process.dead == KILLED else "stopped", self)
+        elif process.dead == KILLED or not self.should_run:
+            self.fleet.record_node_event("killed" if process.dead == KILLED else "stopped", self)
 
 
-def expanded(plan):
+def expand_zone_faults(plan):
     """A zone that is lost is each of its machines, vanished and back cold."""
     faults = []
     for one in plan.faults:
@@ -132,28 +138,28 @@
 
         `policy`: a class in the place of the Balancer. `checked`: whether promises are looked at.
         """
-        self.plan, x = expanded(plan), plan.experiment
+        self.plan, x = expand_zone_faults(plan), plan.experiment
         self.world = World(plan.seed if seed is None else seed, traced)
         self.world.network = Network(self.world, x.ways.same_us, x.ways.cross_us, x.ways.jitter_us)
         self.policy, self.addresses, self.reasons = policy, {}, {}
         self.entries = [self.entry(m) for m in plan.machines if not m.started]
         self.invariants = Invariants(self, checked)
         self.hosts = {m.name: Host(self, m) for m in plan.machines}
-        self.addresses = {(h.machine.ip, h.machine.port): h.place for h in self.hosts.values()}
+        self.addresses = {(h.machine.ip, h.machine.port): h.endpoint for h in self.hosts.values()}
         self.nodes = [Node(self, n) for n in range(len(plan.nodes))]
         self.by_name = {node.name: node for node in self.nodes}
         self.clients = self.clients_type(self, plans.schedule(plan), only)
-        self.over = False
+        self.stopping = False
         for node in self.nodes:
             # They start together, as a fleet's machines do: not in the same microsecond.
-            self.world.at(node.draws.randbelow(self.start_window), node.start)
+            self.world.at(node.random.randbelow(self.start_window), node.start)
         for after, name, lifecycle, started in listing.changes(self.plan):
             self.schedule_change(after - round(x.listing.lag_ms * 1000), name, lifecycle, started)
         for one in self.plan.faults:
             self.world.at(round(one.at * SECOND), fault_injection.inject, self, one)
         if x.listing.weights_ms:
             self.world.after(
-                round(x.listing.weights_ms * 1000), self.weigh, round(x.listing.weights_ms * 1000)
+                round(x.listing.weights_ms * 1000), self.update_weights, round(x.listing.weights_ms * 1000)
             )
 
     def agent_for(self, node):
@@ -185,18 +191,18 @@
         for agent in self.agents:
             self.world.at(after, agent.schedule_change, name, lifecycle, at, self.entry(machine))
 
-    def weigh(self, every):
+    def update_weights(self, every):
         held = {
             m.name: (m.traits.cores * m.traits.speed, len(self.hosts[m.name].model.conns) / m.traits.cores)
             for m in self.plan.machines
         }
         for agent in self.agents:
-            agent.weigh(held)
-        self.world.after(every, self.weigh, every)
+            agent.update_weights(held)
+        self.world.after(every, self.update_weights, every)
 
     # The record
 
-    def put(self, kind, line):
+    def add_record(self, kind, line):
         if self.invariants.checked:
             self.records[kind].append(line)
 
@@ -204,19 +210,19 @@
     def records(self):
         return self.world.records
 
-    def put_node(self, kind, node, **more):
-        self.put("nodes", {"k": kind, "t": self.world.now, "node": node.name, **more})
+    def record_node_event(self, kind, node, **more):
+        self.add_record("nodes", {"k": kind, "t": self.world.now, "node": node.name, **more})
 
-    def served(self, call):
+    def on_call_up(self, call):
         pass
 
-    def heard(self, process, effect):
+    def on_log_line(self, process, effect):
         """A log line of a node."""
         if effect.event in ("overdue", "fault"):
             self.invariants.broken(0, f"the node's log says {effect.event}", process.node.name, effect.pairs)
 
-    def stepped(self, process, event, effects):
-        self.invariants.stepped(process)
+    def after_step(self, process, event, effects):
+        self.invariants.after_step(process)
 
     # The play
 
@@ -229,9 +235,9 @@
 
     def stop_all(self, wait=6 * SECOND):
         """Every node gets its SIGTERM; what is left then is a leak."""
-        self.over = True
+        self.stopping = True
         for node in self.nodes:
-            node.wanted = False
+            node.should_run = False
             for process in node.processes:
                 process.stop()
         self.world.run(self.world.now + wait)
@@ -239,52 +245,52 @@
 
     # The front
 
-    def take_in(self, node):
+    def start_health_checks(self, node):
         """The front deals to it once it has answered PING."""
         process = node.process
         if process is not None and not process.dead:
             Pinger(self, node)
 
-    def front_notices(self, node, after):
+    def schedule_removal(self, node, after):
         node.down_at = self.world.now
-        self.world.after(after, self.front_down, node, node.down_at)
+        self.world.after(after, self.remove_if_down, node, node.down_at)
 
-    def front_down(self, node, since):
+    def remove_if_down(self, node, since):
         if node.down_at == since:
-            self.clients.front(node, False)
+            self.clients.set_in_rotation(node, False)
 
 
 class Pinger:
     """The front's question to a node that comes in, again and again until it says yes."""
 
     def __init__(self, fleet, node):
-        self.fleet, self.node, self.taken = fleet, node, 0
-        fleet.world.network.connect(self, fleet.clients.place, node.place, SECOND, self.connected)
+        self.fleet, self.node, self.accepted_at = fleet, node, 0
+        fleet.world.network.connect(self, fleet.clients.endpoint, node.endpoint, SECOND, self.connected)
 
     def connected(self, side, why):
         if side is None:
-            self.again()
+            self.retry()
             return
         self.side = side
         try:
             side.send(b"PING\r\n")
         except BrokenPipeError:
-            self.again()
+            self.retry()
 
-    def arrived(self, side):
-        said = side.take() if side.inbox else b""
-        if said == b"PONG\r\n":
+    def on_readable(self, side):
+        answer = side.recv() if side.received else b""
+        if answer == b"PONG\r\n":
             side.close()
             self.node.down_at = None
-            self.fleet.clients.front(self.node, True)
-            self.fleet.put_node("up", self.node)
-        elif said or side.ended or side.broke:
+            self.fleet.clients.set_in_rotation(self.node, True)
+            self.fleet.record_node_event("up", self.node)
+        elif answer or side.eof or side.was_reset:
             side.close()
-            self.again()
+            self.retry()
 
-    def room(self, side):
+    def on_writable(self, side):
         pass
 
-    def again(self):
+    def retry(self):
         if self.node.processes:
-            self.fleet.world.after(PINGS, Pinger, self.fleet, self.node)
+            self.fleet.world.after(PING_INTERVAL, Pinger, self.fleet, self.node)
--- a/cottonspread/lab/sim/hosts.py
+++ b/cottonspread/lab/sim/hosts.py
@@ -2,9 +2,9 @@
 
 from cottonspread.lab import wire
 from cottonspread.lab.serving import Serving, modelled
-from cottonspread.lab.sim.network import Place
+from cottonspread.lab.sim.network import Endpoint
 
-MOST_OUT = 64 * 1024  # bytes that a connection's reader may leave untaken
+MAX_UNREAD = 64 * 1024  # bytes that a connection's reader may leave untaken
 
 
 class Conn:
@@ -13,27 +13,27 @@
     def __init__(self, side, server):
         self.side, self.lines, self.call, self.over, self.server = side, wire.Lines(), None, False, server
 
-    def arrived(self, side):
+    def on_readable(self, side):
         if self.over or self.server.gone:  # a machine that vanished takes nothing
             return
-        if side.inbox:
-            data = side.take()
+        if side.received:
+            data = side.recv()
             self.server.fleet.invariants.host_has(self, data)
             self.server.came(self, data)
-        if not self.over and (side.ended or side.broke):
+        if not self.over and (side.eof or side.was_reset):
             self.server.end(self, "theirs")
 
-    def room(self, side):
+    def on_writable(self, side):
         pass
 
 
 class Host(Serving):
     def __init__(self, fleet, machine):
         super().__init__(machine.name, modelled(fleet.plan, machine, 0), fleet.plan.experiment.hosts.reports)
-        self.fleet, self.machine, self.place, self.gone = (
+        self.fleet, self.machine, self.endpoint, self.gone = (
             fleet,
             machine,
-            Place(machine.name, machine.zone),
+            Endpoint(machine.name, machine.zone),
             False,
         )
         self.at = fleet.world.at
@@ -46,17 +46,17 @@
         return self.fleet.world.now
 
     def put(self, line):
-        self.fleet.put("hosts", line)
+        self.fleet.add_record("hosts", line)
         self.fleet.invariants.host_said(line)
 
     def open(self):
-        self.place.door, self.gone = self.accept, False
+        self.endpoint.on_connect, self.gone = self.accept, False
 
     def shut(self):
-        self.place.door, self.gone = None, False
+        self.endpoint.on_connect, self.gone = None, False
 
     def vanish(self):
-        self.place.door, self.gone = Place.SILENT, True
+        self.endpoint.on_connect, self.gone = Endpoint.SILENT, True
 
     def accept(self, side):
         conn = side.owner = Conn(side, self)
@@ -69,7 +69,7 @@
         except BrokenPipeError:
             self.end(conn, "theirs")
             return
-        if conn.side.under_way > MOST_OUT:
+        if conn.side.in_flight > MAX_UNREAD:
             self.end(conn, "reset")
 
     def drop(self, conn, how):
@@ -78,7 +78,7 @@
         else:
             conn.side.close()
 
-    def mend(self, one):
-        if one.kind == "vanish":
+    def mend(self, fault):
+        if fault.kind == "vanish":
             self.gone = False
-        super().mend(one)
+        super().mend(fault)
--- a/cottonspread/lab/sim/invariants.py
+++ b/cottonspread/lab/sim/invariants.py
@@ -131,19 +131,22 @@
         """Its line is on its way to the node's machine."""
         watch = self.calls[call.id]
         watch.node, watch.side = call.node, call.side
-        watch.sent, watch.guard = call.side.last, call.side.last + round(call.kind.guard_ms * 1000)
+        watch.sent, watch.guard = (
+            call.side.last_arrival,
+            call.side.last_arrival + round(call.kind.guard_ms * 1000),
+        )
         self.world.at(watch.guard + SLACK + 1, self.overdue, watch)
 
     def accepted(self, process, side):
         self.came[process].append(self.world.now)
-        side.other.owner.taken = self.world.now
+        side.peer.owner.accepted_at = self.world.now
         watch = self.of_client(side)
         if watch is not None:
             watch.process, watch.node, watch.taken = process, process.node, self.world.now
 
     def of_client(self, side):
         """The call on this side of a node's, if it is a player's."""
-        return self.watches.get(side.other.owner)
+        return self.watches.get(side.peer.owner)
 
     def overdue(self, watch):
         if (
@@ -171,7 +174,7 @@
     @staticmethod
     def waited(watch):
         """Whether it has lost its time in the platform's listener, while there was no process to take it."""
-        return watch.node.shared and (not watch.taken or watch.taken > watch.guard - 2 * SLACK)
+        return watch.node.shares_listener and (not watch.taken or watch.taken > watch.guard - 2 * SLACK)
 
     def turned_away(self, process, side, line):
         watch = self.of_client(side)
@@ -211,9 +214,9 @@
     # Legs
 
     def leg(self, process, end, side, line):
-        now, host = self.world.now, side.other.place.name
+        now, host = self.world.now, side.peer.endpoint.name
         client = end.conn.client.worker  # what its client calls itself may be another's id
-        owner = client.side.other.owner if client is not None else None
+        owner = client.side.peer.owner if client is not None else None
         watch = self.watches.get(owner) or self.watches.setdefault(
             owner, Watch(f"bad {owner and owner.id}", self.kinds[0], None)
         )
@@ -303,14 +306,19 @@
         host, or by nobody's will but the node's.
         """
         leg = watch.leg
-        theirs = side.ended or side.broke or watch.call is not None and (watch.call.done or watch.call.slow)
+        theirs = (
+            side.eof
+            or side.was_reset
+            or watch.call is not None
+            and (watch.call.done or watch.call.slow_until)
+        )
         host = self.fleet.hosts[leg.host] if leg else None
         self.need(
             theirs
             or leg is None
             or leg.ended
-            or leg.side.ended
-            or leg.side.broke
+            or leg.side.eof
+            or leg.side.was_reset
             or leg.side.link in self.shaky
             or host.gone
             or host.model.deaf,
@@ -327,7 +335,7 @@
 
     def passed_on(self, leg):
         watch, call = leg.watch, leg.watch.call
-        if call is None or call.done or call.slow or watch.closed or watch.moved or watch.excused:
+        if call is None or call.done or call.slow_until or watch.closed or watch.moved or watch.excused:
             return
         if self.stood(watch.node, leg.ended, self.world.now) or watch.process is None or watch.process.dead:
             return
@@ -390,7 +398,7 @@
             )
         elif line.startswith(b"e"):
             watch = self.calls[call.id]
-            echoed = self.echoed[watch.leg and watch.leg.side.other.owner]
+            echoed = self.echoed[watch.leg and watch.leg.side.peer.owner]
             self.need(
                 echoed and echoed.popleft() == line,
                 ORDER,
@@ -402,24 +410,24 @@
     def client_done(self, call, how):
         watch = self.calls[call.id]
         if call.up:
-            self.reached.add(call.first)
+            self.reached.add(call.schedule_index)
         now = self.world.now
         # A client that broke off or was cut asks for nothing more.
         if (
-            call.asked
-            and not call.slow
+            call.unanswered_lines
+            and not call.slow_until
             and how not in ("left", "broke-off", "cut")
-            and not self.stood(call.node, call.asked[0], now)
+            and not self.stood(call.node, call.unanswered_lines[0], now)
             and (watch.process is not None and not watch.excused)
         ):
             self.need(
-                now - call.asked[0] <= SILENCE + SLACK,
+                now - call.unanswered_lines[0] <= SILENCE + SLACK,
                 ANSWER,
                 "silent for over 7 s",
                 watch,
-                now - call.asked[0],
+                now - call.unanswered_lines[0],
             )
-        if how in ("end", "reset") and call.up and not call.slow:
+        if how in ("end", "reset") and call.up and not call.slow_until:
             process = watch.process
             excused = watch.excused or process is None or process.dead
             self.need(
@@ -439,14 +447,14 @@
                 how,
             )
 
-    def bad(self, one):
+    def on_bad_client(self, one):
         if one.kind not in ("hangs-up", "crowd") and one.kind != "same-id":
             self.world.after(BAD + SLACK, self.bad_waited, one)
 
     def bad_waited(self, one):
-        if one.over or self.stood(one.node, one.began, self.world.now) or not one.taken:
+        if one.closed or self.stood(one.node, one.connected_at, self.world.now) or not one.accepted_at:
             return
-        left = one.taken + BAD + SLACK - self.world.now
+        left = one.accepted_at + BAD + SLACK - self.world.now
         if left > 0:
             self.world.after(left, self.bad_waited, one)
         else:
@@ -471,7 +479,7 @@
 
     # Processes
 
-    def stepped(self, process):
+    def after_step(self, process):
         """After every step of a reducer."""
         if not self.checked:
             return
@@ -566,7 +574,7 @@
         elif not watch.said:
             self.need(False, ANSWER, "a node ended with a call that it had not answered", watch)
         elif watch.said.startswith(b"UP"):
-            self.cut_off(watch, watch.side.other)
+            self.cut_off(watch, watch.side.peer)
 
     def overstayed(self, process):
         self.need(
@@ -604,7 +612,7 @@
                 and watch.said.startswith(b"UP")
                 and not watch.moved
                 and not watch.closed
-                and (watch.call is not None and not watch.call.done and not watch.call.slow)
+                and (watch.call is not None and not watch.call.done and not watch.call.slow_until)
             ):
                 self.need(False, ANSWER, "held by a drained node, and not moved", watch)
 
@@ -621,9 +629,9 @@
         for watch in self.calls.values():
             call = watch.call
             if call is not None and not call.retry and not call.again and call.intended >= calm:
-                asked[call.first] = watch
+                asked[call.schedule_index] = watch
         for first, watch in asked.items():
-            if watch.call.intended < self.fleet.clients.ending - 5 * SECOND:
+            if watch.call.intended < self.fleet.clients.traffic_end - 5 * SECOND:
                 self.need(
                     first in self.reached, PROGRESS, "a sound client was not served though all is calm", watch
                 )
--- a/cottonspread/lab/sim/node.py
+++ b/cottonspread/lab/sim/node.py
@@ -16,7 +16,7 @@
 from cottonspread.front.lateness import Door
 from cottonspread.interface import Ending, News
 from cottonspread.lab.sim.contract import Contract
-from cottonspread.lab.sim.network import Place
+from cottonspread.lab.sim.network import Endpoint
 from cottonspread.lab.sim.world import EPOCH, SECOND
 from cottonspread.net import discovery, lines
 from cottonspread.net import events as ev
@@ -61,21 +61,21 @@
         self.draining = True
         self.read()
 
-    def arrived(self, side):
-        self.process.world.after(self.process.draws.randbelow(HOP), self.look)
+    def on_readable(self, side):
+        self.process.world.after(self.process.random.randbelow(HOP), self.look)
 
     def look(self):
         """What a read that waits gives now, if anything."""
         side, process = self.side, self.process
         if not self.reading or self.gone or process.dead or process.world.now < process.frozen:
             return
-        while self.draining and side.inbox:
-            side.take()
+        while self.draining and side.received:
+            side.recv()
         if not self.draining and self.gather():
             return
-        if side.broke:
+        if side.was_reset:
             self.over("reset")
-        elif side.ended or self.cut:
+        elif side.eof or self.cut:
             self.over("half-line" if self.buffer and not self.draining else "end")
         elif self.buffer and not self.draining:
             process.world.at(self.since + HALF_LINE_WAIT * SECOND, self.too_old, self.since)
@@ -83,7 +83,7 @@
     def gather(self):
         """Takes what is there; whether the reducer was told of a whole line, or of one too long."""
         side, process = self.side, self.process
-        while took := side.take(SIZE - len(self.buffer)) if side.inbox else b"":
+        while took := side.recv(SIZE - len(self.buffer)) if side.received else b"":
             if not self.buffer:
                 self.since = process.world.now
             self.buffer += took
@@ -92,7 +92,7 @@
                 whole = bytes(self.buffer[:end])
                 del self.buffer[:end]
                 self.since = process.world.now
-                self.say(ev.Got(self.end, whole, bool(self.buffer), process.clock(side.came_at)))
+                self.say(ev.Got(self.end, whole, bool(self.buffer), process.clock(side.received_at)))
                 return True
             if len(self.buffer) == SIZE:
                 self.over("long-line")
@@ -114,14 +114,14 @@
 
     def write(self, data):
         world, process = self.process.world, self.process
-        late = process.late_writes and process.draws.random() < process.late_writes[0]
+        late = process.late_writes and process.random.random() < process.late_writes[0]
         if late:  # the kernel takes half of it now, and the rest in its own time
             self.send(data[: len(data) // 2])
             self.rest = data[len(data) // 2 :]
-            world.after(process.draws.randbelow(process.late_writes[1]), self.room, self.side)
+            world.after(process.random.randbelow(process.late_writes[1]), self.on_writable, self.side)
             return
         self.rest = data
-        self.room(self.side)
+        self.on_writable(self.side)
 
     def send(self, data):
         try:
@@ -130,20 +130,20 @@
         except BrokenPipeError:
             return False
 
-    def room(self, side):
+    def on_writable(self, side):
         """What is left of a write, as far as the other side lets it go."""
         if not self.rest or self.process.dead or self.gone:
             return
         data, self.rest = self.rest, b""
-        room = side.room()
+        room = side.send_room()
         ok = self.send(data[:room])
         if ok and room < len(data):
-            self.rest, side.waits = data[room:], True
+            self.rest, side.write_blocked = data[room:], True
             return
         self.process.post(ev.Written(self.end, ok, self.process.clock() if ok else 0))
 
     def finish(self):
-        self.side.end()
+        self.side.shutdown_write()
 
     def cut_off(self, broken):
         self.cut, self.broken = True, self.broken or broken
@@ -151,7 +151,7 @@
             self.connected(None, "ENOTCONN")
             return
         if not broken:
-            self.side.end()
+            self.side.shutdown_write()
         if self.rest:  # the send that waits comes back with an error
             self.rest = b""
             self.process.post(ev.Written(self.end, False))
@@ -196,7 +196,7 @@
         process.probes[self] = None
         process.world.after(order.wait, self.end, Ending.TIMEOUT)
         process.world.network.connect(
-            self, process.node.place, process.place_of(order.address), order.wait, self.up
+            self, process.node.endpoint, process.endpoint_of(order.address), order.wait, self.up
         )
 
     def up(self, side, why):
@@ -208,16 +208,16 @@
         else:
             side.send(lines.STATS)
 
-    def arrived(self, side):
-        if side.inbox:
-            self.data += side.take()
+    def on_readable(self, side):
+        if side.received:
+            self.data += side.recv()
         if self.data.endswith(b"\n"):
             ending, report = lines.read_report(self.data)
             self.end(ending, report)
-        elif side.ended or side.broke:
+        elif side.eof or side.was_reset:
             self.end(Ending.CONNECT_FAILED)
 
-    def room(self, side):
+    def on_writable(self, side):
         pass
 
     def end(self, ending, report=None):
@@ -238,8 +238,8 @@
         nothing is taken from it before `take`.
         """
         world = node.fleet.world
-        self.world, self.node, self.values, self.shared = world, node, values, shared
-        self.draws = world.random_stream(node.name, "process", node.starts)
+        self.world, self.node, self.values, self.shares_listener = world, node, values, shared
+        self.random = world.random_stream(node.name, "process", node.start_count)
         self.skew, self.drift = node.skew, node.drift
         self.parts = config.read_node(json.dumps(values), {})
         place, room, names, hearing, begin, known = self.parts
@@ -269,12 +269,14 @@
             self.post,
             version,
             begin.listing.ask,
-            node.keep,
+            node.save_list,
             may_watch(begin, listed, shared),
         )
         self.reducer = Reducer(self.clock(), begin, names, hearing, self.most, *node.fleet.policy)
-        self.caller = node.agent.serve(self)
-        self.discovery.begin(listed, addresses, unread, trusted=begin.listing.ask or node.keep is not None)
+        self.caller = node.agent.attach(self)
+        self.discovery.begin(
+            listed, addresses, unread, trusted=begin.listing.ask or node.save_list is not None
+        )
         self.wake()
 
     def next_number(self):
@@ -291,7 +293,7 @@
         since = clock - EPOCH - self.skew
         return since - since * self.drift // 1_000_000
 
-    def place_of(self, address):
+    def endpoint_of(self, address):
         return self.addresses.get(address) or NOWHERE
 
     # Events
@@ -314,7 +316,7 @@
         """The reducer's thread gets to its queue."""
         if not self.awake:
             self.awake = True
-            self.world.at(max(self.world.now + self.draws.randbelow(HOP), self.free_at), self.run)
+            self.world.at(max(self.world.now + self.random.randbelow(HOP), self.free_at), self.run)
 
     def wake(self):
         """For its timers."""
@@ -344,7 +346,7 @@
         if isinstance(event, ev.Got) and event.end.client and event.end.conn.opening is None:
             self.door.lain(now, now - at)
         self.step(event, at)
-        self.free_at = self.world.now + STEP + self.draws.randbelow(STEP // 2)
+        self.free_at = self.world.now + STEP + self.random.randbelow(STEP // 2)
         if self.queue or self.urgent:
             self.turn()
         self.wake()
@@ -362,7 +364,7 @@
         for effect in effects:
             self.contract.ordered(effect)
             self.carry_out(effect)
-        fleet.stepped(self, event, effects)
+        fleet.after_step(self, event, effects)
 
     def step_reducer(self, event, at):
         """The reducer's step alone."""
@@ -381,19 +383,19 @@
         world = self.world
         match effect:
             case ev.Read(end=end):
-                world.after(self.draws.randbelow(HOP), self.run_if_alive, end.worker.read)
+                world.after(self.random.randbelow(HOP), self.run_if_alive, end.worker.read)
             case ev.Drain(end=end):
-                world.after(self.draws.randbelow(HOP), self.run_if_alive, end.worker.drain)
+                world.after(self.random.randbelow(HOP), self.run_if_alive, end.worker.drain)
             case ev.Connect():
                 worker = Worker(self, effect.end)
                 self.live[worker] = None
-                world.after(self.draws.randbelow(HOP), self.run_if_alive, self.connect, worker, effect)
+                world.after(self.random.randbelow(HOP), self.run_if_alive, self.connect, worker, effect)
             case ev.Ask():
-                world.after(self.draws.randbelow(HOP), self.run_if_alive, Probe, self, effect)
+                world.after(self.random.randbelow(HOP), self.run_if_alive, Probe, self, effect)
             case ev.FollowList():
                 self.caller.wanted()
             case ev.Pass():
-                world.after(self.draws.randbelow(HOP), self.run_if_alive, self.give, effect)
+                world.after(self.random.randbelow(HOP), self.run_if_alive, self.give, effect)
             case ev.Stop():  # the last answers go out before the process may end
                 self.finished = True
                 self.writer_at = max(self.writer_at, world.now) + HOP
@@ -401,7 +403,7 @@
             case ev.Say():
                 self.said(effect)
             case _:
-                self.writer_at = max(self.writer_at, world.now) + self.draws.randbelow(HOP // 2)
+                self.writer_at = max(self.writer_at, world.now) + self.random.randbelow(HOP // 2)
                 world.at(self.writer_at, self.run_if_alive, self.write_out, effect)
 
     def run_if_alive(self, what, *args):
@@ -417,7 +419,7 @@
 
     def connect(self, worker, effect):
         self.world.network.connect(
-            worker, self.node.place, self.place_of(effect.address), effect.wait, worker.connected
+            worker, self.node.endpoint, self.endpoint_of(effect.address), effect.wait, worker.connected
         )
 
     def write_out(self, effect):
@@ -444,20 +446,20 @@
     def must_not_begin(self, effect):
         """As the writer looks: see `Workers.must_not_begin`."""
         client = effect.end.conn.client.worker
-        if client is None or client.side.ended or client.side.broke:
+        if client is None or client.side.eof or client.side.was_reset:
             return "client-gone"
         return "too-late" if effect.by and self.clock() >= effect.by else ""
 
     def said(self, effect):
         if effect.event == "closed":
             self.ended[effect.pairs["reason"]] += 1
-        self.node.fleet.heard(self, effect)
+        self.node.fleet.on_log_line(self, effect)
 
     # The door
 
     def came(self, side):
         """A connection that the machine has taken; the process gets to it in its own time."""
-        self.world.after(self.draws.randbelow(HOP), self.run_if_alive, self.accepted, side)
+        self.world.after(self.random.randbelow(HOP), self.run_if_alive, self.accepted, side)
 
     def accepted(self, side):
         if not self.door.admits(self.clock()):
@@ -476,7 +478,7 @@
         with contextlib.suppress(BrokenPipeError):
             side.send(line)
         self.node.fleet.invariants.turned_away(self, side, line)
-        self.reducer.figures.turned_away(lines.type_named(side.take()))
+        self.reducer.figures.turned_away(lines.type_named(side.recv()))
         side.close()
         self.ended[reason] += 1
 
@@ -486,10 +488,10 @@
         """SIGTERM. Where the platform holds the listener nothing more is taken from
         it; else what comes is still answered.
         """
-        self.takes = not self.shared
-        self.node.open_door()
+        self.takes = not self.shares_listener
+        self.node.update_listener()
         heir = self.heir if self.heir is not None and not self.heir.dead else None
-        self.post(ev.StopAsked(self.shared, heir is not None))
+        self.post(ev.StopAsked(self.shares_listener, heir is not None))
 
     def kill(self):
         """All its connections break, and new ones are refused."""
@@ -507,7 +509,7 @@
         for probe in self.probes:
             if probe.side is not None:
                 probe.side.close()
-        self.node.ended(self)
+        self.node.on_process_exit(self)
 
     def drain(self, on):
         """As operators call."""
@@ -538,13 +540,13 @@
         """What the process before it hands over, through the text that goes over the disk; then it takes
         connections. It waits no longer than a successor does.
         """
-        mark = f"{self.node.name} {self.node.starts}"
+        mark = f"{self.node.name} {self.node.start_count}"
 
         def given(handed):
             text = handover.pack(handed, mark)
             old.most, old.heir = old.reducer.most_ends, self
             self.world.after(
-                self.draws.randbelow(20_000), self.run_if_alive, take, handover.unpack(text, mark)
+                self.random.randbelow(20_000), self.run_if_alive, take, handover.unpack(text, mark)
             )
 
         def take(handed):
@@ -554,7 +556,7 @@
                 self.limit(handed.room)
                 self.post(ev.Inherited(handed))
             self.takes = True
-            self.node.open_door()
+            self.node.update_listener()
 
         old.hasten(ev.HandOverAsked(given))
         self.world.after(round(ANSWER_WAIT * SECOND), self.run_if_alive, take, None)
@@ -582,7 +584,7 @@
                 *ends,
                 standing,
                 lambda taken: heir.world.after(
-                    heir.draws.randbelow(HOP), self.given, order, taken, new, heir
+                    heir.random.randbelow(HOP), self.given, order, taken, new, heir
                 ),
             )
         )
@@ -604,5 +606,5 @@
                 worker.look()
 
 
-NOWHERE = Place("nowhere")
-NOWHERE.door = Place.SILENT
+NOWHERE = Endpoint("nowhere")
+NOWHERE.on_connect = Endpoint.SILENT
--- a/cottonspread/lab/sim/scenario.py
+++ b/cottonspread/lab/sim/scenario.py
@@ -48,11 +48,11 @@
             "hosts": {"traits": {}},
         }
         for path, value in self.fleet.items():
-            *way, key = path.split(".")
-            at = nested
-            for part in way:
-                at = at.setdefault(part, {})
-            at[key] = value
+            *parents, key = path.split(".")
+            section = nested
+            for part in parents:
+                section = section.setdefault(part, {})
+            section[key] = value
         nested["faults"] = [msgspec.structs.asdict(one) for one in self.faults]
         try:
             return plans.check(msgspec.convert(nested, plans.Experiment, strict=False), simulated=True)
@@ -67,7 +67,7 @@
 def read(text):
     """PlanError names the line."""
     scenario = Scenario({}, [], [], [], remarks=[])
-    for number, line in enumerate(text.splitlines(), 1):
+    for line_number, line in enumerate(text.splitlines(), 1):
         if line.startswith("#"):
             scenario.remarks.append(line[1:].strip())
             continue
@@ -76,34 +76,40 @@
         if not words:
             continue
         try:
-            said = {
-                key: plain(value) for key, value in (word.split("=", 1) for word in words[1:] if "=" in word)
+            options = {
+                key: parse_value(value)
+                for key, value in (word.split("=", 1) for word in words[1:] if "=" in word)
             }
-            bare = [word for word in words[1:] if "=" not in word]
+            arguments = [word for word in words[1:] if "=" not in word]
             if words[0] == "fleet":
-                scenario.fleet |= said
+                scenario.fleet |= options
             elif words[0] == "type":
-                scenario.types.append({"name": bare[0], **said})
+                scenario.types.append({"name": arguments[0], **options})
             elif words[0] == "load":
-                scenario.loads.append({"kind": bare[0], **said})
+                scenario.loads.append({"kind": arguments[0], **options})
             elif words[0] == "only":
-                scenario.only = tuple(map(int, bare))
+                scenario.only = tuple(map(int, arguments))
             elif words[0] == ">":
                 scenario.expected = line[1:].strip()
             else:
                 scenario.faults.append(
                     msgspec.convert(
-                        {"at": round(float(words[0])) / 1000, "kind": bare[0], "on": bare[1:], **said},
+                        {
+                            "at": round(float(words[0])) / 1000,
+                            "kind": arguments[0],
+                            "on": arguments[1:],
+                            **options,
+                        },
                         plans.Happening,
                         strict=False,
                     )
                 )
         except (ValueError, IndexError, msgspec.ValidationError) as fault:
-            raise plans.PlanError(f"line {number}: {fault}") from None
+            raise plans.PlanError(f"line {line_number}: {fault}") from None
     return scenario
 
 
-def plain(word):
+def parse_value(word):
     """A word of the notation as a value."""
     if word in ("true", "false"):
         return word == "true"
@@ -115,7 +121,7 @@
     return word
 
 
-def brief(value):
+def format_value(value):
     return (
         str(value).lower()
         if isinstance(value, bool)
@@ -127,20 +133,20 @@
 
 def write(scenario):
     lines = [f"# {remark}" for remark in scenario.remarks]
-    lines.append("fleet " + " ".join(f"{k}={brief(v)}" for k, v in scenario.fleet.items()))
-    for name, key, many in (("type", "name", scenario.types), ("load", "kind", scenario.loads)):
+    lines.append("fleet " + " ".join(f"{k}={format_value(v)}" for k, v in scenario.fleet.items()))
+    for name, key, entries in (("type", "name", scenario.types), ("load", "kind", scenario.loads)):
         lines += [
-            " ".join([name, one[key], *(f"{k}={brief(v)}" for k, v in one.items() if k != key)])
-            for one in many
+            " ".join([name, one[key], *(f"{k}={format_value(v)}" for k, v in one.items() if k != key)])
+            for one in entries
         ]
     if scenario.only is not None:
         lines.append("only " + " ".join(map(str, scenario.only)))
     for one in scenario.faults:
-        words = [brief(one.at * 1000), one.kind, *one.on]
+        words = [format_value(one.at * 1000), one.kind, *one.on]
         words += [
-            f"{key}={brief(value)}"
-            for key, value, usual in (("seconds", one.seconds, 0.0), ("factor", one.factor, 3.0))
-            if value != usual
+            f"{key}={format_value(value)}"
+            for key, value, default in (("seconds", one.seconds, 0.0), ("factor", one.factor, 3.0))
+            if value != default
         ]
         lines.append(" ".join(words))
     return "\n".join([*lines, f"> {scenario.expected}"]) + "\n"
--- a/cottonspread/lab/sim/world.py
+++ b/cottonspread/lab/sim/world.py
@@ -16,12 +16,12 @@
     """A stream of draws, named by what it is for."""
 
     def __init__(self, *name):
-        self.name, self.drawn = ":".join(map(str, name)).encode(), 0
+        self.name, self.count = ":".join(map(str, name)).encode(), 0
 
     def next_uint32(self):
         """Below 2 to the 32; multiplied, for checksums of like texts keep their order."""
-        self.drawn += 1
-        return crc32(b"%s:%d" % (self.name, self.drawn)) * 2654435761 + 1013904223 & 0xFFFFFFFF
+        self.count += 1
+        return crc32(b"%s:%d" % (self.name, self.count)) * 2654435761 + 1013904223 & 0xFFFFFFFF
 
     def randbelow(self, n):
         return self.next_uint32() * n >> 32
@@ -45,35 +45,35 @@
 class World:
     def __init__(self, seed, traced=False):
         """`traced`: keep every line of the trace; its sum is kept anyhow."""
-        self.seed, self.now, self.queue, self.stamp, self.events = seed, 0, [], 0, 0
-        self.hash, self.trace = hashlib.blake2b(digest_size=8), [] if traced else None
+        self.seed, self.now, self.queue, self.sequence, self.events = seed, 0, [], 0, 0
+        self.trace_hash, self.trace = hashlib.blake2b(digest_size=8), [] if traced else None
         self.records = {"load": [], "hosts": [], "list": [], "nodes": []}
 
     def random_stream(self, *name):
         return RandomStream(self.seed, *name)
 
-    def at(self, when, what, *args):
-        self.stamp += 1
-        heapq.heappush(self.queue, (max(when, self.now), self.stamp, what, args))
+    def at(self, when, callback, *args):
+        self.sequence += 1
+        heapq.heappush(self.queue, (max(when, self.now), self.sequence, callback, args))
 
-    def after(self, span, what, *args):
-        self.at(self.now + span, what, *args)
+    def after(self, span, callback, *args):
+        self.at(self.now + span, callback, *args)
 
     def add_trace_line(self, *words):
         """A line of the trace."""
         line = f"{self.now} {' '.join(map(str, words))}"
-        self.hash.update(line.encode())
+        self.trace_hash.update(line.encode())
         if self.trace is not None:
             self.trace.append(line)
 
     def trace_digest(self):
-        return self.hash.hexdigest()
+        return self.trace_hash.hexdigest()
 
     def run(self, until):
         """Everything up to `until`, or until something raises."""
         queue = self.queue
         while queue and queue[0][0] <= until:
-            self.now, _, what, args = heapq.heappop(queue)
+            self.now, _, callback, args = heapq.heappop(queue)
             self.events += 1
-            what(*args)
+            callback(*args)
         self.now = max(self.now, until)
