--- a/cottonspread/lab/sim/__init__.py
+++ b/cottonspread/lab/sim/__init__.py
@@ -1,3 +1,5 @@
-"""Whole fleets in simulated time: the real reducers, with everything round them simulated and
-every fault placed to the microsecond.
+"""A deterministic simulator of whole fleets: real reducers in simulated time.
+
+Clocks, threads, the network, hosts and clients are simulated, so that a fault can be placed to the
+microsecond.
 """
--- a/cottonspread/lab/sim/agent.py
+++ b/cottonspread/lab/sim/agent.py
@@ -1,8 +1,8 @@
-"""The list of hosts as one node's agent has it: the lab's own book, told late, cut, garbled,
-begun anew, or at odds with the others'.
+"""The host list as a node's discovery agent serves it.
 
-The calls are the node's own (`discovery.Discovery.turn`); what is simulated is
-when an answer comes, and what it holds.
+It is the lab's own list, delayed, cut off, garbled, restarted, or contradicting other agents. Requests come
+from the node's own list client (`discovery.Discovery.turn`); only the arrival and content of answers are
+simulated.
 """
 
 import json
@@ -12,11 +12,14 @@
 from cottonspread.lab.sim.world import SECOND
 
 GARBAGE_BODIES = (b"<html>not found</html>", b"[" * 3000, b'{"generation": "x"}', b"")
-ROUND_TRIP = 300  # microseconds there and back
+ROUND_TRIP = 300  # microseconds between a node and its agent
 
 
 class Agent:
+    """One agent with its copy of the list; several nodes may share it."""
+
     def __init__(self, fleet, name, entries, lag):
+        """`lag`: microseconds that a change takes to arrive here."""
         self.fleet, self.world, self.name, self.lag, self.extra_lag = fleet, fleet.world, name, lag, 0
         self.book, self.silent_until, self.garbage_left, self.last_change_at, self.callers = (
             Book(entries),
@@ -26,48 +29,55 @@
             [],
         )
 
-    # What the world has to tell
+    # Changes and faults
 
     def schedule_change(self, name, lifecycle, started_ms, entry):
-        """A change comes here in its own time, and never before an earlier one."""
+        """Schedules a change of the list after the agent's lag, never before an earlier change."""
         self.last_change_at = max(self.last_change_at, self.world.now + self.lag + self.extra_lag)
         self.world.at(self.last_change_at, self.apply_change, name, lifecycle, started_ms, entry)
 
     def apply_change(self, name, lifecycle, started_ms, entry):
+        """Applies a change to the agent's list and answers waiting calls."""
         self.book.change(name, lifecycle, started_ms, self.book.entries.get(name) or entry)
         self.answer_waiting_calls()
 
     def update_weights(self, held):
+        """Updates the hosts' weights from `held`, and answers waiting calls."""
         self.book.weigh(held)
         self.answer_waiting_calls()
 
     def go_silent(self, span):
+        """Answers nothing for `span` microseconds."""
         self.silent_until = max(self.silent_until, self.world.now + span)
         self.world.at(self.silent_until, self.answer_waiting_calls)
 
     def restart(self):
+        """Starts a new generation of the list and breaks calls that are waiting."""
         self.book.begin_anew()
         for caller in list(self.callers):
-            caller.fail(caller.call, ConnectionResetError("begun anew"))
+            caller.fail(caller.call, ConnectionResetError("list restarted"))
 
     def answer_waiting_calls(self):
+        """Answers the calls that have an answer by now, and forgets dead processes."""
         self.callers = [one for one in self.callers if not one.process.dead]
         for caller in self.callers:
             caller.answer_if_due()
 
     def attach(self, process):
+        """Connects a process's list client to this agent and returns its caller."""
         self.callers.append(self.caller(process))
         return self.callers[-1]
 
     def caller(self, process):
-        """The list client's carrier for a process that starts."""
+        """Creates the transport of a starting process's list client."""
         return Caller(self, process)
 
 
 class Caller:
-    """One process's calls: in the place of `http.Http`."""
+    """One process's calls to its agent, in place of `http.Http`."""
 
     def __init__(self, agent, process):
+        """Replaces the HTTP client of the process's `Discovery`."""
         self.agent, self.world, self.process, self.call, self.due, self.answer = (
             agent,
             agent.world,
@@ -79,23 +89,22 @@
         process.discovery.http = process.discovery.target = self
 
     def wanted(self):
+        """Starts to follow the list."""
         self.process.discovery.wanted.set()
         self.send_request()
 
     def send_request(self):
-        """The next call."""
+        """Sends the next request."""
         self.call += 1
         discovery, self.answer = self.process.discovery, None
         _, wait = discovery.call()
         self.due = self.world.now + (0 if discovery.whole else discovery.WATCH_MS * 1000)
-        self.world.after(
-            round(wait * SECOND), self.fail, self.call, TimeoutError("the answer takes too long")
-        )
+        self.world.after(round(wait * SECOND), self.fail, self.call, TimeoutError("no answer in time"))
         self.world.at(self.due, self.answer_if_due, self.call)
         self.answer_if_due()
 
     def answer_if_due(self, call=None):
-        """Whether there is an answer to the call that is out."""
+        """Answers the waiting request if its time is over or the list has changed."""
         if call not in (None, self.call) or self.world.now < self.agent.silent_until:
             return
         agent = self.agent
@@ -107,12 +116,13 @@
             self.world.after(ROUND_TRIP, self.process.run_if_alive, self.handle_answer, self.call)
 
     def fail(self, call, fault):
+        """Lets request number `call` fail with `fault`, unless it has been answered."""
         if call == self.call:
             self.answer = fault
             self.process.run_if_alive(self.handle_answer, call)
 
     def handle_answer(self, call):
-        """The answer is there; `get` gives it."""
+        """Lets the list client handle an answer; it reads the answer through `get`."""
         discovery = self.process.discovery
         if (
             call != self.call
@@ -127,17 +137,17 @@
             self.world.after(round(pause * SECOND) + 1, self.process.run_if_alive, self.send_request)
 
     def run_turn(self):
-        """The list client's own turn; how many seconds it pauses then."""
+        """Runs one turn of the list client; returns the seconds that it then pauses."""
         return self.process.discovery.turn()
 
     def get(self, path, wait):
-        """The body of an answer."""
+        """Returns the body of an answer, or raises the failure of the call."""
         if self.answer is not None:
             raise self.answer
         return self.body(path)
 
     def body(self, path):
-        """What the list has to say to this call now."""
+        """Returns the list's answer to this request."""
         agent, book = self.agent, self.agent.book
         if agent.garbage_left:
             agent.garbage_left -= 1
@@ -162,6 +172,7 @@
         return json.dumps(answer).encode()
 
     def close(self):
+        """Does nothing: there is no socket."""
         pass
 
     give_up = close
--- a/cottonspread/lab/sim/clients.py
+++ b/cottonspread/lab/sim/clients.py
@@ -1,6 +1,4 @@
-"""Simulated clients: the lab's schedule of first calls, and what players do after
-them; and clients that are no players.
-"""
+"""Simulated clients: the lab's schedule of first calls, retries and reconnects; and misbehaving clients."""
 
 import contextlib
 
@@ -11,7 +9,7 @@
 from cottonspread.lab.sim.network import Endpoint
 from cottonspread.lab.sim.world import SECOND
 
-ANSWER_TOLERANCE = 50_000  # after its guard time a client waits so long before it leaves
+ANSWER_TOLERANCE = 50_000  # how long a client without an answer waits after its guard time
 CONNECT_TIMEOUT = 3 * SECOND
 BAD_KINDS = (
     "garbage",
@@ -63,6 +61,7 @@
     def __init__(
         self, clients, schedule_index, kind, key, group, intended, again=False, retry=False, tries=0
     ):
+        """`intended`: when the call was due; `again`: a reconnect; `retry`: a retry; `tries`: retries so far."""
         self.clients, self.schedule_index, self.kind, self.key, self.group = (
             clients,
             schedule_index,
@@ -83,6 +82,7 @@
         )
 
     def on_connected(self, side, why):
+        """Sends the first line once the connection is established; ends the call if it failed."""
         world = self.clients.world
         if self.done:
             if side is not None:
@@ -113,6 +113,7 @@
         world.after(int(self.kind.guard_ms) * 1000 + ANSWER_TOLERANCE, self.on_guard_expired)
 
     def on_readable(self, side):
+        """Reads what has arrived, unless this client is a slow reader at present."""
         world = self.clients.world
         if self.done or world.now < self.slow_until:
             return
@@ -125,9 +126,11 @@
             self.clients.on_node_ended(self, "reset" if side.was_reset else "end")
 
     def on_writable(self, side):
+        """Does nothing: a client never waits to write."""
         pass
 
     def on_line(self, line):
+        """Handles a line from the node."""
         now, clients = self.clients.world.now, self.clients
         clients.fleet.invariants.client_has(self, line)
         if not self.up or line.startswith(b"UP "):
@@ -145,6 +148,7 @@
             self.max_echo_delay = max(self.max_echo_delay, now - self.unanswered_lines.pop(0))
 
     def send_echo_line(self, every):
+        """Sends a line for the host to echo, and schedules the next one `every` microseconds later."""
         world = self.clients.world
         if self.done:
             return
@@ -153,21 +157,25 @@
             return
         self.line += 1
         self.unanswered_lines.append(world.now)
-        with contextlib.suppress(BrokenPipeError):  # it hears of its end in a moment
+        with contextlib.suppress(BrokenPipeError):  # on_readable will report the end
             self.side.send(b"e%d\r\n" % self.line)
 
     def leave(self):
+        """Ends the call at the end of its lifetime."""
         if not self.done:
             self.clients.end_call(self, "left")
 
     def on_guard_expired(self):
+        """Ends a call that has had no answer within its guard time."""
         if not self.done and not self.answers:
             self.clients.end_call(self, "gave-up")
 
 
 class Clients:
+    """All clients of a run, and the front that distributes them over the nodes."""
+
     def __init__(self, fleet, schedule, only=None):
-        """`only`: of the first calls, those with these numbers; None: all."""
+        """`schedule`: the first calls; `only`: the numbers of those to make, None for all."""
         self.fleet, self.world, self.plan = fleet, fleet.world, fleet.plan
         x = self.plan.experiment
         self.load, self.types, self.calls = x.load, x.load.types, schedule
@@ -204,6 +212,7 @@
     # The front
 
     def set_in_rotation(self, node, enabled):
+        """Adds a node to those that the front sends clients to, or removes it."""
         if enabled and node not in self.in_rotation:
             self.in_rotation = [each for each in self.fleet.nodes if each in self.in_rotation or each is node]
         elif not enabled and node in self.in_rotation:
@@ -212,10 +221,12 @@
     # Arrivals
 
     def arrive(self, n, at):
+        """Starts the first call number `n` of the schedule."""
         c = self.schedule_columns
         self.call(Call(self, n, self.types[c["kind"][n]], f"k0-{n}", f"g{c['group'][n]}", at))
 
     def call(self, call):
+        """Connects a call to a node."""
         self.connection_count += 1
         call.id, call.begun = f"0x{self.connection_count:x}", self.world.now
         candidates = self.in_rotation or self.fleet.nodes
@@ -230,6 +241,7 @@
         )
 
     def schedule_call(self, call, wait, again):
+        """Schedules the client's next call after `wait` microseconds, as a reconnect (`again`) or a retry."""
         when = self.world.now + wait
         if when <= self.traffic_end + SECOND:
             self.world.at(
@@ -249,6 +261,7 @@
             )
 
     def on_up(self, call):
+        """Counts an established connection, and schedules its lines and its end."""
         self.counts["up"] += 1
         self.established[call] = None
         self.fleet.on_call_up(call)
@@ -258,6 +271,7 @@
             self.world.after(every, call.send_echo_line, every)
 
     def disconnect_share(self, share, span):
+        """Resets a share (0 to 1) of the established connections; their clients reconnect within `span`."""
         for call in list(self.established):
             position = self.reconnect_draws[call.schedule_index]
             if position < share and not call.done:
@@ -266,20 +280,22 @@
                 self.schedule_call(call, round(position / share * span), True)
 
     def slow_readers(self, share, span):
+        """Lets a share (0 to 1) of the connected clients read nothing for `span`."""
         for call in list(self.established):
             if self.reconnect_draws[call.schedule_index] < share:
                 call.slow_until = self.world.now + span
                 self.world.at(call.slow_until, call.on_readable, call.side)
 
-    # Ends
+    # End of calls
 
     def on_node_ended(self, call, how):
-        """Its node has ended it."""
+        """Handles the end of a connection by its node."""
         if call.up:
             self.counts["moved" if call.how in ("moved", "bye") else "broken"] += 1
         self.end_call(call, call.how or how)
 
     def end_call(self, call, how):
+        """Ends a call, records it, and schedules the client's next one."""
         if call.done:
             return
         call.done, now = True, self.world.now
@@ -333,18 +349,21 @@
             self.schedule_call(call, *next_call)
 
     def finish(self):
+        """Ends all open calls at the end of the run."""
         for call in list(self.open_calls):
             self.end_call(call, "cut")
 
-    # No players
+    # Misbehaving clients
 
     def start_bad_clients(self, kinds, rate, span):
+        """Starts misbehaving clients of these kinds, or of all if empty, `rate` a second for `span`."""
         for _ in range(round(rate * span / SECOND)):
             self.world.after(
                 self.random.randbelow(span), self.start_bad_client, self.random.choice(kinds or BAD_KINDS)
             )
 
     def start_bad_client(self, kind):
+        """Connects a misbehaving client to a random node, or 20 of them for "crowd"."""
         node = self.random.choice(self.in_rotation or self.fleet.nodes)
         for _ in range(20 if kind == "crowd" else 1):
             self.connection_count += 1
@@ -355,7 +374,7 @@
 
 
 class BadClient:
-    """A client that is no player: it is owed an error or a close, and must cost the others nothing."""
+    """A misbehaving client. It must get an error or a close, and must not affect other clients."""
 
     LINES = {
         "garbage": b"\x00\xff GET / HTTP/1.1\r\n",
@@ -371,6 +390,7 @@
     LIFETIME = 12 * SECOND
 
     def __init__(self, clients, kind, id, node):
+        """`kind`: one of BAD_KINDS."""
         self.clients, self.kind, self.id, self.node, self.side, self.connected_at, self.closed = (
             clients,
             kind,
@@ -380,9 +400,10 @@
             0,
             False,
         )
-        self.accepted_at = 0  # when a process had it
+        self.accepted_at = 0  # when a process accepted it
 
     def on_connected(self, side, why):
+        """Sends the line of its kind."""
         if side is None:
             return
         self.side, self.connected_at, world = side, self.clients.world.now, self.clients.world
@@ -409,15 +430,18 @@
         self.clients.fleet.invariants.on_bad_client(self)
 
     def leave(self):
+        """Closes the connection."""
         if not self.closed:
             self.closed = True
             self.side.close()
 
     def on_readable(self, side):
+        """Discards what arrives, and closes the connection once the node has ended it."""
         if side.received:
             side.recv()
         if side.eof or side.was_reset:
             self.leave()
 
     def on_writable(self, side):
+        """Does nothing: this client never waits to write."""
         pass
--- a/cottonspread/lab/sim/fault_injection.py
+++ b/cottonspread/lab/sim/fault_injection.py
@@ -1,4 +1,7 @@
-"""What is done to a simulated fleet: each kind of trouble, from its moment on, for its time."""
+"""Injects the faults of a plan into a simulated fleet, each from its start and for its duration.
+
+Spans are in microseconds.
+"""
 
 from cottonspread.lab import tuning
 from cottonspread.lab.plan import AT_ONCE, HOST_FAULTS
@@ -8,6 +11,7 @@
 
 
 def inject(fleet, fault):
+    """Starts a fault."""
     span = round(fault.seconds * SECOND)
     fleet.world.add_trace_line("trouble", fault.kind, *fault.on)
     fleet.invariants.trouble(fault)
@@ -22,6 +26,7 @@
 
 
 def inject_host_fault(fleet, host, fault, span):
+    """Starts a fault of one host and schedules its end."""
     if fault.kind == "join":
         host.mend(fault)
         return
@@ -34,7 +39,7 @@
 
 
 def for_running_process(action):
-    """A trouble of a node's process; without one there is none."""
+    """Returns an action on a node that does nothing if the node has no process."""
 
     def run(fleet, node, fault, span):
         if node.process is not None:
@@ -44,6 +49,7 @@
 
 
 def freeze(fleet, node, process, fault, span):
+    """Stops the process for `span`, as SIGSTOP does."""
     fleet.record_node_event("freeze", node)
     process.freeze(span)
     fleet.world.after(span, fleet.record_node_event, "thaw", node)
@@ -51,6 +57,7 @@
 
 
 def kill(fleet, node, process, fault, span):
+    """Kills all processes of the node, and starts it again after `span` if that is not 0."""
     node.should_run = False
     for each in list(node.processes):
         each.kill()
@@ -60,6 +67,7 @@
 
 
 def stop(fleet, node, process, fault, span):
+    """Sends SIGTERM to the node's processes, and starts it again after `span` if that is not 0."""
     node.should_run = False
     fleet.record_node_event("stopping", node)
     for each in list(node.processes):
@@ -71,14 +79,15 @@
 
 
 def kill_if_running(fleet, process):
-    """SIGKILL for what is still there: it had its time."""
+    """Sends SIGKILL to a process that has not ended in time after SIGTERM."""
     if not process.dead:
         fleet.invariants.overstayed(process)
         process.kill()
 
 
 def restart(fleet, node):
-    if node.should_run or fleet.stopping:  # another trouble has brought it back
+    """Starts a stopped node once its old processes have ended."""
+    if node.should_run or fleet.stopping:  # another fault's end has restarted it already
         return
     if node.processes:
         fleet.world.after(50_000, restart, fleet, node)
@@ -89,7 +98,7 @@
 
 
 def reload(fleet, node, process, fault, span):
-    """SIGHUP: every second time with a file that is cut off."""
+    """Sends SIGHUP, with an incomplete file if `factor` is under 1, which is half of the drawn faults."""
     values = dict(process.values)
     if fault.factor < 1:
         values.pop("settings")
@@ -97,11 +106,13 @@
 
 
 def retune(fleet, node, process, fault, span):
+    """Sends SIGHUP with a new version of the settings."""
     node.settings_version += 1
     process.retune(tuning.values(fleet.plan, node.number, node.settings_version))
 
 
 def quiesce(fleet, node, process, fault, span):
+    """Drains the process by an operator's command, and resumes it after `span`."""
     fleet.record_node_event("quiesce", node)
     process.drain(True)
     fleet.schedule_removal(node, 300_000)
@@ -110,7 +121,7 @@
 
 
 def resume(fleet, node):
-    """Of whatever process is there by then: one that replaces a drained one is drained too."""
+    """Resumes the node's current process; a process that replaces a drained one is drained too."""
     process = node.process
     if process is not None:
         fleet.record_node_event("resume", node)
@@ -120,13 +131,14 @@
 
 
 def replace(fleet, node, process, fault, span):
+    """Starts a second process that takes over from the first."""
     if len(node.processes) == 1 and not process.reducer.stopping:
         fleet.record_node_event("replacing", node)
         fleet.world.after(20_000, stop_replaced, fleet, process, node.start(), 0)
 
 
 def stop_replaced(fleet, old, new, tries):
-    """SIGTERM for the old process once the new one serves."""
+    """Sends SIGTERM to the old process once the new one serves."""
     if new.takes and new.reducer.listed and not old.dead:
         old.stop()
         fleet.world.after(STOP_TIMEOUT, kill_if_running, fleet, old)
@@ -135,7 +147,10 @@
 
 
 def late_writes(fleet, node, process, fault, span):
-    """The kernel takes half of what is written, and the rest up to `factor` tenths of a second later."""
+    """For `span`, the kernel takes half of some writes at once and the rest later.
+
+    The rest follows within `factor` tenths of a second.
+    """
     process.late_writes = 0.3, round(fault.factor * SECOND / 10)
     fleet.world.after(span, setattr, process, "late_writes", None)
 
@@ -155,25 +170,25 @@
 }
 
 
-# The ways
+# Network
 
 
 def partition(fleet, fault, span):
-    """What is named (hosts, nodes, zones) and the rest do not reach each other; what was sent is held."""
+    """Separates the named hosts, nodes or zones from the rest for `span`; what is sent is held back."""
     names, network = frozenset(fault.on), fleet.world.network
     network.partition(names)
     fleet.world.after(span, network.heal, names)
 
 
 def slow_way(fleet, fault, span):
-    """`factor` times 10 ms more each way."""
+    """Adds `factor` times 10 ms to each direction for `span`."""
     slowdown, network = (frozenset(fault.on), round(fault.factor * 10_000)), fleet.world.network
     network.slowdowns.append(slowdown)
     fleet.world.after(span, network.slowdowns.remove, slowdown)
 
 
 def affected_links(fleet, fault, salt):
-    """A share (`factor` tenths) of the connections between nodes and what is named."""
+    """Returns a share (`factor` tenths) of the connections between nodes and what the fault names."""
     links = fleet.world.network.links_touching(frozenset(fault.on))
     return (
         fleet.world.random_stream(salt, fault.at).sample(links, min(1.0, fault.factor / 10)) if links else []
@@ -181,54 +196,60 @@
 
 
 def stall(fleet, fault, span):
+    """Delivers nothing on the affected connections for `span`."""
     fleet.world.network.stall(affected_links(fleet, fault, "stall"), span)
 
 
 def reset_connections(fleet, fault, span):
+    """Breaks the affected connections."""
     links = affected_links(fleet, fault, "snap")
     fleet.invariants.snapped(links)
     fleet.world.network.reset_links(links)
 
 
 def dead(fleet, fault, span):
-    """They bring nothing any more, and nobody is told."""
+    """From now on the affected connections deliver nothing, and nobody is told."""
     for link in affected_links(fleet, fault, "dead"):
         link.dead = True
         fleet.invariants.went_dead(link)
 
 
-# The list
+# Host list
 
 
 def agents(fleet, fault):
+    """Returns the agents of the nodes that the fault names, or all."""
     return list(dict.fromkeys(node.agent for node in fleet.nodes if not fault.on or node.name in fault.on))
 
 
 def list_cut(fleet, fault, span):
+    """Silences the agents for `span`."""
     for agent in agents(fleet, fault):
         agent.go_silent(span)
 
 
 def list_garbage(fleet, fault, span):
+    """Lets the agents give garbage for the next five answers."""
     for agent in agents(fleet, fault):
         agent.garbage_left = 5
         agent.answer_waiting_calls()
 
 
 def list_restart(fleet, fault, span):
+    """Restarts the agents' lists."""
     for agent in agents(fleet, fault):
         agent.restart()
 
 
 def list_late(fleet, fault, span):
-    """Changes come so much later; `factor` seconds."""
+    """Delays changes of the list by `factor` more seconds."""
     for agent in agents(fleet, fault):
         agent.extra_lag = round(fault.factor * SECOND)
         fleet.world.after(span, setattr, agent, "extra_lag", 0)
 
 
 def contradict(fleet, fault, span):
-    """Agents of the nodes that are named tell a host that is well as draining or gone, and take it back."""
+    """Lets the agents report a healthy host as draining or gone, and take that back after `span`."""
     up = [name for name, host in fleet.hosts.items() if host.model.state == "up" and not host.gone]
     if not up:
         return
@@ -240,35 +261,39 @@
 
 
 def retract_change(fleet, agent, name):
+    """Lets an agent report the host as ready again, if it is up."""
     host = fleet.hosts[name]
     if host.model.state == "up":
         agent.schedule_change(name, "Ready", None, fleet.entry(host.machine))
 
 
-# All together
+# Whole fleet
 
 
 def store_slow(fleet, fault, span):
-    """What all set-ups need takes `factor` tenths of a second more."""
+    """Makes what all set-ups need slower by `factor` tenths of a second."""
     for host in fleet.hosts.values():
         host.model.store = round(fault.factor * SECOND / 10)
         fleet.world.after(span, setattr, host.model, "store", 0)
 
 
 def reconnect(fleet, fault, span):
+    """Disconnects a share (`factor` tenths) of the clients, which reconnect within `span`."""
     fleet.clients.disconnect_share(min(1.0, fault.factor / 10), span or SECOND)
 
 
 def slow_readers(fleet, fault, span):
+    """Lets a share (`factor` tenths) of the clients read nothing for `span`."""
     fleet.clients.slow_readers(min(1.0, fault.factor / 10), span)
 
 
 def send_all_to_one_node(fleet, fault, span):
-    """The front deals everything to one node."""
+    """Lets the front send all new clients to one node for `span`."""
     fleet.clients.sole_target = fleet.world.now + span, fleet.by_name[fault.on[0]]
 
 
 def start_bad_clients(fleet, fault, span):
+    """Starts misbehaving clients of the named kinds, 10 times `factor` a second."""
     fleet.clients.start_bad_clients(
         [name for name in fault.on if name not in fleet.by_name and name not in fleet.hosts],
         10 * fault.factor,
--- a/cottonspread/lab/sim/generator.py
+++ b/cottonspread/lab/sim/generator.py
@@ -1,14 +1,14 @@
-"""Plays drawn from a seed: a small fleet, its traffic, and faults in bursts that overlap on purpose."""
+"""Random scenarios from a seed: a small fleet, its traffic, and bursts of faults that overlap on purpose."""
 
 from cottonspread.lab import plan as plans
 from cottonspread.lab.sim.invariants import CALM
 from cottonspread.lab.sim.scenario import Scenario
 from cottonspread.lab.sim.world import SECOND, RandomStream
 
-SETTLING_SECONDS = CALM // SECOND + 10  # seconds after the last trouble, so that progress can be judged
+SETTLING_SECONDS = CALM // SECOND + 10  # seconds after the last fault, so that progress can be checked
 EFFECTS = ("repeatable", "referenced", "once-only")
 SCOPES = ("all", "zone", "cell")
-# How often each kind is drawn
+# How often each kind is drawn, relative to the others
 FAULT_WEIGHTS = {
     "hang": 4,
     "slow": 3,
@@ -49,7 +49,7 @@
 
 
 def draw_fault(random, at, fleet, kind=None):
-    """One of the kind, or of any."""
+    """Returns a random fault of this kind, or of any kind if None, at second `at`."""
     hosts = [f"h{n}" for n in range(fleet["hosts.count"])]
     nodes = [f"n{n}" for n in range(fleet["nodes.count"])]
     zones = [f"z{n}" for n in range(fleet["hosts.zones"])]
@@ -79,7 +79,7 @@
 
 
 def node_fault_parameters(random, kind, seconds, factor):
-    """How long a node's own trouble lasts, and its factor."""
+    """Returns the duration (seconds) and factor of a node's fault."""
     if kind == "freeze":
         return random.choice((0.05, 0.3, 1.0, 3.0, 6.0)), factor
     if kind in ("reload", "retune", "replace"):
@@ -90,11 +90,12 @@
 
 
 def last_fault_end(faults):
+    """Returns the second at which the last fault ends."""
     return max([one.at + one.seconds for one in faults] or [0.0])
 
 
 def with_fitted_length(scenario):
-    """As long as its faults ask for."""
+    """Returns the scenario with a length that its faults need."""
     return Scenario(
         {**scenario.fleet, "seconds": round(last_fault_end(scenario.faults) + SETTLING_SECONDS, 1)},
         scenario.types,
@@ -107,8 +108,10 @@
 
 
 def sustainable_rate(fleet, types, rate):
-    """At most this rate: in calm a third of what the hosts can do, and of the descriptors, so that whoever is
-    not served then was turned away for no good reason.
+    """Returns `rate`, limited to what the fleet can serve.
+
+    The limit is a third of what the hosts can do without faults, and of the nodes' descriptors, so that a
+    client that is not served then was rejected without good reason.
     """
     life = sum(one["life_s"] for one in types) / len(types)
     work = sum(one["life_s"] * one["load_us"] for one in types) / len(types) / 1e6 + 0.0024
@@ -117,7 +120,7 @@
 
 
 def generate(seed):
-    """One seed, one play."""
+    """Returns the scenario of a seed."""
     random = RandomStream("trial", seed)
     zones = random.randint(1, 3)
     fleet = {
--- a/cottonspread/lab/sim/hosts.py
+++ b/cottonspread/lab/sim/hosts.py
@@ -1,20 +1,24 @@
-"""Simulated hosts: the lab's model and its side of the protocol, on simulated ways."""
+"""Simulated hosts: the lab's host model and protocol on the simulated network."""
 
 from cottonspread.lab import wire
 from cottonspread.lab.serving import Serving, modelled
 from cottonspread.lab.sim.network import Endpoint
 
-MAX_UNREAD = 64 * 1024  # bytes that a connection's reader may leave untaken
+MAX_UNREAD = 64 * 1024  # bytes that a node may leave unread before its connection is reset
 
 
 class Conn:
+    """A connection at a host."""
+
     __slots__ = ("side", "lines", "call", "over", "server")
 
     def __init__(self, side, server):
+        """`side`: the host's side of the connection."""
         self.side, self.lines, self.call, self.over, self.server = side, wire.Lines(), None, False, server
 
     def on_readable(self, side):
-        if self.over or self.server.gone:  # a machine that vanished takes nothing
+        """Reads what has arrived; a machine that has vanished reads nothing."""
+        if self.over or self.server.gone:  # a machine that has vanished reads nothing
             return
         if side.received:
             data = side.recv()
@@ -24,11 +28,15 @@
             self.server.end(self, "theirs")
 
     def on_writable(self, side):
+        """Does nothing: a host never waits to write."""
         pass
 
 
 class Host(Serving):
+    """A host of the plan."""
+
     def __init__(self, fleet, machine):
+        """Creates the host of a plan's machine; one that the plan starts later is down until then."""
         super().__init__(machine.name, modelled(fleet.plan, machine, 0), fleet.plan.experiment.hosts.reports)
         self.fleet, self.machine, self.endpoint, self.gone = (
             fleet,
@@ -43,26 +51,33 @@
             self.open()
 
     def now(self):
+        """Returns the simulated time, in microseconds."""
         return self.fleet.world.now
 
     def put(self, line):
+        """Adds a line to the hosts' record and shows it to the invariants."""
         self.fleet.add_record("hosts", line)
         self.fleet.invariants.host_said(line)
 
     def open(self):
+        """Accepts connections."""
         self.endpoint.on_connect, self.gone = self.accept, False
 
     def shut(self):
+        """Refuses connections."""
         self.endpoint.on_connect, self.gone = None, False
 
     def vanish(self):
+        """Leaves connection requests and established connections without any reply."""
         self.endpoint.on_connect, self.gone = Endpoint.SILENT, True
 
     def accept(self, side):
+        """Accepts a connection."""
         conn = side.owner = Conn(side, self)
         self.conns[conn] = None
 
     def write(self, conn, line):
+        """Sends a line; resets a connection whose peer has left too much unread."""
         self.fleet.invariants.host_writes(conn, line)
         try:
             conn.side.send(line + b"\r\n")
@@ -73,12 +88,14 @@
             self.end(conn, "reset")
 
     def drop(self, conn, how):
+        """Closes the connection, with a reset if `how` is "reset"."""
         if how == "reset":
             conn.side.reset()
         else:
             conn.side.close()
 
     def mend(self, fault):
+        """Ends a fault."""
         if fault.kind == "vanish":
             self.gone = False
         super().mend(fault)
--- a/cottonspread/lab/sim/scenario.py
+++ b/cottonspread/lab/sim/scenario.py
@@ -1,14 +1,14 @@
-"""A simulated play as text: what a failure is written down as, and played again from.
+"""Scenarios of the simulator as text, for recording and repeating a failure.
 
     # what it shows
     fleet seed=7 seconds=40 nodes.count=3 hosts.count=4 hosts.zones=2   keys of an experiment
     type farm-view effect=once-only guard_ms=2000                       a traffic type
     load poisson rate=6                                                 arrivals
-    only 3 17                                                           of the first calls these alone
-    5250 hang h1 h2 seconds=3                                           a trouble, ms after the start
+    only 3 17                                                           only these of the first calls
+    5250 hang h1 h2 seconds=3                                           a fault, in ms after the start
     > holds                                                             or: > breaks rule 2: two legs at once
 
-Lines may come in any order but the last; what follows `#` is a remark.
+Only the last line has a fixed place; text after `#` is a comment.
 """
 
 from dataclasses import dataclass, field
@@ -22,13 +22,14 @@
 from cottonspread.lab.sim.node import NodeError
 
 HOLDS = "holds"
-ADDRESS_BLOCK = 64, 0  # of its addresses, which nobody binds
+ADDRESS_BLOCK = 64, 0  # of the simulated machines' addresses, which are never bound
 
 
 @dataclass
 class Scenario:
-    """One play: keys of an experiment by their path, traffic types, shapes of arrivals,
-    faults, and which first calls there are.
+    """A scenario: experiment keys by path, traffic types, load shapes and faults.
+
+    `only`: the numbers of the first calls to make, None for all.
     """
 
     fleet: dict
@@ -40,6 +41,7 @@
     remarks: list = field(default_factory=list)
 
     def experiment(self):
+        """Returns the scenario as a checked experiment; raises PlanError if it is not valid."""
         nested = {
             "name": "trial",
             "seconds": 30,
@@ -60,12 +62,13 @@
             raise plans.PlanError(str(fault)) from None
 
     def plan(self):
+        """Returns the plan of the scenario's experiment."""
         x = self.experiment()
         return plans.make(x, plans.Variant(name="only"), x.seed, ADDRESS_BLOCK)
 
 
 def read(text):
-    """PlanError names the line."""
+    """Parses the text of a scenario; a PlanError names the faulty line."""
     scenario = Scenario({}, [], [], [], remarks=[])
     for line_number, line in enumerate(text.splitlines(), 1):
         if line.startswith("#"):
@@ -110,7 +113,7 @@
 
 
 def parse_value(word):
-    """A word of the notation as a value."""
+    """Returns a word of the notation as a bool, int, float or str."""
     if word in ("true", "false"):
         return word == "true"
     for kind in (int, float):
@@ -122,6 +125,7 @@
 
 
 def format_value(value):
+    """Returns a value in the notation."""
     return (
         str(value).lower()
         if isinstance(value, bool)
@@ -132,6 +136,7 @@
 
 
 def write(scenario):
+    """Returns the text of a scenario."""
     lines = [f"# {remark}" for remark in scenario.remarks]
     lines.append("fleet " + " ".join(f"{k}={format_value(v)}" for k, v in scenario.fleet.items()))
     for name, key, entries in (("type", "name", scenario.types), ("load", "kind", scenario.loads)):
@@ -154,8 +159,10 @@
 
 @dataclass
 class Outcome:
-    """`broken`: the promise and what broke it, "" if all held; `details`: the
-    whole story; `fleet`: as it was left.
+    """The result of a run.
+
+    `broken`: the violated invariant and how, "" if none was; `details`: the full message; `fleet`: its final
+    state.
     """
 
     broken: str
@@ -164,7 +171,7 @@
 
 
 def run(scenario, traced=False, plan=None):
-    """Plays it to its end, and until every node has stopped, or to the first promise that breaks."""
+    """Runs a scenario until every node has stopped, or until the first violated invariant."""
     fleet = Fleet(plan or scenario.plan(), scenario.only, traced)
     try:
         fleet.run()
