--- a/cottonspread/lab/sim/clients.py
+++ b/cottonspread/lab/sim/clients.py
@@ -61,7 +61,7 @@
     def __init__(
         self, clients, schedule_index, kind, key, group, intended, again=False, retry=False, tries=0
     ):
-        """`intended`: when the call was due; `again`: a reconnect; `retry`: a retry; `tries`: retries so far."""
+        """`intended`: when the call was due; `again`: it is a reconnect; `tries`: retries before this one."""
         self.clients, self.schedule_index, self.kind, self.key, self.group = (
             clients,
             schedule_index,
--- a/cottonspread/lab/sim/fleet.py
+++ b/cottonspread/lab/sim/fleet.py
@@ -1,8 +1,7 @@
-"""A play in simulated time: a plan's nodes, hosts, list and clients in one
-world, with its troubles, until its end.
+"""A simulated run: a plan's nodes, hosts, host list and clients in one world, with its faults, until its end.
 
-What clients, hosts, the list and the nodes saw is recorded as in a play on sockets, so that the same audit
-and the same results are made of it.
+What clients, hosts, list and nodes observe is recorded as in a run on sockets, so that the same audit and
+the same results are made from it.
 """
 
 import msgspec
@@ -18,15 +17,16 @@
 from cottonspread.lab.sim.node import KILLED, Process
 from cottonspread.lab.sim.world import EPOCH, SECOND, World
 
-NOTICED = 300_000  # until the front deals no more to a node that says no
-LIST_TIMEOUT = 2 * SECOND  # for a list that discovery tells; then the saved one is trusted
-PING_INTERVAL = 100_000  # the front asks a node that is to come in
+NOTICED = 300_000  # until the front sends no more clients to a node that fails its health check
+LIST_TIMEOUT = 2 * SECOND  # wait for a list from discovery; then the saved list is used
+PING_INTERVAL = 100_000  # between the front's health checks of a node that comes up
 
 
 class Node:
-    """A place with a process, or with two while one is replaced."""
+    """A node's machine, with one process, or two while the process is replaced."""
 
     def __init__(self, fleet, number):
+        """Creates node number `number` of the plan, without a process."""
         self.fleet, self.number, self.plan = fleet, number, fleet.plan.nodes[number]
         x, random = fleet.plan.experiment, fleet.world.random_stream("node", number)
         self.name = self.plan.name
@@ -47,10 +47,10 @@
         self.agent = fleet.agent_for(self)
 
     def start(self):
-        """A process as `serve` makes one."""
+        """Starts a process with the configuration that `serve` would read."""
         self.start_count += 1
         values = tuning.values(self.fleet.plan, self.number, self.settings_version)
-        # the list that the process before it was told, from the folder that both share
+        # the list that the previous process saved in the directory that both share
         if self.shares_listener and self.saved_instances:
             values["known"] = {
                 "generation": self.generation,
@@ -67,11 +67,11 @@
 
     @property
     def process(self):
-        """The newest that is alive."""
+        """The newest running process, or None."""
         return self.processes[-1] if self.processes else None
 
     def wait_until_ready(self, process):
-        """As the succession does: it serves once it knows a list that discovery told."""
+        """Lets a starting process accept connections once it has received a list from discovery."""
         if process.dead:
             return
         list_received = not process.discovery.whole or self.fleet.world.now - process.began >= LIST_TIMEOUT
@@ -84,7 +84,7 @@
             self.update_listener()
 
     def save_list(self, version, instances, whole):
-        """What discovery told last, as a process saves it."""
+        """Saves an update of the list, as a process does on disk."""
         if whole:
             self.saved_instances = {}
         self.generation = version
@@ -94,7 +94,7 @@
                 del self.saved_instances[one["instanceId"]]
 
     def update_listener(self):
-        """Who takes connections now. The platform's listener holds them for whoever comes."""
+        """Selects which processes accept connections; a shared listener queues them while there is none."""
         accepting = [p for p in self.processes if p.takes]
         if not accepting:
             self.endpoint.on_connect = self.pending_sides.append if self.shares_listener else None
@@ -107,17 +107,18 @@
             self.endpoint.on_connect(side)
 
     def on_process_exit(self, process):
+        """Removes a process that has ended."""
         self.processes.remove(process)
         self.fleet.invariants.process_ended(process)
         self.update_listener()
-        if self.processes:  # alone again
+        if self.processes:  # the other process has the machine's limits to itself again
             self.processes[-1].limit(None)
         elif process.dead == KILLED or not self.should_run:
             self.fleet.record_node_event("killed" if process.dead == KILLED else "stopped", self)
 
 
 def expand_zone_faults(plan):
-    """A zone that is lost is each of its machines, vanished and back cold."""
+    """Replaces the loss of a zone by faults of its machines, which vanish and come back cold."""
     faults = []
     for one in plan.faults:
         if one.kind == "zone-lost":
@@ -129,14 +130,16 @@
 
 
 class Fleet:
+    """All simulated machines of a plan, with the front and the records."""
+
     process_type = Process  # what a node starts
     clients_type = Clients
-    start_window = SECOND // 10  # the nodes start within so long
+    start_window = SECOND // 10  # the nodes start within this time
 
     def __init__(self, plan, only=None, traced=False, policy=(), checked=True, seed=None):
-        """`only`: see `Clients`.
+        """`only`: see `Clients`. `policy`: a class to use in place of the Balancer.
 
-        `policy`: a class in the place of the Balancer. `checked`: whether promises are looked at.
+        `checked`: whether invariants are checked and records kept.
         """
         self.plan, x = expand_zone_faults(plan), plan.experiment
         self.world = World(plan.seed if seed is None else seed, traced)
@@ -151,7 +154,7 @@
         self.clients = self.clients_type(self, plans.schedule(plan), only)
         self.stopping = False
         for node in self.nodes:
-            # They start together, as a fleet's machines do: not in the same microsecond.
+            # Nodes start at about the same time, as a fleet's machines do, but not in the same microsecond.
             self.world.at(node.random.randbelow(self.start_window), node.start)
         for after, name, lifecycle, started in listing.changes(self.plan):
             self.schedule_change(after - round(x.listing.lag_ms * 1000), name, lifecycle, started)
@@ -163,17 +166,18 @@
             )
 
     def agent_for(self, node):
-        """Where the node hears the list; nodes may share one."""
+        """Returns the discovery agent of a node; nodes may share one."""
         lag = round(self.plan.experiment.listing.lag_ms * 1000)
         return Agent(self, node.name, self.entries, lag)
 
     @property
     def agents(self):
-        """Each that a node has, once, in the nodes' order."""
+        """The agents of all nodes, each once, in the order of the nodes."""
         return list(dict.fromkeys(node.agent for node in self.nodes))
 
     @staticmethod
     def entry(m):
+        """Returns a machine's entry in the list."""
         return {
             "instanceId": m.name,
             "hostPort": f"{m.ip}:{m.port}",
@@ -186,12 +190,14 @@
         }
 
     def schedule_change(self, after, name, lifecycle, started):
+        """Schedules a change of a host's entry at time `after` at every agent."""
         machine = self.hosts[name].machine
         at = None if started is None else (EPOCH + round(started)) // 1000
         for agent in self.agents:
             self.world.at(after, agent.schedule_change, name, lifecycle, at, self.entry(machine))
 
     def update_weights(self, every):
+        """Updates the weights of all hosts at every agent, now and every `every` microseconds."""
         held = {
             m.name: (m.traits.cores * m.traits.speed, len(self.hosts[m.name].model.conns) / m.traits.cores)
             for m in self.plan.machines
@@ -200,33 +206,39 @@
             agent.update_weights(held)
         self.world.after(every, self.update_weights, every)
 
-    # The record
+    # Records
 
     def add_record(self, kind, line):
+        """Adds a line to one of the records, if invariants are checked."""
         if self.invariants.checked:
             self.records[kind].append(line)
 
     @property
     def records(self):
+        """The records of this run, by kind."""
         return self.world.records
 
     def record_node_event(self, kind, node, **more):
+        """Adds a line about a node to the nodes' record."""
         self.add_record("nodes", {"k": kind, "t": self.world.now, "node": node.name, **more})
 
     def on_call_up(self, call):
+        """Called when a client's connection is established."""
         pass
 
     def on_log_line(self, process, effect):
-        """A log line of a node."""
+        """Called for each log line of a node; "overdue" and "fault" are violations."""
         if effect.event in ("overdue", "fault"):
-            self.invariants.broken(0, f"the node's log says {effect.event}", process.node.name, effect.pairs)
+            self.invariants.broken(0, f"the node logged {effect.event}", process.node.name, effect.pairs)
 
     def after_step(self, process, event, effects):
+        """Called after each step of a reducer."""
         self.invariants.after_step(process)
 
-    # The play
+    # The run
 
     def run(self):
+        """Runs the plan to its end and checks the invariants of the end."""
         x = self.plan.experiment
         self.world.run(round((x.seconds + x.settle_s) * SECOND))
         self.clients.finish()
@@ -234,7 +246,7 @@
         return self
 
     def stop_all(self, wait=6 * SECOND):
-        """Every node gets its SIGTERM; what is left then is a leak."""
+        """Sends SIGTERM to every process and checks that all have ended after `wait` microseconds."""
         self.stopping = True
         for node in self.nodes:
             node.should_run = False
@@ -246,28 +258,32 @@
     # The front
 
     def start_health_checks(self, node):
-        """The front deals to it once it has answered PING."""
+        """Lets the front send clients to a node again once it has answered PING."""
         process = node.process
         if process is not None and not process.dead:
             Pinger(self, node)
 
     def schedule_removal(self, node, after):
+        """Lets the front notice after `after` microseconds that a node is down."""
         node.down_at = self.world.now
         self.world.after(after, self.remove_if_down, node, node.down_at)
 
     def remove_if_down(self, node, since):
+        """Stops sending clients to a node, unless it has come back since `since`."""
         if node.down_at == since:
             self.clients.set_in_rotation(node, False)
 
 
 class Pinger:
-    """The front's question to a node that comes in, again and again until it says yes."""
+    """The front's health check of a node that comes up, repeated until the node answers PONG."""
 
     def __init__(self, fleet, node):
+        """Connects to the node."""
         self.fleet, self.node, self.accepted_at = fleet, node, 0
         fleet.world.network.connect(self, fleet.clients.endpoint, node.endpoint, SECOND, self.connected)
 
     def connected(self, side, why):
+        """Sends PING, or tries again if the connection failed."""
         if side is None:
             self.retry()
             return
@@ -278,6 +294,7 @@
             self.retry()
 
     def on_readable(self, side):
+        """Puts the node back into rotation on PONG, else tries again."""
         answer = side.recv() if side.received else b""
         if answer == b"PONG\r\n":
             side.close()
@@ -289,8 +306,10 @@
             self.retry()
 
     def on_writable(self, side):
+        """Does nothing: a PING never waits to be written."""
         pass
 
     def retry(self):
+        """Starts another check later, if the node has a process."""
         if self.node.processes:
             self.fleet.world.after(PING_INTERVAL, Pinger, self.fleet, self.node)
