--- a/tests/lab/test_sim.py
+++ b/tests/lab/test_sim.py
@@ -14,7 +14,7 @@
 
 ROOT = Path(__file__).parent.parent.parent
 SEEDS = (3, 85, 141, 336)
-PLAY = """
+SCRIPT = """
 import sys
 from cottonspread.lab.sim import generator, scenario
 print([scenario.run(generator.generate(int(seed))).fleet.world.trace_digest() for seed in sys.argv[1:]])
@@ -23,9 +23,9 @@
 
 def test_one_seed_gives_one_trace_in_any_process():
     """Sets and hashes in another order must change nothing."""
-    said = {
+    outputs = {
         subprocess.run(
-            [sys.executable, "-c", PLAY, *map(str, SEEDS)],
+            [sys.executable, "-c", SCRIPT, *map(str, SEEDS)],
             cwd=ROOT,
             capture_output=True,
             text=True,
@@ -34,16 +34,16 @@
         ).stdout
         for seed in ("1", "77")
     }
-    assert len(said) == 1 and len(set(ast.literal_eval(said.pop()))) == len(SEEDS)
+    assert len(outputs) == 1 and len(set(ast.literal_eval(outputs.pop()))) == len(SEEDS)
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_promises_hold(seed):
+def test_invariants_hold(seed):
     assert scenario.run(generator.generate(seed)).details == ""
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_a_play_is_read_as_it_was_written(seed):
-    drawn = generator.generate(seed)
-    again = scenario.read(scenario.write(drawn))
-    assert scenario.write(again) == scenario.write(drawn) and again.experiment() == drawn.experiment()
+def test_a_scenario_is_read_back_as_it_was_written(seed):
+    generated = generator.generate(seed)
+    again = scenario.read(scenario.write(generated))
+    assert scenario.write(again) == scenario.write(generated) and again.experiment() == generated.experiment()
