--- a/tests/lab/test_sim.py
+++ b/tests/lab/test_sim.py
@@ -1,5 +1,5 @@
-"""Simulated fleets: one seed one trace, promises kept on a set of seeds, and what a
-failure was written down as, played again.
+"""Simulated fleets: a seed determines the trace, invariants hold on a set of seeds, and a scenario's text
+can be read back.
 """
 
 import ast
@@ -22,7 +22,7 @@
 
 
 def test_one_seed_gives_one_trace_in_any_process():
-    """Sets and hashes in another order must change nothing."""
+    """The order of sets and hashes must not matter."""
     outputs = {
         subprocess.run(
             [sys.executable, "-c", SCRIPT, *map(str, SEEDS)],
