--- a/cottonspread/lab/sim/agent.py
+++ b/cottonspread/lab/sim/agent.py
@@ -168,7 +168,7 @@
                 "hosts": hosts,
             },
         )
-        agent.fleet.invariants.told(self.process, answer["reset"], hosts)
+        agent.fleet.invariants.on_list_answer(self.process, answer["reset"], hosts)
         return json.dumps(answer).encode()
 
     def close(self):
--- a/cottonspread/lab/sim/clients.py
+++ b/cottonspread/lab/sim/clients.py
@@ -109,7 +109,7 @@
             self.clients.end_call(self, "reset")
             return
         self.sent = world.now
-        self.clients.fleet.invariants.opened(self)
+        self.clients.fleet.invariants.on_call_sent(self)
         world.after(int(self.kind.guard_ms) * 1000 + ANSWER_TOLERANCE, self.on_guard_expired)
 
     def on_readable(self, side):
@@ -132,7 +132,7 @@
     def on_line(self, line):
         """Handles a line from the node."""
         now, clients = self.clients.world.now, self.clients
-        clients.fleet.invariants.client_has(self, line)
+        clients.fleet.invariants.on_client_line(self, line)
         if not self.up or line.startswith(b"UP "):
             what, value = wire.answer(line)
             self.answers.append([now, what, value])
@@ -235,7 +235,7 @@
         draw = self.schedule_columns["draw"][call.schedule_index] + 2654435761 * (call.tries + call.again)
         call.node = candidates[draw % len(candidates)]
         self.counts["offered"] += 1
-        self.fleet.invariants.calls_made(call)
+        self.fleet.invariants.on_call_made(call)
         self.world.network.connect(
             call, self.endpoint, call.node.endpoint, CONNECT_TIMEOUT, call.on_connected
         )
@@ -307,7 +307,7 @@
             call.side.close()
         self.open_calls.pop(call, None)
         self.established.pop(call, None)
-        self.fleet.invariants.client_done(call, how)
+        self.fleet.invariants.on_client_done(call, how)
         self.fleet.add_record(
             "load",
             {
@@ -412,7 +412,7 @@
         if self.kind == "same-id":
             victim = next(iter(self.clients.open_calls), None)
             line = b"OPEN %s k c=%s,d=900\r\n" % ((victim.id if victim else self.id).encode(), name.encode())
-            self.clients.fleet.invariants.stolen.add(victim.id if victim else self.id)
+            self.clients.fleet.invariants.reused_ids.add(victim.id if victim else self.id)
         elif line.count(b"%s") == 2:
             line %= self.id.encode(), name.encode()
         elif b"%s" in line:
--- a/cottonspread/lab/sim/fault_injection.py
+++ b/cottonspread/lab/sim/fault_injection.py
@@ -14,7 +14,7 @@
     """Starts a fault."""
     span = round(fault.seconds * SECOND)
     fleet.world.add_trace_line("trouble", fault.kind, *fault.on)
-    fleet.invariants.trouble(fault)
+    fleet.invariants.on_fault(fault)
     if fault.kind in HOST_FAULTS:
         for name in fault.on:
             inject_host_fault(fleet, fleet.hosts[name], fault, span)
@@ -53,7 +53,7 @@
     fleet.record_node_event("freeze", node)
     process.freeze(span)
     fleet.world.after(span, fleet.record_node_event, "thaw", node)
-    fleet.invariants.stood_still(node, fleet.world.now, fleet.world.now + span)
+    fleet.invariants.on_pause(node, fleet.world.now, fleet.world.now + span)
 
 
 def kill(fleet, node, process, fault, span):
@@ -81,7 +81,7 @@
 def kill_if_running(fleet, process):
     """Sends SIGKILL to a process that has not ended in time after SIGTERM."""
     if not process.dead:
-        fleet.invariants.overstayed(process)
+        fleet.invariants.on_forced_kill(process)
         process.kill()
 
 
@@ -116,7 +116,7 @@
     fleet.record_node_event("quiesce", node)
     process.drain(True)
     fleet.schedule_removal(node, 300_000)
-    fleet.invariants.drained(process)
+    fleet.invariants.on_drain(process)
     fleet.world.after(span, resume, fleet, node)
 
 
@@ -125,7 +125,7 @@
     process = node.process
     if process is not None:
         fleet.record_node_event("resume", node)
-        fleet.invariants.resumed(process)
+        fleet.invariants.on_resume(process)
         process.drain(False)
         fleet.world.after(50_000, fleet.start_health_checks, node)
 
@@ -203,7 +203,7 @@
 def reset_connections(fleet, fault, span):
     """Breaks the affected connections."""
     links = affected_links(fleet, fault, "snap")
-    fleet.invariants.snapped(links)
+    fleet.invariants.on_links_reset(links)
     fleet.world.network.reset_links(links)
 
 
@@ -211,7 +211,7 @@
     """From now on the affected connections deliver nothing, and nobody is told."""
     for link in affected_links(fleet, fault, "dead"):
         link.dead = True
-        fleet.invariants.went_dead(link)
+        fleet.invariants.on_link_dead(link)
 
 
 # Host list
--- a/cottonspread/lab/sim/fleet.py
+++ b/cottonspread/lab/sim/fleet.py
@@ -109,7 +109,7 @@
     def on_process_exit(self, process):
         """Removes a process that has ended."""
         self.processes.remove(process)
-        self.fleet.invariants.process_ended(process)
+        self.fleet.invariants.on_process_exit(process)
         self.update_listener()
         if self.processes:  # the other process has the machine's limits to itself again
             self.processes[-1].limit(None)
@@ -229,7 +229,7 @@
     def on_log_line(self, process, effect):
         """Called for each log line of a node; "overdue" and "fault" are violations."""
         if effect.event in ("overdue", "fault"):
-            self.invariants.broken(0, f"the node logged {effect.event}", process.node.name, effect.pairs)
+            self.invariants.fail(0, f"the node logged {effect.event}", process.node.name, effect.pairs)
 
     def after_step(self, process, event, effects):
         """Called after each step of a reducer."""
--- a/cottonspread/lab/sim/generator.py
+++ b/cottonspread/lab/sim/generator.py
@@ -1,11 +1,11 @@
 """Random scenarios from a seed: a small fleet, its traffic, and bursts of faults that overlap on purpose."""
 
 from cottonspread.lab import plan as plans
-from cottonspread.lab.sim.invariants import CALM
+from cottonspread.lab.sim.invariants import CALM_PERIOD
 from cottonspread.lab.sim.scenario import Scenario
 from cottonspread.lab.sim.world import SECOND, RandomStream
 
-SETTLING_SECONDS = CALM // SECOND + 10  # seconds after the last fault, so that progress can be checked
+SETTLING_SECONDS = CALM_PERIOD // SECOND + 10  # seconds after the last fault, so that progress can be checked
 EFFECTS = ("repeatable", "referenced", "once-only")
 SCOPES = ("all", "zone", "cell")
 # How often each kind is drawn, relative to the others
--- a/cottonspread/lab/sim/hosts.py
+++ b/cottonspread/lab/sim/hosts.py
@@ -22,7 +22,7 @@
             return
         if side.received:
             data = side.recv()
-            self.server.fleet.invariants.host_has(self, data)
+            self.server.fleet.invariants.on_host_data(self, data)
             self.server.came(self, data)
         if not self.over and (side.eof or side.was_reset):
             self.server.end(self, "theirs")
@@ -57,7 +57,7 @@
     def put(self, line):
         """Adds a line to the hosts' record and shows it to the invariants."""
         self.fleet.add_record("hosts", line)
-        self.fleet.invariants.host_said(line)
+        self.fleet.invariants.on_host_record(line)
 
     def open(self):
         """Accepts connections."""
@@ -78,7 +78,7 @@
 
     def write(self, conn, line):
         """Sends a line; resets a connection whose peer has left too much unread."""
-        self.fleet.invariants.host_writes(conn, line)
+        self.fleet.invariants.on_host_write(conn, line)
         try:
             conn.side.send(line + b"\r\n")
         except BrokenPipeError:
--- a/cottonspread/lab/sim/invariants.py
+++ b/cottonspread/lab/sim/invariants.py
@@ -11,13 +11,21 @@
 from cottonspread.lab.sim.world import SECOND
 from cottonspread.net import events as ev
 
-SLACK = 50_000
-PASSED_ON, SILENCE, BAD, DRAINED = SECOND, 7 * SECOND, 3 * SECOND, 4 * SECOND
-CALM = 20 * SECOND  # after the last trouble: by then every sound client is served
-BOOKS = 40  # steps of a process between two counts of all its sums
-TIMERS, LONGEST = 8, 50 * SECOND  # what a call may leave in the node's timers at most, and for how long
-
-ANSWER, EFFECTS, DRAINS, COLD, BOOK, BOUND, PROGRESS, ORDER = (
+TOLERANCE = 50_000
+END_FORWARD_TIMEOUT, MAX_ECHO_DELAY, BAD_CLIENT_TIMEOUT, DRAIN_TIMEOUT = (
+    SECOND,
+    7 * SECOND,
+    3 * SECOND,
+    4 * SECOND,
+)
+CALM_PERIOD = 20 * SECOND  # after the last trouble: by then every sound client is served
+COUNTER_CHECK_INTERVAL = 40  # steps of a process between two counts of all its sums
+TIMERS_PER_CALL, TIMER_LIFETIME = (
+    8,
+    50 * SECOND,
+)  # what a call may leave in the node's timers at most, and for how long
+
+ANSWER, EFFECTS, DRAINS, COLD, COUNTERS, BOUND, PROGRESS, ORDER = (
     "rule 1",
     "rule 2",
     "rule 3",
@@ -32,22 +40,22 @@
 class InvariantError(AssertionError):
     """A promise did not hold."""
 
-    def __init__(self, invariant, what, at, full):
-        super().__init__(f"{invariant}: {what}, at {at / SECOND:.6f} s: {full}")
-        self.invariant, self.what, self.at, self.full = invariant, what, at, full
+    def __init__(self, invariant, what, at, context):
+        super().__init__(f"{invariant}: {what}, at {at / SECOND:.6f} s: {context}")
+        self.invariant, self.what, self.at, self.context = invariant, what, at, context
 
 
 class Leg:
     """A first line on its way to a host, as the node's machine sees it."""
 
-    __slots__ = ("host", "sent", "side", "out", "never", "up", "ended", "watch")
+    __slots__ = ("host", "sent", "side", "active", "never_ran", "up", "ended_at", "observed")
 
-    def __init__(self, host, sent, side, watch):
-        self.host, self.sent, self.side, self.watch = host, sent, side, watch
-        self.out, self.never, self.up, self.ended = True, False, False, 0
+    def __init__(self, host, sent, side, observed):
+        self.host, self.sent, self.side, self.observed = host, sent, side, observed
+        self.active, self.never_ran, self.up, self.ended_at = True, False, False, 0
 
 
-class Watch:
+class ObservedCall:
     """One call of a client, from its line on."""
 
     __slots__ = (
@@ -57,29 +65,31 @@
         "process",
         "node",
         "sent",
-        "guard",
-        "said",
-        "said_at",
+        "deadline",
+        "answer",
+        "answered_at",
         "legs",
         "moved",
-        "closed",
-        "excused",
+        "closed_at",
+        "excuse",
         "side",
-        "taken",
-        "leg",
+        "accepted_at",
+        "up_leg",
     )
 
     def __init__(self, id, kind, call):
         self.id, self.kind, self.call, self.process, self.node = id, kind, call, None, None
-        self.sent, self.guard, self.said, self.said_at, self.legs = 0, 0, b"", 0, []
-        self.moved, self.closed, self.excused, self.side, self.taken = False, 0, "", None, 0
-        self.leg = None  # the one whose UP was passed on
+        self.sent, self.deadline, self.answer, self.answered_at, self.legs = 0, 0, b"", 0, []
+        self.moved, self.closed_at, self.excuse, self.side, self.accepted_at = False, 0, "", None, 0
+        self.up_leg = None  # the one whose UP was passed on
 
     def __repr__(self):
-        legs = [(leg.host, round(leg.sent / SECOND, 6), leg.up, leg.never, leg.out) for leg in self.legs]
+        legs = [
+            (leg.host, round(leg.sent / SECOND, 6), leg.up, leg.never_ran, leg.active) for leg in self.legs
+        ]
         return (
             f"{self.id} {self.kind.name} at {self.node and self.node.name}: sent {self.sent / SECOND:.6f}, "
-            f"said {self.said!r} {self.said_at / SECOND:.6f}, legs {legs}"
+            f"said {self.answer!r} {self.answered_at / SECOND:.6f}, legs {legs}"
         )
 
 
@@ -88,308 +98,329 @@
         self.fleet, self.world, self.checked = fleet, fleet.world, checked
         self.kinds = fleet.plan.experiment.load.types
         self.grace = round(fleet.plan.experiment.nodes.grace_ms * 1000)
-        self.calls, self.watches, self.receipts, self.still = {}, {}, set(), defaultdict(list)
-        self.unfit, self.starts, self.known = defaultdict(dict), {}, defaultdict(list)
-        self.ran, self.legs_of, self.seen = Counter(), {}, Counter()
+        self.calls, self.by_client, self.receipts, self.pauses = {}, {}, set(), defaultdict(list)
+        self.unfit_since, self.host_started_at, self.host_known_at = defaultdict(dict), {}, defaultdict(list)
+        self.run_counts, self.legs_by_side, self.check_counts = Counter(), {}, Counter()
         # ids that others use too; echoes that hosts have sent
-        self.stolen, self.echoed = set(), defaultdict(deque)
-        self.quiet_from, self.lines, self.echoes, self.reached, self.most = 0, {}, {}, set(), Counter()
-        self.drains, self.shaky, self.came = {}, set(), defaultdict(deque)
+        self.reused_ids, self.host_echoes = set(), defaultdict(deque)
+        self.last_fault_end, self.partial_lines, self.last_echoes, self.served_clients, self.most = (
+            0,
+            {},
+            {},
+            set(),
+            Counter(),
+        )
+        self.drained_since, self.dead_links, self.accept_times = {}, set(), defaultdict(deque)
 
-    def broken(self, invariant, what, *full):
-        raise InvariantError(invariant, what, self.world.now, full)
+    def fail(self, invariant, what, *context):
+        raise InvariantError(invariant, what, self.world.now, context)
 
-    def need(self, true, invariant, what, *full):
-        self.seen[invariant] += 1
-        if not true and self.checked:
-            self.broken(invariant, what, *full)
+    def require(self, holds, invariant, what, *context):
+        self.check_counts[invariant] += 1
+        if not holds and self.checked:
+            self.fail(invariant, what, *context)
 
     # Troubles, as far as they excuse
 
-    def trouble(self, one):
-        self.quiet_from = max(self.quiet_from, self.world.now + round(one.seconds * SECOND))
+    def on_fault(self, fault):
+        self.last_fault_end = max(self.last_fault_end, self.world.now + round(fault.seconds * SECOND))
 
-    def stood_still(self, node, since, until):
-        self.still[node].append((since, until))
+    def on_pause(self, node, since, until):
+        self.pauses[node].append((since, until))
 
-    def stood(self, node, since, until):
+    def was_paused(self, node, since, until):
         """Whether a node's process was stopped at some time between."""
-        return any(a <= until and b >= since for a, b in self.still.get(node, ()))
+        return any(a <= until and b >= since for a, b in self.pauses.get(node, ()))
 
-    def snapped(self, links):
+    def on_links_reset(self, links):
         pass
 
-    def went_dead(self, link):
-        self.shaky.add(link)
+    def on_link_dead(self, link):
+        self.dead_links.add(link)
 
     # Calls
 
-    def calls_made(self, call):
-        self.calls[call.id] = self.watches[call] = Watch(call.id, call.kind, call)
+    def on_call_made(self, call):
+        self.calls[call.id] = self.by_client[call] = ObservedCall(call.id, call.kind, call)
 
-    def opened(self, call):
+    def on_call_sent(self, call):
         """Its line is on its way to the node's machine."""
-        watch = self.calls[call.id]
-        watch.node, watch.side = call.node, call.side
-        watch.sent, watch.guard = (
+        observed = self.calls[call.id]
+        observed.node, observed.side = call.node, call.side
+        observed.sent, observed.deadline = (
             call.side.last_arrival,
             call.side.last_arrival + round(call.kind.guard_ms * 1000),
         )
-        self.world.at(watch.guard + SLACK + 1, self.overdue, watch)
+        self.world.at(observed.deadline + TOLERANCE + 1, self.check_answered, observed)
 
-    def accepted(self, process, side):
-        self.came[process].append(self.world.now)
+    def on_accepted(self, process, side):
+        self.accept_times[process].append(self.world.now)
         side.peer.owner.accepted_at = self.world.now
-        watch = self.of_client(side)
-        if watch is not None:
-            watch.process, watch.node, watch.taken = process, process.node, self.world.now
+        observed = self.call_of(side)
+        if observed is not None:
+            observed.process, observed.node, observed.accepted_at = process, process.node, self.world.now
 
-    def of_client(self, side):
+    def call_of(self, side):
         """The call on this side of a node's, if it is a player's."""
-        return self.watches.get(side.peer.owner)
+        return self.by_client.get(side.peer.owner)
 
-    def overdue(self, watch):
+    def check_answered(self, observed):
         if (
-            watch.said
-            or watch.excused
-            or watch.call.done
-            and watch.call.how in ("left",)
-            or self.stood(watch.node, watch.sent, watch.guard + SLACK)
+            observed.answer
+            or observed.excuse
+            or observed.call.done
+            and observed.call.how in ("left",)
+            or self.was_paused(observed.node, observed.sent, observed.deadline + TOLERANCE)
         ):
             return
-        if self.waited(watch):
+        if self.waited_in_listener(observed):
             return
-        self.need(False, ANSWER, "no answer before the guard time", watch)
+        self.require(False, ANSWER, "no answer before the guard time", observed)
 
-    def writes(self, process, end, data):
+    def on_node_write(self, process, end, data):
         """A node's machine is to carry this."""
         side = end.worker.side
         if end.client:
-            watch = self.of_client(side)
-            if watch is not None:
-                self.answers(watch, data)
-        elif side not in self.legs_of:
-            self.leg(process, end, side, data)
+            observed = self.call_of(side)
+            if observed is not None:
+                self.on_answer(observed, data)
+        elif side not in self.legs_by_side:
+            self.on_leg(process, end, side, data)
 
     @staticmethod
-    def waited(watch):
+    def waited_in_listener(observed):
         """Whether it has lost its time in the platform's listener, while there was no process to take it."""
-        return watch.node.shares_listener and (not watch.taken or watch.taken > watch.guard - 2 * SLACK)
+        return observed.node.shares_listener and (
+            not observed.accepted_at or observed.accepted_at > observed.deadline - 2 * TOLERANCE
+        )
 
-    def turned_away(self, process, side, line):
-        watch = self.of_client(side)
-        if watch is not None:
-            watch.process, watch.node, watch.taken = process, process.node, self.world.now
-            self.answers(watch, line)
+    def on_rejected(self, process, side, line):
+        observed = self.call_of(side)
+        if observed is not None:
+            observed.process, observed.node, observed.accepted_at = process, process.node, self.world.now
+            self.on_answer(observed, line)
 
-    def answers(self, watch, data):
+    def on_answer(self, observed, data):
         now = self.world.now
         if data.startswith(b"MOVE"):
-            watch.moved = True
-        if watch.said.startswith(b"UP"):
+            observed.moved = True
+        if observed.answer.startswith(b"UP"):
             return
-        self.need(not watch.said, ANSWER, "more than one final answer", watch, data)
-        self.need(
-            now <= watch.guard + SLACK
-            or watch.guard == 0
-            or self.waited(watch)
-            or self.stood(watch.node, watch.sent, now),
+        self.require(not observed.answer, ANSWER, "more than one final answer", observed, data)
+        self.require(
+            now <= observed.deadline + TOLERANCE
+            or observed.deadline == 0
+            or self.waited_in_listener(observed)
+            or self.was_paused(observed.node, observed.sent, now),
             ANSWER,
             "answered after the guard time",
-            watch,
+            observed,
             data,
         )
-        watch.said, watch.said_at = data.split(b"\r\n")[0], now
-        if watch.said.startswith(b"UP"):
-            watch.leg = next((leg for leg in reversed(watch.legs) if leg.up and leg.out), None)
-        ran = [leg for leg in watch.legs if not leg.never]
-        if data.startswith(b"BUSY") and ran and watch.kind.effect != "repeatable":
-            self.need(
-                watch.kind.effect == "referenced" and watch.kind.scope == "all",
+        observed.answer, observed.answered_at = data.split(b"\r\n")[0], now
+        if observed.answer.startswith(b"UP"):
+            observed.up_leg = next((leg for leg in reversed(observed.legs) if leg.up and leg.active), None)
+        ran = [leg for leg in observed.legs if not leg.never_ran]
+        if data.startswith(b"BUSY") and ran and observed.kind.effect != "repeatable":
+            self.require(
+                observed.kind.effect == "referenced" and observed.kind.scope == "all",
                 EFFECTS,
                 "rejected though it may have run",
-                watch,
+                observed,
             )
 
     # Legs
 
-    def leg(self, process, end, side, line):
+    def on_leg(self, process, end, side, line):
         now, host = self.world.now, side.peer.endpoint.name
         client = end.conn.client.worker  # what its client calls itself may be another's id
         owner = client.side.peer.owner if client is not None else None
-        watch = self.watches.get(owner) or self.watches.setdefault(
-            owner, Watch(f"bad {owner and owner.id}", self.kinds[0], None)
+        observed = self.by_client.get(owner) or self.by_client.setdefault(
+            owner, ObservedCall(f"bad {owner and owner.id}", self.kinds[0], None)
         )
-        if watch.node is None:
-            watch.process, watch.node = process, process.node
-        leg = self.legs_of[side] = Leg(host, now, side, watch)
-        if not watch.said.startswith(b"UP"):
-            self.need(not watch.said, ANSWER, "a leg after the final answer", watch, host)
-        if watch.guard:
-            self.need(
-                now <= watch.guard + SLACK or self.stood(watch.node, watch.sent, now),
+        if observed.node is None:
+            observed.process, observed.node = process, process.node
+        leg = self.legs_by_side[side] = Leg(host, now, side, observed)
+        if not observed.answer.startswith(b"UP"):
+            self.require(not observed.answer, ANSWER, "a leg after the final answer", observed, host)
+        if observed.deadline:
+            self.require(
+                now <= observed.deadline + TOLERANCE or self.was_paused(observed.node, observed.sent, now),
                 ANSWER,
                 "a leg after the guard time",
-                watch,
+                observed,
                 host,
             )
-        self.need(not any(one.out for one in watch.legs), EFFECTS, "two legs at once", watch, host)
-        ran, kind = [one for one in watch.legs if not one.never], watch.kind
+        self.require(
+            not any(one.active for one in observed.legs), EFFECTS, "two legs at once", observed, host
+        )
+        ran, kind = [one for one in observed.legs if not one.never_ran], observed.kind
         if ran and kind.effect == "once-only":
-            self.need(False, EFFECTS, "once-only sent again though it may have run", watch, host)
+            self.require(False, EFFECTS, "once-only sent again though it may have run", observed, host)
         elif ran and kind.effect == "referenced":
             first, this = self.fleet.hosts[ran[0].host].machine, self.fleet.hosts[host].machine
-            self.need(
+            self.require(
                 kind.scope == "all" or getattr(first, kind.scope) == getattr(this, kind.scope),
                 EFFECTS,
                 "referenced sent where its repeats are not known",
-                watch,
+                observed,
                 host,
             )
-            self.need(
-                not kind.remembered_ms or now <= ran[0].sent + kind.remembered_ms * 1000 + SLACK,
+            self.require(
+                not kind.remembered_ms or now <= ran[0].sent + kind.remembered_ms * 1000 + TOLERANCE,
                 EFFECTS,
                 "referenced sent again after its time",
-                watch,
+                observed,
                 host,
             )
-        since = self.unfit[process].get(host)
-        self.need(
-            since is None or now <= since + self.grace + SLACK,
+        since = self.unfit_since[process].get(host)
+        self.require(
+            since is None or now <= since + self.grace + TOLERANCE,
             DRAINS,
             "a leg to a host that drains or is gone",
-            watch,
+            observed,
             host,
             since,
         )
-        watch.legs.append(leg)
+        observed.legs.append(leg)
 
-    def node_hears(self, process, event):
+    def on_worker_event(self, process, event):
         """A word of the workers for the reducer: from then on the node knows."""
         end = getattr(event, "end", None)
         if end is None or end.client or end.worker is None:
             return
-        leg = self.legs_of.get(end.worker.side)
-        if leg is None or not leg.out:  # what comes from one that was given up is dropped
+        leg = self.legs_by_side.get(end.worker.side)
+        if leg is None or not leg.active:  # what comes from one that was given up is dropped
             return
         if isinstance(event, ev.Got) and not leg.up:
             word = event.data.split(None, 1)[0] if event.data.strip() else b""
             leg.up = word == b"UP"
-            leg.never |= word == b"BUSY"
-            leg.out &= leg.up
+            leg.never_ran |= word == b"BUSY"
+            leg.active &= leg.up
         elif isinstance(event, ev.Over):
-            leg.out = False
-            self.host_ended(leg)
+            leg.active = False
+            self.on_host_ended(leg)
         elif isinstance(event, ev.Written) and not event.ok and not leg.up:
-            leg.never = leg.never or not end.leg.written
-            leg.out = False
+            leg.never_ran = leg.never_ran or not end.leg.written
+            leg.active = False
 
-    def ends(self, process, end, how):
+    def on_node_close(self, process, end, how):
         """The node ends a connection, or its sending."""
         if end.worker is None or end.worker.side is None:
             return
         side = end.worker.side
         if not end.client:
-            leg = self.legs_of.get(side)
+            leg = self.legs_by_side.get(side)
             if leg is not None:
-                leg.out = False
+                leg.active = False
             return
-        watch = self.of_client(side)
-        if watch is None or watch.closed or end.worker.gone:
+        observed = self.call_of(side)
+        if observed is None or observed.closed_at or end.worker.gone:
             return
-        watch.closed = self.world.now
-        if watch.said.startswith(b"UP") and not watch.moved:
-            self.cut_off(watch, side)
+        observed.closed_at = self.world.now
+        if observed.answer.startswith(b"UP") and not observed.moved:
+            self.check_closed_without_move(observed, side)
 
-    def cut_off(self, watch, side):
+    def check_closed_without_move(self, observed, side):
         """A standing connection was ended without MOVE: by its client, by its
         host, or by nobody's will but the node's.
         """
-        leg = watch.leg
-        theirs = (
+        leg = observed.up_leg
+        closed_by_others = (
             side.eof
             or side.was_reset
-            or watch.call is not None
-            and (watch.call.done or watch.call.slow_until)
+            or observed.call is not None
+            and (observed.call.done or observed.call.slow_until)
         )
         host = self.fleet.hosts[leg.host] if leg else None
-        self.need(
-            theirs
+        self.require(
+            closed_by_others
             or leg is None
-            or leg.ended
+            or leg.ended_at
             or leg.side.eof
             or leg.side.was_reset
-            or leg.side.link in self.shaky
+            or leg.side.link in self.dead_links
             or host.gone
             or host.model.deaf,
             ANSWER,
             "cut off without MOVE while its host answered",
-            watch,
+            observed,
         )
 
-    def host_ended(self, leg):
+    def on_host_ended(self, leg):
         """A host's end has come to the node: it is passed on within a second."""
-        if leg.up and not leg.ended:
-            leg.ended = self.world.now
-            self.world.after(PASSED_ON + SLACK, self.passed_on, leg)
+        if leg.up and not leg.ended_at:
+            leg.ended_at = self.world.now
+            self.world.after(END_FORWARD_TIMEOUT + TOLERANCE, self.check_end_forwarded, leg)
 
-    def passed_on(self, leg):
-        watch, call = leg.watch, leg.watch.call
-        if call is None or call.done or call.slow_until or watch.closed or watch.moved or watch.excused:
+    def check_end_forwarded(self, leg):
+        observed, call = leg.observed, leg.observed.call
+        if (
+            call is None
+            or call.done
+            or call.slow_until
+            or observed.closed_at
+            or observed.moved
+            or observed.excuse
+        ):
             return
-        if self.stood(watch.node, leg.ended, self.world.now) or watch.process is None or watch.process.dead:
+        if (
+            self.was_paused(observed.node, leg.ended_at, self.world.now)
+            or observed.process is None
+            or observed.process.dead
+        ):
             return
-        self.need(False, ANSWER, "a host's end passed on late", watch)
+        self.require(False, ANSWER, "a host's end passed on late", observed)
 
     # Hosts and clients
 
-    def host_has(self, conn, data):
+    def on_host_data(self, conn, data):
         """Bytes at a host: a client's lines come in their order, each once."""
         call = conn.call
         if call is None or not self.checked:
             return
-        text = self.lines.get(conn, b"") + data
-        *whole, self.lines[conn] = text.split(b"\r\n")
+        text = self.partial_lines.get(conn, b"") + data
+        *whole, self.partial_lines[conn] = text.split(b"\r\n")
         for line in whole:
             if line.startswith(b"e"):
-                last = self.echoes.get(conn, 0)
-                self.need(
+                last = self.last_echoes.get(conn, 0)
+                self.require(
                     line == b"e%d" % (last + 1), ORDER, "lines to a host out of order", call.id, line, last
                 )
-                self.echoes[conn] = last + 1
+                self.last_echoes[conn] = last + 1
 
-    def host_writes(self, conn, line):
+    def on_host_write(self, conn, line):
         if line.startswith(b"e"):
-            self.echoed[conn].append(line)
+            self.host_echoes[conn].append(line)
 
-    def host_said(self, line):
+    def on_host_record(self, line):
         kind = line["k"]
         if kind == "ran":
-            self.ran[line["id"]] += 1
-            watch = self.calls.get(line["id"])
-            if watch is not None and self.ran[line["id"]] > 1 and line["id"] not in self.stolen:
-                self.need(watch.kind.effect != "once-only", EFFECTS, "ran twice", watch)
+            self.run_counts[line["id"]] += 1
+            observed = self.calls.get(line["id"])
+            if observed is not None and self.run_counts[line["id"]] > 1 and line["id"] not in self.reused_ids:
+                self.require(observed.kind.effect != "once-only", EFFECTS, "ran twice", observed)
         elif kind == "up":
             self.receipts.add((line["id"], line["receipt"]))
         elif kind == "started":
-            self.starts[line["host"]] = self.world.now
+            self.host_started_at[line["host"]] = self.world.now
         elif kind == "syntax":
-            self.need(False, ANSWER, "a host could not read its first line", line)
+            self.require(False, ANSWER, "a host could not read its first line", line)
         elif kind == "tipped":
-            host, started = line["host"], self.starts.get(line["host"], 0)
-            known = [at for at in self.known[host] if at >= started]
+            host, started = line["host"], self.host_started_at.get(line["host"], 0)
+            known = [at for at in self.host_known_at[host] if at >= started]
             # Nobody could hold back for a start that no list had told yet.
-            self.need(
-                not known or self.world.now < min(known) + SLACK,
+            self.require(
+                not known or self.world.now < min(known) + TOLERANCE,
                 COLD,
                 "a cold host was pushed over",
                 host,
                 line["v"],
             )
 
-    def client_has(self, call, line):
+    def on_client_line(self, call, line):
         if line.startswith(b"UP "):
-            self.need(
+            self.require(
                 (call.id, line[3:].decode()) in self.receipts,
                 ANSWER,
                 "UP that no host gave",
@@ -397,85 +428,85 @@
                 line,
             )
         elif line.startswith(b"e"):
-            watch = self.calls[call.id]
-            echoed = self.echoed[watch.leg and watch.leg.side.peer.owner]
-            self.need(
-                echoed and echoed.popleft() == line,
+            observed = self.calls[call.id]
+            host_echoes = self.host_echoes[observed.up_leg and observed.up_leg.side.peer.owner]
+            self.require(
+                host_echoes and host_echoes.popleft() == line,
                 ORDER,
                 "a host's lines, lost, changed or out of order",
-                watch,
+                observed,
                 line,
             )
 
-    def client_done(self, call, how):
-        watch = self.calls[call.id]
+    def on_client_done(self, call, how):
+        observed = self.calls[call.id]
         if call.up:
-            self.reached.add(call.schedule_index)
+            self.served_clients.add(call.schedule_index)
         now = self.world.now
         # A client that broke off or was cut asks for nothing more.
         if (
             call.unanswered_lines
             and not call.slow_until
             and how not in ("left", "broke-off", "cut")
-            and not self.stood(call.node, call.unanswered_lines[0], now)
-            and (watch.process is not None and not watch.excused)
+            and not self.was_paused(call.node, call.unanswered_lines[0], now)
+            and (observed.process is not None and not observed.excuse)
         ):
-            self.need(
-                now - call.unanswered_lines[0] <= SILENCE + SLACK,
+            self.require(
+                now - call.unanswered_lines[0] <= MAX_ECHO_DELAY + TOLERANCE,
                 ANSWER,
                 "silent for over 7 s",
-                watch,
+                observed,
                 now - call.unanswered_lines[0],
             )
         if how in ("end", "reset") and call.up and not call.slow_until:
-            process = watch.process
-            excused = watch.excused or process is None or process.dead
-            self.need(
-                excused or watch.closed or self.stood(watch.node, call.up, now),
+            process = observed.process
+            excused = observed.excuse or process is None or process.dead
+            self.require(
+                excused or observed.closed_at or self.was_paused(observed.node, call.up, now),
                 ANSWER,
                 "a standing connection broke",
-                watch,
+                observed,
                 how,
             )
-        if how in ("end", "reset") and not call.answers and call.sent and not watch.said:
-            process = watch.process
-            self.need(
-                watch.excused or process is None or process.dead,
+        if how in ("end", "reset") and not call.answers and call.sent and not observed.answer:
+            process = observed.process
+            self.require(
+                observed.excuse or process is None or process.dead,
                 ANSWER,
                 "ended without an answer",
-                watch,
+                observed,
                 how,
             )
 
     def on_bad_client(self, one):
         if one.kind not in ("hangs-up", "crowd") and one.kind != "same-id":
-            self.world.after(BAD + SLACK, self.bad_waited, one)
+            self.world.after(BAD_CLIENT_TIMEOUT + TOLERANCE, self.check_bad_client, one)
 
-    def bad_waited(self, one):
-        if one.closed or self.stood(one.node, one.connected_at, self.world.now) or not one.accepted_at:
+    def check_bad_client(self, one):
+        if one.closed or self.was_paused(one.node, one.connected_at, self.world.now) or not one.accepted_at:
             return
-        left = one.accepted_at + BAD + SLACK - self.world.now
+        left = one.accepted_at + BAD_CLIENT_TIMEOUT + TOLERANCE - self.world.now
         if left > 0:
-            self.world.after(left, self.bad_waited, one)
+            self.world.after(left, self.check_bad_client, one)
         else:
-            self.need(False, ANSWER, "a bad client was neither told nor closed", one.kind, one.id)
+            self.require(False, ANSWER, "a bad client was neither told nor closed", one.kind, one.id)
 
     # The list
 
-    def told(self, process, whole, hosts):
-        now, unfit, named = self.world.now, self.unfit[process], set()
+    def on_list_answer(self, process, whole, hosts):
+        now, unfit_since, named = self.world.now, self.unfit_since[process], set()
         for name, state, started in hosts:
             named.add(name)
             if state in ("Terminating", "Gone"):
-                unfit.setdefault(name, now)
+                unfit_since.setdefault(name, now)
             else:
-                unfit.pop(name, None)
+                unfit_since.pop(name, None)
                 if started:
-                    self.known[name].append(now)
+                    self.host_known_at[name].append(now)
         if whole:
             for name in self.fleet.hosts:
                 if name not in named:
-                    unfit.setdefault(name, now)
+                    unfit_since.setdefault(name, now)
 
     # Processes
 
@@ -489,57 +520,63 @@
             waiting = [event for _, event in process.queue]
             held -= sum(isinstance(e, ev.Came) + 2 * isinstance(e, ev.Adopted) for e in waiting)
             held += sum(isinstance(e, ev.Asked) for e in waiting)
-            self.need(reducer.ends == held, BOOK, "descriptors", process.node.name, reducer.ends, held)
-        if process.steps % BOOKS == 0:
-            self.books(process)
+            self.require(reducer.ends == held, COUNTERS, "descriptors", process.node.name, reducer.ends, held)
+        if process.steps % COUNTER_CHECK_INTERVAL == 0:
+            self.check_counters(process)
 
-    def books(self, process):
+    def check_counters(self, process):
         reducer, module, name = process.reducer, process.reducer.module, process.node.name
         hosts = module.membership.hosts.values()
         up = [h for h in hosts if h.up]
-        self.need(
+        self.require(
             module.sums.legs == sum(len(h.legs) for h in up),
-            BOOK,
+            COUNTERS,
             "legs on hosts that are up",
             name,
             module.sums.legs,
         )
         for h in hosts:
             load = sum(leg.load for leg in h.legs) + module.loads.GROUP * len(+h.groups)
-            self.need(h.load == load, BOOK, "load of a host", name, h.name, h.load, load)
-            self.need(
-                h.setups == sum(not leg.accepted for leg in h.legs), BOOK, "set-ups of a host", name, h.name
+            self.require(h.load == load, COUNTERS, "load of a host", name, h.name, h.load, load)
+            self.require(
+                h.setups == sum(not leg.accepted for leg in h.legs),
+                COUNTERS,
+                "set-ups of a host",
+                name,
+                h.name,
             )
-        self.need(
+        self.require(
             module.sums.load == sum(h.load for h in up),
-            BOOK,
+            COUNTERS,
             "load on hosts that are up",
             name,
             module.sums.load,
         )
         open_ids = {c.opening.id for c in reducer.conns if c.opening and not c.reason}
-        self.need(open_ids <= reducer.by_id.keys(), BOOK, "ids of calls that are open", name)
+        self.require(open_ids <= reducer.by_id.keys(), COUNTERS, "ids of calls that are open", name)
         standing = sum(len(s.legs) for s in reducer.servers.values())
-        self.need(
+        self.require(
             standing == sum(c.up and not c.legs[-1].ended for c in reducer.conns),
-            BOOK,
+            COUNTERS,
             "standing legs",
             name,
             standing,
         )
         conns = len(reducer.conns)
-        self.need(len(module.records) <= module.records.MOST + reducer.most_ends + 1, BOUND, "records", name)
-        self.need(
+        self.require(
+            len(module.records) <= module.records.MOST + reducer.most_ends + 1, BOUND, "records", name
+        )
+        self.require(
             len(reducer.unopened) <= conns and len(reducer.told) == 0, BOUND, "clients without a line", name
         )
-        self.need(
+        self.require(
             process.most_queue <= 3 * (process.all + 64) + 64,
             BOUND,
             "the queue of events",
             name,
             process.most_queue,
         )
-        self.need(
+        self.require(
             len(module.calls) <= conns + reducer.probes,
             BOUND,
             "the module's calls",
@@ -547,11 +584,11 @@
             len(module.calls),
             conns,
         )
-        came = self.came[process]
-        while came and came[0] < self.world.now - LONGEST:
+        came = self.accept_times[process]
+        while came and came[0] < self.world.now - TIMER_LIFETIME:
             came.popleft()
-        self.need(
-            len(reducer.timers) <= 64 + TIMERS * (len(came) + conns),
+        self.require(
+            len(reducer.timers) <= 64 + TIMERS_PER_CALL * (len(came) + conns),
             BOUND,
             "timers",
             name,
@@ -559,93 +596,101 @@
             len(came),
         )
 
-    def process_ended(self, process):
-        for watch in self.calls.values():
-            if watch.process is process and not watch.closed:
+    def on_process_exit(self, process):
+        for observed in self.calls.values():
+            if observed.process is process and not observed.closed_at:
                 if process.dead == "killed":
-                    watch.excused = watch.excused or "killed"
-                elif watch.call is not None and not watch.call.done and not watch.moved and self.checked:
-                    self.left_behind(watch)
-
-    def left_behind(self, watch):
+                    observed.excuse = observed.excuse or "killed"
+                elif (
+                    observed.call is not None
+                    and not observed.call.done
+                    and not observed.moved
+                    and self.checked
+                ):
+                    self.check_unfinished_call(observed)
+
+    def check_unfinished_call(self, observed):
         """Its node ended by itself with this call open."""
-        if watch.side is None or watch.sent > self.world.now:
-            watch.excused = "not taken"  # its line had not come yet
-        elif not watch.said:
-            self.need(False, ANSWER, "a node ended with a call that it had not answered", watch)
-        elif watch.said.startswith(b"UP"):
-            self.cut_off(watch, watch.side.peer)
-
-    def overstayed(self, process):
-        self.need(
-            self.stood(process.node, self.world.now - 8 * SECOND, self.world.now),
+        if observed.side is None or observed.sent > self.world.now:
+            observed.excuse = "not taken"  # its line had not come yet
+        elif not observed.answer:
+            self.require(False, ANSWER, "a node ended with a call that it had not answered", observed)
+        elif observed.answer.startswith(b"UP"):
+            self.check_closed_without_move(observed, observed.side.peer)
+
+    def on_forced_kill(self, process):
+        self.require(
+            self.was_paused(process.node, self.world.now - 8 * SECOND, self.world.now),
             ANSWER,
             "a node was still there at its SIGKILL",
             process.node.name,
             len(process.reducer.conns),
         )
 
-    def passed(self, process, order, new):
+    def on_connection_passed(self, process, order, new):
         """A standing connection is another process's now."""
         client, _ = new
-        watch = self.of_client(client.side)
-        if watch is not None:
-            watch.process = client.process
+        observed = self.call_of(client.side)
+        if observed is not None:
+            observed.process = client.process
 
-    def drained(self, process):
-        since = self.drains[process] = self.world.now
-        self.world.after(DRAINED + SLACK, self.drained_by_now, process, since)
+    def on_drain(self, process):
+        since = self.drained_since[process] = self.world.now
+        self.world.after(DRAIN_TIMEOUT + TOLERANCE, self.check_drained, process, since)
 
-    def resumed(self, process):
-        self.drains.pop(process, None)
+    def on_resume(self, process):
+        self.drained_since.pop(process, None)
 
-    def drained_by_now(self, process, since):
+    def check_drained(self, process, since):
         if (
-            self.drains.get(process) != since
+            self.drained_since.get(process) != since
             or process.dead
-            or self.stood(process.node, since, self.world.now)
+            or self.was_paused(process.node, since, self.world.now)
         ):
             return
-        for watch in self.calls.values():
+        for observed in self.calls.values():
             if (
-                watch.process is process
-                and watch.said.startswith(b"UP")
-                and not watch.moved
-                and not watch.closed
-                and (watch.call is not None and not watch.call.done and not watch.call.slow_until)
+                observed.process is process
+                and observed.answer.startswith(b"UP")
+                and not observed.moved
+                and not observed.closed_at
+                and (observed.call is not None and not observed.call.done and not observed.call.slow_until)
             ):
-                self.need(False, ANSWER, "held by a drained node, and not moved", watch)
+                self.require(False, ANSWER, "held by a drained node, and not moved", observed)
 
     # The end
 
     def check_at_end(self):
         if not self.checked:
             return
-        calm, asked = self.quiet_from + CALM, {}
+        calm, asked = self.last_fault_end + CALM_PERIOD, {}
         if 2 * sum(host.model.state == "up" and not host.gone for host in self.fleet.hosts.values()) < len(
             self.fleet.hosts
         ):
             calm = self.world.now  # too few are left to bear it all
-        for watch in self.calls.values():
-            call = watch.call
+        for observed in self.calls.values():
+            call = observed.call
             if call is not None and not call.retry and not call.again and call.intended >= calm:
-                asked[call.schedule_index] = watch
-        for first, watch in asked.items():
-            if watch.call.intended < self.fleet.clients.traffic_end - 5 * SECOND:
-                self.need(
-                    first in self.reached, PROGRESS, "a sound client was not served though all is calm", watch
+                asked[call.schedule_index] = observed
+        for first, observed in asked.items():
+            if observed.call.intended < self.fleet.clients.traffic_end - 5 * SECOND:
+                self.require(
+                    first in self.served_clients,
+                    PROGRESS,
+                    "a sound client was not served though all is calm",
+                    observed,
                 )
         for node in self.fleet.nodes:
             for process in node.processes:
-                self.books(process)
+                self.check_counters(process)
 
     def check_all_released(self):
         """Every process was told to stop, and has."""
         for node in self.fleet.nodes:
             for process in node.processes:
-                self.need(
-                    self.stood(node, self.world.now - 8 * SECOND, self.world.now),
-                    BOOK,
+                self.require(
+                    self.was_paused(node, self.world.now - 8 * SECOND, self.world.now),
+                    COUNTERS,
                     "a node that did not end",
                     node.name,
                     len(process.reducer.conns),
--- a/cottonspread/lab/sim/node.py
+++ b/cottonspread/lab/sim/node.py
@@ -302,7 +302,7 @@
         if self.dead:
             return
         self.contract.told(event)
-        self.node.fleet.invariants.node_hears(self, event)
+        self.node.fleet.invariants.on_worker_event(self, event)
         self.queue.append((self.clock(), event))
         self.most_queue = max(self.most_queue, len(self.queue))
         self.turn()
@@ -430,16 +430,16 @@
                 if effect.attempt and (why := self.must_not_begin(effect)):
                     self.post(ev.Written(end, False, why=why))
                     return
-                invariants.writes(self, end, data)
+                invariants.on_node_write(self, end, data)
                 worker.write(data)
             case ev.Finish(end=end):
-                invariants.ends(self, end, "end")
+                invariants.on_node_close(self, end, "end")
                 worker.finish()
             case ev.Cut(end=end, broken=broken):
-                invariants.ends(self, end, "cut")
+                invariants.on_node_close(self, end, "cut")
                 worker.cut_off(broken)
             case ev.Free(end=end):
-                invariants.ends(self, end, "free")
+                invariants.on_node_close(self, end, "free")
                 end.worker = None
                 worker.free()
 
@@ -470,14 +470,14 @@
             end = ev.End(True)
             worker = Worker(self, end, side)
             self.live[worker] = None
-            self.node.fleet.invariants.accepted(self, side)
+            self.node.fleet.invariants.on_accepted(self, side)
             self.post(ev.Came(end))
 
     def turn_away(self, side, reason, retry_after):
         line = lines.busy(retry_after)
         with contextlib.suppress(BrokenPipeError):
             side.send(line)
-        self.node.fleet.invariants.turned_away(self, side, line)
+        self.node.fleet.invariants.on_rejected(self, side, line)
         self.reducer.figures.turned_away(lines.type_named(side.recv()))
         side.close()
         self.ended[reason] += 1
@@ -599,7 +599,7 @@
                 other.side.close()
         if taken:
             heir.limit(heir.most + 2)
-            self.node.fleet.invariants.passed(self, order, new)
+            self.node.fleet.invariants.on_connection_passed(self, order, new)
         self.post(ev.Passed(order.conn, taken))
         if not taken and not self.dead:
             for worker in workers:
