--- a/cottonspread/lab/sim/fleet.py
+++ b/cottonspread/lab/sim/fleet.py
@@ -1,8 +1,7 @@
-"""A play in simulated time: a plan's nodes, hosts, list and clients in one
-world, with its troubles, until its end.
+"""A simulated run: a plan's nodes, hosts, host list and clients in one world, with its faults, until its end.
 
-What clients, hosts, the list and the nodes saw is recorded as in a play on sockets, so that the same audit
-and the same results are made of it.
+What clients, hosts, list and nodes observe is recorded as in a run on sockets, so that the same audit and
+the same results are made from it.
 """
 
 import msgspec
@@ -14,104 +13,112 @@
 from cottonspread.lab.sim.clients import Clients
 from cottonspread.lab.sim.hosts import Host
 from cottonspread.lab.sim.invariants import Invariants
-from cottonspread.lab.sim.network import Network, Place
+from cottonspread.lab.sim.network import Endpoint, Network
 from cottonspread.lab.sim.node import KILLED, Process
 from cottonspread.lab.sim.world import EPOCH, SECOND, World
 
-NOTICED = 300_000  # until the front deals no more to a node that says no
-LIST_WAIT = 2 * SECOND  # for a list that discovery tells; then the saved one is trusted
-PINGS = 100_000  # the front asks a node that is to come in
+NOTICED = 300_000  # until the front sends no more clients to a node that fails its health check
+LIST_TIMEOUT = 2 * SECOND  # wait for a list from discovery; then the saved list is used
+PING_INTERVAL = 100_000  # between the front's health checks of a node that comes up
 
 
 class Node:
-    """A place with a process, or with two while one is replaced."""
+    """A node's machine, with one process, or two while the process is replaced."""
 
     def __init__(self, fleet, number):
+        """Creates node number `number` of the plan, without a process."""
         self.fleet, self.number, self.plan = fleet, number, fleet.plan.nodes[number]
-        x, draws = fleet.plan.experiment, fleet.world.random_stream("node", number)
+        x, random = fleet.plan.experiment, fleet.world.random_stream("node", number)
         self.name = self.plan.name
-        self.place = Place(self.name, f"z{number % x.hosts.zones}")
-        self.draws, self.starts, self.retuned, self.processes, self.waiting = draws, 0, 0, [], []
+        self.endpoint = Endpoint(self.name, f"z{number % x.hosts.zones}")
+        self.random, self.start_count, self.settings_version, self.processes, self.pending_sides = (
+            random,
+            0,
+            0,
+            [],
+            [],
+        )
         self.skew, self.drift = (
-            draws.randint(-x.ways.skew_us, x.ways.skew_us),
-            draws.randint(-x.ways.drift_ppm, x.ways.drift_ppm),
+            random.randint(-x.ways.skew_us, x.ways.skew_us),
+            random.randint(-x.ways.drift_ppm, x.ways.drift_ppm),
         )
-        self.shared = any(f.kind == "replace" and self.name in f.on for f in fleet.plan.faults)
-        self.wanted, self.down_at, self.saved, self.generation = True, None, {}, 0
+        self.shares_listener = any(f.kind == "replace" and self.name in f.on for f in fleet.plan.faults)
+        self.should_run, self.down_at, self.saved_instances, self.generation = True, None, {}, 0
         self.agent = fleet.agent_for(self)
 
     def start(self):
-        """A process as `serve` makes one."""
-        self.starts += 1
-        values = tuning.values(self.fleet.plan, self.number, self.retuned)
-        # the list that the process before it was told, from the folder that both share
-        if self.shared and self.saved:
+        """Starts a process with the configuration that `serve` would read."""
+        self.start_count += 1
+        values = tuning.values(self.fleet.plan, self.number, self.settings_version)
+        # the list that the previous process saved in the directory that both share
+        if self.shares_listener and self.saved_instances:
             values["known"] = {
                 "generation": self.generation,
                 "reset": True,
-                "instances": list(self.saved.values()),
+                "instances": list(self.saved_instances.values()),
             }
-        process = self.fleet.process_type(self, values, self.shared)
+        process = self.fleet.process_type(self, values, self.shares_listener)
         self.processes.append(process)
-        process.takes = not self.shared
-        if self.shared:
+        process.takes = not self.shares_listener
+        if self.shares_listener:
             self.wait_until_ready(process)
-        self.open_door()
+        self.update_listener()
         return process
 
     @property
     def process(self):
-        """The newest that is alive."""
+        """The newest running process, or None."""
         return self.processes[-1] if self.processes else None
 
     def wait_until_ready(self, process):
-        """As the succession does: it serves once it knows a list that discovery told."""
+        """Lets a starting process accept connections once it has received a list from discovery."""
         if process.dead:
             return
-        told = not process.discovery.need_full_list or self.fleet.world.now - process.began >= LIST_WAIT
-        if not process.reducer.listed or not told:
+        list_received = not process.discovery.need_full_list or self.fleet.world.now - process.began >= LIST_TIMEOUT
+        if not process.reducer.listed or not list_received:
             self.fleet.world.after(20_000, self.wait_until_ready, process)
         elif len(self.processes) > 1:
             process.take_from(self.processes[-2])
         else:
             process.takes = True
-            self.open_door()
+            self.update_listener()
 
-    def keep(self, version, instances, whole):
-        """What discovery told last, as a process saves it."""
+    def save_list(self, version, instances, whole):
+        """Saves an update of the list, as a process does on disk."""
         if whole:
-            self.saved = {}
+            self.saved_instances = {}
         self.generation = version
         for one in instances:
-            self.saved[one["instanceId"]] = one
+            self.saved_instances[one["instanceId"]] = one
             if one["lifecycle"] == "Gone":
-                del self.saved[one["instanceId"]]
+                del self.saved_instances[one["instanceId"]]
 
-    def open_door(self):
-        """Who takes connections now. The platform's listener holds them for whoever comes."""
-        taking = [p for p in self.processes if p.takes]
-        if not taking:
-            self.place.door = self.waiting.append if self.shared else None
+    def update_listener(self):
+        """Selects which processes accept connections; a shared listener queues them while there is none."""
+        accepting = [p for p in self.processes if p.takes]
+        if not accepting:
+            self.endpoint.on_connect = self.pending_sides.append if self.shares_listener else None
             return
-        self.place.door = lambda side: (taking[0] if len(taking) == 1 else self.draws.choice(taking)).came(
-            side
-        )
-        waiting, self.waiting = self.waiting, []
-        for side in waiting:
-            self.place.door(side)
-
-    def ended(self, process):
+        self.endpoint.on_connect = lambda side: (
+            accepting[0] if len(accepting) == 1 else self.random.choice(accepting)
+        ).came(side)
+        pending_sides, self.pending_sides = self.pending_sides, []
+        for side in pending_sides:
+            self.endpoint.on_connect(side)
+
+    def on_process_exit(self, process):
+        """Removes a process that has ended."""
         self.processes.remove(process)
-        self.fleet.invariants.process_ended(process)
-        self.open_door()
-        if self.processes:  # alone again
+        self.fleet.invariants.on_process_exit(process)
+        self.update_listener()
+        if self.processes:  # the other process has the machine's limits to itself again
             self.processes[-1].limit(None)
-        elif process.dead == KILLED or not self.wanted:
-            self.fleet.put_node("killed" if process.dead == KILLED else "stopped", self)
+        elif process.dead == KILLED or not self.should_run:
+            self.fleet.record_node_event("killed" if process.dead == KILLED else "stopped", self)
 
 
-def expanded(plan):
-    """A zone that is lost is each of its machines, vanished and back cold."""
+def expand_zone_faults(plan):
+    """Replaces the loss of a zone by faults of its machines, which vanish and come back cold."""
     faults = []
     for one in plan.faults:
         if one.kind == "zone-lost":
@@ -123,51 +130,54 @@
 
 
 class Fleet:
+    """All simulated machines of a plan, with the front and the records."""
+
     process_type = Process  # what a node starts
     clients_type = Clients
-    start_window = SECOND // 10  # the nodes start within so long
+    start_window = SECOND // 10  # the nodes start within this time
 
     def __init__(self, plan, only=None, traced=False, policy=(), checked=True, seed=None):
-        """`only`: see `Clients`.
+        """`only`: see `Clients`. `policy`: a class to use in place of the Balancer.
 
-        `policy`: a class in the place of the Balancer. `checked`: whether promises are looked at.
+        `checked`: whether invariants are checked and records kept.
         """
-        self.plan, x = expanded(plan), plan.experiment
+        self.plan, x = expand_zone_faults(plan), plan.experiment
         self.world = World(plan.seed if seed is None else seed, traced)
         self.world.network = Network(self.world, x.ways.same_us, x.ways.cross_us, x.ways.jitter_us)
         self.policy, self.addresses, self.reasons = policy, {}, {}
         self.entries = [self.entry(m) for m in plan.machines if not m.started]
         self.invariants = Invariants(self, checked)
         self.hosts = {m.name: Host(self, m) for m in plan.machines}
-        self.addresses = {(h.machine.ip, h.machine.port): h.place for h in self.hosts.values()}
+        self.addresses = {(h.machine.ip, h.machine.port): h.endpoint for h in self.hosts.values()}
         self.nodes = [Node(self, n) for n in range(len(plan.nodes))]
         self.by_name = {node.name: node for node in self.nodes}
         self.clients = self.clients_type(self, plans.schedule(plan), only)
-        self.over = False
+        self.stopping = False
         for node in self.nodes:
-            # They start together, as a fleet's machines do: not in the same microsecond.
-            self.world.at(node.draws.randbelow(self.start_window), node.start)
+            # Nodes start at about the same time, as a fleet's machines do, but not in the same microsecond.
+            self.world.at(node.random.randbelow(self.start_window), node.start)
         for after, name, lifecycle, started in listing.changes(self.plan):
             self.schedule_change(after - round(x.listing.lag_ms * 1000), name, lifecycle, started)
         for one in self.plan.faults:
             self.world.at(round(one.at * SECOND), fault_injection.inject, self, one)
         if x.listing.weights_ms:
             self.world.after(
-                round(x.listing.weights_ms * 1000), self.weigh, round(x.listing.weights_ms * 1000)
+                round(x.listing.weights_ms * 1000), self.update_weights, round(x.listing.weights_ms * 1000)
             )
 
     def agent_for(self, node):
-        """Where the node hears the list; nodes may share one."""
+        """Returns the discovery agent of a node; nodes may share one."""
         lag = round(self.plan.experiment.listing.lag_ms * 1000)
         return Agent(self, node.name, self.entries, lag)
 
     @property
     def agents(self):
-        """Each that a node has, once, in the nodes' order."""
+        """The agents of all nodes, each once, in the order of the nodes."""
         return list(dict.fromkeys(node.agent for node in self.nodes))
 
     @staticmethod
     def entry(m):
+        """Returns a machine's entry in the list."""
         return {
             "instanceId": m.name,
             "hostPort": f"{m.ip}:{m.port}",
@@ -180,47 +190,55 @@
         }
 
     def schedule_change(self, after, name, lifecycle, started):
+        """Schedules a change of a host's entry at time `after` at every agent."""
         machine = self.hosts[name].machine
         at = None if started is None else (EPOCH + round(started)) // 1000
         for agent in self.agents:
             self.world.at(after, agent.schedule_change, name, lifecycle, at, self.entry(machine))
 
-    def weigh(self, every):
+    def update_weights(self, every):
+        """Updates the weights of all hosts at every agent, now and every `every` microseconds."""
         held = {
             m.name: (m.traits.cores * m.traits.speed, len(self.hosts[m.name].model.conns) / m.traits.cores)
             for m in self.plan.machines
         }
         for agent in self.agents:
-            agent.weigh(held)
-        self.world.after(every, self.weigh, every)
+            agent.update_weights(held)
+        self.world.after(every, self.update_weights, every)
 
-    # The record
+    # Records
 
-    def put(self, kind, line):
+    def add_record(self, kind, line):
+        """Adds a line to one of the records, if invariants are checked."""
         if self.invariants.checked:
             self.records[kind].append(line)
 
     @property
     def records(self):
+        """The records of this run, by kind."""
         return self.world.records
 
-    def put_node(self, kind, node, **more):
-        self.put("nodes", {"k": kind, "t": self.world.now, "node": node.name, **more})
+    def record_node_event(self, kind, node, **more):
+        """Adds a line about a node to the nodes' record."""
+        self.add_record("nodes", {"k": kind, "t": self.world.now, "node": node.name, **more})
 
-    def served(self, call):
+    def on_call_up(self, call):
+        """Called when a client's connection is established."""
         pass
 
-    def heard(self, process, effect):
-        """A log line of a node."""
+    def on_log_line(self, process, effect):
+        """Called for each log line of a node; "overdue" and "fault" are violations."""
         if effect.event in ("overdue", "fault"):
-            self.invariants.broken(0, f"the node's log says {effect.event}", process.node.name, effect.pairs)
+            self.invariants.fail(0, f"the node logged {effect.event}", process.node.name, effect.pairs)
 
-    def stepped(self, process, event, effects):
-        self.invariants.stepped(process)
+    def after_step(self, process, event, effects):
+        """Called after each step of a reducer."""
+        self.invariants.after_step(process)
 
-    # The play
+    # The run
 
     def run(self):
+        """Runs the plan to its end and checks the invariants of the end."""
         x = self.plan.experiment
         self.world.run(round((x.seconds + x.settle_s) * SECOND))
         self.clients.finish()
@@ -228,10 +246,10 @@
         return self
 
     def stop_all(self, wait=6 * SECOND):
-        """Every node gets its SIGTERM; what is left then is a leak."""
-        self.over = True
+        """Sends SIGTERM to every process and checks that all have ended after `wait` microseconds."""
+        self.stopping = True
         for node in self.nodes:
-            node.wanted = False
+            node.should_run = False
             for process in node.processes:
                 process.stop()
         self.world.run(self.world.now + wait)
@@ -239,52 +257,59 @@
 
     # The front
 
-    def take_in(self, node):
-        """The front deals to it once it has answered PING."""
+    def start_health_checks(self, node):
+        """Lets the front send clients to a node again once it has answered PING."""
         process = node.process
         if process is not None and not process.dead:
             Pinger(self, node)
 
-    def front_notices(self, node, after):
+    def schedule_removal(self, node, after):
+        """Lets the front notice after `after` microseconds that a node is down."""
         node.down_at = self.world.now
-        self.world.after(after, self.front_down, node, node.down_at)
+        self.world.after(after, self.remove_if_down, node, node.down_at)
 
-    def front_down(self, node, since):
+    def remove_if_down(self, node, since):
+        """Stops sending clients to a node, unless it has come back since `since`."""
         if node.down_at == since:
-            self.clients.front(node, False)
+            self.clients.set_in_rotation(node, False)
 
 
 class Pinger:
-    """The front's question to a node that comes in, again and again until it says yes."""
+    """The front's health check of a node that comes up, repeated until the node answers PONG."""
 
     def __init__(self, fleet, node):
-        self.fleet, self.node, self.taken = fleet, node, 0
-        fleet.world.network.connect(self, fleet.clients.place, node.place, SECOND, self.connected)
+        """Connects to the node."""
+        self.fleet, self.node, self.accepted_at = fleet, node, 0
+        fleet.world.network.connect(self, fleet.clients.endpoint, node.endpoint, SECOND, self.connected)
 
     def connected(self, side, why):
+        """Sends PING, or tries again if the connection failed."""
         if side is None:
-            self.again()
+            self.retry()
             return
         self.side = side
         try:
             side.send(b"PING\r\n")
         except BrokenPipeError:
-            self.again()
+            self.retry()
 
-    def arrived(self, side):
-        said = side.take() if side.inbox else b""
-        if said == b"PONG\r\n":
+    def on_readable(self, side):
+        """Puts the node back into rotation on PONG, else tries again."""
+        answer = side.recv() if side.received else b""
+        if answer == b"PONG\r\n":
             side.close()
             self.node.down_at = None
-            self.fleet.clients.front(self.node, True)
-            self.fleet.put_node("up", self.node)
-        elif said or side.ended or side.broke:
+            self.fleet.clients.set_in_rotation(self.node, True)
+            self.fleet.record_node_event("up", self.node)
+        elif answer or side.eof or side.was_reset:
             side.close()
-            self.again()
+            self.retry()
 
-    def room(self, side):
+    def on_writable(self, side):
+        """Does nothing: a PING never waits to be written."""
         pass
 
-    def again(self):
+    def retry(self):
+        """Starts another check later, if the node has a process."""
         if self.node.processes:
-            self.fleet.world.after(PINGS, Pinger, self.fleet, self.node)
+            self.fleet.world.after(PING_INTERVAL, Pinger, self.fleet, self.node)
--- a/cottonspread/lab/sim/scenario.py
+++ b/cottonspread/lab/sim/scenario.py
@@ -1,14 +1,14 @@
-"""A simulated play as text: what a failure is written down as, and played again from.
+"""Scenarios of the simulator as text, for recording and repeating a failure.
 
     # what it shows
     fleet seed=7 seconds=40 nodes.count=3 hosts.count=4 hosts.zones=2   keys of an experiment
     type farm-view effect=once-only guard_ms=2000                       a traffic type
     load poisson rate=6                                                 arrivals
-    only 3 17                                                           of the first calls these alone
-    5250 hang h1 h2 seconds=3                                           a trouble, ms after the start
+    only 3 17                                                           only these of the first calls
+    5250 hang h1 h2 seconds=3                                           a fault, in ms after the start
     > holds                                                             or: > breaks rule 2: two legs at once
 
-Lines may come in any order but the last; what follows `#` is a remark.
+Only the last line has a fixed place; text after `#` is a comment.
 """
 
 from dataclasses import dataclass, field
@@ -22,13 +22,14 @@
 from cottonspread.lab.sim.node import NodeError
 
 HOLDS = "holds"
-ADDRESS_BLOCK = 64, 0  # of its addresses, which nobody binds
+ADDRESS_BLOCK = 64, 0  # of the simulated machines' addresses, which are never bound
 
 
 @dataclass
 class Scenario:
-    """One play: keys of an experiment by their path, traffic types, shapes of arrivals,
-    faults, and which first calls there are.
+    """A scenario: experiment keys by path, traffic types, load shapes and faults.
+
+    `only`: the numbers of the first calls to make, None for all.
     """
 
     fleet: dict
@@ -40,6 +41,7 @@
     remarks: list = field(default_factory=list)
 
     def experiment(self):
+        """Returns the scenario as a checked experiment; raises PlanError if it is not valid."""
         nested = {
             "name": "trial",
             "seconds": 30,
@@ -48,11 +50,11 @@
             "hosts": {"traits": {}},
         }
         for path, value in self.fleet.items():
-            *way, key = path.split(".")
-            at = nested
-            for part in way:
-                at = at.setdefault(part, {})
-            at[key] = value
+            *parents, key = path.split(".")
+            section = nested
+            for part in parents:
+                section = section.setdefault(part, {})
+            section[key] = value
         nested["faults"] = [msgspec.structs.asdict(one) for one in self.faults]
         try:
             return plans.check(msgspec.convert(nested, plans.Experiment, strict=False), simulated=True)
@@ -60,14 +62,15 @@
             raise plans.PlanError(str(fault)) from None
 
     def plan(self):
+        """Returns the plan of the scenario's experiment."""
         x = self.experiment()
         return plans.make(x, plans.Variant(name="only"), x.seed, ADDRESS_BLOCK)
 
 
 def read(text):
-    """PlanError names the line."""
+    """Parses the text of a scenario; a PlanError names the faulty line."""
     scenario = Scenario({}, [], [], [], remarks=[])
-    for number, line in enumerate(text.splitlines(), 1):
+    for line_number, line in enumerate(text.splitlines(), 1):
         if line.startswith("#"):
             scenario.remarks.append(line[1:].strip())
             continue
@@ -76,35 +79,41 @@
         if not words:
             continue
         try:
-            said = {
-                key: plain(value) for key, value in (word.split("=", 1) for word in words[1:] if "=" in word)
+            options = {
+                key: parse_value(value)
+                for key, value in (word.split("=", 1) for word in words[1:] if "=" in word)
             }
-            bare = [word for word in words[1:] if "=" not in word]
+            arguments = [word for word in words[1:] if "=" not in word]
             if words[0] == "fleet":
-                scenario.fleet |= said
+                scenario.fleet |= options
             elif words[0] == "type":
-                scenario.types.append({"name": bare[0], **said})
+                scenario.types.append({"name": arguments[0], **options})
             elif words[0] == "load":
-                scenario.loads.append({"kind": bare[0], **said})
+                scenario.loads.append({"kind": arguments[0], **options})
             elif words[0] == "only":
-                scenario.only = tuple(map(int, bare))
+                scenario.only = tuple(map(int, arguments))
             elif words[0] == ">":
                 scenario.expected = line[1:].strip()
             else:
                 scenario.faults.append(
                     msgspec.convert(
-                        {"at": round(float(words[0])) / 1000, "kind": bare[0], "on": bare[1:], **said},
+                        {
+                            "at": round(float(words[0])) / 1000,
+                            "kind": arguments[0],
+                            "on": arguments[1:],
+                            **options,
+                        },
                         plans.Happening,
                         strict=False,
                     )
                 )
         except (ValueError, IndexError, msgspec.ValidationError) as fault:
-            raise plans.PlanError(f"line {number}: {fault}") from None
+            raise plans.PlanError(f"line {line_number}: {fault}") from None
     return scenario
 
 
-def plain(word):
-    """A word of the notation as a value."""
+def parse_value(word):
+    """Returns a word of the notation as a bool, int, float or str."""
     if word in ("true", "false"):
         return word == "true"
     for kind in (int, float):
@@ -115,7 +124,8 @@
     return word
 
 
-def brief(value):
+def format_value(value):
+    """Returns a value in the notation."""
     return (
         str(value).lower()
         if isinstance(value, bool)
@@ -126,21 +136,22 @@
 
 
 def write(scenario):
+    """Returns the text of a scenario."""
     lines = [f"# {remark}" for remark in scenario.remarks]
-    lines.append("fleet " + " ".join(f"{k}={brief(v)}" for k, v in scenario.fleet.items()))
-    for name, key, many in (("type", "name", scenario.types), ("load", "kind", scenario.loads)):
+    lines.append("fleet " + " ".join(f"{k}={format_value(v)}" for k, v in scenario.fleet.items()))
+    for name, key, entries in (("type", "name", scenario.types), ("load", "kind", scenario.loads)):
         lines += [
-            " ".join([name, one[key], *(f"{k}={brief(v)}" for k, v in one.items() if k != key)])
-            for one in many
+            " ".join([name, one[key], *(f"{k}={format_value(v)}" for k, v in one.items() if k != key)])
+            for one in entries
         ]
     if scenario.only is not None:
         lines.append("only " + " ".join(map(str, scenario.only)))
     for one in scenario.faults:
-        words = [brief(one.at * 1000), one.kind, *one.on]
+        words = [format_value(one.at * 1000), one.kind, *one.on]
         words += [
-            f"{key}={brief(value)}"
-            for key, value, usual in (("seconds", one.seconds, 0.0), ("factor", one.factor, 3.0))
-            if value != usual
+            f"{key}={format_value(value)}"
+            for key, value, default in (("seconds", one.seconds, 0.0), ("factor", one.factor, 3.0))
+            if value != default
         ]
         lines.append(" ".join(words))
     return "\n".join([*lines, f"> {scenario.expected}"]) + "\n"
@@ -148,8 +159,10 @@
 
 @dataclass
 class Outcome:
-    """`broken`: the promise and what broke it, "" if all held; `details`: the
-    whole story; `fleet`: as it was left.
+    """The result of a run.
+
+    `broken`: the violated invariant and how, "" if none was; `details`: the full message; `fleet`: its final
+    state.
     """
 
     broken: str
@@ -158,7 +171,7 @@
 
 
 def run(scenario, traced=False, plan=None):
-    """Plays it to its end, and until every node has stopped, or to the first promise that breaks."""
+    """Runs a scenario until every node has stopped, or until the first violated invariant."""
     fleet = Fleet(plan or scenario.plan(), scenario.only, traced)
     try:
         fleet.run()
