--- a/benchmarks/crossings/mutants.py
+++ b/benchmarks/crossings/mutants.py
@@ -58,7 +58,7 @@
     (
         "the window for repeats in that look",
         POLICY,
-        "result = yield io.Send(call.id, host.name, until, remembered_until(call))",
+        "result = yield io.Send(call.id, host.name, until, deduplicated_until(call))",
         "result = yield io.Send(call.id, host.name, until)",
         [
             f"{ATTEMPTS}::test_a_marked_call_is_not_sent_again_once_its_repeats_are_forgotten",
@@ -265,7 +265,7 @@
     (
         "the bound on waits for an asked list",
         POLICY,
-        "most = max(SECOND, min(self.settings.poll_interval, self.LONGEST_WAY - took))",
+        "most = max(SECOND, min(self.settings.poll_interval, self.MAX_POLL_GAP - took))",
         "most = max(SECOND, self.settings.poll_interval)",
         [
             "tests/test_many_nodes.py::test_nodes_turned_away_by_an_overbooked_list_ask_as_seldom_as_the_terms_let_them"
--- a/cottonspread/driver.py
+++ b/cottonspread/driver.py
@@ -15,30 +15,32 @@
     def __init__(self, now, settings, membership, records):
         self.now, self.out, self.settings = now, [], settings
         self.membership, self.records, self.sums = membership, records, Sums()
-        self.way = Host("way to the servers", io.Entry(None))  # what all set-ups share, a store perhaps
+        self.shared_dependency = Host(
+            "way to the servers", io.Entry(None)
+        )  # what all set-ups share, a store perhaps
         self.calls = {}  # open calls by their id
         self.last_leg_at, self.calls_since_leg = now, 0  # when a leg last went out, and calls that came since
-        self.waiting = {}  # calls, by the server whose probe they wait for
-        self.takes = {
-            io.CallArrived: self.arrive,
-            io.ListUpdate: self.listed,
-            io.LegAccepted: self.answered,
-            io.LegEnded: self.answered,
-            io.LoadReported: self.told,
-            io.DelayReported: self.told,
-            io.CallExpired: self.expire,
-            io.TimerFired: self.timer,
-            io.ProbeEnded: self.probed,
-            io.Inherited: self.inherit,
-            io.Reconfigured: self.retuned,
+        self.waiting_for_probe = {}  # calls, by the server whose probe they wait for
+        self.handlers = {
+            io.CallArrived: self.handle_arrival,
+            io.ListUpdate: self.list_updated,
+            io.LegAccepted: self.handle_leg_event,
+            io.LegEnded: self.handle_leg_event,
+            io.LoadReported: self.handle_report,
+            io.DelayReported: self.handle_report,
+            io.CallExpired: self.handle_expiry,
+            io.TimerFired: self.handle_timer,
+            io.ProbeEnded: self.handle_probe_end,
+            io.Inherited: self.handle_inherited,
+            io.Reconfigured: self.handle_reconfigured,
         }
 
     def handle(self, now, event):
         """Takes an event; returns the actions that follow. An event of an unknown type is passed over."""
         self.now = now
-        take = self.takes.get(type(event))
-        if take:
-            take(event)
+        handler = self.handlers.get(type(event))
+        if handler:
+            handler(event)
         return self.actions()
 
     def actions(self):
@@ -48,16 +50,16 @@
 
     # A call and its path
 
-    def arrive(self, e):
+    def handle_arrival(self, e):
         """A call comes in, or is open already through this node. A group is its calls' key."""
         key = e.group if e.group is not None else e.key
         kind, most = self.settings.types[e.type], self.settings.limits.max_legs
         call = Call(e.call, kind, key, e.group, self.now + e.time_left, e.returned, max_legs=most)
         self.calls[call.id], call.path = call, self.path(call)
         self.calls_since_leg += 1
-        self.met(call)
+        self.call_arrived(call)
         if e.held_by is not None:
-            host = self.membership.unlisted(e.held_by)
+            host = self.membership.get_or_add_unlisted(e.held_by)
             self.records.put(key, host, self.now)
             self.open_leg(call, host).accept()
         self.resume(call, None)
@@ -74,12 +76,12 @@
         if isinstance(action, io.Send):
             self.send(call, self.membership.hosts[action.host])
         else:
-            self.end(call)
+            self.finish(call)
 
     def send(self, call, host):
         """A leg goes out: counted at its server, and among all set-ups of this node."""
         host.sent.add(self.now)
-        self.way.sent.add(self.now)
+        self.shared_dependency.sent.add(self.now)
         self.last_leg_at, self.calls_since_leg = self.now, 0
         self.open_leg(call, host)
 
@@ -97,12 +99,12 @@
 
     def wait_for_probe(self, call, probe):
         """One probe of a server serves all calls that wait for it."""
-        waiting = self.waiting.setdefault(probe.host, [])
+        waiting = self.waiting_for_probe.setdefault(probe.host, [])
         waiting.append(call)
         if len(waiting) == 1:
             self.out.append(probe)
 
-    def end(self, call):
+    def finish(self, call):
         """The call has its one final answer: nothing is sent for it after."""
         call.ended = True
         call.path.close()
@@ -115,24 +117,24 @@
 
     # Events that find their call
 
-    def answered(self, e):
+    def handle_leg_event(self, e):
         """A leg is accepted, or has ended."""
         call = self.calls.get(e.call)
         leg = call.legs[e.leg] if call and e.leg < len(call.legs) else None
         if leg is None or leg.ending:
             return  # an end may cross with ours: nothing is held for it any more
         if isinstance(e, io.LegAccepted):
-            self.accepted(leg, e)
+            self.accept_leg(leg, e)
             return
         self.leg_ended(leg, e.ending)
         if call.ended:
             self.forget(call)
         elif e.closed:
-            self.end(call)
+            self.finish(call)
         else:
             self.resume(call, e)
 
-    def accepted(self, leg, e):
+    def accept_leg(self, leg, e):
         """The first word of acceptance counts."""
         if leg.accepted:
             return
@@ -141,34 +143,34 @@
         if not leg.call.ended:
             self.resume(leg.call, e)
 
-    def told(self, e):
+    def handle_report(self, e):
         """A word on a connection: what it costs its server, or what its messages take."""
         call = self.calls.get(e.call)
         leg = call.legs[-1] if call and call.legs else None
         if leg is None or leg.ending:
             return
         if isinstance(e, io.LoadReported):
-            self.load_told(leg, e.load)
+            self.load_reported(leg, e.load)
         else:
-            self.delay_told(leg.host, e.delay)
+            self.delay_reported(leg.host, e.delay)
 
-    def expire(self, e):
+    def handle_expiry(self, e):
         """The client has given up."""
         call = self.calls.get(e.call)
         if call and not call.ended:
-            self.given_up(call)
-            self.end(call)
+            self.client_gave_up(call)
+            self.finish(call)
 
-    def probed(self, e):
+    def handle_probe_end(self, e):
         """A probe has ended, and calls wait for it."""
         host = self.membership.hosts.get(e.host)
         if host:
             self.probe_ended(host, e)
-        for call in self.waiting.pop(e.host, ()):
+        for call in self.waiting_for_probe.pop(e.host, ()):
             if not call.ended:
                 self.resume(call, None)
 
-    def inherit(self, e):
+    def handle_inherited(self, e):
         """Two processes of one node: keys stay where they are, and the cold budget is one."""
         hosts = self.membership.hosts
         for key, name in e.records:
@@ -178,14 +180,14 @@
             if name in hosts:
                 hosts[name].sent.add(at, legs)
 
-    def retuned(self, e):
+    def handle_reconfigured(self, e):
         """Other settings from now on. A call keeps the type that it opened under."""
         self.settings.apply(e.config)
 
-    def timer(self, e):
+    def handle_timer(self, e):
         """It is time to see off a client of a server that drains, or to ask the list."""
         if e.token == "off":
-            self.see_off()
+            self.move_next_draining()
         else:
             self.out.append(io.Subscribe())
 
@@ -195,7 +197,7 @@
         """The generator of the call's actions, from arrival to its final answer."""
         raise NotImplementedError
 
-    def met(self, call):
+    def call_arrived(self, call):
         """A call has arrived."""
         raise NotImplementedError
 
@@ -211,15 +213,15 @@
         """A leg has ended, whichever way; its books are to be closed."""
         raise NotImplementedError
 
-    def given_up(self, call):
+    def client_gave_up(self, call):
         """The client of an open call has given up."""
         raise NotImplementedError
 
-    def load_told(self, leg, load):
+    def load_reported(self, leg, load):
         """What a connection costs its server, in microseconds of work a second."""
         raise NotImplementedError
 
-    def delay_told(self, host, delay):
+    def delay_reported(self, host, delay):
         """What a message takes at a server, in microseconds."""
         raise NotImplementedError
 
@@ -227,10 +229,10 @@
         """`ProbeEnded`: a probe of the server has ended; calls that wait for it are resumed after."""
         raise NotImplementedError
 
-    def listed(self, e):
+    def list_updated(self, e):
         """`ListUpdate`: a word from the list, or of an asking that failed."""
         raise NotImplementedError
 
-    def see_off(self):
+    def move_next_draining(self):
         """It is time for the next of the clients that are to leave servers that drain."""
         raise NotImplementedError
--- a/cottonspread/policy/ceilings.py
+++ b/cottonspread/policy/ceilings.py
@@ -10,12 +10,12 @@
     CUT_TO = 0.75  # kept at a cut: well under full, so that what is piled up drains
     DOUBLING_TIME = 60 * SECOND
     # a smaller part of slow servers is no jam
-    CALM_TIME, CALM_DOUBLING_TIME, JAM_SHARE = 5 * SECOND, 4 * SECOND, 0.3
+    CALM_TIME, CALM_DOUBLING_TIME, FLEET_OVERLOAD_SHARE = 5 * SECOND, 4 * SECOND, 0.3
     MIN_GROWTH_BASE = Loads.MEAN  # grows at least as one of this size would
 
     def __init__(self, loads, rng, settings):
         self.loads, self.rng, self.settings = loads, rng, settings
-        self.slow_at = -60 * SECOND  # when there last was a jam
+        self.fleet_overloaded_at = -60 * SECOND  # when there last was a jam
 
     def cut(self, host, now):
         """Cuts; gives the connections too many, the ones that relieve the server most first."""
@@ -36,7 +36,7 @@
             over -= weight
             yield leg
 
-    def room(self, host, call, now):
+    def has_room(self, host, call, now):
         """Whether the call still fits under the server's ceiling."""
         if not host.ceiling:
             return True
@@ -50,5 +50,8 @@
         )
         # Once there is no jam any more, the trouble was passing, and not too many calls: servers cut together
         # would else stand idle for a minute.
-        calm = max(0, now - max(self.slow_at, host.cut_at) - self.CALM_TIME) / self.CALM_DOUBLING_TIME
+        calm = (
+            max(0, now - max(self.fleet_overloaded_at, host.cut_at) - self.CALM_TIME)
+            / self.CALM_DOUBLING_TIME
+        )
         return host.load + self.loads.added_by(call, host) <= limit * 2 ** min(calm, 9)
--- a/cottonspread/policy/health.py
+++ b/cottonspread/policy/health.py
@@ -6,15 +6,15 @@
 class Health:
     """Who is set aside, and the trickle by which one comes back (outlier ejection with a gradual return)."""
 
-    FIRST_REST = SECOND  # about the longest queue that a live server clears in its set-up target
-    LONGEST_REST = 8 * SECOND
-    PERIOD = 3 * SECOND // 4  # with the bucket it falls in, a second
-    RUN = 3  # servers timed out with no answer between: not the trouble of one
-    OPEN_AT = 8  # trickle that counts as no limit any more
+    MIN_EJECTION_TIME = SECOND  # about the longest queue that a live server clears in its set-up target
+    MAX_EJECTION_TIME = 8 * SECOND
+    RECOVERY_PERIOD = 3 * SECOND // 4  # with the bucket it falls in, a second
+    SHARED_FAULT_SERVERS = 3  # servers timed out with no answer between: not the trouble of one
+    RECOVERED_AT = 8  # trickle that counts as no limit any more
     EARLY_SLOW_SHARE = 0.7  # of the message target: slow already, where many nodes fill one server
     NEAR_SLOW_SHARE = 0.4  # of the message target: one more connection makes a server slow
-    SAME = 100  # words that differ by a smaller part say the same
-    NOTE_LIFE = 5 * SECOND // 2  # told once a second while it lasts: two words missed, and it is over
+    SAME_REPORT_RATIO = 100  # words that differ by a smaller part say the same
+    REPORT_MAX_AGE = 5 * SECOND // 2  # told once a second while it lasts: two words missed, and it is over
 
     def __init__(self, settings):
         self.settings = settings
@@ -25,19 +25,19 @@
             self.EARLY_SLOW_SHARE if self.settings.probes_report_load else 1
         )
 
-    def good(self, host):
+    def record_success(self, host):
         """A leg was answered: twice as many may go in the next period, and soon any number."""
         host.recovery_limit *= 2
-        if host.recovery_limit >= self.OPEN_AT:
+        if host.recovery_limit >= self.RECOVERED_AT:
             host.recovery_limit = host.ejection_time = 0
 
-    def bad(self, host, now):
+    def record_failure(self, host, now):
         """A trouble, for which the server is set aside; False if it is already."""
         if now < host.ejected_until:  # one trouble, told by many legs
             return False
         host.answers, host.ejection_time = (
             0,
-            min(host.ejection_time * 2, self.LONGEST_REST) or self.FIRST_REST,
+            min(host.ejection_time * 2, self.MAX_EJECTION_TIME) or self.MIN_EJECTION_TIME,
         )
         host.ejected_until, host.recovery_limit = now + host.ejection_time, 1
         return True
@@ -45,14 +45,14 @@
     def may_send(self, host, now):
         """Not set aside, and its trickle leaves room."""
         return now >= host.ejected_until and (
-            not host.recovery_limit or host.sent.total(now, self.PERIOD) < host.recovery_limit
+            not host.recovery_limit or host.sent.total(now, self.RECOVERY_PERIOD) < host.recovery_limit
         )
 
     def is_slow(self, host, now, part=1):
         """Whether messages take over this part of the message target there."""
-        return host.delay >= self.slow_threshold() * part and now - host.delay_at < self.NOTE_LIFE
+        return host.delay >= self.slow_threshold() * part and now - host.delay_at < self.REPORT_MAX_AGE
 
-    def note(self, host, delay, now):
+    def record_delay(self, host, delay, now):
         """Messages take `delay` at the server now; returns a `SlowReport` if that is slow, else None."""
         told = SlowReport(delay, host.delay, now - host.delay_at, self.is_slow(host, now))
         host.delay, host.delay_at = delay, now
@@ -62,18 +62,18 @@
         host.slow_since = host.slow_since if told.still_slow and host.slow_since else now
         return told
 
-    def far(self, host, told):
+    def is_far(self, host, told):
         """The same word after word: a queue grows or drains, so it is the way there, long or lossy, and cuts
         would not help."""
         same = (
             told.still_slow
             and told.interval >= SECOND // 2
-            and abs(told.growth) <= told.previous // self.SAME
+            and abs(told.growth) <= told.previous // self.SAME_REPORT_RATIO
         )
         host.same_reports = host.same_reports + 1 if same else 0
         return host.same_reports > (not self.settings.probes_report_load)
 
-    def hangs(self, host, told, now):
+    def is_hung(self, host, told, now):
         """More than any load piles up in that time, or all the time since (as a front sees that waits for
         echoes), or no cut helps: it answers nothing."""
         if told.growth > 2 * min(told.interval, SECOND):
@@ -81,7 +81,7 @@
         stuck = told.delay >= SECOND and now - host.slow_since >= 2 * SECOND
         return told.still_slow and (told.growth >= told.interval or stuck)
 
-    def overloaded(self, host, told, now):
+    def is_overloaded(self, host, told, now):
         """Whether a server that is slow and answers is to be relieved now."""
         if host.hung:
             return False  # back, and working off what piled up
--- a/cottonspread/policy/membership.py
+++ b/cottonspread/policy/membership.py
@@ -8,19 +8,19 @@
 class Membership(ServerTable):
     """The servers that the list names, what they can do, and the asking where the list must be asked."""
 
-    LONGEST_WAY = 9 * SECOND // 2  # from a call that fails to the next: after 6 s a change counts as told
+    MAX_POLL_GAP = 9 * SECOND // 2  # from a call that fails to the next: after 6 s a change counts as told
 
     def __init__(self, rng, settings, dynamic_weights):
         super().__init__()
         self.rng, self.settings, self.failures = rng, settings, 0
         self.sizes = NominalSizes(dynamic_weights)
 
-    def read(self, listed):
+    def apply_update(self, listed):
         """Takes in a word from the list; returns (servers now unfit for records, servers started anew,
         whether more is new than weights that move)."""
         lost, started, known, new = [], [], len(self.hosts), listed.kind is not ListUpdateKind.CHANGES
-        for host, entry in self.take_in(listed):
-            new = self.sizes.take_in(entry, host.entry) or new or not entry.equals_except_weight(host.entry)
+        for host, entry in self.merge(listed):
+            new = self.sizes.update(entry, host.entry) or new or not entry.equals_except_weight(host.entry)
             if entry.started > host.entry.started:
                 started.append(host)
             host.entry = entry
@@ -28,14 +28,14 @@
                 lost.append(host)
         new = new or len(self.hosts) > known
         for host in self.hosts.values() if new else ():
-            host.size = self.sizes.of(host.entry)
+            host.size = self.sizes.size_of(host.entry)
         return lost, started, new
 
-    def wait_to_ask(self, took):
+    def poll_delay(self, took):
         """Microseconds until the list is asked again, after a call that failed and took so long. Spread over
         the time in which each node is to ask once, as far as a change that the list has by now allows, then
         late in it: an overbooked list answers nobody in time while nodes ask again at once."""
         self.failures += 1
-        most = max(SECOND, min(self.settings.poll_interval, self.LONGEST_WAY - took))
+        most = max(SECOND, min(self.settings.poll_interval, self.MAX_POLL_GAP - took))
         least = max(0, most * 3 // 4 - took) if self.failures > 1 else 0
         return least + self.rng.below(most - least)
--- a/cottonspread/policy/overview.py
+++ b/cottonspread/policy/overview.py
@@ -21,7 +21,7 @@
 
     def keep(self, up, now):
         """The servers that are up have changed."""
-        self.sums.count_anew(up)
+        self.sums.recount(up)
         self.refreshed_at = -SECOND
         for host in up:
             if self.is_cold(host, now):
@@ -35,7 +35,7 @@
         """(legs, load, size) of an ordinary server; of all where all stand apart."""
         means = self.sums.means()
         if self.sums.count > len(self.sums.excluded):
-            self.slow_start.usual = means[0]
+            self.slow_start.warm_mean = means[0]
         return means
 
     def is_cold(self, host, now):
@@ -47,25 +47,27 @@
         if now - self.refreshed_at < self.REFRESH_INTERVAL:
             return
         self.refreshed_at = now
-        self.sums.weigh_all(self.rotation.order, self.loads.reported, self.loads.MEAN)
+        self.sums.reweigh_all(self.rotation.order, self.loads.reported, self.loads.MEAN)
         if self.settings.take_change():  # by which others may be slow
             self.watched.update(self.rotation.places)
-        self.exceptional = {h: None for h in self.exceptional if self.differs(h, now)}
+        self.exceptional = {h: None for h in self.exceptional if self.is_exceptional(h, now)}
         self.cold = {h for h in self.exceptional if h.up and self.is_cold(h, now)}
-        self.watched = {h: None for h in self.watched if self.worth_watching(h, now)}
+        self.watched = {h: None for h in self.watched if self.is_watched(h, now)}
         watched = self.rotation.sorted(self.watched)
-        self.slow_share = self.share_slow(watched, now)
+        self.slow_share = self.compute_slow_share(watched, now)
         self.sums.exclude([h for h in watched if self.is_excluded(h, now)])
 
-    def worth_watching(self, host, now):
+    def is_watched(self, host, now):
         """Whether it differs, or a probe or a cut of a moment ago still counts."""
-        return self.differs(host, now) or self.cut(host, now) or self.readings.is_full(host, now)
+        return (
+            self.is_exceptional(host, now) or self.recently_cut(host, now) or self.readings.is_full(host, now)
+        )
 
-    def cut(self, host, now):
+    def recently_cut(self, host, now):
         """Whether it was overloaded a moment ago."""
         return now - host.cut_at < Ceilings.CALM_TIME
 
-    def differs(self, host, now):
+    def is_exceptional(self, host, now):
         """Whether an exceptional server is still to be looked into by each call that might go there."""
         return self.is_cold(host, now) or host.recovery_limit or host.ceiling or self.near_slow(host, now)
 
@@ -73,9 +75,9 @@
         """Whether one more connection would make it slow."""
         return self.health.is_slow(host, now, self.health.NEAR_SLOW_SHARE)
 
-    def share_slow(self, watched, now):
+    def compute_slow_share(self, watched, now):
         """The part of slow servers. One that hangs tells nothing of the others' load."""
-        cut = [h for h in watched if self.cut(h, now)]
+        cut = [h for h in watched if self.recently_cut(h, now)]
         slow = [h for h in watched if h.legs and not h.hung and self.health.is_slow(h, now)]
         heard = self.sums.holding + sum(not h.legs for h in cut)
         return len({*cut, *slow}) / (heard + 2)  # two in doubt: one server tells little of the others
--- a/cottonspread/policy/retries.py
+++ b/cottonspread/policy/retries.py
@@ -10,24 +10,24 @@
     return [leg for leg in call.legs if leg.ending not in NEVER_RAN]
 
 
-def may_go_again(call, now):
+def may_retry(call, now):
     """Whether any new leg is allowed, as far as the effect of the earlier ones goes."""
     ran = may_have_run(call)
     if sum(leg.ending is Ending.ERROR for leg in ran) > 1:
         return False  # no server takes it: the fault is the call's, perhaps ill will
     if not ran or call.type.effect is not Effect.REFERENCED:
         return not ran or call.type.effect is Effect.REPEATABLE
-    return now < remembered_until(call)
+    return now < deduplicated_until(call)
 
 
-def remembered_until(call):
+def deduplicated_until(call):
     """How long a repeat is known as one, from when the first leg that may have run was decided on; 0: no
     matter. A leg decided on in time may come up late, so the front keeps to it as well."""
     ran = may_have_run(call)
     return ran[0].sent_at + call.type.deduplicated_for if ran and call.type.effect is Effect.REFERENCED else 0
 
 
-def may_go_to(call, host):
+def may_retry_at(call, host):
     """A referenced call that may have run stays where its repeats are known."""
     ran = may_have_run(call)
     if call.type.effect is not Effect.REFERENCED or not ran:
--- a/cottonspread/structures/lru_map.py
+++ b/cottonspread/structures/lru_map.py
@@ -29,7 +29,7 @@
         if key is None:
             return
         if self.get(key) is not value:
-            self.take_out(key)
+            self.remove(key)
             self.keys_of.setdefault(value, set()).add(key)
         self.entries[key] = value, now
         self.entries.move_to_end(key)
@@ -42,7 +42,7 @@
     def drop(self, key, value):
         """Takes out the key if it still has this very value."""
         if self.get(key) is value:
-            self.take_out(key)
+            self.remove(key)
 
     def drop_value(self, value):
         """Takes out every key that has this very value."""
@@ -55,9 +55,9 @@
             key, (_, used) = next(iter(self.entries.items()))
             if used >= oldest and len(self.entries) <= most:
                 return
-            self.take_out(key)
+            self.remove(key)
 
-    def take_out(self, key):
+    def remove(self, key):
         """Takes out the key, if it is there."""
         value, _ = self.entries.pop(key, (None, 0))
         keys = self.keys_of.get(value)
--- a/cottonspread/structures/nominal_sizes.py
+++ b/cottonspread/structures/nominal_sizes.py
@@ -10,21 +10,21 @@
     def __init__(self, dynamic_weights):
         self.dynamic_weights, self.largest = dynamic_weights, {}  # kind or server: the largest weight listed
 
-    def take_in(self, entry, before):
+    def update(self, entry, before):
         """An entry of the list, and the one before it of the same server; whether a size has changed."""
         if not self.dynamic_weights:
             return entry.weight != before.weight
-        alike = self.alike(entry)
-        grows = entry.weight > self.largest.get(alike, 0)
+        size_class = self.size_class(entry)
+        grows = entry.weight > self.largest.get(size_class, 0)
         if grows:
-            self.largest[alike] = entry.weight
+            self.largest[size_class] = entry.weight
         return grows
 
-    def of(self, entry):
+    def size_of(self, entry):
         """The size of the server that is listed so."""
-        return max(self.largest.get(self.alike(entry), entry.weight), self.SMALLEST)
+        return max(self.largest.get(self.size_class(entry), entry.weight), self.SMALLEST)
 
     @staticmethod
-    def alike(entry):
+    def size_class(entry):
         """What servers of one size share: the kind, or the server where kinds are not told."""
         return entry.kind if entry.kind >= 0 else entry.host
--- a/cottonspread/structures/running_mean.py
+++ b/cottonspread/structures/running_mean.py
@@ -2,13 +2,13 @@
 
 
 class RunningMean:
-    """The mean of about the last `most` values; 0 before the first."""
+    """The mean of about the last `window` values; 0 before the first."""
 
-    def __init__(self, most):
-        self.most, self.mean, self.heard, self.added = most, 0.0, 0, 0
+    def __init__(self, window):
+        self.window, self.mean, self.count, self.added = window, 0.0, 0, 0
 
     def add(self, value):
         """One value more."""
         self.added += 1
-        self.heard = min(self.heard + 1, self.most)
-        self.mean += (value - self.mean) / self.heard
+        self.count = min(self.count + 1, self.window)
+        self.mean += (value - self.mean) / self.count
--- a/cottonspread/structures/server_table.py
+++ b/cottonspread/structures/server_table.py
@@ -12,7 +12,7 @@
     def __init__(self):
         self.hosts = {}  # by name
 
-    def take_in(self, listed):
+    def merge(self, listed):
         """(server, its entry from now on) for each that a word from the list is about; the server still has
         the entry from before, or the new one if it was not known."""
         entries = list(listed.entries)
@@ -25,7 +25,7 @@
                 host = self.hosts[entry.host] = Host(entry.host, entry)
             yield host, entry
 
-    def unlisted(self, name):
+    def get_or_add_unlisted(self, name):
         """The server of this name; one that no list told of gets nothing new."""
         return self.hosts.setdefault(name, Host(name, io.Entry(name, state=HostState.GONE)))
 
--- a/cottonspread/structures/sums.py
+++ b/cottonspread/structures/sums.py
@@ -10,7 +10,7 @@
     def __init__(self):
         self.legs, self.load, self.size, self.count = 0, 0, 0, 0
         self.holding = 0  # servers that are up and hold legs
-        self.weighed = NEVER  # how many loads had been told as all legs were last weighed
+        self.weighed_at_count = NEVER  # how many loads had been told as all legs were last weighed
         self.exclude([])
 
     def add(self, host, legs, load):
@@ -26,17 +26,17 @@
             self.excluded_legs += legs
             self.excluded_load += load
 
-    def weigh(self, leg, load):
+    def reweigh(self, leg, load):
         """A leg weighs `load` from now on."""
         self.add(leg.host, 0, load - leg.load)
         leg.load = load
 
-    def weigh_all(self, hosts, told, scale):
+    def reweigh_all(self, hosts, told, scale):
         """Every leg on servers that are up weighs the load told of it over the mean of all, in parts of
         `scale`, from now on. To be followed by `exclude`, whose sums do not follow this."""
-        if self.weighed == told.added:  # no load was told since, so nothing weighs otherwise
+        if self.weighed_at_count == told.added:  # no load was told since, so nothing weighs otherwise
             return
-        self.weighed, mean = told.added, told.mean
+        self.weighed_at_count, mean = told.added, told.mean
         for host in hosts:
             change = 0
             for leg in host.legs:
@@ -47,12 +47,12 @@
             host.load += change
             self.load += change
 
-    def count_anew(self, hosts):
+    def recount(self, hosts):
         """The servers that are up, after one came or went: none of them stands apart until `exclude` says
         so, and what legs weigh on those that came back is to be looked at again."""
         self.legs, self.load = sum(len(host.legs) for host in hosts), sum(host.load for host in hosts)
         self.size, self.count = sum(host.size for host in hosts), len(hosts)
-        self.holding, self.weighed = sum(1 for host in hosts if host.legs), NEVER
+        self.holding, self.weighed_at_count = sum(1 for host in hosts if host.legs), NEVER
         self.exclude([])
 
     def exclude(self, hosts):
--- a/tests/crossings/test_list.py
+++ b/tests/crossings/test_list.py
@@ -47,7 +47,7 @@
     one = discovery.Discovery
     longest_call = max(one.WATCH_MS / 1000 + one.SPARE, one.WHOLE)
     pushed = longest_call + one.LONGEST_PAUSE + one.CONNECT
-    asked = 4.5 + one.CONNECT  # from the begin of a call that failed: Membership.LONGEST_WAY
+    asked = 4.5 + one.CONNECT  # from the begin of a call that failed: Membership.MAX_POLL_GAP
     assert max(pushed, asked) <= 5.0
     assert longest_call < 4.5
 
--- a/tests/scale/test_capacity.py
+++ b/tests/scale/test_capacity.py
@@ -39,7 +39,7 @@
 unit = "ms"
 formula = "change_us / 1000"
 budget = "17"
-mechanism = "`Balancer.listed`"
+mechanism = "`Balancer.list_updated`"
 costs = [{ name = "change_us", result = "module-servers", measure = "change_us", size = "servers" }]
 
 [[row]]
