--- a/cottonspread/driver.py
+++ b/cottonspread/driver.py
@@ -13,7 +13,7 @@
     """Keeps the books of a node and leads the paths of its calls on. Times: microseconds of its clock."""
 
     def __init__(self, now, settings, membership, records):
-        self.now, self.out, self.settings = now, [], settings
+        self.now, self.pending, self.settings = now, [], settings
         self.membership, self.records, self.sums = membership, records, Sums()
         self.shared_dependency = Host(
             "way to the servers", io.Entry(None)
@@ -45,8 +45,8 @@
 
     def actions(self):
         """What is to be done by now, given out once."""
-        out, self.out = self.out, []
-        return out
+        pending, self.pending = self.pending, []
+        return pending
 
     # A call and its path
 
@@ -72,7 +72,7 @@
         if isinstance(action, io.Probe):
             self.wait_for_probe(call, action)
             return
-        self.out.append(action)
+        self.pending.append(action)
         if isinstance(action, io.Send):
             self.send(call, self.membership.hosts[action.host])
         else:
@@ -95,14 +95,14 @@
         """Asks a connection's client to come again, and not to this server."""
         leg.move_requested = True
         self.records.drop(leg.call.key, leg.host)
-        self.out.append(io.Move(leg.call.id))
+        self.pending.append(io.Move(leg.call.id))
 
     def wait_for_probe(self, call, probe):
         """One probe of a server serves all calls that wait for it."""
         waiting = self.waiting_for_probe.setdefault(probe.host, [])
         waiting.append(call)
         if len(waiting) == 1:
-            self.out.append(probe)
+            self.pending.append(probe)
 
     def finish(self, call):
         """The call has its one final answer: nothing is sent for it after."""
@@ -189,7 +189,7 @@
         if e.token == "off":
             self.move_next_draining()
         else:
-            self.out.append(io.Subscribe())
+            self.pending.append(io.Subscribe())
 
     # Filled in by the decisions
 
--- a/cottonspread/policy/path.py
+++ b/cottonspread/policy/path.py
@@ -1,6 +1,6 @@
 """The path of a call, and the node that takes all events.
 
-Make one `Balancer(now, begin)` for each node, pass every event to `handle(now, event)` and carry out the
+Make one `Balancer(now, config)` for each node, pass every event to `handle(now, event)` and carry out the
 actions it returns, in order; `actions()` gives what the start asks for. Times: microseconds of the front's
 clock; nothing here reads a clock, a file or the network. The ordinary path of a call is `Balancer.path`; each
 exception to it stands with the failure that it prevents.
@@ -58,9 +58,9 @@
         else:
             yield io.Release(call.id)
 
-    def __init__(self, now, begin):
-        settings, rng = Settings(begin, SlowStart.DEFAULT_NODES), SeededRandom(begin.seed)
-        super().__init__(now, settings, Membership(rng, settings, begin.dynamic_weights), Records())
+    def __init__(self, now, config):
+        settings, rng = Settings(config, SlowStart.DEFAULT_NODES), SeededRandom(config.seed)
+        super().__init__(now, settings, Membership(rng, settings, config.dynamic_weights), Records())
         self.rng, self.groups, self.loads = rng, Groups(), Loads()
         self.arrivals = SlidingCount(SECOND // 4, 64)  # calls, over up to 16 s
         self.readings, self.rotation = Readings(rng, settings), Rotation(rng)
@@ -70,8 +70,8 @@
         self.timed_out = set()  # servers whose set-ups timed out since one was answered
         self.draining_legs = deque()  # legs at servers that drain
         self.forced_attempt_at = now  # see `Choice`
-        if begin.server_list.polled:
-            self.out.append(io.Subscribe())
+        if config.server_list.polled:
+            self.pending.append(io.Subscribe())
 
     def call_arrived(self, call):
         """A call has arrived."""
@@ -160,12 +160,14 @@
         """A server is in trouble."""
         self.overview.watched[host] = None
         if self.health.record_failure(host, self.now):
-            self.out.append(io.Log(f"{host.name}: {ending.value}, aside for {host.ejection_time // 1000} ms"))
+            self.pending.append(
+                io.Log(f"{host.name}: {ending.value}, aside for {host.ejection_time // 1000} ms")
+            )
 
     def client_gave_up(self, call):
         """The client has given up: legs not accepted are called off."""
         waiting = [leg for leg in call.legs if leg.ending is None and not leg.accepted]
-        self.out += [io.Cancel(call.id, leg.number) for leg in waiting if self.settings.limits.may_cancel]
+        self.pending += [io.Cancel(call.id, leg.number) for leg in waiting if self.settings.limits.may_cancel]
 
     # What servers tell
 
@@ -200,7 +202,7 @@
         """Asks connections of a slow server to leave, if a move is worth its price."""
         if leaving and self.settings.move_price <= self.MAX_MOVE_PRICE:
             took = f"messages take {delay // 1000} ms"
-            self.out.append(io.Log(f"{host.name}: {took}, {why}: {len(leaving)} asked to leave"))
+            self.pending.append(io.Log(f"{host.name}: {took}, {why}: {len(leaving)} asked to leave"))
             for leg in leaving:
                 self.move(leg)
 
@@ -209,7 +211,7 @@
     def list_updated(self, e):
         """A word from the list, or of an asking that failed."""
         if e.kind is ListUpdateKind.FAILED:
-            self.out.append(io.Timer(self.membership.poll_delay(e.took), "ask"))
+            self.pending.append(io.Timer(self.membership.poll_delay(e.took), "ask"))
             return
         self.membership.failures = 0
         lost, started, new = self.membership.apply_update(e)
@@ -234,7 +236,7 @@
             return
         for n, leg in enumerate(leaving):
             self.draining_legs.append(leg)
-            self.out.append(io.Timer((n + len(leaving)) * SECOND // 2 // len(leaving), "off"))
+            self.pending.append(io.Timer((n + len(leaving)) * SECOND // 2 // len(leaving), "off"))
 
     def move_next_draining(self):
         """A server that drains cuts off its clients when it stops, unless it asks them to leave itself."""
--- a/cottonspread/state.py
+++ b/cottonspread/state.py
@@ -53,23 +53,23 @@
 class Settings:
     """What is in force, out of `NodeConfig`. All parts of the policy hold this one object."""
 
-    def __init__(self, begin, default_nodes):
+    def __init__(self, config, default_nodes):
         """`default_nodes`: the number of nodes to reckon with where none is told."""
         self.default_nodes = default_nodes
-        self.apply(begin)
+        self.apply(config)
 
-    def apply(self, begin):
+    def apply(self, config):
         """Other settings from now on."""
         self.unread_change = True
-        self.types, self.limits, self.tick, self.cold = begin.types, begin.legs, begin.tick, begin.cold
+        self.types, self.limits, self.tick, self.cold = config.types, config.legs, config.tick, config.cold
         self.zone, self.zone_crossing_price, self.move_price = (
-            begin.zone,
-            begin.prices.zone_crossing,
-            begin.prices.move,
+            config.zone,
+            config.prices.zone_crossing,
+            config.prices.move,
         )
-        self.nodes, self.poll_interval = begin.nodes or self.default_nodes, begin.server_list.poll_interval
-        self.groups_share_work, self.probes_report_load = begin.groups_share_work, begin.probes_report_load
-        targets = [one.message_target for one in begin.types if one.message_target]
+        self.nodes, self.poll_interval = config.nodes or self.default_nodes, config.server_list.poll_interval
+        self.groups_share_work, self.probes_report_load = config.groups_share_work, config.probes_report_load
+        targets = [one.message_target for one in config.types if one.message_target]
         self.message_target = min(targets, default=SECOND)
 
     def take_change(self):
