--- a/cottonspread/front/reports.py
+++ b/cottonspread/front/reports.py
@@ -9,14 +9,14 @@
     One that is no finite number, negative or out of any range is left out: it must not cost the
     probe's answer, for which calls wait.
     """
-    told = {}
+    values = {}
     for pair in (text or "").split(","):
         name, _, value = pair.strip().partition(":")
         try:
-            told[name] = float(value)
+            values[name] = float(value)
         except ValueError:
             continue
-    return {name: value for name, value in told.items() if 0 <= value < 1e15}
+    return {name: value for name, value in values.items() if 0 <= value < 1e15}
 
 
 def probe_ended(host, ending, waited, report):
--- a/cottonspread/policy/health.py
+++ b/cottonspread/policy/health.py
@@ -14,7 +14,9 @@
     EARLY_SLOW_SHARE = 0.7  # of the message target: slow already, where many nodes fill one server
     NEAR_SLOW_SHARE = 0.4  # of the message target: one more connection makes a server slow
     SAME_REPORT_RATIO = 100  # words that differ by a smaller part say the same
-    REPORT_MAX_AGE = 5 * SECOND // 2  # told once a second while it lasts: two words missed, and it is over
+    REPORT_MAX_AGE = (
+        5 * SECOND // 2
+    )  # reported once a second while it lasts: two words missed, and it is over
 
     def __init__(self, settings):
         self.settings = settings
@@ -33,7 +35,7 @@
 
     def record_failure(self, host, now):
         """A trouble, for which the server is set aside; False if it is already."""
-        if now < host.ejected_until:  # one trouble, told by many legs
+        if now < host.ejected_until:  # one trouble, reported by many legs
             return False
         host.answers, host.ejection_time = (
             0,
@@ -54,43 +56,43 @@
 
     def record_delay(self, host, delay, now):
         """Messages take `delay` at the server now; returns a `SlowReport` if that is slow, else None."""
-        told = SlowReport(delay, host.delay, now - host.delay_at, self.is_slow(host, now))
+        report = SlowReport(delay, host.delay, now - host.delay_at, self.is_slow(host, now))
         host.delay, host.delay_at = delay, now
         if delay < self.slow_threshold():
             host.slow_since, host.hung = 0, False
             return None
-        host.slow_since = host.slow_since if told.still_slow and host.slow_since else now
-        return told
+        host.slow_since = host.slow_since if report.still_slow and host.slow_since else now
+        return report
 
-    def is_far(self, host, told):
+    def is_far(self, host, report):
         """The same word after word: a queue grows or drains, so it is the way there, long or lossy, and cuts
         would not help."""
         same = (
-            told.still_slow
-            and told.interval >= SECOND // 2
-            and abs(told.growth) <= told.previous // self.SAME_REPORT_RATIO
+            report.still_slow
+            and report.interval >= SECOND // 2
+            and abs(report.growth) <= report.previous // self.SAME_REPORT_RATIO
         )
         host.same_reports = host.same_reports + 1 if same else 0
         return host.same_reports > (not self.settings.probes_report_load)
 
-    def is_hung(self, host, told, now):
+    def is_hung(self, host, report, now):
         """More than any load piles up in that time, or all the time since (as a front sees that waits for
         echoes), or no cut helps: it answers nothing."""
-        if told.growth > 2 * min(told.interval, SECOND):
+        if report.growth > 2 * min(report.interval, SECOND):
             return True
-        stuck = told.delay >= SECOND and now - host.slow_since >= 2 * SECOND
-        return told.still_slow and (told.growth >= told.interval or stuck)
+        stuck = report.delay >= SECOND and now - host.slow_since >= 2 * SECOND
+        return report.still_slow and (report.growth >= report.interval or stuck)
 
-    def is_overloaded(self, host, told, now):
+    def is_overloaded(self, host, report, now):
         """Whether a server that is slow and answers is to be relieved now."""
         if host.hung:
             return False  # back, and working off what piled up
-        if told.still_slow and told.delay <= told.previous / 2:
+        if report.still_slow and report.delay <= report.previous / 2:
             return False  # soon drained: one more cut would leave it idle afterwards
         # Where loads are probed a node holds next to nothing of a server; its second word comes a second
         # later, and all nodes together have lost the revenue of that second.
         return (
             self.settings.probes_report_load
             or now - host.slow_since >= SECOND // 2
-            or told.delay >= 4 * self.slow_threshold()
+            or report.delay >= 4 * self.slow_threshold()
         )
--- a/cottonspread/policy/overview.py
+++ b/cottonspread/policy/overview.py
@@ -85,7 +85,7 @@
     def is_excluded(self, host, now):
         """Fresh ones and those set aside or tried would pull the mean down: sound ones would all seem well
         over it. So would, where probes tell of all nodes' calls, slow, silent and full ones."""
-        told = self.settings.probes_report_load and (
+        full_or_slow = self.settings.probes_report_load and (
             self.readings.is_full(host, now) or self.near_slow(host, now)
         )
-        return host in self.cold or host.recovery_limit or told
+        return host in self.cold or host.recovery_limit or full_or_slow
--- a/cottonspread/policy/path.py
+++ b/cottonspread/policy/path.py
@@ -183,19 +183,19 @@
 
     def delay_reported(self, host, delay):
         """Messages take long at a server: one pause is passed over; what lasts, or is huge, is overload."""
-        told = self.health.record_delay(host, delay, self.now)
+        report = self.health.record_delay(host, delay, self.now)
         self.overview.mark_exceptional(host)
-        if told is None:
+        if report is None:
             return
         if self.overview.slow_share >= Ceilings.FLEET_OVERLOAD_SHARE:
             self.ceilings.fleet_overloaded_at = self.now
-        far = self.health.is_far(host, told)
-        if far or self.health.is_hung(host, told, self.now):
+        far = self.health.is_far(host, report)
+        if far or self.health.is_hung(host, report, self.now):
             # It keeps no call, and one that is far no ceiling: it's not overloaded.
             self.health.record_failure(host, self.now)
             host.hung, host.ceiling = True, 0.0 if far else host.ceiling
             self.request_moves(host, delay, "far" if far else "hung", host.staying_legs())
-        elif self.health.is_overloaded(host, told, self.now):
+        elif self.health.is_overloaded(host, report, self.now):
             self.request_moves(host, delay, "overloaded", list(self.ceilings.cut(host, self.now)))
 
     def request_moves(self, host, delay, why, leaving):
--- a/cottonspread/structures/sums.py
+++ b/cottonspread/structures/sums.py
@@ -31,12 +31,12 @@
         self.add(leg.host, 0, load - leg.load)
         leg.load = load
 
-    def reweigh_all(self, hosts, told, scale):
+    def reweigh_all(self, hosts, reported, scale):
         """Every leg on servers that are up weighs the load told of it over the mean of all, in parts of
         `scale`, from now on. To be followed by `exclude`, whose sums do not follow this."""
-        if self.weighed_at_count == told.added:  # no load was told since, so nothing weighs otherwise
+        if self.weighed_at_count == reported.added:  # no load was told since, so nothing weighs otherwise
             return
-        self.weighed_at_count, mean = told.added, told.mean
+        self.weighed_at_count, mean = reported.added, reported.mean
         for host in hosts:
             change = 0
             for leg in host.legs:
