--- a/cottonspread/policy/choice.py
+++ b/cottonspread/policy/choice.py
@@ -1,4 +1,4 @@
-"""The server for one call's next leg."""
+"""Chooses the server for a call's next leg."""
 
 from cottonspread.policy.load import Loads, well_over
 from cottonspread.policy.retries import may_retry_at
@@ -6,12 +6,13 @@
 
 
 class Choice:
-    """One look for a server: `host()` is the ordinary way. Made anew for each leg, for the fleet moves on."""
+    """One search for a server, by `host()`; created anew for each leg, because the fleet's state changes."""
 
-    SKIP_TIME = SECOND // 4  # a server that is not open to new keys is not looked at again before
-    # All servers may rest at once, the way to them too, or be slow or full, and a node that tries nothing
-    # learns of no recovery. After so many calls without a leg, and so long (up to a second more by chance, or
-    # all nodes would try in step), one is overdue and goes to the next server that is not cold.
+    SKIP_TIME = SECOND // 4  # for so long a server that takes no new keys is not considered again
+    # All servers, and the dependency that they share, may be ejected, slow or full at the same time, and a
+    # node that attempts nothing learns of no recovery. After this many calls without a leg and this much
+    # time (plus up to a second of random jitter, or all nodes would retry in step) an attempt is forced on
+    # the next server that is not cold.
     FORCED_AFTER_CALLS, FORCED_AFTER_TIME = 8, 2 * SECOND
 
     def __init__(self, node, call):
@@ -21,35 +22,37 @@
         self.mean, load, self.mean_size = self.overview.means()
         self.mean_load = load / Loads.MEAN
         self.forced = node.calls_since_leg >= self.FORCED_AFTER_CALLS and self.now >= node.forced_attempt_at
-        # Nothing is heard of a server that holds nothing of this node. Unless fresh it goes by the others, or
-        # nodes with one connection on every third server keep a whole jammed fleet full.
+        # A node hears nothing of servers on which it has no connection. Unless cold, such a server is judged
+        # by the others: otherwise nodes with one connection on every third server keep an overloaded fleet
+        # full.
         self.try_unheard = (
             self.settings.nodes == 1 or node.rng.below(1000) >= 2500 * self.overview.slow_share**2
         )
 
     def host(self):
-        """The server for the next leg; None if no server may have it now."""
+        """The server for the next leg; None if no server may get it now."""
         rests = not self.health.may_send(self.node.shared_dependency, self.now)
         host = None if rests and not self.forced else self.choose()
-        if host and self.forced:  # what rests is tried, and goes on if it answers
+        if host and self.forced:  # an ejected server gets an attempt, and stays in use if it answers
             host.ejected_until = self.node.shared_dependency.ejected_until = self.now
         return host
 
     def choose(self):
-        """The recorded server, or the next of the rotation."""
+        """The server on record for the call's key, or the next one in the rotation."""
         node, call = self.node, self.call
         recorded = node.records.find(call.key, self.now, len(node.calls))
-        # One that was probed for this call and has room is taken: the rotation went on, and probed the next.
+        # A server that was probed for this call and has room is taken: the rotation has moved past it, and
+        # another search would probe the next one.
         for host in (recorded, call.probed_host):
             if host and self.may_take(host) and self.is_lightly_loaded(host):
                 return host
-        # Where none fits the call is rejected at once: filling the last free server is how a jam spreads.
+        # If no server fits the call is rejected at once: filling the last free one spreads the overload.
         if self.settings.groups_share_work and self.settings.nodes > 1 and call.group is not None:
             return self.choose_for_group()
         return self.in_turn()
 
     def may_take(self, host):
-        """Whether the call may go there, and the server is in no state that forbids it."""
+        """Whether the call may go to this server, given its earlier legs and the server's state."""
         call = self.call
         if not host.up or not may_retry_at(call, host) or any(leg.host is host for leg in call.legs):
             return False
@@ -58,68 +61,77 @@
         return self.node.slow_start.may_send(host, self.now, host is call.probed_host or call.drawn_host)
 
     def is_healthy(self, host):
-        """Whether an exceptional server is not set aside, nor slow, nor at its ceiling."""
+        """Whether an exceptional server is neither ejected, nor nearly slow, nor at its load ceiling."""
         if not self.health.may_send(host, self.now) or self.overview.near_slow(host, self.now):
             return False
         return self.node.ceilings.has_room(host, self.call, self.now)
 
     def is_lightly_loaded(self, host):
-        """Neither well over the mean of its size nor crowded by other nodes' calls."""
+        """Whether it is neither well over the mean for its size nor, by its last probe, over the call's bound."""
         over = well_over(len(host.legs), self.mean * max(1, host.size / self.mean_size))
         if over and not self.readings.has_room(host, self.now):
             return False
         return self.forced or not self.readings.exceeds_bound(host, self.call, self.now)
 
     def accepts_new_key(self, host):
-        """Whether a new key may go there. Heavy connections gather on a server of few, so by load as well.
-        Over the mean it is passed by, and not shut: with few connections each was over it in turn, and calls
-        were rejected though every server was idle."""
+        """Whether a new key may go to this server.
+
+        Its load is checked besides its connection count, because a server with few connections collects
+        heavy ones. A server over the mean is passed over for this call, but not skipped for a time: with few
+        connections each server was over the mean in turn, and calls were rejected while all were idle.
+        """
         heavy = well_over(host.load / Loads.MEAN, self.mean_load * host.size / self.mean_size)
         if not self.is_lightly_loaded(host) or heavy and not self.readings.has_room(host, self.now):
             return False
         heard = host.legs or host in self.overview.cold or self.readings.is_current(host, self.now)
         if (heard or self.try_unheard or self.forced) and self.may_take(host):
             return True
-        # In a jam all are shut: they are not looked at one by one for each call.
+        # When the fleet is overloaded all servers are skipped, instead of checking each one for every call.
         host.skip_until = self.now + self.SKIP_TIME
         return False
 
     def in_turn(self):
-        """The next of the rotation that is open, near ones first."""
+        """The next server in the rotation that takes new keys, those of the node's own zone first."""
         rotation = self.node.rotation
         near = self.settings.zone_crossing_price and self.first_open(rotation.in_zone(self.settings.zone))
         return near or self.first_open(rotation.following())
 
     def next_among(self, few):
-        """The same among a few servers."""
+        """The same among a few given servers."""
         rotation, zone = self.node.rotation, self.settings.zone
         near = [host for host in few if host.entry.zone == zone] if self.settings.zone_crossing_price else ()
         return self.first_open(rotation.among(near)) or self.first_open(rotation.among(few))
 
     def first_open(self, servers):
-        """The first of these in turn that is open."""
-        now = self.now + self.SKIP_TIME if self.forced else self.now  # then none counts as shut
+        """The first of these servers, in rotation order, that takes new keys."""
+        now = self.now + self.SKIP_TIME if self.forced else self.now  # when forced, none is skipped
         return self.node.rotation.next(self.accepts_new_key, now, servers)
 
     def choose_for_group(self):
-        """Each server that holds any of a group pays for it, and a node sees too few calls to keep a group
-        together by its record: forty nodes' rotations put every group on every server. So all rotations keep
-        to the group's few servers, the same at all nodes, near ones first among them."""
+        """A server for a call whose group shares work, among the few servers of that group.
+
+        Each server that holds any member of a group bears the group's cost, and one node sees too few calls
+        to keep a group together by its own records: the rotations of forty nodes put every group on every
+        server. So all nodes use the same few servers for a group, those of their own zone first.
+        """
         few = self.group_servers()
-        # Servers replaced in a release stay empty while the others jam, so fresh ones come first.
+        # Cold servers come first: those replaced in a release stayed empty while the others were overloaded.
         for host in self.fresh_first():
             if host.skip_until <= self.now and self.accepts_new_key(host):
                 return host
         host = self.next_among(few)
-        # While there is room in the fleet a group is not turned away for the cost of one more server.
+        # While the fleet has room, a call is not rejected to spare one more server the group's cost.
         if host is None and self.readings.fleet_has_room():
             self.call.max_load_ratio = self.readings.LOW
             host = self.first_open(self.node.rotation.following())
         return host
 
     def group_servers(self):
-        """The group's own servers. One set aside or tried is out of reach, perhaps with its zone: the next of
-        the order stands in for it."""
+        """The group's servers, the same at all nodes.
+
+        One that is ejected or recovering may be out of reach, perhaps with its whole zone: the next server in
+        the group's order replaces it.
+        """
         rotation, group = self.node.rotation, self.call.group
         few, wanted = [], self.node.groups.servers(group, len(rotation.order))
         for host in rotation.group_orders.first(group, wanted):
@@ -130,7 +142,7 @@
         return few
 
     def fresh_first(self):
-        """The fresh servers that the call may try before the group's own."""
+        """The cold servers that the call may try before the group's own."""
         node, call = self.node, self.call
         cold = node.rotation.group_orders.sorted(call.group, self.overview.cold)
         budget = (
--- a/cottonspread/policy/health.py
+++ b/cottonspread/policy/health.py
@@ -1,41 +1,41 @@
-"""Health: which servers are in trouble, by how legs end and by what messages take there."""
+"""Server health, judged by how legs end and by reported message delays (outlier ejection)."""
 
 from cottonspread.state import SECOND, SlowReport
 
 
 class Health:
-    """Who is set aside, and the trickle by which one comes back (outlier ejection with a gradual return)."""
+    """Ejects failing servers, and limits the legs to one that returns until it has proved itself."""
 
-    MIN_EJECTION_TIME = SECOND  # about the longest queue that a live server clears in its set-up target
+    MIN_EJECTION_TIME = SECOND  # about the longest queue that a live server clears within its set-up target
     MAX_EJECTION_TIME = 8 * SECOND
-    RECOVERY_PERIOD = 3 * SECOND // 4  # with the bucket it falls in, a second
-    SHARED_FAULT_SERVERS = 3  # servers timed out with no answer between: not the trouble of one
-    RECOVERED_AT = 8  # trickle that counts as no limit any more
+    RECOVERY_PERIOD = 3 * SECOND // 4  # together with the bucket in which it begins, a second
+    SHARED_FAULT_SERVERS = 3  # so many servers that time out with no answer in between: a shared fault
+    RECOVERED_AT = 8  # a recovery limit of so many legs is lifted
     EARLY_SLOW_SHARE = 0.7  # of the message target: slow already, where many nodes fill one server
     NEAR_SLOW_SHARE = 0.4  # of the message target: one more connection makes a server slow
-    SAME_REPORT_RATIO = 100  # words that differ by a smaller part say the same
-    REPORT_MAX_AGE = (
-        5 * SECOND // 2
-    )  # reported once a second while it lasts: two words missed, and it is over
+    SAME_REPORT_RATIO = 100  # reports that differ by less than one part in so many are the same
+    # Reported once a second while it lasts: after two missing reports it is over.
+    REPORT_MAX_AGE = 5 * SECOND // 2
 
     def __init__(self, settings):
+        """`settings`: the `Settings` in force."""
         self.settings = settings
 
     def slow_threshold(self):
-        """What messages take from which on they are slow, in microseconds."""
+        """The message delay in microseconds from which a server counts as slow."""
         return self.settings.message_target * (
             self.EARLY_SLOW_SHARE if self.settings.probes_report_load else 1
         )
 
     def record_success(self, host):
-        """A leg was answered: twice as many may go in the next period, and soon any number."""
+        """Doubles the recovery limit after an answered leg, and lifts it once it is large enough."""
         host.recovery_limit *= 2
         if host.recovery_limit >= self.RECOVERED_AT:
             host.recovery_limit = host.ejection_time = 0
 
     def record_failure(self, host, now):
-        """A trouble, for which the server is set aside; False if it is already."""
-        if now < host.ejected_until:  # one trouble, reported by many legs
+        """Ejects the server, each time for twice as long; False if it is ejected already."""
+        if now < host.ejected_until:  # many legs report the same failure
             return False
         host.answers, host.ejection_time = (
             0,
@@ -45,17 +45,17 @@
         return True
 
     def may_send(self, host, now):
-        """Not set aside, and its trickle leaves room."""
+        """Whether it is not ejected and its recovery limit allows another leg."""
         return now >= host.ejected_until and (
             not host.recovery_limit or host.sent.total(now, self.RECOVERY_PERIOD) < host.recovery_limit
         )
 
     def is_slow(self, host, now, part=1):
-        """Whether messages take over this part of the message target there."""
+        """Whether a recent report put its message delay at or over this part of the slow threshold."""
         return host.delay >= self.slow_threshold() * part and now - host.delay_at < self.REPORT_MAX_AGE
 
     def record_delay(self, host, delay, now):
-        """Messages take `delay` at the server now; returns a `SlowReport` if that is slow, else None."""
+        """Records a reported message delay in microseconds; returns a `SlowReport` if slow, else None."""
         report = SlowReport(delay, host.delay, now - host.delay_at, self.is_slow(host, now))
         host.delay, host.delay_at = delay, now
         if delay < self.slow_threshold():
@@ -65,8 +65,11 @@
         return report
 
     def is_far(self, host, report):
-        """The same word after word: a queue grows or drains, so it is the way there, long or lossy, and cuts
-        would not help."""
+        """Whether the server is far away rather than overloaded: report after report shows the same delay.
+
+        The delay of a queue would grow or shrink, so the network path is long or lossy, and moving
+        connections away would not help.
+        """
         same = (
             report.still_slow
             and report.interval >= SECOND // 2
@@ -76,21 +79,24 @@
         return host.same_reports > (not self.settings.probes_report_load)
 
     def is_hung(self, host, report, now):
-        """More than any load piles up in that time, or all the time since (as a front sees that waits for
-        echoes), or no cut helps: it answers nothing."""
+        """Whether the server hangs, that is, answers nothing.
+
+        Either the delay grew more than any load can queue up in that time, or by the whole time since the
+        last report (as seen by a node that waits for echoes), or cutting its load has not helped.
+        """
         if report.growth > 2 * min(report.interval, SECOND):
             return True
         stuck = report.delay >= SECOND and now - host.slow_since >= 2 * SECOND
         return report.still_slow and (report.growth >= report.interval or stuck)
 
     def is_overloaded(self, host, report, now):
-        """Whether a server that is slow and answers is to be relieved now."""
+        """Whether a slow server that still answers is to lose connections now."""
         if host.hung:
-            return False  # back, and working off what piled up
+            return False  # it is back and working off its backlog
         if report.still_slow and report.delay <= report.previous / 2:
-            return False  # soon drained: one more cut would leave it idle afterwards
-        # Where loads are probed a node holds next to nothing of a server; its second word comes a second
-        # later, and all nodes together have lost the revenue of that second.
+            return False  # its queue will soon be empty: another cut would leave it idle
+        # Where probes report load a node holds only a small share of a server's connections. Its second
+        # report comes a second later, and waiting for it loses all nodes the revenue of that second.
         return (
             self.settings.probes_report_load
             or now - host.slow_since >= SECOND // 2
--- a/cottonspread/policy/path.py
+++ b/cottonspread/policy/path.py
@@ -1,9 +1,9 @@
-"""The path of a call, and the node that takes all events.
+"""The steps of a call from arrival to final answer, and the object that handles all of a node's events.
 
-Make one `Balancer(now, config)` for each node, pass every event to `handle(now, event)` and carry out the
-actions it returns, in order; `actions()` gives what the start asks for. Times: microseconds of the front's
-clock; nothing here reads a clock, a file or the network. The ordinary path of a call is `Balancer.path`; each
-exception to it stands with the failure that it prevents.
+Create one `Balancer(now, config)` for each node, pass every event to `handle(now, event)` and carry out the
+returned actions in order; `actions()` returns those requested at start-up. Times are microseconds of the
+caller's clock: nothing here reads a clock, a file or the network. The normal course of a call is
+`Balancer.path`; each exception to it is documented with the failure that it prevents.
 """
 
 from collections import deque
@@ -27,13 +27,16 @@
 
 
 class Balancer(Driver):
-    """Every decision of one node, from events to actions."""
+    """Makes every decision of one node: takes events, returns actions."""
 
-    MAX_MOVE_PRICE = 0.3  # part of a call's result; dearer moves are not asked for
+    MAX_MOVE_PRICE = 0.3  # as a share of a call's revenue; at a higher price no moves are requested
 
     def path(self, call):
-        """A call from arrival to its final answer: yields what is to be done, is resumed with the result."""
-        if call.legs:  # open already, when this node started
+        """Runs one call from arrival to its final answer.
+
+        Yields the next action, or None to wait, and is resumed with the resulting event.
+        """
+        if call.legs:  # the call was already open when this process started
             yield None
         while len(call.legs) < min(call.max_legs, self.settings.limits.max_legs) and may_retry(
             call, self.now
@@ -42,39 +45,41 @@
             host = Choice(self, call).host() if until else None
             if host is None:
                 break
-            # What other nodes put on a server is not in this one's counts: a connection or none on each.
+            # This node's own counts (often no more than one connection a server) leave out the load that
+            # other nodes put on the server; a probe reports all of it.
             if self.readings.needs_probe(call, host, self.now):
                 call.probes, call.probed_host = call.probes + 1, host
                 yield io.Probe(host.name)
-                continue  # chosen again, with what the probe told
+                continue  # choose again with the probe's result
             self.records.put(call.key, host, self.now)
             result = yield io.Send(call.id, host.name, until, deduplicated_until(call))
             if isinstance(result, io.LegAccepted):
-                result = yield None  # it stands; its end closes the call
+                result = yield None  # the connection is established; its end closes the call
             if result.ending is Ending.NOT_SENT:
-                break  # there is no time or no leg left for it
+                break  # the caller had no time or no leg left to send it
         if may_reject(call):
             yield io.Reject(call.id, self.retry_after())
         else:
             yield io.Release(call.id)
 
     def __init__(self, now, config):
+        """`config`: a `NodeConfig`."""
         settings, rng = Settings(config, SlowStart.DEFAULT_NODES), SeededRandom(config.seed)
         super().__init__(now, settings, Membership(rng, settings, config.dynamic_weights), Records())
         self.rng, self.groups, self.loads = rng, Groups(), Loads()
-        self.arrivals = SlidingCount(SECOND // 4, 64)  # calls, over up to 16 s
+        self.arrivals = SlidingCount(SECOND // 4, 64)  # arrived calls, over up to 16 s
         self.readings, self.rotation = Readings(rng, settings), Rotation(rng)
         self.health, self.slow_start = Health(settings), SlowStart(rng, settings)
         self.ceilings = Ceilings(self.loads, rng, settings)
         self.overview = Overview(self)
-        self.timed_out = set()  # servers whose set-ups timed out since one was answered
-        self.draining_legs = deque()  # legs at servers that drain
-        self.forced_attempt_at = now  # see `Choice`
+        self.timed_out = set()  # servers whose set-ups timed out since the last set-up that was answered
+        self.draining_legs = deque()  # legs on draining servers, in the order in which to move them
+        self.forced_attempt_at = now  # earliest time of a forced attempt, see `Choice.FORCED_AFTER_CALLS`
         if config.server_list.polled:
             self.pending.append(io.Subscribe())
 
     def call_arrived(self, call):
-        """A call has arrived."""
+        """Counts the call, and schedules a forced attempt if too many calls in a row had none."""
         call.max_load_ratio = self.readings.draw_bound()
         self.groups.calls.add(call.group)
         self.arrivals.add(self.now)
@@ -83,35 +88,41 @@
             self.forced_attempt_at = self.last_leg_at + wait
 
     def leg_deadline(self, call):
-        """The time-out of the next leg; 0 if there is no time for one."""
-        # Answered before the client gives up, also if the tick is late.
+        """The time at which the next leg times out; 0 if there is no time for one."""
+        # The answer must reach the client before its guard time ends, even if a timer tick is late.
         last = call.guard - 2 * self.settings.tick
         if last <= self.now:
             return 0
         if len(call.legs) + 1 >= self.settings.limits.max_legs or self.shared_dependency.recovery_limit:
             return last
-        # A server that takes calls and answers none costs one leg and not the call.
+        # A server that takes calls without answering costs one leg instead of the whole call.
         return min(last, self.now + call.type.setup_target)
 
     def retry_after(self):
-        """When a rejected client may come back, drawn so that not all come at once; 0: not said."""
+        """After how long a rejected client may retry, with random jitter so that not all retry at once.
+
+        0: the rejection does not say.
+        """
         half = self.settings.limits.max_retry_after // 2 if self.settings.limits.may_retry_after else 0
         return half + self.rng.below(half + 1)
 
     def load_of_new(self, call, host):
-        """What a call adds at the server, of which its own leg is a mean one until its load is told."""
+        """(weight of a new leg, weight it adds to its server); a leg weighs the mean until its load is known."""
         return Loads.MEAN, self.loads.added_by(call, host)
 
     def leg_accepted(self, leg):
-        """The server has taken the call. It is to blame for an error once another takes the same call: calls
-        that no server could read, one after the other, had all servers set aside."""
+        """Counts the acceptance as a success of the server, and the call's earlier errors as failures of theirs.
+
+        An error counts against its server only once another server accepts the same call: otherwise calls
+        that no server can parse would get every server ejected, one after the other.
+        """
         self.record_success(leg.host)
         for other in leg.call.legs:
             if other.ending is Ending.ERROR:
                 self.record_failure(other.host, other.ending)
 
     def leg_ended(self, leg, ending):
-        """A leg has ended, whichever way."""
+        """Updates sums, records and health after the end of a leg, whatever its cause."""
         self.sums.add(leg.host, -1, -self.loads.freed_by(leg))
         leg.close(ending)
         if ending in (Ending.OK, Ending.CANCELLED):
@@ -121,7 +132,7 @@
         self.membership.drop_gone([leg.host])
 
     def leg_ended_normally(self, leg):
-        """The call went its way, or a side had it called off; a server that drains may do so by itself."""
+        """The call completed, or either side cancelled it, as a draining server may do to move its clients."""
         host = leg.host
         self.records.touch(leg.call.key, host, self.now)
         host.moves_own_clients |= leg.ending is Ending.CANCELLED and not (leg.move_requested or host.up)
@@ -129,27 +140,31 @@
             self.record_success(host)
 
     def leg_failed(self, leg):
-        """A standing one that breaks counts too: the server is lost, or sheds load."""
+        """Counts a failure. An established connection that breaks counts too: the server is lost or sheds load."""
         host, ending = leg.host, leg.ending
         self.records.drop(leg.call.key, host)
         self.overview.mark_exceptional(host)
         if ending is Ending.TIMEOUT:
             self.timed_out.add(host)
             if len(self.timed_out) >= Health.SHARED_FAULT_SERVERS:
-                # What all set-ups need is to blame: legs sent again by all nodes keep a session store jammed.
+                # A dependency shared by all set-ups, such as a session store, is at fault; retries from all
+                # nodes would keep it overloaded.
                 host = self.shared_dependency
         if ending not in (Ending.NOT_SENT, Ending.ERROR) and not self.is_isolated_break(host, ending):
             self.record_failure(host, ending)
 
     def is_isolated_break(self, host, ending):
-        """One that breaks while others stand was cut by itself: a server lost, or shedding, breaks more."""
+        """Whether a single connection broke while others stay open on the server.
+
+        A server that is lost or sheds load breaks several within a second.
+        """
         if ending not in (Ending.RESET, Ending.CONNECT_FAILED):
             return False
         before, host.last_break_at = host.last_break_at, self.now
         return self.now - before > SECOND and any(leg.accepted for leg in host.legs)
 
     def record_success(self, host):
-        """A server has answered a set-up."""
+        """Counts a set-up that the server answered."""
         host.answers, host.skip_until = host.answers + 1, 0
         self.timed_out.clear()
         self.health.record_success(self.shared_dependency)
@@ -157,32 +172,35 @@
             self.health.record_success(host)
 
     def record_failure(self, host, ending):
-        """A server is in trouble."""
+        """Counts a failure of the server, which ejects it unless it is ejected already."""
         self.overview.watched[host] = None
         if self.health.record_failure(host, self.now):
             self.pending.append(
-                io.Log(f"{host.name}: {ending.value}, aside for {host.ejection_time // 1000} ms")
+                io.Log(f"{host.name}: {ending.value}, ejected for {host.ejection_time // 1000} ms")
             )
 
     def client_gave_up(self, call):
-        """The client has given up: legs not accepted are called off."""
+        """Cancels the call's legs that are not accepted yet, after the client's guard time."""
         waiting = [leg for leg in call.legs if leg.ending is None and not leg.accepted]
         self.pending += [io.Cancel(call.id, leg.number) for leg in waiting if self.settings.limits.may_cancel]
 
-    # What servers tell
+    # Reports from servers
 
     def probe_ended(self, host, e):
-        """What a probe tells of its server, or its silence."""
+        """Records the load that a probe reported, or that the server did not answer it."""
         self.readings.record(host, e, self.now)
         self.overview.watched[host] = None
 
     def load_reported(self, leg, load):
-        """What a connection costs its server."""
+        """Records the work that a connection causes at its server, in microseconds a second."""
         self.loads.record(leg, load)
         self.sums.reweigh(leg, self.loads.weight_of(leg))
 
     def delay_reported(self, host, delay):
-        """Messages take long at a server: one pause is passed over; what lasts, or is huge, is overload."""
+        """Handles a reported message delay, in microseconds.
+
+        A single slow report is taken for a pause; delays that persist or are very long count as overload.
+        """
         report = self.health.record_delay(host, delay, self.now)
         self.overview.mark_exceptional(host)
         if report is None:
@@ -191,7 +209,7 @@
             self.ceilings.fleet_overloaded_at = self.now
         far = self.health.is_far(host, report)
         if far or self.health.is_hung(host, report, self.now):
-            # It keeps no call, and one that is far no ceiling: it's not overloaded.
+            # All its calls are moved. A server that is merely far away is not overloaded: no ceiling applies.
             self.health.record_failure(host, self.now)
             host.hung, host.ceiling = True, 0.0 if far else host.ceiling
             self.request_moves(host, delay, "far" if far else "hung", host.staying_legs())
@@ -199,23 +217,23 @@
             self.request_moves(host, delay, "overloaded", list(self.ceilings.cut(host, self.now)))
 
     def request_moves(self, host, delay, why, leaving):
-        """Asks connections of a slow server to leave, if a move is worth its price."""
+        """Asks clients of a slow server to reconnect elsewhere, if a move is worth its price."""
         if leaving and self.settings.move_price <= self.MAX_MOVE_PRICE:
             took = f"messages take {delay // 1000} ms"
-            self.pending.append(io.Log(f"{host.name}: {took}, {why}: {len(leaving)} asked to leave"))
+            self.pending.append(io.Log(f"{host.name}: {took}, {why}: moving {len(leaving)} connections"))
             for leg in leaving:
                 self.move(leg)
 
-    # What the list tells
+    # The server list
 
     def list_updated(self, e):
-        """A word from the list, or of an asking that failed."""
+        """Applies a list update, or schedules the next poll after one that failed."""
         if e.kind is ListUpdateKind.FAILED:
             self.pending.append(io.Timer(self.membership.poll_delay(e.took), "ask"))
             return
         self.membership.failures = 0
         lost, started, new = self.membership.apply_update(e)
-        # Weights that move come each second for every server: rotation, orders and sums stay as they are.
+        # Load-dependent weights arrive every second for every server: rotation, orders and sums stay.
         if not new:
             return
         for host in lost:
@@ -228,7 +246,10 @@
         self.overview.keep(up, self.now)
 
     def withdraw(self, host):
-        """A server takes nothing new. If it drains its clients leave one by one, from half a second on."""
+        """Handles a server that takes nothing new; from a draining one clients are moved one by one.
+
+        The first move comes after half a second.
+        """
         self.records.drop_value(host)
         leaving = [] if host.draining else [leg for leg in host.legs if leg.accepted]
         host.draining = host.entry.state is HostState.DRAINING
@@ -239,7 +260,10 @@
             self.pending.append(io.Timer((n + len(leaving)) * SECOND // 2 // len(leaving), "off"))
 
     def move_next_draining(self):
-        """A server that drains cuts off its clients when it stops, unless it asks them to leave itself."""
+        """Moves the next client off a draining server, unless the server moves its clients itself.
+
+        Clients still there when the server stops are cut off.
+        """
         leg = self.draining_legs.popleft()
         if not (leg.ending or leg.move_requested or leg.host.up or leg.host.moves_own_clients):
             self.move(leg)
