--- a/cottonspread/policy/__init__.py
+++ b/cottonspread/policy/__init__.py
@@ -1,4 +1,4 @@
-"""The decisions of a cottonspread node, a module for each job; `path` has the ordinary path of a call."""
+"""The decisions of a cottonspread node, one module for each; `path` has the normal course of a call."""
 
 from cottonspread.policy.path import Balancer
 
--- a/cottonspread/policy/ceilings.py
+++ b/cottonspread/policy/ceilings.py
@@ -1,24 +1,28 @@
-"""Ceilings: a load limit for each overloaded server, cut at once and grown slowly (AIMD)."""
+"""A load limit for each overloaded server: cut at once and raised slowly (AIMD)."""
 
 from cottonspread.policy.load import Loads
 from cottonspread.state import SECOND
 
 
 class Ceilings:
-    """How much of this node's load an overloaded server keeps: cut while messages take long, grown after."""
+    """How much of this node's load an overloaded server keeps.
 
-    CUT_TO = 0.75  # kept at a cut: well under full, so that what is piled up drains
+    The ceiling is cut while messages are slow and raised afterwards.
+    """
+
+    CUT_TO = 0.75  # of the load, kept at a cut: well below full, so that the server's backlog drains
     DOUBLING_TIME = 60 * SECOND
-    # a smaller part of slow servers is no jam
+    # A smaller share of slow servers is no overload of the fleet.
     CALM_TIME, CALM_DOUBLING_TIME, FLEET_OVERLOAD_SHARE = 5 * SECOND, 4 * SECOND, 0.3
-    MIN_GROWTH_BASE = Loads.MEAN  # grows at least as one of this size would
+    MIN_GROWTH_BASE = Loads.MEAN  # a ceiling grows at least as fast as one of this size would
 
     def __init__(self, loads, rng, settings):
+        """`loads`: the weights of legs; `rng`, `settings`: the node's `SeededRandom` and `Settings`."""
         self.loads, self.rng, self.settings = loads, rng, settings
-        self.fleet_overloaded_at = -60 * SECOND  # when there last was a jam
+        self.fleet_overloaded_at = -60 * SECOND  # when the fleet was last overloaded
 
     def cut(self, host, now):
-        """Cuts; gives the connections too many, the ones that relieve the server most first."""
+        """Cuts the ceiling; yields the legs in excess of it, those that free the most load first."""
         host.ceiling, host.cut_at = host.load * self.CUT_TO, now
         standing = sorted(
             host.staying_legs(), key=lambda leg: (-self.loads.freed_by(leg), leg.call.type.revenue)
@@ -30,7 +34,7 @@
         )
         for leg in standing:
             weight = self.loads.freed_by(leg)
-            # The last one goes by chance: nodes that each hold few would else all move one too many.
+            # The last one is drawn at random: otherwise nodes that each hold few would all move one too many.
             if over <= 0 or over < weight and self.rng.below(1000) >= 1000 * over / weight:
                 return
             over -= weight
@@ -40,16 +44,17 @@
         """Whether the call still fits under the server's ceiling."""
         if not host.ceiling:
             return True
-        # One that holds nothing tells nothing: tried with one call now and then, by one node or so at a time.
+        # A server on which this node has no leg reports nothing: it is tried with one call now and then, by
+        # about one node at a time.
         if not host.legs and now - host.cut_at > 2 * self.CALM_TIME:
             return not self.rng.below(self.settings.nodes)
-        # Additive where little is left, or it would stay shut; and with no end: ceilings cut together and
-        # dropped together let the whole jam back in.
+        # The growth is additive where little is left, or the server would stay closed. It has no end at which
+        # the ceiling is dropped: ceilings cut together and dropped together let the whole overload back in.
         limit = (
             host.ceiling + max(host.ceiling, self.MIN_GROWTH_BASE) * (now - host.cut_at) / self.DOUBLING_TIME
         )
-        # Once there is no jam any more, the trouble was passing, and not too many calls: servers cut together
-        # would else stand idle for a minute.
+        # Once the fleet is no longer overloaded the cause was a passing fault, not too many calls: growth
+        # speeds up, because servers cut together would otherwise stay idle for a minute.
         calm = (
             max(0, now - max(self.fleet_overloaded_at, host.cut_at) - self.CALM_TIME)
             / self.CALM_DOUBLING_TIME
--- a/cottonspread/policy/choice.py
+++ b/cottonspread/policy/choice.py
@@ -67,7 +67,7 @@
         return self.node.ceilings.has_room(host, self.call, self.now)
 
     def is_lightly_loaded(self, host):
-        """Whether it is neither well over the mean for its size nor, by its last probe, over the call's bound."""
+        """Whether it is neither well over the mean for its size nor, as probed, over the call's bound."""
         over = well_over(len(host.legs), self.mean * max(1, host.size / self.mean_size))
         if over and not self.readings.has_room(host, self.now):
             return False
--- a/cottonspread/policy/groups.py
+++ b/cottonspread/policy/groups.py
@@ -4,14 +4,15 @@
 
 
 class Groups:
-    """How often each group called of late: its part of all calls tells how many servers it needs."""
+    """Counts recent calls by group: a group's share of all calls decides how many servers it needs."""
 
-    MAX_TOTAL = 2000  # calls counted; then all counts are halved
-    PRIOR = 10  # calls; fewer tell little of a group's part
+    MAX_TOTAL = 2000  # calls counted before all counts are halved
+    PRIOR = 10  # calls assumed of other groups: a few calls say little of a group's share
 
     def __init__(self):
+        """No call is counted yet."""
         self.calls = DecayingCounts(self.MAX_TOTAL, self.PRIOR)
 
     def servers(self, group, listed):
-        """How many of the listed servers it goes to: its part of them, and two more."""
+        """How many of `listed` servers the group may use: its share of them, and two more."""
         return min(listed, 2 + round(listed * self.calls.share(group)))
--- a/cottonspread/policy/membership.py
+++ b/cottonspread/policy/membership.py
@@ -1,4 +1,4 @@
-"""Membership: which servers there are, as the list tells."""
+"""Membership: the servers of the fleet, by the server list."""
 
 from cottonspread.interface import ListUpdateKind
 from cottonspread.state import SECOND
@@ -6,18 +6,23 @@
 
 
 class Membership(ServerTable):
-    """The servers that the list names, what they can do, and the asking where the list must be asked."""
+    """The listed servers with their sizes, and the times of polls where the list is polled."""
 
-    MAX_POLL_GAP = 9 * SECOND // 2  # from a call that fails to the next: after 6 s a change counts as told
+    # From the start of a failed poll to the next one: a change counts as known 6 s after it could be read.
+    MAX_POLL_GAP = 9 * SECOND // 2
 
     def __init__(self, rng, settings, dynamic_weights):
+        """`dynamic_weights`: whether listed weights vary with load, see `NominalSizes`."""
         super().__init__()
         self.rng, self.settings, self.failures = rng, settings, 0
         self.sizes = NominalSizes(dynamic_weights)
 
     def apply_update(self, listed):
-        """Takes in a word from the list; returns (servers now unfit for records, servers started anew,
-        whether more is new than weights that move)."""
+        """Applies a list update.
+
+        Returns (servers that are not up, servers that were restarted, whether more than dynamic weights
+        changed).
+        """
         lost, started, known, new = [], [], len(self.hosts), listed.kind is not ListUpdateKind.CHANGES
         for host, entry in self.merge(listed):
             new = self.sizes.update(entry, host.entry) or new or not entry.equals_except_weight(host.entry)
@@ -32,9 +37,12 @@
         return lost, started, new
 
     def poll_delay(self, took):
-        """Microseconds until the list is asked again, after a call that failed and took so long. Spread over
-        the time in which each node is to ask once, as far as a change that the list has by now allows, then
-        late in it: an overbooked list answers nobody in time while nodes ask again at once."""
+        """Microseconds until the next poll, after one that failed and took `took` microseconds.
+
+        The first retry is spread over the poll interval, as far as `MAX_POLL_GAP` allows for changes that the
+        list has meanwhile; later ones fall in the last quarter of that time. An overloaded list answers no
+        node in time while all retry at once.
+        """
         self.failures += 1
         most = max(SECOND, min(self.settings.poll_interval, self.MAX_POLL_GAP - took))
         least = max(0, most * 3 // 4 - took) if self.failures > 1 else 0
--- a/cottonspread/policy/path.py
+++ b/cottonspread/policy/path.py
@@ -107,11 +107,11 @@
         return half + self.rng.below(half + 1)
 
     def load_of_new(self, call, host):
-        """(weight of a new leg, weight it adds to its server); a leg weighs the mean until its load is known."""
+        """(weight of a new leg, weight it adds to its server); weighs the mean until its load is known."""
         return Loads.MEAN, self.loads.added_by(call, host)
 
     def leg_accepted(self, leg):
-        """Counts the acceptance as a success of the server, and the call's earlier errors as failures of theirs.
+        """Counts a success of the server, and the call's earlier errors as failures of their servers.
 
         An error counts against its server only once another server accepts the same call: otherwise calls
         that no server can parse would get every server ejected, one after the other.
@@ -132,7 +132,7 @@
         self.membership.drop_gone([leg.host])
 
     def leg_ended_normally(self, leg):
-        """The call completed, or either side cancelled it, as a draining server may do to move its clients."""
+        """The call completed, or a side cancelled it, as a draining server may do to move its clients."""
         host = leg.host
         self.records.touch(leg.call.key, host, self.now)
         host.moves_own_clients |= leg.ending is Ending.CANCELLED and not (leg.move_requested or host.up)
@@ -140,7 +140,10 @@
             self.record_success(host)
 
     def leg_failed(self, leg):
-        """Counts a failure. An established connection that breaks counts too: the server is lost or sheds load."""
+        """Counts a failure of the server.
+
+        An established connection that breaks counts too: the server is lost, or sheds load.
+        """
         host, ending = leg.host, leg.ending
         self.records.drop(leg.call.key, host)
         self.overview.mark_exceptional(host)
--- a/cottonspread/policy/retries.py
+++ b/cottonspread/policy/retries.py
@@ -1,4 +1,4 @@
-"""Retries: what a call may still do, as far as the effect of its earlier legs goes."""
+"""Retries: what a call may still do, given the possible effects of its earlier legs."""
 
 from cottonspread.interface import Effect, Ending
 
@@ -6,29 +6,31 @@
 
 
 def may_have_run(call):
-    """The legs of which nobody knows that they had no effect."""
+    """The legs that are not known to have had no effect."""
     return [leg for leg in call.legs if leg.ending not in NEVER_RAN]
 
 
 def may_retry(call, now):
-    """Whether any new leg is allowed, as far as the effect of the earlier ones goes."""
+    """Whether a new leg is allowed, given the possible effects of the earlier ones."""
     ran = may_have_run(call)
     if sum(leg.ending is Ending.ERROR for leg in ran) > 1:
-        return False  # no server takes it: the fault is the call's, perhaps ill will
+        return False  # several servers refuse it: the call itself is faulty, perhaps malicious
     if not ran or call.type.effect is not Effect.REFERENCED:
         return not ran or call.type.effect is Effect.REPEATABLE
     return now < deduplicated_until(call)
 
 
 def deduplicated_until(call):
-    """How long a repeat is known as one, from when the first leg that may have run was decided on; 0: no
-    matter. A leg decided on in time may come up late, so the front keeps to it as well."""
+    """Until when a repeat is recognised as one, counted from the first leg that may have run; 0: no limit.
+
+    The connection of a leg chosen in time may come up late, so whoever sends it checks this time as well.
+    """
     ran = may_have_run(call)
     return ran[0].sent_at + call.type.deduplicated_for if ran and call.type.effect is Effect.REFERENCED else 0
 
 
 def may_retry_at(call, host):
-    """A referenced call that may have run stays where its repeats are known."""
+    """Whether a leg may go there: a referenced call that may have run stays where its repeats are known."""
     ran = may_have_run(call)
     if call.type.effect is not Effect.REFERENCED or not ran:
         return True
@@ -39,7 +41,7 @@
 
 
 def may_reject(call):
-    """A reject says that trying again is harmless."""
+    """Whether the call may be rejected: a rejection tells the client that a retry is harmless."""
     effect = call.type.effect
     known_by_all = effect is Effect.REFERENCED and call.type.deduplicated_by == "all"
     return effect is Effect.REPEATABLE or known_by_all or not may_have_run(call)
