--- a/cottonspread/interface.py
+++ b/cottonspread/interface.py
@@ -1,8 +1,9 @@
-"""What a front and the decision module say to each other.
+"""The interface between a front end, which does the I/O, and the decision module.
 
-A front makes one `policy.Balancer` from a `NodeConfig`, passes it every event with the time, and carries out
-the actions it gets back, in their order. Times and spans are whole microseconds of the front's own clock.
-Calls and hosts are named by whatever hashable id the front uses; the module gives the ids back as they came.
+A front end (`cottonspread.net`, `cottonspread.drill`) makes one `policy.Balancer` from a `NodeConfig`, passes
+it every event with the time, and carries out the returned actions in order. Times and durations are whole
+microseconds of the front end's own clock. Calls and hosts are identified by whatever hashable ids the front
+end uses; the module returns them unchanged.
 """
 
 from dataclasses import dataclass, field
@@ -11,8 +12,10 @@
 
 
 class Effect(Enum):
+    """Whether a call of some type may run more than once."""
+
     REPEATABLE = "may run again"
-    REFERENCED = "carries a mark by which a repeat is known"
+    REFERENCED = "carries a mark by which a repeat is known"  # an idempotency key
     ONCE_ONLY = "must never run twice"
 
 
@@ -21,35 +24,39 @@
 
     OK = "ok"
     ERROR = "error"
-    FULL = "turned away unseen"
+    FULL = "refused at capacity"  # the host did not look at the call
     TIMEOUT = "no answer in time"
     CONNECT_FAILED = "no connection"
-    RESET = "connection broke"
-    CANCELLED = "called off"
-    NOT_SENT = "never sent"
+    RESET = "connection reset"
+    CANCELLED = "cancelled"
+    NOT_SENT = "not sent"
 
 
 class HostState(Enum):
+    """State of a host in the server list."""
+
     UP = "up"
     DRAINING = "draining"
     GONE = "gone"
 
 
 class ListUpdateKind(Enum):
-    """What a word from the server list holds."""
+    """What an update of the server list contains."""
 
     CHANGES = "only what changed"
     FULL = "the whole list"
-    SAVED = "the whole list as last held, perhaps stale"
-    FAILED = "the list could not be reached"
+    SAVED = "the whole list as last saved, possibly stale"
+    FAILED = "the list could not be read"
 
 
 @dataclass(frozen=True)
 class TrafficType:
+    """A type of call, with its retry rules, time limits and value."""
+
     name: str
     effect: Effect
-    deduplicated_by: str  # "all", "zone" or "cell": the group of hosts that drops repeats
-    deduplicated_for: int  # how long that group remembers
+    deduplicated_by: str  # "all", "zone" or "cell": the group of hosts that drops repeats of a call
+    deduplicated_for: int  # how long that group recognises repeats
     setup_target: int
     guard_time: int
     revenue: float
@@ -58,38 +65,48 @@
 
 @dataclass(frozen=True)
 class Tenant:
+    """A tenant, with its quotas over all nodes."""
+
     name: str
     share: float = 0.0
-    allowance_per_s: float = 0.0  # calls a second over all nodes; 0: not told
-    quota_connections: float = 0.0  # open connections over all nodes; 0: not told
+    allowance_per_s: float = 0.0  # calls a second over all nodes; 0: not set
+    quota_connections: float = 0.0  # open connections over all nodes; 0: not set
 
 
 @dataclass(frozen=True)
 class LegLimits:
+    """What a node may do with the legs of one call."""
+
     max_legs: int = 1
-    parallel_legs: bool = False
+    parallel_legs: bool = False  # whether two may be open at the same time
     may_cancel: bool = False
-    may_retry_after: bool = False  # a reject may say when to come back
+    may_retry_after: bool = False  # whether a rejection may say when to retry
     max_retry_after: int = 0
 
 
 @dataclass(frozen=True)
 class ColdStart:
-    share: float = 1.0  # a fresh host does at least this part of its work
+    """How hosts warm up after their start, and the budget of what they may be sent meanwhile."""
+
+    share: float = 1.0  # of its full capacity, which a host has at its start
     warm_after: int = 0
-    multiple: float = 1.0  # all nodes together stay under this many times what it can do
-    window: int = 0  # over any window of this length
+    multiple: float = 1.0  # all nodes together stay under so many times what the host can do
+    window: int = 0  # in any window of this length
 
 
 @dataclass(frozen=True)
 class ServerListRules:
-    polled: bool = False  # the list answers only when asked
-    poll_interval: int = 0  # unasked for this long, a node counts as told
+    """How the server list is read."""
+
+    polled: bool = False  # the list answers polls, and sends nothing unasked
+    poll_interval: int = 0  # a node that has not polled for so long counts as informed of all changes
     drain_grace: int = 0
 
 
 @dataclass(frozen=True)
 class Prices:
+    """What each kind of action costs, as a part of what a call earns."""
+
     zone_crossing: float = 0.0
     move: float = 0.0
     probe: float = 0.0
@@ -98,21 +115,22 @@
 
 @dataclass(frozen=True)
 class AvailabilityGoal:
-    """A part of the result: over spans of 5 s, the tenfold steps by which the
-    unserved share lies below the whole.
+    """The availability component of the score: the nines of the served share, over spans of 5 s.
+
+    A nine is a factor of ten by which the unserved share lies below the whole.
     """
 
-    weight: float = 0.0  # its weight; 0: it does not count
-    nines_for_full: float = 3.0  # steps that earn all of it
+    weight: float = 0.0  # weight in the score; 0: availability does not count
+    nines_for_full: float = 3.0  # nines that earn the whole component
 
 
 @dataclass(frozen=True)
 class NodeConfig:
-    """A node starts. Each part of the module takes from here only what it needs."""
+    """The configuration of a node. Each part of the module reads only what it needs."""
 
     seed: int
     node_number: int
-    nodes: int  # 0: not told
+    nodes: int  # number of nodes; 0: not known
     zone: int
     tick: int
     types: tuple
@@ -124,22 +142,24 @@
     may_probe: bool = False
     may_message_peers: bool = False
     groups_share_work: bool = False
-    probes_report_load: bool = False  # a probe's answer tells the load asked of a host over what it can do
-    dynamic_weights: bool = False  # listed weights: nominal size over 1 + calls held a core, late
+    probes_report_load: bool = False  # an answered probe reports the host's load ratio
+    dynamic_weights: bool = False  # a listed weight is the size over 1 + calls held a core, and lags behind
     availability: AvailabilityGoal = field(default_factory=AvailabilityGoal)
 
 
-class Entry(NamedTuple):  # made for every server at every word of the list: the cheapest type
+class Entry(NamedTuple):  # created for every server with every list update: the cheapest type
+    """A server as the list has it."""
+
     host: object
     zone: int = 0
     kind: int = 0
-    weight: float = 1.0  # as listed: its size, or what `NodeConfig.dynamic_weights` says
+    weight: float = 1.0  # as listed: the server's size, or see `NodeConfig.dynamic_weights`
     cell: int = 0
     started: int = 0  # 0: long ago
     state: HostState = HostState.UP
 
     def equals_except_weight(self, other):
-        """Whether it differs from `other` by its weight at most."""
+        """Whether it differs from `other` in its weight at most."""
         return (
             self.state is other.state
             and self.started == other.started
@@ -149,19 +169,23 @@
         )
 
 
-# Events: what a front tells.
+# Events, from the front end to the module
 
 
 @dataclass(frozen=True)
 class ListUpdate:
+    """The server list was read, has changed, or could not be read."""
+
     kind: ListUpdateKind
     version: int = 0
     entries: tuple = ()
-    took: int = 0  # of one that failed: how long it was waited for
+    took: int = 0  # duration of a poll that failed
 
 
 @dataclass(frozen=True)
 class CallArrived:
+    """A client opened a call."""
+
     call: object
     type: int
     time_left: int
@@ -169,12 +193,14 @@
     group: object = None
     tenant: int = 0
     load: float = 0.0
-    returned: bool = False  # back after a break or a move
-    held_by: object = None  # already open through this node, at this host
+    returned: bool = False  # the client is back after a broken connection or a move
+    held_by: object = None  # the host at which the call is already open through this node
 
 
 @dataclass(frozen=True)
 class LegAccepted:
+    """The host accepted the call."""
+
     call: object
     leg: int
     waited: int
@@ -182,120 +208,152 @@
 
 @dataclass(frozen=True)
 class LegEnded:
+    """A leg ended."""
+
     call: object
     leg: int
     ending: Ending
-    closed: bool  # nothing more is owed for the call
+    closed: bool  # the call needs no further leg or answer
     waited: int = 0
 
 
 @dataclass(frozen=True)
 class LoadReported:
+    """A host reported the load of a connection."""
+
     call: object
     load: float  # microseconds of work a second
 
 
 @dataclass(frozen=True)
 class DelayReported:
+    """A message delay was measured or reported on a connection."""
+
     call: object
     delay: int  # what a message takes at the call's host now
 
 
 @dataclass(frozen=True)
 class CallExpired:
+    """The client gave up a call that had no answer."""
+
     call: object
 
 
 @dataclass(frozen=True)
 class TimerFired:
+    """A `Timer` is due."""
+
     token: str
 
 
 @dataclass(frozen=True)
 class ProbeEnded:
+    """A probe of a host was answered or failed."""
+
     host: object
     ending: Ending
     waited: int = 0
-    load: float = -1.0  # asked of the host over what it can do, seconds ago; -1: not told
-    backlog: float = 0.0  # seconds of work piled up
+    load: float = -1.0  # load put on the host over what it can do, seconds ago; -1: not reported
+    backlog: float = 0.0  # seconds of queued work
 
 
 @dataclass(frozen=True)
 class Reconfigured:
-    """Other settings from now on. Calls that are open keep the type that they opened under."""
+    """Another configuration applies from now on. Open calls keep the type under which they were opened."""
 
     config: NodeConfig
 
 
 @dataclass(frozen=True)
 class Inherited:
-    """What the process that this one replaces had kept: to the servers the two are one node."""
+    """State of the process that this one replaces: to the servers the two are one node."""
 
     records: tuple  # (key, host)
-    sent: tuple  # (host, when, legs), the oldest first
+    sent: tuple  # (host, time, legs), the oldest first
 
 
 @dataclass(frozen=True)
 class PeerMessageReceived:
+    """Another node sent a message."""
+
     peer: int
     data: bytes
 
 
-# Actions: what the module wants done.
+# Actions, from the module to the front end
 
 
 @dataclass(frozen=True)
 class Send:
+    """Open a leg of the call at the host."""
+
     call: object
     host: object
-    deadline: int  # time of the clock
-    send_by: int = 0  # its first byte may go out until then; 0: while the call is open
+    deadline: int  # clock time at which the leg times out
+    send_by: int = 0  # latest clock time for its first byte; 0: while the call is open
 
 
 @dataclass(frozen=True)
 class Reject:
+    """Tell the client that the call is rejected and that a retry is harmless."""
+
     call: object
-    retry_after: int = 0  # 0: nothing is said
+    retry_after: int = 0  # 0: not told to the client
 
 
 @dataclass(frozen=True)
 class Release:
+    """End the call as failed; it may have run."""
+
     call: object
 
 
 @dataclass(frozen=True)
 class Cancel:
+    """Cancel a leg that is not accepted yet."""
+
     call: object
     leg: int
 
 
 @dataclass(frozen=True)
 class Move:
+    """Ask the call's client to reconnect, to reach another host."""
+
     call: object
 
 
 @dataclass(frozen=True)
 class Timer:
+    """Return `TimerFired` with this token after some time."""
+
     after: int
     token: str
 
 
 @dataclass(frozen=True)
 class Probe:
+    """Ask the host for its load."""
+
     host: object
 
 
 @dataclass(frozen=True)
 class Subscribe:
-    """Open the standing subscription to the list."""
+    """Subscribe to the server list, or poll it."""
 
 
 @dataclass(frozen=True)
 class SendToPeer:
+    """Send a message to another node."""
+
     data: bytes
-    peer: int = -1  # -1: every other node
+    peer: int = -1  # -1: to all other nodes
 
 
 @dataclass(frozen=True)
 class Log:
+    """Write a line to the node's log."""
+
     text: str
--- a/cottonspread/policy/path.py
+++ b/cottonspread/policy/path.py
@@ -29,7 +29,7 @@
 class Balancer(Driver):
     """Makes every decision of one node: takes events, returns actions."""
 
-    MAX_MOVE_PRICE = 0.3  # as a share of a call's revenue; at a higher price no moves are requested
+    MAX_MOVE_PRICE = 0.3  # as a part of what a call earns; at a higher price no moves are requested
 
     def path(self, call):
         """Runs one call from arrival to its final answer.
