--- a/cottonspread/config/__init__.py
+++ b/cottonspread/config/__init__.py
@@ -1,7 +1,7 @@
-"""The one place where configuration is read, checked and given defaults; every fault names its key.
+"""Reads and validates all configuration and applies defaults; every error names its key.
 
-`platform` reads what the platform tells a node (JSON and the environment),
-`operator` the operator's own file (TOML).
+`platform` reads a node's configuration from the platform (JSON and the environment), `operator` the
+operator's own file (TOML).
 """
 
 from cottonspread.config.platform import (
--- a/cottonspread/config/operator.py
+++ b/cottonspread/config/operator.py
@@ -1,9 +1,9 @@
-"""The operator's file: one TOML file with a section for each subsystem. Types and ranges are msgspec's.
+"""The operator's file: one TOML file with a section for each subsystem. msgspec checks types and ranges.
 
-`read(path)` gives the sections, or raises `OperatorFileError` with every fault that the file has. A key tells
-in its metadata what a reload does with it: "live" (taken over at once), "restart" (each instance is replaced
-by a successor, one after the other), or "new" (only a new supervisor takes it: a reload that changes it is
-turned down). Imported only where a file is named, so a node without one needs no msgspec.
+`read(path)` returns the sections, or raises `OperatorFileError` with every error in the file. The metadata of
+a key tell what a reload does with it: "live" (applied at once), "restart" (the instances are replaced one
+after the other), or "new" (needs a new supervisor: a reload that changes it is rejected). This module is
+imported only if there is such a file, so a node without one does not need msgspec.
 """
 
 import difflib
@@ -16,21 +16,24 @@
 
 from cottonspread.config.platform import ConfigurationError
 
-MAX_INSTANCES = 4096  # instances of a machine; a figure far over it is a slip, and is told
+MAX_INSTANCES = 4096  # per machine; a much larger number is a typing error and is rejected
 
 
 def offset_address(host, steps):
-    """An IPv4 address some steps on, without those that end in 0 or 255; ValueError if it ends before."""
+    """The IPv4 address that many steps after `host`, skipping those that end in 0 or 255.
+
+    Raises ValueError if there is none.
+    """
     a, b, c, d = map(int, host.split("."))
     number = ((a * 256 + b) * 256 + c) * 254 + d - 1 + steps
     if not 1 <= d <= 254 or number >= 224 * 256 * 256 * 254:
-        raise ValueError(f"{steps} on from {host} there is no address of a machine")
+        raise ValueError(f"no host address {steps} steps after {host}")
     front, d = divmod(number, 254)
     return f"{front >> 16}.{front >> 8 & 255}.{front & 255}.{d + 1}"
 
 
 def key(kind, what, **bounds):
-    """What a key means, what a reload does with it (`kind`), and the bounds of its value."""
+    """The metadata of a key: its meaning, what a reload does with it (`kind`), and bounds of its value."""
     return Meta(description=what, extra={"reload": kind}, **bounds)
 
 
@@ -39,24 +42,24 @@
 
     format: Annotated[Literal["pairs", "json"], key("restart", "key=value pairs or JSON lines")] = "pairs"
     level: Annotated[
-        Literal["debug", "info", "warning", "error"], key("live", "the least level that is written")
+        Literal["debug", "info", "warning", "error"], key("live", "the lowest level that is written")
     ] = "info"
 
 
 class Instance(msgspec.Struct, frozen=True):
-    """The section [instance]: what each instance of a fleet does by itself."""
+    """The section [instance]: the behaviour of each instance of a fleet."""
 
     list_wait_s: Annotated[
-        float, key("restart", "how long a new instance waits for a list told by discovery", ge=0, le=60)
+        float, key("restart", "how long a new instance waits for a list from discovery", ge=0, le=60)
     ] = 2.0
-    save_list: Annotated[bool, key("restart", "the last list is kept in the state folder")] = True
+    save_list: Annotated[bool, key("restart", "the last list is saved in the state folder")] = True
     orphan_s: Annotated[
-        float, key("restart", "after so long without a supervisor an instance stops itself", ge=1, le=3600)
+        float, key("restart", "an instance without a supervisor for this long stops itself", ge=1, le=3600)
     ] = 60.0
 
 
 class Fleet(msgspec.Struct, frozen=True, kw_only=True):
-    """The section [fleet]: which instances there are, and how the supervisor changes them."""
+    """The section [fleet]: the instances, and how the supervisor starts, stops and changes them."""
 
     name: Annotated[
         str,
@@ -70,7 +73,7 @@
         str,
         key(
             "restart",
-            "HOST:PORT of instance 0; a free port for each cannot be asked for",
+            "HOST:PORT of instance 0; port 0 (any free port) is not possible",
             pattern=r"^\d+\.\d+\.\d+\.\d+:[1-9]\d{0,4}$",
         ),
     ]
@@ -81,7 +84,7 @@
         int,
         key(
             "restart",
-            "added to the last number of the address, 1 to 254 and on in the number before",
+            "added to the last number of the address, which runs from 1 to 254 and carries over",
             ge=0,
             le=MAX_INSTANCES,
         ),
@@ -108,13 +111,15 @@
     start_at_once: Annotated[int, key("live", "how many start at the same time", ge=1, le=MAX_INSTANCES)] = 8
     stop_at_once: Annotated[int, key("live", "how many stop at the same time; 0: all", ge=0)] = 0
     start_s: Annotated[
-        float, key("live", "an instance that is not ready after so long has not started", ge=0.1, le=600)
+        float,
+        key("live", "an instance that is not ready after this long has failed to start", ge=0.1, le=600),
     ] = 10.0
     stop_s: Annotated[
-        float, key("live", "an instance that has not stopped after so long is ended", ge=0.1, le=600)
+        float, key("live", "an instance that has not stopped after this long is killed", ge=0.1, le=600)
     ] = 8.0
     stuck_s: Annotated[
-        float, key("live", "an instance whose reducer makes no step for so long is replaced", ge=0.5, le=600)
+        float,
+        key("live", "an instance whose reducer makes no step for this long is replaced", ge=0.5, le=600),
     ] = 3.0
     backoff_s: Annotated[
         float, key("live", "the wait before the second restart in a row; it doubles", ge=0.01, le=60)
@@ -131,7 +136,7 @@
         float,
         key(
             "live",
-            "the same for a change that running instances take over, at most watch_s: "
+            "the same for a change that running instances apply, at most watch_s: "
             "first at_once of them, then all the others together",
             ge=0,
             le=3600,
@@ -139,32 +144,35 @@
     ] = 1.0
     worse_by: Annotated[
         float,
-        key("live", "a rollout goes back when the share of calls that end badly rises by more", ge=0, le=1),
+        key("live", "a rollout is rolled back if the share of failed calls rises by more", ge=0, le=1),
     ] = 0.05
     worse_of: Annotated[int, key("live", "ended calls before that share is judged", ge=1)] = 20
 
 
 class Configuration(msgspec.Struct, frozen=True, kw_only=True):
-    """Where the platform's JSON comes from, besides the file: see docs/guide/configuration.md."""
+    """The section [configuration]: the configuration store, which publishes the platform's JSON to all nodes.
+
+    See docs/guide/configuration.md.
+    """
 
     replicas: Annotated[
         tuple[Annotated[str, Meta(pattern=r"^[A-Za-z0-9._-]+:[1-9]\d{0,4}$")], ...],
         key("new", "HOST:PORT of each replica of the configuration store", min_length=1, max_length=7),
     ]
     state: Annotated[
-        str, key("new", "the folder that keeps what is in force for the next start", min_length=1)
+        str, key("new", "the folder that saves the configuration in force for the next start", min_length=1)
     ] = "configuration"
     node: Annotated[
         str,
         key(
             "new",
-            "what this machine is called in the store, once in all; empty: the node's or the fleet's name",
+            "the unique name of this machine in the store; empty: the node's or the fleet's name",
             pattern="^[A-Za-z0-9._:-]{0,128}$",
         ),
     ] = ""
     own: Annotated[
         tuple[str, ...],
-        key("new", "keys of the platform's JSON that stay as this machine's own file has them"),
+        key("new", "keys of the platform's JSON that are taken from this machine's own file"),
     ] = ("name", "listen", "operator", "seed", "limits", "known", "settings.Me", "settings.Zone")
 
 
@@ -173,22 +181,22 @@
 
 
 class OperatorFileError(ConfigurationError):
-    """Every fault of a file, a line each: FILE: KEY: what was expected."""
+    """All errors of a file, one per line: FILE: KEY: what was expected."""
 
     def __init__(self, faults):
-        """`faults`: a line each."""
+        """`faults`: one line each."""
         super().__init__("\n".join(faults))
         self.faults = faults
 
 
 def suggestion(word, among):
-    """The end of a fault about an unknown word: the nearest known one, or all of them."""
+    """The end of a message about an unknown word: the most similar known one, or all of them."""
     found = difflib.get_close_matches(word, among, 1, 0.5)
-    return f"; the nearest known one is {found[0]}" if found else f"; known are {', '.join(sorted(among))}"
+    return f"; did you mean {found[0]}?" if found else f"; expected one of {', '.join(sorted(among))}"
 
 
 def fields(kind):
-    """(name, field, its Meta) of each key of a section."""
+    """(name, field, Meta) of each key of a section."""
     hints = typing.get_type_hints(kind, include_extras=True)
     return [
         (f.name, f, next(m for m in hints[f.name].__metadata__ if m.extra))
@@ -197,7 +205,7 @@
 
 
 def read_section(name, kind, values, faults):
-    """The section, or None if it has faults, which are added to `faults` as (key, what)."""
+    """Reads one section. Returns None if it has errors, which are added to `faults` as (key, message)."""
     if not isinstance(values, dict):
         faults.append((name, "expected a section, [" + name + "]"))
         return None
@@ -218,11 +226,11 @@
 
 
 def read_text(text, path="operator"):
-    """(Log, Instance, Fleet or None, Configuration or None, what was set) from the text of a file."""
+    """Parses the text of a file: (Log, Instance, Fleet or None, Configuration or None, parsed TOML)."""
     try:
         whole = tomllib.loads(text)
     except (tomllib.TOMLDecodeError, RecursionError) as fault:
-        raise OperatorFileError([f"{path}: no TOML: {fault}"]) from fault
+        raise OperatorFileError([f"{path}: invalid TOML: {fault}"]) from fault
     faults = [
         (word, "unknown section" + suggestion(word, SECTIONS)) for word in whole.keys() - SECTIONS.keys()
     ]
@@ -241,7 +249,7 @@
 
 
 def check_related_keys(fleet):
-    """Faults of keys that do not go together."""
+    """Yields (key, message) for keys that contradict each other."""
     host, _, port = fleet.listen.rpartition(":")
     port = int(port)
     last = fleet.instances - 1
@@ -264,7 +272,7 @@
 
 
 def read(path):
-    """As `read_text`, from a file."""
+    """Reads a file; returns what `read_text` does."""
     try:
         with open(path, encoding="utf-8") as file:
             text = file.read()
@@ -274,9 +282,7 @@
 
 
 def read_fleet(path):
-    """As `read`, of a file that must have the section [fleet]: (Log, Instance, Fleet, Configuration or None)
-    of one reading.
-    """
+    """Reads a file that must have the section [fleet]: (Log, Instance, Fleet, Configuration or None)."""
     log, instance, fleet, configuration, _ = read(path)
     if fleet is None:
         raise OperatorFileError([f"{path}: fleet: missing: this command needs the section [fleet]"])
@@ -284,7 +290,7 @@
 
 
 def effective_values(parts, whole, path):
-    """(key, value, where it is from, what a reload does) for every key of every section that is there."""
+    """Yields (key, value, its source, what a reload does with it) for every key of every section present."""
     for (name, kind), section in zip(SECTIONS.items(), parts, strict=True):
         for word, _, meta in fields(kind) if section else ():
             yield (
--- a/cottonspread/config/platform.py
+++ b/cottonspread/config/platform.py
@@ -1,8 +1,9 @@
-"""The one place where configuration is read, checked and given defaults; every fault names its key.
+"""The configuration that the platform gives to a node: reads and validates it and applies defaults.
 
-`read_begin` reads the settings of a node, for the drill and for the real node alike. `read_node` reads what a
-real node is told: a JSON file, in which `name`, `listen` and `discovery` may be left to the environment
-(PROXY_NAME, PROXY_LISTEN, PROXY_DISCOVERY). Times in the files are milliseconds, here whole microseconds.
+`read_begin` reads the settings of a node, both in the simulator's adapter (drill/) and in a real node.
+`read_node` reads the whole configuration of a real node: a JSON file, in which `name`, `listen` and
+`discovery` may be left to the environment (PROXY_NAME, PROXY_LISTEN, PROXY_DISCOVERY). Times are milliseconds
+in the file and integer microseconds here.
 """
 
 import json
@@ -19,11 +20,11 @@
 
 
 class ConfigurationError(ValueError):
-    """Configuration under which no node can run; the message begins with the key."""
+    """An invalid configuration; the message begins with the key."""
 
 
 def ms_to_us(value):
-    """Milliseconds, as the platform tells times, in whole microseconds."""
+    """Converts milliseconds, as the platform gives times, to integer microseconds."""
     value = float(value)
     if not abs(value) < 1e15:
         raise ValueError(f"time out of range: {value}")
@@ -31,20 +32,20 @@
 
 
 class ObjectReader:
-    """One JSON object with the path that leads to it. A value that is null counts as absent."""
+    """Reads values from one JSON object. A null value counts as absent."""
 
     def __init__(self, values, path):
-        """`path`: the keys that lead here, set apart by dots; "" for the whole file."""
+        """`path`: the keys that lead to this object, joined by dots; "" for the root."""
         if not isinstance(values, dict):
             raise ConfigurationError(f"{path or 'configuration'}: not an object")
         self.values, self.path = {k: v for k, v in values.items() if v is not None}, path
 
     def path_of(self, key):
-        """The whole path of a key."""
+        """The full path of a key, for messages."""
         return f"{self.path}.{key}" if self.path else key
 
     def convert(self, key, default, what, read):
-        """The value as `read` makes it; ConfigurationError with `what` was expected, if that cannot."""
+        """The value converted by `read`; ConfigurationError with `what` was expected, if that fails."""
         value = self.values.get(key, default)
         if value is MISSING:
             raise ConfigurationError(f"{self.path_of(key)}: missing")
@@ -54,7 +55,7 @@
             raise ConfigurationError(f"{self.path_of(key)}: {value!r} is not {what}") from fault
 
     def integer(self, key, default=MISSING, least=0):
-        """A whole number."""
+        """An integer of at least `least`."""
 
         def read(value):
             if isinstance(value, str) or int(value) < least:
@@ -74,35 +75,35 @@
         return self.convert(key, default, "a number of at least 0", read)
 
     def duration_us(self, key, default=MISSING):
-        """A time, given in milliseconds, in whole microseconds."""
+        """A duration, given in milliseconds, as integer microseconds."""
         return round(self.number(key, default) * 1000)
 
     def positive_number(self, key, default=MISSING):
-        """A number over 0."""
+        """A number greater than 0."""
 
         def read(value):
             if not 0 < float(value) < 1e15:
                 raise ValueError
             return float(value)
 
-        return self.convert(key, default, "a number over 0", read)
+        return self.convert(key, default, "a number greater than 0", read)
 
     def flag(self, key, default=False):
         """True or false."""
         return self.convert(key, default, "true or false", lambda v: {True: True, False: False}[v])
 
     def text(self, key, default=MISSING):
-        """A text that is not empty."""
+        """A non-empty string."""
 
         def read(value):
             if not isinstance(value, str) or not value:
                 raise ValueError
             return value
 
-        return self.convert(key, default, "a text", read)
+        return self.convert(key, default, "a non-empty string", read)
 
     def choice(self, key, default, among):
-        """One of the keys of `among`, as what stands there for it."""
+        """One of the keys of `among`; returns the value that it maps to."""
         return self.convert(key, default, "one of " + ", ".join(among), among.__getitem__)
 
     def address(self, key, default=MISSING):
@@ -117,42 +118,42 @@
         return self.convert(key, default, "an address as HOST:PORT", read)
 
     def optional_address(self, key, default):
-        """An address, or None where none is given."""
+        """An address as (host, port), or the default if there is none."""
         return default if self.values.get(key, default) is None else self.address(key, default)
 
     def object(self, key, default=MISSING):
-        """An object within this one."""
+        """A nested object; without the key an empty one, or `default`."""
         return ObjectReader(self.values.get(key, {} if default is MISSING else default), self.path_of(key))
 
     def objects(self, key):
-        """A list of objects; without the key an empty one."""
+        """A list of nested objects; empty without the key."""
         items = self.convert(key, [], "a list", self.as_list)
         return [ObjectReader(v, f"{self.path_of(key)}[{n}]") for n, v in enumerate(items)]
 
     def values_of(self, key, read):
-        """A list of bare values."""
+        """A list of plain values, each converted by `read`; empty without the key."""
         return self.convert(
             key, [], "a list of " + read.__name__, lambda v: [read(x or 0) for x in self.as_list(v)]
         )
 
     @staticmethod
     def as_list(value):
-        """The value, if it is a list."""
+        """The value; raises TypeError unless it is a list."""
         if not isinstance(value, list):
             raise TypeError
         return value
 
 
 def parse(text, what):
-    """JSON; `what` begins the message of the ConfigurationError if it is none."""
+    """Parses JSON; the message of the ConfigurationError for invalid JSON begins with `what`."""
     try:
         return json.loads(text)
     except (ValueError, RecursionError) as fault:
-        raise ConfigurationError(f"{what}: no JSON: {fault}") from fault
+        raise ConfigurationError(f"{what}: invalid JSON: {fault}") from fault
 
 
 def read_type(t, message_target):
-    """One traffic type; `message_target`: the time that a message may take, in microseconds."""
+    """Reads one traffic type; `message_target`: the target time for a message, in microseconds."""
     return i.TrafficType(
         t.text("Name", "any"),
         t.choice("Effect", "unsafe", EFFECTS),
@@ -166,7 +167,7 @@
 
 
 def read_begin(settings, seed, path="settings"):
-    """The settings of a node, as JSON already parsed; refuses those that make no sense."""
+    """Reads the settings of a node from parsed JSON; raises ConfigurationError for invalid ones."""
     c = ObjectReader(settings, path)
     limits, rules, costs, kind, goal = (
         c.object(k) for k in ("Limits", "Rules", "Costs", "FamilyInfo", "Goal")
@@ -184,9 +185,9 @@
         report.values_of("Names", str),
     )
     if not types:
-        raise ConfigurationError(f"{c.path_of('TrafficTypes')}: names no traffic type")
+        raise ConfigurationError(f"{c.path_of('TrafficTypes')}: lists no traffic type")
     if len({t.name for t in types}) < len(types):
-        raise ConfigurationError(f"{c.path_of('TrafficTypes')}: names a traffic type twice")
+        raise ConfigurationError(f"{c.path_of('TrafficTypes')}: two traffic types have the same name")
     tenants = tuple(
         i.Tenant(
             t.text("Name", str(n)),
@@ -237,25 +238,25 @@
 
 @dataclass(frozen=True)
 class Endpoints:
-    """Where the node is."""
+    """The node's name and addresses, each as (host, port)."""
 
     name: str
     listen: tuple
     discovery: tuple
-    operator: tuple = None  # where the operators call; None: nowhere
+    operator: tuple = None  # the operators' address; None: there is none
 
 
 @dataclass(frozen=True)
 class ResourceLimits:
-    """What the node may use."""
+    """The resources that the node may use."""
 
     memory_mb: int
-    sockets: int
+    sockets: int  # file descriptors
 
 
 @dataclass(frozen=True)
 class Names:
-    """What the protocol calls by name and the module by number."""
+    """Maps from the names used in the protocol to the numbers used by the policy."""
 
     types: dict
     zones: dict
@@ -265,24 +266,22 @@
 
 @dataclass(frozen=True)
 class HostProtocol:
-    """What hosts tell on their connections, and how long one may take to come up."""
+    """What hosts report on their connections, and how long connecting to one may take."""
 
-    connect_timeout: int
+    connect_timeout: int  # microseconds
     sends_load: bool
     sends_delay: bool
-    load_may_be_delay: bool = (
-        True  # a LOAD line may be a host's word on its messages; false: it is a load, always
-    )
+    load_may_be_delay: bool = True  # a LOAD line may report message delay; False: it always reports load
 
 
 def numbered(names):
-    """{name: its number}, in the order given."""
+    """{name: its index}, in the order given."""
     return {name: n for n, name in enumerate(names)}
 
 
 def read_node(text, environment):
-    """What a node is told, as parts: (Endpoints, ResourceLimits, Names, HostProtocol, Begin, known list
-    as JSON).
+    """Reads a node's configuration: (Endpoints, ResourceLimits, Names, HostProtocol, Begin, initial list of
+    servers as parsed JSON).
     """
     root = ObjectReader(parse(text, "configuration"), "")
     endpoints = Endpoints(
@@ -320,13 +319,13 @@
     return endpoints, resource_limits, names, host_protocol, begin, known
 
 
-# A configuration made for all nodes
+# A configuration published to all nodes
 
 
 def with_local_keys(carried, own, keys):
-    """A configuration made for all nodes as one of them is to have it, both as parsed JSON.
+    """Merges a configuration published to all nodes with a node's own file, both as parsed JSON.
 
-    `keys` ("name", "settings.Me") stay as the node's own file has them, or absent where it has none.
+    `keys` ("name", "settings.Me") are taken from the node's own file, and left out if it does not have them.
     """
     if not isinstance(carried, dict):
         raise ConfigurationError("configuration: not an object")
@@ -348,15 +347,16 @@
     return root
 
 
-# A node that runs gets another file
+# A reload
 
-KEYED_ONLY = ["KeyScope", "KeyTtl"]  # of a traffic type; only one that is `keyed` needs them
+KEYED_ONLY = ["KeyScope", "KeyTtl"]  # keys that only traffic types with the effect "keyed" need
 
 
 def check_no_key_missing(was, now, path=""):
-    """A file that lost a key is cut off or half written, and a default in its place would be half a
-    change: every key that the file in force has stands in the new one too. Of a list's objects it
-    is those keys that all of them have.
+    """Raises ConfigurationError if the new configuration lacks a key of the one in force.
+
+    Such a file is truncated or half written, and a default in place of the key would apply half a change. In
+    a list of objects, only the keys that all of them have are required.
     """
     if isinstance(was, dict):
         if not isinstance(now, dict):
@@ -370,17 +370,17 @@
 
 
 def check_object(was, now, path):
-    """Both are objects."""
+    """`check_no_key_missing` for two objects."""
     for key, value in was.items():
         at = f"{path}.{key}" if path else key
         if value is not None and now.get(key) is None:
-            raise ConfigurationError(f"{at}: missing, and the configuration in force has it")
+            raise ConfigurationError(f"{at}: missing, but present in the configuration in force")
         if value is not None and at != "known":
             check_no_key_missing(value, now[key], at)
 
 
 def check_list(was, now, path):
-    """Both are lists of objects."""
+    """`check_no_key_missing` for two lists of objects."""
 
     def in_all(key, among):
         return among and all(one.get(key) is not None for one in among)
--- a/tests/configstore/test_shell_section.py
+++ b/tests/configstore/test_shell_section.py
@@ -23,7 +23,7 @@
         (GOOD + 'node = "a b"\n', "configuration.node"),
         (GOOD + 'state = ""\n', "configuration.state"),
         (GOOD + "own = [1]\n", "configuration.own"),
-        (GOOD + 'replica = "x"\n', "the nearest known one is replicas"),
+        (GOOD + 'replica = "x"\n', "did you mean replicas?"),
     ],
 )
 def test_a_faulty_section_is_named(text, key):
@@ -83,7 +83,7 @@
     assert serving.apply_published(node, active, good) == (True, "") and node.retuned == ["second"]
     assert active.values["name"] == "n1" and active.parts[0].name == "n1"
 
-    for faulty, said in (("{", "no JSON"), ("[]", "not an object"), ('{"settings": {}}', "missing")):
+    for faulty, said in (("{", "invalid JSON"), ("[]", "not an object"), ('{"settings": {}}', "missing")):
         ok, why = serving.apply_published(node, active, faulty)
         assert not ok and said in why
     assert node.retuned == ["second"] and node.hastened == [ev.NotRetuned] * 3
--- a/tests/fleet/test_fleet.py
+++ b/tests/fleet/test_fleet.py
@@ -394,11 +394,11 @@
 
     kept = shutil.copy(one.folder / "o.toml", one.folder / "kept.toml")
     for template, operators, said in (
-        (good[0][:200], good[1], "no JSON"),
+        (good[0][:200], good[1], "invalid JSON"),
         (None, good[1], "No such file"),
         (b"\xff\xfe", good[1], "decode"),
-        (good[0].replace("chat", ""), good[1], "Name: '' is not a text"),
-        (good[0], good[1] + "at_onec = 3\n", "the nearest known one is at_once"),
+        (good[0].replace("chat", ""), good[1], "Name: '' is not a non-empty string"),
+        (good[0], good[1] + "at_onec = 3\n", "did you mean at_once?"),
         (good[0], good[1].replace('"s"', '"t"'), "fleet.state: only a new supervisor"),
         (good[0], None, "No such file"),
     ):
--- a/tests/fleet/test_operator.py
+++ b/tests/fleet/test_operator.py
@@ -21,13 +21,13 @@
 @pytest.mark.parametrize(
     "text, keys",
     [
-        ("[fleet", ["no TOML"]),
-        (GOOD + "[lgo]\n", ["lgo: unknown section; the nearest known one is log"]),
+        ("[fleet", ["invalid TOML"]),
+        (GOOD + "[lgo]\n", ["lgo: unknown section; did you mean log?"]),
         (
             GOOD + "instnaces = 4\nat_once = 0\nstart_s = 'x'\n",
             [
                 "fleet.at_once: 0: Expected `int` >= 1",
-                "fleet.instnaces: unknown key; the nearest known one is instances",
+                "fleet.instnaces: unknown key; did you mean instances?",
                 "fleet.start_s: 'x': Expected `float`, got `str`",
             ],
         ),
@@ -121,11 +121,11 @@
         (GOOD.replace("= 3", "= 4097"), "fleet.instances: 4097"),
         (
             GOOD.replace("127.0.0.1", "223.255.255.253") + "host_step = 1\n",
-            "fleet.host_step: 2 on from 223.255.255.253",
+            "fleet.host_step: no host address 2 steps after 223.255.255.253",
         ),
         (
             GOOD.replace("127.0.0.1", "10.0.0.255") + "host_step = 1\n",
-            "fleet.host_step: 2 on from 10.0.0.255",
+            "fleet.host_step: no host address 2 steps after 10.0.0.255",
         ),
     ],
 )
@@ -137,10 +137,10 @@
 @pytest.mark.parametrize(
     "node, said",
     [
-        ('{"settings": ', "no JSON"),
+        ('{"settings": ', "invalid JSON"),
         ("[]", "settings: expected an object"),
         ({**NODE, "discovery": 3}, "discovery: expected HOST:PORT"),
-        ({**NODE, "settings": {"TrafficTypes": []}}, "names no traffic type (instance f-0)"),
+        ({**NODE, "settings": {"TrafficTypes": []}}, "lists no traffic type (instance f-0)"),
         ({**NODE, "seed": "xyz"}, "xyz"),
     ],
 )
