--- a/cottonspread/cli/configuration.py
+++ b/cottonspread/cli/configuration.py
@@ -117,16 +117,18 @@
 def add(commands):
     """The sub-commands."""
     group = commands.add_parser("configuration", help="one configuration carried to all nodes")
-    words = group.add_subparsers(dest="what", required=True)
+    subcommands = group.add_subparsers(dest="what", required=True)
 
-    one = words.add_parser("serve", help="run one replica in the foreground")
+    one = subcommands.add_parser("serve", help="run one replica in the foreground")
     one.add_argument("--listen", required=True, metavar="HOST:PORT", help="its address, known to all")
     one.add_argument("--peers", required=True, metavar="A,B", help="the addresses of the other replicas")
     one.add_argument("--state", required=True, metavar="DIR", help="its folder, on a disk that stays")
     one.add_argument("--new", action="store_true", help="its first start: there is no state yet")
     one.set_defaults(run=serve)
 
-    one = words.add_parser("publish", help="bring a platform's JSON into force everywhere, canaries first")
+    one = subcommands.add_parser(
+        "publish", help="bring a platform's JSON into force everywhere, canaries first"
+    )
     add_replicas(one)
     one.add_argument("file", nargs="?", metavar="FILE")
     order = one.add_mutually_exclusive_group()
@@ -142,7 +144,7 @@
     )
     one.set_defaults(run=publish)
 
-    one = words.add_parser("status", help="which version is in force where")
+    one = subcommands.add_parser("status", help="which version is in force where")
     add_replicas(one)
     one.add_argument("--json", action="store_true")
     one.add_argument(
--- a/cottonspread/cli/fleet.py
+++ b/cottonspread/cli/fleet.py
@@ -49,19 +49,19 @@
         write_out()
 
 
-def asked(given, said, wait):
+def request(given, message, timeout):
     """The supervisor's answer. A command that is long under way is answered at its end."""
     from cottonspread.fleet import control
 
     path = os.path.join(folders(given)[0], "fleet.sock")
     try:
         sock = control.connect(path)
-        sock.settimeout(wait)
-        sock.sendall(json.dumps(said).encode() + b"\n")
+        sock.settimeout(timeout)
+        sock.sendall(json.dumps(message).encode() + b"\n")
         answer = sock.makefile("rb").readline()
     except TimeoutError:
         raise config.ConfigurationError(
-            f"fleet: no answer after {wait:g} s; `fleet status` tells how far it is"
+            f"fleet: no answer after {timeout:g} s; `fleet status` tells how far it is"
         ) from None
     except OSError as fault:
         raise config.ConfigurationError(f"fleet: no supervisor answers at {path}: {fault}") from fault
@@ -71,7 +71,7 @@
 
 
 def command(given):
-    said = {"do": given.what, "name": getattr(given, "name", None)}
+    message = {"do": given.what, "name": getattr(given, "name", None)}
     if given.what == "upgrade" and (given.python or given.checkout):
         python, checkout = (
             given.python or sys.executable,
@@ -81,8 +81,8 @@
             raise config.ConfigurationError(f"--python: {python}: not a program that can be run")
         if checkout and not os.path.isdir(os.path.join(checkout, "cottonspread")):
             raise config.ConfigurationError(f"--checkout: {checkout}: has no folder cottonspread")
-        said |= {"python": os.path.abspath(python), "checkout": checkout}
-    answer = asked(given, said, given.wait)
+        message |= {"python": os.path.abspath(python), "checkout": checkout}
+    answer = request(given, message, given.wait)
     print(f"{given.what}: {answer['why']}", file=sys.stdout if answer["ok"] else sys.stderr)
     return 0 if answer["ok"] else 1
 
@@ -94,7 +94,7 @@
 
 
 def status(given):
-    answer = asked(given, {"do": "status"}, 5.0)["status"]
+    answer = request(given, {"do": "status"}, 5.0)["status"]
     if given.json:
         print(json.dumps(answer, indent=1))
         return 0
@@ -157,10 +157,10 @@
 
 def add(commands):
     fleet = commands.add_parser("fleet", help="many instances on one machine")
-    words = fleet.add_subparsers(dest="what", required=True)
+    subcommands = fleet.add_subparsers(dest="what", required=True)
 
-    def word(name, what, run, *more):
-        one = words.add_parser(name, help=what)
+    def subcommand(name, what, run, *more):
+        one = subcommands.add_parser(name, help=what)
         one.add_argument(
             "--operator", metavar="FILE", default="deploy/operator.toml", help="default: %(default)s"
         )
@@ -173,15 +173,15 @@
         {"type": float, "default": 600.0, "metavar": "S", "help": "for its end; default: %(default)s"},
     )
     instance = ("name",), {"metavar": "NAME", "help": "the instance"}
-    word("run", "start all instances and keep them up, in the foreground", run)
-    word(
+    subcommand("run", "start all instances and keep them up, in the foreground", run)
+    subcommand(
         "status",
         "what each instance does; exit code 3 unless all are ready",
         status,
         (("--json",), {"action": "store_true"}),
     )
-    word("reload", "read the files anew and change the instances one after the other", command, wait)
-    word(
+    subcommand("reload", "read the files anew and change the instances one after the other", command, wait)
+    subcommand(
         "upgrade",
         "restart the instances onto another program, one after the other; "
         "without arguments onto the supervisor's own",
@@ -190,10 +190,10 @@
         (("--checkout",), {"help": "a folder with cottonspread in it"}),
         wait,
     )
-    word("drain", "let one instance finish, and keep it down", command, instance, wait)
-    word("restart", "replace one instance, or bring it back", command, instance, wait)
-    word("stop", "let all finish; a second one hurries", command, wait)
-    word(
+    subcommand("drain", "let one instance finish, and keep it down", command, instance, wait)
+    subcommand("restart", "replace one instance, or bring it back", command, instance, wait)
+    subcommand("stop", "let all finish; a second one hurries", command, wait)
+    subcommand(
         "logs",
         "the last log lines",
         logs,
