--- a/cottonspread/__init__.py
+++ b/cottonspread/__init__.py
@@ -1,3 +1,3 @@
-"""cottonspread: a balancer for long-lived connections."""
+"""cottonspread: a load balancer for long-lived connections."""
 
 __version__ = "0.2.0"
--- a/cottonspread/__main__.py
+++ b/cottonspread/__main__.py
@@ -1,4 +1,4 @@
-"""The main program."""
+"""The command line, as `python -m cottonspread`."""
 
 from cottonspread.cli import main
 
--- a/cottonspread/cli/__init__.py
+++ b/cottonspread/cli/__init__.py
@@ -1,4 +1,4 @@
-"""The command line: a file for each group of sub-commands, each imported only when it is asked for."""
+"""The command line: one module per group of sub-commands, which imports what it needs when it runs."""
 
 import argparse
 import sys
@@ -8,8 +8,9 @@
 
 
 def main(arguments=None):
+    """Runs one command and returns its exit code; `arguments`: None for those of the process."""
     parser = argparse.ArgumentParser(
-        prog="cottonspread", description="A balancer for long-lived connections."
+        prog="cottonspread", description="A load balancer for long-lived connections."
     )
     commands = parser.add_subparsers(dest="command", required=True)
     for group in (node, fleet, configuration, lab):
--- a/cottonspread/cli/configuration.py
+++ b/cottonspread/cli/configuration.py
@@ -1,4 +1,4 @@
-"""`configuration`: replicas of the configuration store, and what staff do with them."""
+"""`configuration`: runs replicas of the configuration store, publishes versions and shows their state."""
 
 import json
 import signal
@@ -7,11 +7,11 @@
 from cottonspread import config
 from cottonspread.cli import node
 
-NO_QUORUM = 3  # exit code; 2 is that of a faulty file or argument, as everywhere
+NO_QUORUM = 3  # exit code; 2 means an invalid file or argument, as for all commands
 
 
 def read_replicas(text):
-    """HOST:PORT,HOST:PORT,... as a tuple. Raises config.ConfigurationError."""
+    """Parses HOST:PORT,HOST:PORT,... into a tuple. Raises config.ConfigurationError."""
     from cottonspread.configstore.callers import read_address
 
     names = tuple(name.strip() for name in text.split(",") if name.strip())
@@ -26,7 +26,7 @@
 
 
 def serve(given):
-    """One replica, in the foreground."""
+    """Runs one replica in the foreground."""
     from cottonspread.configstore import server, storage
     from cottonspread.configstore.callers import read_address
     from cottonspread.fleet import control
@@ -49,7 +49,7 @@
 
 
 def publish(given):
-    """A new version, or the rest of one that was left on its way."""
+    """Publishes a new version, or resumes or withdraws one whose publisher stopped half-way."""
     from cottonspread.configstore import driver
     from cottonspread.configstore import publisher as core
     from cottonspread.configstore.messages import BODY_AT_MOST
@@ -62,7 +62,7 @@
         node.read_text(text)
         if len(text) > BODY_AT_MOST:
             raise config.ConfigurationError(
-                f"configuration: {len(text)} characters; {BODY_AT_MOST} are possible"
+                f"configuration: {len(text)} characters; at most {BODY_AT_MOST} are allowed"
             )
         order = core.Publish(text, given.without_canaries)
     done = driver.run(replicas, order, show_progress)
@@ -73,14 +73,14 @@
 
 
 def show_progress(progress):
-    """A line for each step."""
+    """Prints one line for each step."""
     stage = f" {progress.stage.name.lower()}" if progress.stage else ""
     version = f"version {progress.version}{stage}: " if progress.version else ""
     print(f"{progress.step}: {version}{progress.text}", flush=True)
 
 
 def wait_for_nodes(replicas, version, wait):
-    """0 once no node that is heard is behind, 1 if some still are after so many seconds."""
+    """Waits up to `wait` seconds until every node that reports has the version; returns 0, or 1 if not."""
     import time
 
     from cottonspread.configstore import driver, overview
@@ -99,7 +99,10 @@
 
 
 def status(given):
-    """What is in force where; exit code 3 without a majority, 1 with nodes behind or refusing."""
+    """Prints which version is in force where.
+
+    Exit code 3 without a majority of replicas, 1 if nodes are behind or have rejected the version.
+    """
     import msgspec
 
     from cottonspread.configstore import driver, overview
@@ -115,32 +118,30 @@
 
 
 def add(commands):
-    """The sub-commands."""
-    group = commands.add_parser("configuration", help="one configuration carried to all nodes")
+    """Adds the sub-commands to the parser."""
+    group = commands.add_parser("configuration", help="publish one configuration to all nodes")
     subcommands = group.add_subparsers(dest="what", required=True)
 
     one = subcommands.add_parser("serve", help="run one replica in the foreground")
-    one.add_argument("--listen", required=True, metavar="HOST:PORT", help="its address, known to all")
+    one.add_argument("--listen", required=True, metavar="HOST:PORT", help="its address, as in --peers of all")
     one.add_argument("--peers", required=True, metavar="A,B", help="the addresses of the other replicas")
-    one.add_argument("--state", required=True, metavar="DIR", help="its folder, on a disk that stays")
-    one.add_argument("--new", action="store_true", help="its first start: there is no state yet")
+    one.add_argument("--state", required=True, metavar="DIR", help="its state folder, on a persistent disk")
+    one.add_argument("--new", action="store_true", help="first start: there is no state yet")
     one.set_defaults(run=serve)
 
-    one = subcommands.add_parser(
-        "publish", help="bring a platform's JSON into force everywhere, canaries first"
-    )
+    one = subcommands.add_parser("publish", help="publish the platform's JSON to all nodes, canaries first")
     add_replicas(one)
     one.add_argument("file", nargs="?", metavar="FILE")
     order = one.add_mutually_exclusive_group()
-    order.add_argument("--resume", action="store_true", help="go on with a version left at its stage")
-    order.add_argument("--withdraw", action="store_true", help="withdraw a version left at its canaries")
-    one.add_argument("--without-canaries", action="store_true", help="to all nodes at once")
+    order.add_argument("--resume", action="store_true", help="continue a version that was left unfinished")
+    order.add_argument("--withdraw", action="store_true", help="withdraw a version left at the canary stage")
+    one.add_argument("--without-canaries", action="store_true", help="publish to all nodes at once")
     one.add_argument(
         "--wait",
         type=float,
         default=5.0,
         metavar="S",
-        help="for all nodes, once it is committed; default: %(default)s",
+        help="seconds to wait for all nodes after the commit; default: %(default)s",
     )
     one.set_defaults(run=publish)
 
@@ -148,11 +149,15 @@
     add_replicas(one)
     one.add_argument("--json", action="store_true")
     one.add_argument(
-        "--wait", type=float, default=2.0, metavar="S", help="for a replica; default: %(default)s"
+        "--wait",
+        type=float,
+        default=2.0,
+        metavar="S",
+        help="seconds to wait for a replica; default: %(default)s",
     )
     one.set_defaults(run=status)
 
 
 def add_replicas(command):
-    """The argument that all but one have."""
+    """Adds --replicas, which all sub-commands but `serve` have."""
     command.add_argument("--replicas", required=True, metavar="A,B,C", help="HOST:PORT of all replicas")
--- a/cottonspread/cli/fleet.py
+++ b/cottonspread/cli/fleet.py
@@ -1,5 +1,6 @@
-"""`fleet` and `config`: many instances on one machine; what is in force.
-(`instance` is what the supervisor starts.)
+"""`fleet` and `config`: runs and controls many instances on one machine; shows the configuration in force.
+
+`instance` is the command that the supervisor starts.
 """
 
 import contextlib
@@ -29,7 +30,7 @@
 
 
 def folders(given):
-    """(state folder, log folder) of the fleet that the file describes."""
+    """(state folder, log folder) of the fleet in the operator's file."""
     from cottonspread.config import operator as op
     from cottonspread.fleet import plan
 
@@ -37,6 +38,7 @@
 
 
 def run(given):
+    """Runs the supervisor in the foreground."""
     from cottonspread.fleet.supervisor import Supervisor
     from cottonspread.net import logfmt
 
@@ -50,7 +52,7 @@
 
 
 def request(given, message, timeout):
-    """The supervisor's answer. A command that is long under way is answered at its end."""
+    """Sends a request to the supervisor and returns its reply, which comes when the command has finished."""
     from cottonspread.fleet import control
 
     path = os.path.join(folders(given)[0], "fleet.sock")
@@ -61,16 +63,17 @@
         answer = sock.makefile("rb").readline()
     except TimeoutError:
         raise config.ConfigurationError(
-            f"fleet: no answer after {timeout:g} s; `fleet status` tells how far it is"
+            f"fleet: no reply after {timeout:g} s; `fleet status` shows the progress"
         ) from None
     except OSError as fault:
-        raise config.ConfigurationError(f"fleet: no supervisor answers at {path}: {fault}") from fault
+        raise config.ConfigurationError(f"fleet: cannot reach the supervisor at {path}: {fault}") from fault
     if not answer:
-        raise config.ConfigurationError("fleet: the supervisor ended before it answered")
+        raise config.ConfigurationError("fleet: the supervisor exited before it replied")
     return json.loads(answer)
 
 
 def command(given):
+    """Has the supervisor execute a command and prints the outcome."""
     message = {"do": given.what, "name": getattr(given, "name", None)}
     if given.what == "upgrade" and (given.python or given.checkout):
         python, checkout = (
@@ -78,7 +81,7 @@
             os.path.abspath(given.checkout) if given.checkout else "",
         )
         if not os.access(python, os.X_OK):
-            raise config.ConfigurationError(f"--python: {python}: not a program that can be run")
+            raise config.ConfigurationError(f"--python: {python}: not an executable file")
         if checkout and not os.path.isdir(os.path.join(checkout, "cottonspread")):
             raise config.ConfigurationError(f"--checkout: {checkout}: has no folder cottonspread")
         message |= {"python": os.path.abspath(python), "checkout": checkout}
@@ -88,12 +91,14 @@
 
 
 def print_table(rows):
+    """Prints rows of strings in aligned columns."""
     widths = [max(len(row[n]) for row in rows) for n in range(len(rows[0]))]
     for row in rows:
         print("  ".join(cell.ljust(width) for cell, width in zip(row, widths, strict=True)).rstrip())
 
 
 def status(given):
+    """Prints the state of all instances; exit code 3 unless all are ready."""
     answer = request(given, {"do": "status"}, 5.0)["status"]
     if given.json:
         print(json.dumps(answer, indent=1))
@@ -105,8 +110,8 @@
     print(
         f"{answer['fleet']}: supervisor {answer['pid']}, {'ready' if answer['ready'] else 'not all ready'}"
         + (
-            f"; {r['of']}: {r['to_do']} to do, {r['under_way']} under way"
-            + (f", going back: {r['going_back']}" if r["going_back"] else "")
+            f"; {r['of']}: {r['to_do']} to do, {r['under_way']} in progress"
+            + (f", rolling back: {r['going_back']}" if r["going_back"] else "")
             if r
             else ""
         )
@@ -115,7 +120,7 @@
 
 
 def logs(given):
-    """The last lines of all instances, or of one, in the order of their times; `--follow` goes on."""
+    """Prints the last log lines of all instances, or of one, by time; with `--follow` also new ones."""
     from cottonspread.fleet import control
 
     where = folders(given)[1]
@@ -125,7 +130,7 @@
     paths = [os.path.join(where, name) for name in names]
     with contextlib.ExitStack() as opened:
         try:
-            control.raise_descriptors(len(names) + 32)  # a thousand files are over the usual limit
+            control.raise_descriptors(len(names) + 32)  # a thousand files exceed the usual limit
             files = [opened.enter_context(open(p, encoding="utf-8", errors="replace")) for p in paths]
         except OSError as fault:
             raise config.ConfigurationError(f"logs: {fault}") from fault
@@ -140,6 +145,7 @@
 
 
 def show(given):
+    """Prints each key of the operator's file: its value, its source, what a reload does with it."""
     from cottonspread.config import operator as op
 
     if given.operator:
@@ -156,7 +162,8 @@
 
 
 def add(commands):
-    fleet = commands.add_parser("fleet", help="many instances on one machine")
+    """Adds the sub-commands to the parser."""
+    fleet = commands.add_parser("fleet", help="run many instances on one machine")
     subcommands = fleet.add_subparsers(dest="what", required=True)
 
     def subcommand(name, what, run, *more):
@@ -170,29 +177,29 @@
 
     wait = (
         ("--wait",),
-        {"type": float, "default": 600.0, "metavar": "S", "help": "for its end; default: %(default)s"},
+        {"type": float, "default": 600.0, "metavar": "S", "help": "timeout in seconds; default: %(default)s"},
     )
     instance = ("name",), {"metavar": "NAME", "help": "the instance"}
-    subcommand("run", "start all instances and keep them up, in the foreground", run)
+    subcommand("run", "start all instances and keep them running, in the foreground", run)
     subcommand(
         "status",
-        "what each instance does; exit code 3 unless all are ready",
+        "the state of each instance; exit code 3 unless all are ready",
         status,
         (("--json",), {"action": "store_true"}),
     )
-    subcommand("reload", "read the files anew and change the instances one after the other", command, wait)
+    subcommand("reload", "read the files again and change the instances one after the other", command, wait)
     subcommand(
         "upgrade",
-        "restart the instances onto another program, one after the other; "
-        "without arguments onto the supervisor's own",
+        "restart the instances with another version of the program, one after the other; "
+        "without arguments with the supervisor's own",
         command,
         (("--python",), {"help": "the interpreter, of another virtual environment"}),
-        (("--checkout",), {"help": "a folder with cottonspread in it"}),
+        (("--checkout",), {"help": "a folder that contains the package cottonspread"}),
         wait,
     )
-    subcommand("drain", "let one instance finish, and keep it down", command, instance, wait)
-    subcommand("restart", "replace one instance, or bring it back", command, instance, wait)
-    subcommand("stop", "let all finish; a second one hurries", command, wait)
+    subcommand("drain", "let one instance finish its calls and keep it stopped", command, instance, wait)
+    subcommand("restart", "replace one instance, or start a stopped one", command, instance, wait)
+    subcommand("stop", "stop all once their calls have finished; a second stop kills them", command, wait)
     subcommand(
         "logs",
         "the last log lines",
@@ -202,11 +209,11 @@
         (("-f", "--follow"), {"action": "store_true"}),
     )
     shown = (
-        commands.add_parser("config", help="what is in force")
+        commands.add_parser("config", help="the configuration in force")
         .add_subparsers(dest="what", required=True)
         .add_parser(
             "show",
-            help="each key of the operator's file: its value, where it is from, what a reload does with it",
+            help="each key of the operator's file: its value, its source, what a reload does with it",
         )
     )
     shown.add_argument("--operator", metavar="FILE")
--- a/cottonspread/cli/initial_list.py
+++ b/cottonspread/cli/initial_list.py
@@ -1,4 +1,4 @@
-"""The list that a process begins with, and keeps for the next one."""
+"""The server list that a process starts with, and saves for the next process."""
 
 import logging
 import time
@@ -10,7 +10,7 @@
 
 
 def newer_list(saved, parts):
-    """The newer of the list that was saved and the one in the configuration, as JSON."""
+    """The saved list, or the one in the configuration if its version is higher; both as parsed JSON."""
     known = parts[-1]
     try:
         version = discovery.read_list(saved, parts[2])[0] if saved else -1
@@ -21,25 +21,26 @@
 
 
 class InitialList:
-    """Puts the newest list in the place of `parts[-1]`; `path` is None where none is saved.
-
-    `timeout`: seconds for one told by discovery, before the known one is trusted.
-    """
+    """The list that a node starts with, and the file that saves the list from discovery."""
 
     def __init__(self, parts, path, timeout):
+        """Replaces the list in `parts[-1]` by the saved one if that is newer; `path`: None to save none.
+
+        `timeout`: seconds to wait for a list from discovery before the node serves with the initial one.
+        """
         self.saved = saved.SavedList(path, parts[4].weights_move) if path else None
         self.timeout, self.received, self.started_at = timeout, False, time.monotonic()
         if path:
             parts[-1] = newer_list(saved.read(path), parts)
 
-    def on_list(self, *told):
-        """As `Node` calls it."""
+    def on_list(self, *update):
+        """Saves a list from discovery; see `Node.__init__`."""
         if self.saved:
-            self.saved.update(*told)
+            self.saved.update(*update)
         self.received = True
 
     def ready(self, node):
-        """Whether a node that takes no connections yet could serve."""
+        """Whether a node that does not accept connections yet is able to serve."""
         return (
             node.reducer.listed
             and (self.received or time.monotonic() - self.started_at >= self.timeout)
