--- a/cottonspread/cli/instance.py
+++ b/cottonspread/cli/instance.py
@@ -26,20 +26,24 @@
 
 log = logging.getLogger("cottonspread.instance")
 
-BEAT = 0.5  # seconds between two signs of life
-LOOK = 0.05  # while it prepares itself
+STATUS_INTERVAL = 0.5  # seconds between two signs of life
+POLL_INTERVAL = 0.05  # while it prepares itself
 
 
 class Instance:
-    def __init__(self, told):
-        self.told, self.name, self.generation = told, told["name"], told["generation"]
-        self.start, self.live = json.loads(told["start"]), told["live"]
-        self.state, self.node, self.lines, self.refused = "starting", None, [], None
+    def __init__(self, start_message):
+        self.start_message, self.name, self.generation = (
+            start_message,
+            start_message["name"],
+            start_message["generation"],
+        )
+        self.start, self.live = json.loads(start_message["start"]), start_message["live"]
+        self.state, self.node, self.connections, self.refused = "starting", None, [], None
         own = self.start["instance"]
-        self.orphan = own["orphan_s"]
-        self.lock = control.Lock(os.path.join(told["folder"], f"{self.name}.lock"))
-        self.alone_since, self.beat_at, self.take_by = time.monotonic(), 0.0, 0.0
-        path = os.path.join(told["folder"], f"{self.name}.list.json")
+        self.orphan_timeout = own["orphan_s"]
+        self.lock = control.Lock(os.path.join(start_message["folder"], f"{self.name}.lock"))
+        self.alone_since, self.status_sent_at, self.accept_deadline = time.monotonic(), 0.0, 0.0
+        path = os.path.join(start_message["folder"], f"{self.name}.list.json")
         parts = self.read(json.loads(self.live))
         self.initial_list = InitialList(parts, path if own["save_list"] else None, own["list_wait_s"])
         self.node = Node(*parts, keep=self.initial_list.on_list)
@@ -51,49 +55,49 @@
 
     def run(self):
         self.selector = selectors.DefaultSelector()
-        self.control = control.listening(self.told["socket"])
+        self.control = control.listening(self.start_message["socket"])
         self.control.setblocking(False)
         self.selector.register(self.control, selectors.EVENT_READ, None)
         signal.signal(signal.SIGINT, signal.SIG_IGN)
-        asked = threading.Event()
+        stop_requested = threading.Event()
         for number in (signal.SIGTERM, signal.SIGHUP):
-            signal.signal(number, lambda n, _: asked.set() if n == signal.SIGTERM else None)
-        self.node.start(socket.socket(fileno=self.told["listener"]))
-        self.turn("waiting")
+            signal.signal(number, lambda n, _: stop_requested.set() if n == signal.SIGTERM else None)
+        self.node.start(socket.socket(fileno=self.start_message["listener"]))
+        self.set_state("waiting")
         try:
             while not self.node.join(0):
                 for key, _ in self.selector.select(
-                    LOOK if self.state in ("waiting", "prepared", "leaving") else BEAT / 2
+                    POLL_INTERVAL if self.state in ("waiting", "prepared", "leaving") else STATUS_INTERVAL / 2
                 ):
-                    self.welcome() if key.data is None else self.hear(key.data)
-                if asked.is_set() and self.state != "leaving":
+                    self.accept_connection() if key.data is None else self.handle_messages(key.data)
+                if stop_requested.is_set() and self.state != "leaving":
                     self.leave(False)
-                self.look()
+                self.poll()
         finally:
-            control.unlink(self.told["socket"])
+            control.unlink(self.start_message["socket"])
         return 0
 
-    def look(self):
+    def poll(self):
         now = time.monotonic()
         if self.state == "waiting" and self.initial_list.ready(self.node):
-            self.turn("prepared")
-        if self.take_by:
-            self.try_take(now)
-        if self.lines:
+            self.set_state("prepared")
+        if self.accept_deadline:
+            self.try_start_accepting(now)
+        if self.connections:
             self.alone_since = now
-        elif now - self.alone_since > self.orphan and self.state != "leaving":
-            log.error("orphaned", extra={"pairs": {"s": self.orphan}})
+        elif now - self.alone_since > self.orphan_timeout and self.state != "leaving":
+            log.error("orphaned", extra={"pairs": {"s": self.orphan_timeout}})
             self.leave(False)
-        if now - self.beat_at >= BEAT:
-            self.tell()
+        if now - self.status_sent_at >= STATUS_INTERVAL:
+            self.send_status()
 
-    def turn(self, state):
+    def set_state(self, state):
         self.state = state
         log.info("state", extra={"pairs": {"state": state}})
-        self.tell()
+        self.send_status()
 
-    def tell(self):
-        self.beat_at = time.monotonic()
+    def send_status(self):
+        self.status_sent_at = time.monotonic()
         status = {
             "state": self.state,
             "live": control.mark(self.live),
@@ -102,99 +106,99 @@
             "version": __version__,
             **self.node.status(),
         }
-        for line in list(self.lines):
-            if not line.say({"status": status}):
-                self.drop(line)
-
-    def welcome(self):
-        line = control.Line(self.control.accept()[0])
-        self.selector.register(line.sock, selectors.EVENT_READ, line)
-        self.lines.append(line)
-        line.say(
+        for connection in list(self.connections):
+            if not connection.say({"status": status}):
+                self.close_connection(connection)
+
+    def accept_connection(self):
+        connection = control.Line(self.control.accept()[0])
+        self.selector.register(connection.sock, selectors.EVENT_READ, connection)
+        self.connections.append(connection)
+        connection.say(
             {
                 "hello": self.name,
                 "generation": self.generation,
                 "pid": os.getpid(),
-                "start": self.told.get("spec", self.told["start"]),
+                "start": self.start_message.get("spec", self.start_message["start"]),
                 "live": self.live,
             }
         )
-        self.tell()
+        self.send_status()
 
-    def drop(self, line):
-        if line in self.lines:
-            self.lines.remove(line)
-            self.selector.unregister(line.sock)
-            line.sock.close()
+    def close_connection(self, connection):
+        if connection in self.connections:
+            self.connections.remove(connection)
+            self.selector.unregister(connection.sock)
+            connection.sock.close()
 
-    def hear(self, line):
-        if line not in self.lines:
+    def handle_messages(self, connection):
+        if connection not in self.connections:
             return
-        said, stands = line.read()
-        for one in said:
-            do = one.get("do")
+        messages, is_open = connection.read()
+        for message in messages:
+            do = message.get("do")
             if do == "take" and self.state == "prepared":
-                self.take_by = time.monotonic() + 10
-                self.try_take(time.monotonic())
+                self.accept_deadline = time.monotonic() + 10
+                self.try_start_accepting(time.monotonic())
             elif do == "leave" and self.state != "leaving":
-                self.leave(one["handed"])
+                self.leave(message["handed"])
             elif do == "apply":
-                self.apply(one["live"])
+                self.apply(message["live"])
             elif do == "socket":
-                line.sock.setblocking(True)
-                socket.send_fds(line.sock, [b"."], [self.node.listener.fileno()])
-                line.sock.setblocking(False)
-        if not stands:
-            self.drop(line)
+                connection.sock.setblocking(True)
+                socket.send_fds(connection.sock, [b"."], [self.node.listener.fileno()])
+                connection.sock.setblocking(False)
+        if not is_open:
+            self.close_connection(connection)
 
-    def try_take(self, now):
+    def try_start_accepting(self, now):
         """The name is held by one process at a time, whatever supervisors think: the
         kernel keeps the lock.
         """
         if self.lock.take():
-            self.take_by = 0.0
+            self.accept_deadline = 0.0
             self.node.take()
-            self.turn("serving")
-        elif now > self.take_by:
+            self.set_state("serving")
+        elif now > self.accept_deadline:
             log.error("held", extra={"pairs": {"by": self.lock.holder()}})
             os._exit(1)
 
     def leave(self, handed):
-        self.take_by = 0.0
+        self.accept_deadline = 0.0
         self.node.leave(handed)
         self.lock.drop()
-        self.turn("leaving")
+        self.set_state("leaving")
 
     def apply(self, live):
         """Takes over another live part, all of it in one event of the reducer, or none of it."""
-        said = json.loads(live)
+        values = json.loads(live)
         try:
-            parts = self.read(said)
+            parts = self.read(values)
         except config.ConfigurationError as fault:
             self.refused = {"live": control.mark(live), "why": str(fault)}
             self.node.hasten(ev.NotRetuned())
             log.error("reload", extra={"pairs": {"why": fault, "kept": "the old configuration"}})
-            self.tell()
+            self.send_status()
             return
-        logging.getLogger("cottonspread").setLevel(said["level"].upper())
+        logging.getLogger("cottonspread").setLevel(values["level"].upper())
         self.node.retune(*parts[:-1])
         self.live, self.refused = live, None
-        told = {key: said[key] for key in ("discovery", "level")}
-        log.info("reload", extra={"pairs": told | {"live": control.mark(live)}})
-        self.tell()
+        changed = {key: values[key] for key in ("discovery", "level")}
+        log.info("reload", extra={"pairs": changed | {"live": control.mark(live)}})
+        self.send_status()
 
 
 def instance(given):
-    told = json.loads(sys.stdin.readline())
-    start = json.loads(told["start"])
+    start_message = json.loads(sys.stdin.readline())
+    start = json.loads(start_message["start"])
     write_out = logfmt.start(
-        told["name"],
-        json.loads(told["live"])["level"].upper(),
+        start_message["name"],
+        json.loads(start_message["live"])["level"].upper(),
         start["format"],
-        generation=told["generation"],
+        generation=start_message["generation"],
     )
     try:
-        return Instance(told).run()
+        return Instance(start_message).run()
     except (config.ConfigurationError, OSError) as fault:
         log.error("not-started", extra={"pairs": {"why": fault}})
         return 2
--- a/cottonspread/cli/lab.py
+++ b/cottonspread/cli/lab.py
@@ -15,13 +15,13 @@
         one = lab.add_parser(name, help=what)
         for words, options in arguments:
             one.add_argument(*words, **options)
-        one.set_defaults(run=lambda given: guarded(run, given))
+        one.set_defaults(run=lambda given: report_errors(run, given))
 
     def argument(*words, **options):
         return words, options
 
     file = argument("file", help="the experiment, TOML")
-    part = (
+    process_arguments = (
         argument("--plan", required=True, help="the plan that `lab run` or `lab plan` wrote"),
         argument("--number", type=int, default=0, help="which of the processes of this kind"),
     )
@@ -30,7 +30,12 @@
         ("list", "the list of servers of a plan"),
         ("load", "clients of a plan"),
     ):
-        command(name, what + ": says `ready`, then follows `begin T` on standard input", part_of(name), *part)
+        command(
+            name,
+            what + ": says `ready`, then follows `begin T` on standard input",
+            start_process(name),
+            *process_arguments,
+        )
     command(
         "plan",
         "write the plan of an experiment and say what it needs",
@@ -91,7 +96,7 @@
     )
 
 
-def guarded(run, given):
+def report_errors(run, given):
     try:
         from cottonspread.lab import limits, plan, trace
         from cottonspread.lab import run as runner
@@ -108,7 +113,7 @@
         return 2
 
 
-def part_of(name):
+def start_process(name):
     def start(given):
         from cottonspread.lab import hosts, limits, listing, load
 
--- a/cottonspread/cli/node.py
+++ b/cottonspread/cli/node.py
@@ -100,12 +100,12 @@
 
 def run_node(node, active, takeover, requests):
     """Until the node has ended: does what is asked, and tells the service manager."""
-    manager, told = notify.Manager(), False
+    manager, manager_state = notify.Manager(), False
     while not node.join(0):
         if takeover:
             takeover.poll(node)
         if manager.address:
-            told = notify_manager(manager, node, told)
+            manager_state = notify_manager(manager, node, manager_state)
         with contextlib.suppress(queue.Empty):
             requests.get(timeout=0.1 if not takeover or takeover.state == "serving" else 0.02)(node, active)
 
@@ -176,11 +176,11 @@
     return not why, why
 
 
-def notify_manager(manager, node, told):
+def notify_manager(manager, node, manager_state):
     """To the service manager: ready once a list is known and a PING answered;
     alive as long as the reducer makes steps.
     """
-    steps, ready, at = told or (-1, False, 0.0)
+    steps, ready, at = manager_state or (-1, False, 0.0)
     now, status = time.monotonic(), node.status()
     if not ready and status["listed"] and node.ping():
         ready = manager.ready("serving")
@@ -210,17 +210,18 @@
         log.exception("fault", extra={"pairs": {"while": "reload"}})
         return f"our own fault: {type(fault).__name__}: {fault}"
     endpoints, resource_limits, _, _, begin, _ = parts
-    was, old_limits, _, _, old, _ = active.parts  # what cannot change while it runs is as it was then
+    # what cannot change while it runs is as it was then
+    old_endpoints, old_limits, _, _, old_begin, _ = active.parts
     node.retune(*parts[:-1])
     kept = [
         key
         for key, same in (
-            ("name", endpoints.name == was.name),
-            ("listen", endpoints.listen == was.listen),
-            ("operator", endpoints.operator == was.operator),
+            ("name", endpoints.name == old_endpoints.name),
+            ("listen", endpoints.listen == old_endpoints.listen),
+            ("operator", endpoints.operator == old_endpoints.operator),
             ("limits", resource_limits == old_limits),
-            ("settings.MembershipMode", begin.listing.ask == old.listing.ask),
-            ("settings.Weights", begin.weights_move == old.weights_move),
+            ("settings.MembershipMode", begin.listing.ask == old_begin.listing.ask),
+            ("settings.Weights", begin.weights_move == old_begin.weights_move),
         )
         if not same
     ]
--- a/cottonspread/drill/__main__.py
+++ b/cottonspread/drill/__main__.py
@@ -1,3 +1,3 @@
-from cottonspread.drill.hosting import main
+from cottonspread.drill.batches import main
 
 raise SystemExit(main())
--- a/cottonspread/drill/hosting.py
+++ b/cottonspread/drill/batches.py
@@ -13,22 +13,22 @@
     pass
 
 
-def fault(text):
+def exception_line(text):
     return "exception\tMessage=" + " ".join(text.split())
 
 
-class Hosting:
-    def __init__(self, complain):
+class BatchProcessor:
+    def __init__(self, report_error):
         self.nodes = {}
-        self.complain = complain
+        self.report_error = report_error
 
-    def answer(self, clock, lines):
+    def process(self, clock, lines):
         """The reply to one batch, as lines."""
         try:
             now, serial = ms_to_us(clock["Now"]), clock["serial"]
-        except (KeyError, ValueError) as wrong:
-            raise FramingError(f"clock line without a readable time or number: {wrong!r}") from wrong
-        replies, node, spoke, at = [], None, None, 0
+        except (KeyError, ValueError) as error:
+            raise FramingError(f"clock line without a readable time or number: {error!r}") from error
+        replies, node, last_node, at = [], None, None, 0
         while at < len(lines):
             line, first = lines[at], at
             at += 1
@@ -42,25 +42,25 @@
                 if name == "instance":
                     node = int(fields["Node"])
                     continue
-                actions = self.event(now, node, name, fields, entries)
-            except (codec.DecodeError, KeyError, ValueError) as wrong:
-                self.complain(f"batch {serial} line {first + 1}: {wrong}")
-            if actions and node != spoke:
+                actions = self.handle(now, node, name, fields, entries)
+            except (codec.DecodeError, KeyError, ValueError) as error:
+                self.report_error(f"batch {serial} line {first + 1}: {error}")
+            if actions and node != last_node:
                 replies.append(f"by\tNode={node}")
-                spoke = node
+                last_node = node
             replies += actions
         return replies + [f"end\tserial={serial}"]
 
-    def event(self, now, node, name, fields, entries):
+    def handle(self, now, node, name, fields, entries):
         if name == "killed":
             self.nodes.pop(node, None)
             return []
         if name == "begin":
             try:
                 self.nodes[node] = Balancer(now, codec.read_begin(fields))
-            except ConfigurationError as wrong:
-                self.complain(str(wrong))
-                return [fault(str(wrong))]
+            except ConfigurationError as error:
+                self.report_error(str(error))
+                return [exception_line(str(error))]
             return [codec.write(a) for a in self.nodes[node].actions()]
         event = codec.read_list(fields, entries) if name == "view" else codec.read(name, fields)
         if event is None or node not in self.nodes:
@@ -69,17 +69,17 @@
             raise codec.DecodeError(f"{name}: no traffic type {event.type}")
         try:
             return [codec.write(a) for a in self.nodes[node].handle(now, event)]
-        except Exception as wrong:  # a fault in the decisions ends the day, in plain sight
-            self.complain(traceback.format_exc())
-            return [fault(f"{type(wrong).__name__}: {wrong}")]
+        except Exception as error:  # a fault in the decisions ends the day, in plain sight
+            self.report_error(traceback.format_exc())
+            return [exception_line(f"{type(error).__name__}: {error}")]
 
 
-def serve(source, sink, complain):
+def serve(source, sink, report_error):
     """Answers every batch of `source`; returns the exit code."""
-    hosting, clock, lines = Hosting(complain), None, []
+    processor, clock, lines = BatchProcessor(report_error), None, []
     try:
-        for raw in source:
-            line = raw.rstrip("\r\n")
+        for raw_line in source:
+            line = raw_line.rstrip("\r\n")
             name = line.partition("\t")[0]
             if name == "clock" and clock is None:
                 clock, lines = codec.split(line)[1], []
@@ -90,15 +90,15 @@
             elif clock is None:
                 raise FramingError(f"no clock line before {name!r}")
             elif name == "go":
-                sink.write("\n".join(hosting.answer(clock, lines)) + "\n")
+                sink.write("\n".join(processor.process(clock, lines)) + "\n")
                 sink.flush()
                 clock = None
             else:
                 lines.append(line)
         if clock is not None:
             raise FramingError("input ends inside a batch")
-    except (FramingError, codec.DecodeError) as wrong:
-        complain(f"broken framing: {wrong}")
+    except (FramingError, codec.DecodeError) as error:
+        report_error(f"broken framing: {error}")
         return 2
     return 0
 
--- a/tests/test_drill.py
+++ b/tests/test_drill.py
@@ -3,7 +3,7 @@
 import io as stdio
 import json
 
-from cottonspread.drill.hosting import serve
+from cottonspread.drill.batches import serve
 
 CONFIG = {
     "Me": 0,
