--- a/cottonspread/config/platform.py
+++ b/cottonspread/config/platform.py
@@ -280,8 +280,9 @@
 
 
 def read_node(text, environment):
-    """Reads a node's configuration: (Endpoints, ResourceLimits, Names, HostProtocol, NodeConfig, initial list of
-    servers as parsed JSON).
+    """Reads a node's configuration.
+
+    Returns (Endpoints, ResourceLimits, Names, HostProtocol, NodeConfig, initial list of servers as parsed JSON).
     """
     root = ObjectReader(parse(text, "configuration"), "")
     endpoints = Endpoints(
--- a/cottonspread/lab/sim/fleet.py
+++ b/cottonspread/lab/sim/fleet.py
@@ -74,7 +74,9 @@
         """Lets a starting process accept connections once it has received a list from discovery."""
         if process.dead:
             return
-        list_received = not process.discovery.need_full_list or self.fleet.world.now - process.began >= LIST_TIMEOUT
+        list_received = (
+            not process.discovery.need_full_list or self.fleet.world.now - process.began >= LIST_TIMEOUT
+        )
         if not process.reducer.listed or not list_received:
             self.fleet.world.after(20_000, self.wait_until_ready, process)
         elif len(self.processes) > 1:
--- a/cottonspread/lab/sim/invariants.py
+++ b/cottonspread/lab/sim/invariants.py
@@ -87,7 +87,10 @@
         legs = [
             (leg.host, round(leg.sent / SECOND, 6), leg.up, leg.never_ran, leg.active) for leg in self.legs
         ]
-        return f"{self.id} {self.kind.name} at {self.node and self.node.name}: sent {self.sent / SECOND:.6f}, said {self.answer!r} {self.answered_at / SECOND:.6f}, legs {legs}"
+        return (
+            f"{self.id} {self.kind.name} at {self.node and self.node.name}: sent {self.sent / SECOND:.6f}, "
+            f"said {self.answer!r} {self.answered_at / SECOND:.6f}, legs {legs}"
+        )
 
 
 class Invariants:
