--- a/cottonspread/config/platform.py
+++ b/cottonspread/config/platform.py
@@ -282,7 +282,8 @@
 def read_node(text, environment):
     """Reads a node's configuration.
 
-    Returns (Endpoints, ResourceLimits, Names, HostProtocol, NodeConfig, initial list of servers as parsed JSON).
+    Returns (Endpoints, ResourceLimits, Names, HostProtocol, NodeConfig, initial list of servers as parsed
+    JSON).
     """
     root = ObjectReader(parse(text, "configuration"), "")
     endpoints = Endpoints(
