--- a/cottonspread/lab/sim/hosts.py
+++ b/cottonspread/lab/sim/hosts.py
@@ -1,39 +1,47 @@
-"""Simulated hosts: the lab's model and its side of the protocol, on simulated ways."""
+"""Simulated hosts: the lab's host model and protocol on the simulated network."""
 
 from cottonspread.lab import wire
 from cottonspread.lab.serving import Serving, modelled
-from cottonspread.lab.sim.ways import Place
+from cottonspread.lab.sim.network import Endpoint
 
-MOST_OUT = 64 * 1024  # bytes that a connection's reader may leave untaken
+MAX_UNREAD = 64 * 1024  # bytes that a node may leave unread before its connection is reset
 
 
 class Conn:
+    """A connection at a host."""
+
     __slots__ = ("side", "lines", "call", "over", "server")
 
     def __init__(self, side, server):
+        """`side`: the host's side of the connection."""
         self.side, self.lines, self.call, self.over, self.server = side, wire.Lines(), None, False, server
 
-    def arrived(self, side):
-        if self.over or self.server.gone:  # a machine that vanished takes nothing
+    def on_readable(self, side):
+        """Reads what has arrived; a machine that has vanished reads nothing."""
+        if self.over or self.server.gone:  # a machine that has vanished reads nothing
             return
-        if side.inbox:
-            data = side.take()
-            self.server.fleet.promises.host_has(self, data)
+        if side.received:
+            data = side.recv()
+            self.server.fleet.invariants.on_host_data(self, data)
             self.server.came(self, data)
-        if not self.over and (side.ended or side.broke):
+        if not self.over and (side.eof or side.was_reset):
             self.server.end(self, "theirs")
 
-    def room(self, side):
+    def on_writable(self, side):
+        """Does nothing: a host never waits to write."""
         pass
 
 
 class Host(Serving):
+    """A host of the plan."""
+
     def __init__(self, fleet, machine):
+        """Creates the host of a plan's machine; one that the plan starts later is down until then."""
         super().__init__(machine.name, modelled(fleet.plan, machine, 0), fleet.plan.experiment.hosts.reports)
-        self.fleet, self.machine, self.place, self.gone = (
+        self.fleet, self.machine, self.endpoint, self.gone = (
             fleet,
             machine,
-            Place(machine.name, machine.zone),
+            Endpoint(machine.name, machine.zone),
             False,
         )
         self.at = fleet.world.at
@@ -43,42 +51,51 @@
             self.open()
 
     def now(self):
+        """Returns the simulated time, in microseconds."""
         return self.fleet.world.now
 
     def put(self, line):
-        self.fleet.put("hosts", line)
-        self.fleet.promises.host_said(line)
+        """Adds a line to the hosts' record and shows it to the invariants."""
+        self.fleet.add_record("hosts", line)
+        self.fleet.invariants.on_host_record(line)
 
     def open(self):
-        self.place.door, self.gone = self.accept, False
+        """Accepts connections."""
+        self.endpoint.on_connect, self.gone = self.accept, False
 
     def shut(self):
-        self.place.door, self.gone = None, False
+        """Refuses connections."""
+        self.endpoint.on_connect, self.gone = None, False
 
     def vanish(self):
-        self.place.door, self.gone = Place.SILENT, True
+        """Leaves connection requests and established connections without any reply."""
+        self.endpoint.on_connect, self.gone = Endpoint.SILENT, True
 
     def accept(self, side):
+        """Accepts a connection."""
         conn = side.owner = Conn(side, self)
         self.conns[conn] = None
 
     def write(self, conn, line):
-        self.fleet.promises.host_writes(conn, line)
+        """Sends a line; resets a connection whose peer has left too much unread."""
+        self.fleet.invariants.on_host_write(conn, line)
         try:
             conn.side.send(line + b"\r\n")
         except BrokenPipeError:
             self.end(conn, "theirs")
             return
-        if conn.side.under_way > MOST_OUT:
+        if conn.side.in_flight > MAX_UNREAD:
             self.end(conn, "reset")
 
     def drop(self, conn, how):
+        """Closes the connection, with a reset if `how` is "reset"."""
         if how == "reset":
             conn.side.reset()
         else:
             conn.side.close()
 
-    def mend(self, one):
-        if one.kind == "vanish":
+    def mend(self, fault):
+        """Ends a fault."""
+        if fault.kind == "vanish":
             self.gone = False
-        super().mend(one)
+        super().mend(fault)
--- a/cottonspread/net/discovery.py
+++ b/cottonspread/net/discovery.py
@@ -1,4 +1,4 @@
-"""Discovery: the list of servers and the watch on it, in a thread of its own."""
+"""The client of the discovery service: fetches the list of servers and watches it, in its own thread."""
 
 import json
 import logging
@@ -7,28 +7,33 @@
 
 from cottonspread import interface as io
 from cottonspread.net import events
-from cottonspread.net.http import Http
+from cottonspread.net.http import HttpClient
 
 log = logging.getLogger("cottonspread.discovery")
 
-STATES = {"Ready": io.State.UP, "Terminating": io.State.DRAINING, "Gone": io.State.GONE}
+STATE_OF_LIFECYCLE = {
+    "Ready": io.HostState.UP,
+    "Terminating": io.HostState.DRAINING,
+    "Gone": io.HostState.GONE,
+}
 
 
 class ListError(ValueError):
-    """An answer that is no list of servers."""
+    """A response that is not a valid list of servers."""
 
 
 def read_entry(one, names, state):
+    """One server of the list, as JSON: (entry, address as (host, port) or None if it is gone)."""
     host, _, port = str(one.get("hostPort")).rpartition(":")
     address = None
-    if state is not io.State.GONE:  # what is gone needs no address
+    if state is not io.HostState.GONE:  # a server that is gone needs no address
         if not host or not 0 < int(port) < 65536:
             raise ValueError(f"hostPort: {one.get('hostPort')!r}")
         address = host, int(port)
     weight = float(one.get("weight", 1))
     if not 0 <= weight < 1e15:
         raise ValueError(f"weight: {weight}")
-    # A server in a zone that the settings don't name is far from every node.
+    # -1: a zone that the settings do not name, remote from every node.
     return io.Entry(
         str(one["instanceId"]),
         names.zones.get(one.get("zone"), -1),
@@ -40,34 +45,36 @@
     ), address
 
 
-FAULTS = KeyError, TypeError, ValueError, AttributeError, OverflowError
+UNREADABLE = KeyError, TypeError, ValueError, AttributeError, OverflowError
 
 
 def read_list(said, names, news=None, before=None):
-    """An answer as JSON: (version, Listed, addresses by server, {server: why its entry could not be read}).
+    """Reads a response as JSON.
 
-    An entry that cannot be read costs its own news alone: its server stays as it was told `before`
-    (entry and address by server), but that it drains or is gone is taken in, for nothing may go there.
-    One never told before is not there yet.
+    Returns (version, ListUpdate, addresses by server, {server: why its entry is invalid}).
+
+    An invalid entry does not invalidate the list. Its server keeps the entry and address that it had in
+    `before` ({server: (entry, address)}), but a readable change to draining or gone is applied, because no
+    calls may go there any more. A server that is not in `before` is left out.
     """
     try:
         version, instances = int(said["generation"]), said["instances"]
-        news = news or (io.News.FULL if said["reset"] else io.News.CHANGES)
+        news = news or (io.ListUpdateKind.FULL if said["reset"] else io.ListUpdateKind.CHANGES)
         if not isinstance(instances, list):
             raise TypeError("instances: not a list")
-    except FAULTS as fault:
+    except UNREADABLE as fault:
         raise ListError(f"{type(fault).__name__}: {fault}") from fault
     entries, addresses, unread = {}, {}, {}
     for one in instances:
         name, state = None, None
         try:
-            name, state = str(one["instanceId"]), STATES.get(one.get("lifecycle"))
+            name, state = str(one["instanceId"]), STATE_OF_LIFECYCLE.get(one.get("lifecycle"))
             if state is None:
                 raise ValueError(f"lifecycle: {one.get('lifecycle')!r}")
-            if name in entries:  # the later word holds
+            if name in entries:  # the later entry wins
                 unread[name + " again"] = "listed twice"
             entry, address = read_entry(one, names, state)
-        except FAULTS as fault:
+        except UNREADABLE as fault:
             unread[str(name)] = f"{type(fault).__name__}: {fault}"
             entry, address = (before or {}).get(name, (None, None))
             if entry is None:
@@ -75,146 +82,156 @@
             entry = entry._replace(state=state or entry.state)
         entries[name] = entry
         addresses.pop(name, None)
-        if entry.state is not io.State.GONE:
+        if entry.state is not io.HostState.GONE:
             addresses[name] = address
-    return version, io.Listed(news, version, tuple(entries.values())), addresses, unread
+    return version, io.ListUpdate(news, version, tuple(entries.values())), addresses, unread
 
 
 class Discovery:
-    """Follows the list and posts what it tells; a call that fails or hangs costs a pause and no entry.
+    """Watches the list and posts each change. After a failed or hanging request it retries; the list is kept.
 
-    A change counts as told 6 s after discovery had it and could be reached, whatever failed in
-    between. The longest way to it: a call that went silent just before runs out (WATCH_MS + SPARE, 3
-    s), the pause after it (1 s at most, where the list is asked for as long as the module says, 1.5 s
-    at most), a connection that is not answered at first (CONNECT, 0.5 s), the answer: 5 s, and 1 s is
-    left for a node that is late itself.
+    A change must be known within 6 s of the time when discovery had it and was reachable, whatever failed
+    before. The worst case takes 5 s, which leaves 1 s for delays of the node itself: a request that stopped
+    being answered just before the change times out (WATCH_TIMEOUT_MS + WATCH_MARGIN, 3 s), the retry delay
+    follows (at most 1 s, or at most 1.5 s where the list is polled and the policy sets the delay), then a
+    connection attempt that is not answered at first (CONNECT_TIMEOUT, 0.5 s), then the response.
     """
 
-    WATCH_MS = 2000  # a watch that hangs is given up this and the spare after it was begun
-    SPARE = 1.0
-    WHOLE = 2.0  # seconds for the whole list
-    FIRST = 1.0  # the same at the start, where a known list waits for it
-    CONNECT = 0.5
-    PAUSE, LONGEST_PAUSE = 0.05, 1.0
-    LOWER = 3  # whole lists in a row with a lower version: discovery itself began anew
-
-    def __init__(self, address, names, post, version, ask=False, keep=None, known=False):
-        self.http, self.names, self.post = Http(address, self.CONNECT), names, post
-        # Where each call counts, a list that is known is watched from its version on: to ask for all of it
-        # first is a second call, of a discovery that may have room for neither.
-        self.version, self.whole, self.lower, self.failures = version, not known, 0, 0
-        self.ask, self.wanted, self.stopped, self.waiting = ask, threading.Event(), False, None
-        self.hurry = threading.Event()  # the pause that is on, or the next, is cut short
-        self.told, self.unread = {}, {}  # the last word on each server; entries that could not be read
-        self.keep = keep  # is given each list as JSON, once it has been posted
-        self.target = self.http  # what is to be followed from now on
-
-    def follow(self, address):
-        """From another thread: what the new address tells counts at once, so neither a watch at the old one
-        nor the wait for the next time to ask is waited for.
+    WATCH_TIMEOUT_MS = 2000  # how long the server may hold a watch
+    WATCH_MARGIN = 1.0  # seconds; a watch not answered by then is abandoned
+    FULL_LIST_TIMEOUT = 2.0  # seconds for a request of the full list
+    FIRST_LIST_TIMEOUT = 1.0  # the same at the start, while the initial list is held back until the response
+    CONNECT_TIMEOUT = 0.5  # seconds
+    RETRY_DELAY, MAX_RETRY_DELAY = 0.05, 1.0  # seconds; the delay doubles with each failure
+    MAX_LOWER_VERSIONS = 3  # full lists in a row with a lower version: discovery has restarted its count
+
+    def __init__(self, address, names, post, version, ask=False, on_list=None, known=False):
+        """`post(event)` passes events to the reducer; `version`: of the initial list.
+
+        `ask`: the list is polled when the policy says so (MembershipMode "ask"), not watched all the time.
+        `on_list(version, instances, full)` gets each valid list as JSON after it has been posted.
+        `known`: the initial list is watched from its version on.
+        """
+        self.http, self.names, self.post = HttpClient(address, self.CONNECT_TIMEOUT), names, post
+        # Where requests are limited, a known list is watched from its version on: fetching all of it first
+        # would be a second request to a server that may have capacity for neither.
+        self.version, self.need_full_list, self.lower_versions, self.failures = version, not known, 0, 0
+        self.ask, self.enabled, self.stopped, self.initial = ask, threading.Event(), False, None
+        self.wake = threading.Event()  # ends the current retry delay, or the next one
+        self.last_entries, self.unread = {}, {}  # the last valid entry of each server; invalid entries
+        self.on_list = on_list
+        self.target = self.http  # the client to use from the next request on
+
+    def change_address(self, address):
+        """Switches to another discovery address at once: ends the current watch and any retry delay or pause.
+
+        Called from another thread.
         """
-        self.target = target = Http(address, self.CONNECT)
+        self.target = target = HttpClient(address, self.CONNECT_TIMEOUT)
         current = self.http
-        # The thread may have moved on just now, and a connection that was given up is given up for good:
-        # the list died.
+        # The thread may have switched to the new client already. An aborted client never recovers: aborting
+        # the new one would end all list updates.
         if current is not target:
-            current.give_up()
-        self.wanted.set()
-        self.hurry.set()
+            current.abort()
+        self.enabled.set()
+        self.wake.set()
 
-    def begin(self, listed, addresses, unread, trusted):
-        """The list that a process begins with.
+    def start_with(self, listed, addresses, unread, trusted):
+        """Sets the list that the process starts with.
 
-        Unless it is `trusted`, discovery is asked first, for what it has counts from the first moment; once
-        it has failed to answer, the known list is what there is.
+        If it is `trusted` it is posted at once. Otherwise discovery is asked first, because its list is
+        authoritative, and the initial list is posted only if that request fails.
         """
-        self.take(listed, addresses, unread)
-        self.waiting = events.Heard(listed, addresses)
+        self.record(listed, addresses, unread)
+        self.initial = events.Heard(listed, addresses)
         if trusted:
-            self.trust()
+            self.publish_initial()
 
-    def trust(self):
-        waiting, self.waiting = self.waiting, None
-        if waiting:
-            self.post(waiting)
+    def publish_initial(self):
+        """Posts the initial list if it is still held back."""
+        initial, self.initial = self.initial, None
+        if initial:
+            self.post(initial)
 
-    def move(self):
-        """The list is kept until the new address has told the whole of it, whatever
-        version that begins with.
+    def switch_address(self):
+        """Uses the new address from now on. The list is kept until the new address has sent a full one,
+        whatever its version.
         """
         while self.http is not self.target:
             self.http.close()
             self.http = self.target
-        self.whole, self.lower, self.failures = True, self.LOWER - 1, 0
+        self.need_full_list, self.lower_versions, self.failures = True, self.MAX_LOWER_VERSIONS - 1, 0
 
     def run(self):
+        """The thread: polls until `stop`."""
         while not self.stopped:
-            self.wanted.wait()
+            self.enabled.wait()
             if self.stopped:
                 break
-            pause = self.turn()
+            pause = self.poll()
             if pause:
-                self.hurry.wait(pause)
+                self.wake.wait(pause)
         self.http.close()
 
-    def turn(self):
-        """One call. How many seconds to wait before the next."""
+    def poll(self):
+        """Makes one request; returns how many seconds to wait before the next."""
         if self.http is not self.target:
-            self.move()
-        self.hurry.clear()
+            self.switch_address()
+        self.wake.clear()
         began = time.monotonic()
         try:
-            self.once()
+            self.fetch()
             self.failures = 0
             return 0
         except Exception as fault:
             if self.http is not self.target or self.stopped:
                 return 0
             self.failures += 1
-            self.trust()
-            if not isinstance(fault, (OSError, ValueError)):  # our own: in plain sight, and the list lives on
+            self.publish_initial()
+            if not isinstance(fault, (OSError, ValueError)):  # a bug of ours: log it and keep the list
                 log.exception("fault")
-            # What cannot be read would come again: the whole list mends it.
-            self.whole |= isinstance(fault, ListError)
+            # An invalid response would come again; a full list replaces it.
+            self.need_full_list |= isinstance(fault, ListError)
             if self.failures in (1, 10, 100):
                 log.warning("discovery-fails", extra={"pairs": {"why": fault, "times": self.failures}})
-            if self.ask:  # the module is told and asks again in its own time
-                self.wanted.clear()
+            if self.ask:  # the policy learns of the failure and decides when to ask again
+                self.enabled.clear()
             self.post(events.ListFailed(round((time.monotonic() - began) * 1_000_000)))
-            return min(self.PAUSE * 2 ** min(self.failures, 10), self.LONGEST_PAUSE)
+            return min(self.RETRY_DELAY * 2 ** min(self.failures, 10), self.MAX_RETRY_DELAY)
 
-    def call(self):
-        """What the next call asks for, and how many seconds it may take."""
-        if self.whole:
-            return "/api/targets", self.FIRST if self.waiting else self.WHOLE
+    def next_request(self):
+        """(path, timeout in seconds) of the next request."""
+        if self.need_full_list:
+            return "/api/targets", self.FIRST_LIST_TIMEOUT if self.initial else self.FULL_LIST_TIMEOUT
         return (
-            f"/api/targets?since={self.version}&timeout_ms={self.WATCH_MS}",
-            self.WATCH_MS / 1000 + self.SPARE,
+            f"/api/targets?since={self.version}&timeout_ms={self.WATCH_TIMEOUT_MS}",
+            self.WATCH_TIMEOUT_MS / 1000 + self.WATCH_MARGIN,
         )
 
-    def once(self):
-        body = self.http.get(*self.call())
+    def fetch(self):
+        """Makes the request and posts its list; raises OSError, ResponseError or ListError."""
+        body = self.http.get(*self.next_request())
         try:
             said = json.loads(body)
         except (ValueError, RecursionError) as fault:
-            raise ListError(f"no JSON: {fault}") from fault
-        version, listed, addresses, unread = read_list(said, self.names, before=self.told)
-        full = listed.news is io.News.FULL
+            raise ListError(f"invalid JSON: {fault}") from fault
+        version, listed, addresses, unread = read_list(said, self.names, before=self.last_entries)
+        full = listed.kind is io.ListUpdateKind.FULL
         if version < self.version:
-            # An old answer must not bring back what is gone; only discovery
-            # begun anew says it again and again.
-            self.whole, self.lower = True, self.lower + full
-            if self.lower < self.LOWER:
-                raise ListError(f"version {version} after {self.version}")
-        elif version == self.version and not self.whole:
-            return  # nothing new
-        elif self.whole and not full:
-            raise ListError("changes where the whole list was asked")
-        self.version, self.whole, self.lower, self.waiting = version, False, 0, None
-        self.take(listed, addresses, unread)
+            # A stale response must not bring back servers that are gone. Only a discovery service that has
+            # restarted its version count repeats a lower version.
+            self.need_full_list, self.lower_versions = True, self.lower_versions + full
+            if self.lower_versions < self.MAX_LOWER_VERSIONS:
+                raise ListError(f"list version went back from {self.version} to {version}")
+        elif version == self.version and not self.need_full_list:
+            return  # unchanged
+        elif self.need_full_list and not full:
+            raise ListError("got changes in response to a request for the full list")
+        self.version, self.need_full_list, self.lower_versions, self.initial = version, False, 0, None
+        self.record(listed, addresses, unread)
         self.post(events.Heard(listed, addresses))
-        if self.keep:
-            self.keep(
+        if self.on_list:
+            self.on_list(
                 version,
                 [
                     one
@@ -224,15 +241,15 @@
                 full,
             )
 
-    def take(self, listed, addresses, unread):
-        """What could not be read is said once, not at each list: the same
-        entry comes again with every whole one.
+    def record(self, listed, addresses, unread):
+        """Remembers the entries. Invalid entries are logged only when they differ from the last ones, because
+        each full list repeats them.
         """
-        self.told = self.told if listed.news is io.News.CHANGES else {}
+        self.last_entries = self.last_entries if listed.kind is io.ListUpdateKind.CHANGES else {}
         for entry in listed.entries:
-            self.told[entry.host] = entry, addresses.get(entry.host)
-            if entry.state is io.State.GONE:
-                del self.told[entry.host]
+            self.last_entries[entry.host] = entry, addresses.get(entry.host)
+            if entry.state is io.HostState.GONE:
+                del self.last_entries[entry.host]
         if unread and unread != self.unread:
             name, why = next(iter(unread.items()))
             log.warning(
@@ -241,7 +258,8 @@
         self.unread = unread
 
     def stop(self):
+        """Ends the thread. Called from another thread."""
         self.stopped = True
-        self.wanted.set()
-        self.hurry.set()
-        self.http.give_up()
+        self.enabled.set()
+        self.wake.set()
+        self.http.abort()
--- a/tests/configstore/test_configuration_plays.py
+++ b/tests/configstore/test_configuration_plays.py
@@ -55,7 +55,7 @@
     for _ in range(2):
         play = RandomPlay(3)
         play.run()
-        sums.add(play.fleet.world.sum())
+        sums.add(play.fleet.world.trace_digest())
     assert len(sums) == 1
 
 
@@ -97,12 +97,12 @@
     for message in (
         m.WatchRequest(since=3, timeout_ms=100, report=report),
         m.ReadState(reports=True, nodes=["n1"]),
-        m.Accept(base=m.NOWHERE, record=record(1, 1)),
+        m.Accept(base=m.EMPTY_POSITION, record=record(1, 1)),
         m.Commit(record=record(1, 1)),
     ):
         assert from_request(to_request("r1", message)) == message
     with pytest.raises(m.MessageError):
-        from_response(b"HTTP/1.1 503 Service Unavailable\r\n\r\n", m.Answer)
+        from_response(b"HTTP/1.1 503 Service Unavailable\r\n\r\n", m.WatchReply)
 
 
 class Judge:
