--- a/benchmarks/crossings/mutants.py
+++ b/benchmarks/crossings/mutants.py
@@ -32,7 +32,7 @@
     (
         "the look for the client before the first byte",
         "net/workers.py",
-        'why = self.must_not_begin(effect) if effect.attempt else ""',
+        'why = self.must_not_begin(effect) if effect.first_line else ""',
         'why = ""',
         [f"{ATTEMPTS}::test_nothing_is_sent_for_a_client_that_left_while_its_connection_came_up"],
     ),
@@ -68,7 +68,7 @@
     (
         "an attempt not begun never ran",
         "net/reducer.py",
-        "if not leg.begun and leg.conn.opening.held_by is None:",
+        "if not leg.begun and leg.conn.request.held_by is None:",
         "if False:",
         [
             f"{SCENARIO}[never_begun]",
@@ -78,8 +78,8 @@
     (
         "given up while it came up",
         "net/reducer.py",
-        "        elif leg.ended:\n            e.end.over = True",
-        "        elif False:\n            e.end.over = True",
+        "        elif leg.ended:\n            e.end.input_ended = True",
+        "        elif False:\n            e.end.input_ended = True",
         [f"{SCENARIO}[late_connect]"],
     ),
     (
@@ -103,8 +103,8 @@
     (
         "a client's half-close",
         "net/reducer.py",
-        "        self.out.append(ev.Finish(end))\n        if end.client:",
-        "        self.out.append(ev.Cut(end))\n        if end.client:",
+        "        self.effects.append(ev.ShutdownWrite(end))\n        if end.is_client:",
+        "        self.effects.append(ev.Shutdown(end))\n        if end.is_client:",
         [
             f"{CLOSING}::test_what_is_no_first_line_is_answered_and_read_to_its_end",
             f"{CLOSING}::test_a_client_that_is_moved_may_still_be_sending",
@@ -113,7 +113,7 @@
     (
         "reading on after the end",
         "net/reducer.py",
-        "        if e.end.closing or e.end.finish:\n            self.read(e.end) ",
+        "        if e.end.closing_since or e.end.shutdown_when_written:\n            self.read(e.end) ",
         "        if False:\n            self.read(e.end) ",
         [f"{SCENARIO}[close_crosses_line]"],
     ),
@@ -178,15 +178,15 @@
     (
         "who is accepted and not known at the end",
         "net/node.py",
-        "if isinstance(event, ev.Came) and event.end.worker is not None:",
+        "if isinstance(event, ev.ClientAccepted) and event.end.worker is not None:",
         "if False:",
         [f"{SHUTDOWN}::test_a_connection_that_the_reducer_does_not_know_at_the_end_is_turned_away"],
     ),
     (
         "SIGTERM before the queue",
         "net/node.py",
-        "        self.hasten(ev.StopAsked())",
-        "        self.post(ev.StopAsked())",
+        "        self.hasten(ev.StopRequested())",
+        "        self.post(ev.StopRequested())",
         [f"{SHUTDOWN}::test_sigterm_goes_before_all_that_waits"],
     ),
     (
@@ -283,7 +283,7 @@
     (
         "the bound on clients that say nothing",
         "net/reducer.py",
-        "while len(self.unopened) >= max(2, self.most_ends // WAITING_PART):",
+        "while len(self.awaiting_first_line) >= max(2, self.max_sockets // PENDING_CLIENTS_DIVISOR):",
         "while False:",
         [f"{SCENARIO}[crowd]"],
     ),
@@ -333,7 +333,7 @@
     (
         "who is not in a whole list",
         "net/reducer.py",
-        "            gone |= self.servers.keys() - e.addresses.keys()",
+        "            gone |= self.hosts.keys() - e.addresses.keys()",
         "            pass",
         [f"{LIST}::test_a_whole_list_in_the_midst_of_an_attempt_is_kept_to"],
     ),
@@ -382,8 +382,8 @@
     (
         "the settings that a first line is read under",
         "net/reducer.py",
-        "        self.names, self.hearing = e.names, e.hearing\n",
-        "        self.hearing = e.hearing\n",
+        "        self.names, self.host_protocol = e.names, e.host_protocol\n",
+        "        self.host_protocol = e.host_protocol\n",
         [f"{PIECES}::test_a_first_line_whose_end_comes_after_a_reload_is_read_under_the_new_settings"],
     ),
     (
--- a/cottonspread/cli/configuration.py
+++ b/cottonspread/cli/configuration.py
@@ -33,7 +33,7 @@
     from cottonspread.net import logfmt
 
     name, peers = read_replicas(given.listen)[0], read_replicas(given.peers)
-    write_out = logfmt.start(name)
+    write_out = logfmt.configure(name)
     try:
         control.raise_descriptor_limit(server.MAX_CONNECTIONS + 64)
         listener = socket.create_server(parse_address(name), backlog=server.BACKLOG)
--- a/cottonspread/cli/fleet.py
+++ b/cottonspread/cli/fleet.py
@@ -43,7 +43,7 @@
     from cottonspread.net import logfmt
 
     supervisor = Supervisor(given.operator, (sys.executable, HERE), node.read_text)
-    write_out = logfmt.start("fleet", supervisor.logging.level.upper(), supervisor.logging.format)
+    write_out = logfmt.configure("fleet", supervisor.logging.level.upper(), supervisor.logging.format)
     try:
         supervisor.prepare()
         return supervisor.run()
--- a/cottonspread/cli/initial_list.py
+++ b/cottonspread/cli/initial_list.py
@@ -42,7 +42,7 @@
     def ready(self, node):
         """Whether a node that does not accept connections yet is able to serve."""
         return (
-            node.reducer.listed
+            node.reducer.has_hosts
             and (self.received or time.monotonic() - self.started_at >= self.timeout)
             and node.ping()
         )
--- a/cottonspread/cli/instance.py
+++ b/cottonspread/cli/instance.py
@@ -176,7 +176,7 @@
             parts = self.read(values)
         except config.ConfigurationError as fault:
             self.refused = {"live": control.digest(live), "why": str(fault)}
-            self.node.hasten(ev.NotRetuned())
+            self.node.hasten(ev.ReloadRejected())
             log.error("reload", extra={"pairs": {"why": fault, "kept": "the old configuration"}})
             self.send_status()
             return
@@ -191,7 +191,7 @@
 def instance(given):
     start_message = json.loads(sys.stdin.readline())
     start = json.loads(start_message["start"])
-    write_out = logfmt.start(
+    write_out = logfmt.configure(
         start_message["name"],
         json.loads(start_message["live"])["level"].upper(),
         start["format"],
--- a/cottonspread/cli/node.py
+++ b/cottonspread/cli/node.py
@@ -69,7 +69,9 @@
     takeover = follower = None
     name = active.parts[0].name
     write_out = (
-        logfmt.start(name, sections[0].level.upper(), sections[0].format) if sections else logfmt.start(name)
+        logfmt.configure(name, sections[0].level.upper(), sections[0].format)
+        if sections
+        else logfmt.configure(name)
     )
     parts = list(active.parts)
     try:
@@ -202,11 +204,11 @@
         values, parts = active.read()
         config.check_no_key_missing(active.values, values)
     except config.ConfigurationError as fault:
-        node.hasten(ev.NotRetuned())
+        node.hasten(ev.ReloadRejected())
         log.error("reload", extra={"pairs": {"why": fault, "kept": "the old configuration"}})
         return str(fault)
     except Exception as fault:  # our own
-        node.hasten(ev.NotRetuned())
+        node.hasten(ev.ReloadRejected())
         log.exception("fault", extra={"pairs": {"while": "reload"}})
         return f"our own fault: {type(fault).__name__}: {fault}"
     endpoints, resource_limits, _, _, begin, _ = parts
--- a/cottonspread/lab/scale/hollow.py
+++ b/cottonspread/lab/scale/hollow.py
@@ -255,16 +255,16 @@
         began = time.thread_time_ns()
         effects = super().step_reducer(event, at)
         self.count(event, time.thread_time_ns() - began)
-        if isinstance(event, ev.Heard):
-            self.node.fleet.in_force(self.node, event.listed.version)
+        if isinstance(event, ev.ListReceived):
+            self.node.fleet.in_force(self.node, event.update.version)
         return effects
 
     def count(self, event, spent):
         meter = self.meter
         match event:
-            case ev.Heard():
+            case ev.ListReceived():
                 meter.list_ns += spent
-                meter.entries += len(event.listed.entries)
+                meter.entries += len(event.update.entries)
             case ev.ListFailed():
                 meter.list_ns += spent
             case ev.Tick():
@@ -340,4 +340,4 @@
 
     def listed(self):
         """How many nodes know a server that is ready."""
-        return sum(process.reducer.listed for process in self.processes())
+        return sum(process.reducer.has_hosts for process in self.processes())
--- a/cottonspread/lab/scale/hollow_sockets.py
+++ b/cottonspread/lab/scale/hollow_sockets.py
@@ -110,9 +110,9 @@
         self.discovery.enabled.set()
 
     def post(self, event):
-        if isinstance(event, ev.Heard):
-            self.heard.append((event.listed.version, time.monotonic_ns() // 1000))
-            self.counts.entries += len(event.listed.entries)
+        if isinstance(event, ev.ListReceived):
+            self.heard.append((event.update.version, time.monotonic_ns() // 1000))
+            self.counts.entries += len(event.update.entries)
         else:
             raise AssertionError("a list stand-in did not answer")
 
--- a/cottonspread/lab/scale/reducer_node.py
+++ b/cottonspread/lab/scale/reducer_node.py
@@ -8,7 +8,7 @@
 from cottonspread.front import handover
 from cottonspread.lab.scale.module_node import GUARD, LOAD, SECOND, begin, entry
 from cottonspread.net import events as ev
-from cottonspread.net.reducer import LISTEN, SWEEP, Reducer
+from cottonspread.net.reducer import ECHO_CHECK_INTERVAL, SWEEP_INTERVAL, Reducer
 
 MOST_ENDS = 1_000_000
 CONNECT_WAIT = SECOND // 20
@@ -45,19 +45,21 @@
         self.version += 1
         entries = tuple(entry(n) for n in range(self.servers))
         addresses = {one.host: address(n) for n, one in enumerate(entries)}
-        return self.step(ev.Heard(io.ListUpdate(io.ListUpdateKind.FULL, self.version, entries), addresses))
+        return self.step(
+            ev.ListReceived(io.ListUpdate(io.ListUpdateKind.FULL, self.version, entries), addresses)
+        )
 
     def adopt(self, number, group, waiting=()):
         """A connection that stands already; they are spread evenly, as the module keeps them. `waiting`: when
         lines without an echo were sent."""
         server = number % self.servers
-        client, host = ev.End(True), ev.End(False)
+        client, host = ev.ConnectionEnd(True), ev.ConnectionEnd(False)
         client.worker = host.worker = "a thread"
         standing = handover.OpenConnection(
             f"id-{number}", TYPE, f"server-{server}", self.now, 1000, f"key-{number}", group, 0, LOAD, waiting
         )
         taken = []
-        self.step(ev.Adopted(client, host, standing, taken.append))
+        self.step(ev.TransferOffered(client, host, standing, taken.append))
         assert taken == [True]
         self.hosts[client] = host
 
@@ -69,7 +71,7 @@
         while True:
             due = self.reducer.due()
             since = due - SECOND
-            kinds = {"sweep": since % SWEEP == 0, "listen": since % LISTEN == 0}
+            kinds = {"sweep": since % SWEEP_INTERVAL == 0, "listen": since % ECHO_CHECK_INTERVAL == 0}
             if kinds.pop(wanted) and not any(kinds.values()):
                 break
             self.now = due
@@ -82,17 +84,17 @@
 
     def line_out(self, client):
         """A line of a client goes on to its host."""
-        self.step(ev.Got(client, b"hello\n"))
-        self.step(ev.Written(self.hosts[client], True, self.now))
+        self.step(ev.LinesRead(client, b"hello\n"))
+        self.step(ev.WriteDone(self.hosts[client], True, self.now))
 
     def echo(self, client):
         """The host's echo goes back to the client."""
-        self.step(ev.Got(self.hosts[client], b"hello\n"))
-        self.step(ev.Written(client, True, self.now))
+        self.step(ev.LinesRead(self.hosts[client], b"hello\n"))
+        self.step(ev.WriteDone(client, True, self.now))
 
     def load_line(self, client):
         """The host tells a load on the client's connection."""
-        return self.step(ev.Got(self.hosts[client], b"LOAD 12000\n"))
+        return self.step(ev.LinesRead(self.hosts[client], b"LOAD 12000\n"))
 
     def there_and_back(self, client):
         """One line and its echo."""
@@ -103,29 +105,29 @@
         """A client comes, is taken by a host, and leaves."""
         self.made += 1
         self.now += 10
-        client = ev.End(True, worker="a thread")
-        self.step(ev.Came(client))
+        client = ev.ConnectionEnd(True, worker="a thread")
+        self.step(ev.ClientAccepted(client))
         line = f"OPEN call-{self.made} key-{self.made} c={TYPE},g={group},d={GUARD // 1000}\n"
-        out = self.step(ev.Got(client, line.encode()))
+        out = self.step(ev.LinesRead(client, line.encode()))
         connects = [effect for effect in out if isinstance(effect, ev.Connect)]
         assert connects, out
         host = connects[0].end
         host.worker = "a thread"
-        self.step(ev.Connected(host, True))
-        self.step(ev.Written(host, True, self.now))
-        self.step(ev.Got(host, b"UP receipt\n"))
-        self.step(ev.Written(client, True, self.now))
-        self.step(ev.Over(client, "end"))
-        self.step(ev.Over(host, "end"))
+        self.step(ev.ConnectDone(host, True))
+        self.step(ev.WriteDone(host, True, self.now))
+        self.step(ev.LinesRead(host, b"UP receipt\n"))
+        self.step(ev.WriteDone(client, True, self.now))
+        self.step(ev.ReadEnded(client, "end"))
+        self.step(ev.ReadEnded(host, "end"))
 
     def drain(self):
         """The operators drain the node."""
-        return self.step(ev.DrainAsked(True))
+        return self.step(ev.DrainRequested(True))
 
     def resume(self):
         """And take that back."""
-        return self.step(ev.DrainAsked(False))
+        return self.step(ev.DrainRequested(False))
 
     def hand_over(self):
         """A successor asks for what it needs."""
-        return self.step(ev.HandOverAsked(lambda handed: None))
+        return self.step(ev.HandOverRequested(lambda handed: None))
--- a/cottonspread/lab/scale/reducer_sweeps.py
+++ b/cottonspread/lab/scale/reducer_sweeps.py
@@ -11,7 +11,7 @@
 from cottonspread.lab.scale.measuring import Cost, memory_taken
 from cottonspread.lab.scale.module_sweeps import CALLS, PLAYS, Play, run
 from cottonspread.lab.scale.reducer_node import ReducerNode
-from cottonspread.net.reducer import LISTEN, SECOND, SWEEP
+from cottonspread.net.reducer import ECHO_CHECK_INTERVAL, SECOND, SWEEP_INTERVAL
 
 WAITING_PART = 10  # one connection in so many has a line out without an echo
 SIZES = {
@@ -43,7 +43,7 @@
                 self.note(f"{kind}_{state}", Cost.of([timed] * PLAYS), True)
                 timed.echo()
             sweeps, listens = (self.figures[f"{kind}_{state}_us", "us", True] for kind in ("sweep", "listen"))
-            second = round(sweeps * (SECOND // SWEEP) + listens * (SECOND // LISTEN))
+            second = round(sweeps * (SECOND // SWEEP_INTERVAL) + listens * (SECOND // ECHO_CHECK_INTERVAL))
             self.figures[f"timers_a_second_{state}_us", "us a second", True] = second
 
     def clients_lines(self):
--- a/cottonspread/lab/sim/contract.py
+++ b/cottonspread/lab/sim/contract.py
@@ -46,13 +46,13 @@
         match effect:
             case ev.Connect(end=end):
                 self.need(
-                    end not in self.ends and not end.client,
+                    end not in self.ends and not end.is_client,
                     who,
                     "an end connected twice, or a client's",
                     effect,
                 )
                 self.ends[end] = EndState(True)
-            case ev.Read(end=end) | ev.Drain(end=end):
+            case ev.Read(end=end) | ev.DiscardInput(end=end):
                 state = self.known(who, end, effect)
                 self.need(
                     not state.reading and not state.connecting,
@@ -71,7 +71,7 @@
                 )
                 self.need(not state.cut, who, "a write after the end", effect)
                 state.writing = True
-            case ev.Finish(end=end) | ev.Cut(end=end):
+            case ev.ShutdownWrite(end=end) | ev.Shutdown(end=end):
                 self.known(who, end, effect).cut = True
             case ev.Free(end=end):
                 state = self.known(who, end, effect)
@@ -83,23 +83,23 @@
                 )
                 state.freed = True
                 del self.ends[end]
-            case ev.Ask(host=host):
+            case ev.Probe(host=host):
                 self.probes[host] = self.probes.get(host, 0) + 1
-            case ev.Pass(client=client, host=host):
+            case ev.Transfer(client=client, host=host):
                 self.need(self.passing is None, who, "two on their way at a time", effect)
                 for state in (self.known(who, client, effect), self.known(who, host, effect)):
                     self.need(not state.writing and not state.cut, who, "passed on in use", effect)
                 self.passing = client, host
 
     def came(self, who, event):
-        fresh = event.end not in self.ends and event.end.client
+        fresh = event.end not in self.ends and event.end.is_client
         self.need(fresh, who, "an end that came twice, or a host's", event)
         self.ends[event.end] = EndState()
 
     def passed(self, who, event):
         ordered = self.passing is not None and self.passing[0].conn is event.conn
         self.need(ordered, who, "passed on without an order", event)
-        for end in self.passing if event.taken else ():
+        for end in self.passing if event.accepted else ():
             state = self.ends[end]
             idle = state.reading and not state.writing and not state.over
             self.need(idle, who, "passed on in use", event)
@@ -110,31 +110,31 @@
         """A word of the workers, before the reducer has it."""
         who = "workers"
         match event:
-            case ev.Came():
+            case ev.ClientAccepted():
                 self.came(who, event)
-            case ev.Connected(end=end, ok=ok):
+            case ev.ConnectDone(end=end, ok=ok):
                 state = self.known(who, end, event)
                 self.need(state.connecting, who, "connected twice", event)
                 state.connecting, state.over = False, not ok
-            case ev.Got(end=end, data=data):
+            case ev.LinesRead(end=end, data=data):
                 state = self.known(who, end, event)
                 self.need(state.reading and not state.over, who, "lines that nobody asked for", event)
                 self.need(data.endswith(b"\n"), who, "no whole lines", event)
                 state.reading = False
-            case ev.Over(end=end):
+            case ev.ReadEnded(end=end):
                 state = self.known(who, end, event)
                 self.need(state.reading, who, "an end that nobody asked for", event)
-                state.reading, state.over = False, not event.how.endswith("-line")
-            case ev.Written(end=end):
+                state.reading, state.over = False, not event.cause.endswith("-line")
+            case ev.WriteDone(end=end):
                 state = self.known(who, end, event)
                 self.need(state.writing, who, "a write that nobody ordered", event)
                 state.writing = False
-            case ev.Asked(host=host):
+            case ev.ProbeDone(host=host):
                 self.need(self.probes.get(host, 0) > 0, who, "a probe that nobody ordered", event)
                 self.probes[host] -= 1
-            case ev.Passed():
+            case ev.TransferDone():
                 self.passed(who, event)
-            case ev.Adopted(client=client, host=host):
+            case ev.TransferOffered(client=client, host=host):
                 for end in (client, host):
                     self.need(end not in self.ends, who, "an end that came twice", event)
                     self.ends[end] = EndState()
--- a/cottonspread/lab/sim/fault_injection.py
+++ b/cottonspread/lab/sim/fault_injection.py
@@ -139,7 +139,7 @@
 
 def stop_replaced(fleet, old, new, tries):
     """Sends SIGTERM to the old process once the new one serves."""
-    if new.takes and new.reducer.listed and not old.dead:
+    if new.takes and new.reducer.has_hosts and not old.dead:
         old.stop()
         fleet.world.after(STOP_TIMEOUT, kill_if_running, fleet, old)
     elif tries < 300 and not new.dead and not old.dead:
--- a/cottonspread/lab/sim/fleet.py
+++ b/cottonspread/lab/sim/fleet.py
@@ -77,7 +77,7 @@
         list_received = (
             not process.discovery.need_full_list or self.fleet.world.now - process.began >= LIST_TIMEOUT
         )
-        if not process.reducer.listed or not list_received:
+        if not process.reducer.has_hosts or not list_received:
             self.fleet.world.after(20_000, self.wait_until_ready, process)
         elif len(self.processes) > 1:
             process.take_from(self.processes[-2])
--- a/cottonspread/lab/sim/invariants.py
+++ b/cottonspread/lab/sim/invariants.py
@@ -180,7 +180,7 @@
     def on_node_write(self, process, end, data):
         """A node's machine is to carry this."""
         side = end.worker.side
-        if end.client:
+        if end.is_client:
             observed = self.call_of(side)
             if observed is not None:
                 self.on_answer(observed, data)
@@ -287,20 +287,20 @@
     def on_worker_event(self, process, event):
         """A word of the workers for the reducer: from then on the node knows."""
         end = getattr(event, "end", None)
-        if end is None or end.client or end.worker is None:
+        if end is None or end.is_client or end.worker is None:
             return
         leg = self.legs_by_side.get(end.worker.side)
         if leg is None or not leg.active:  # what comes from one that was given up is dropped
             return
-        if isinstance(event, ev.Got) and not leg.up:
+        if isinstance(event, ev.LinesRead) and not leg.up:
             word = event.data.split(None, 1)[0] if event.data.strip() else b""
             leg.up = word == b"UP"
             leg.never_ran |= word == b"BUSY"
             leg.active &= leg.up
-        elif isinstance(event, ev.Over):
+        elif isinstance(event, ev.ReadEnded):
             leg.active = False
             self.on_host_ended(leg)
-        elif isinstance(event, ev.Written) and not event.ok and not leg.up:
+        elif isinstance(event, ev.WriteDone) and not event.ok and not leg.up:
             leg.never_ran = leg.never_ran or not end.leg.written
             leg.active = False
 
@@ -309,7 +309,7 @@
         if end.worker is None or end.worker.side is None:
             return
         side = end.worker.side
-        if not end.client:
+        if not end.is_client:
             leg = self.legs_by_side.get(side)
             if leg is not None:
                 leg.active = False
@@ -516,16 +516,25 @@
             return
         reducer, contract = process.reducer, process.contract
         held = len(contract.ends) + sum(contract.probes.values())
-        if reducer.ends != held:  # what waits in its queue is not in its count yet
+        if reducer.open_sockets != held:  # what waits in its queue is not in its count yet
             waiting = [event for _, event in process.queue]
-            held -= sum(isinstance(e, ev.Came) + 2 * isinstance(e, ev.Adopted) for e in waiting)
-            held += sum(isinstance(e, ev.Asked) for e in waiting)
-            self.require(reducer.ends == held, COUNTERS, "descriptors", process.node.name, reducer.ends, held)
+            held -= sum(
+                isinstance(e, ev.ClientAccepted) + 2 * isinstance(e, ev.TransferOffered) for e in waiting
+            )
+            held += sum(isinstance(e, ev.ProbeDone) for e in waiting)
+            self.require(
+                reducer.open_sockets == held,
+                COUNTERS,
+                "descriptors",
+                process.node.name,
+                reducer.open_sockets,
+                held,
+            )
         if process.steps % COUNTER_CHECK_INTERVAL == 0:
             self.check_counters(process)
 
     def check_counters(self, process):
-        reducer, module, name = process.reducer, process.reducer.module, process.node.name
+        reducer, module, name = process.reducer, process.reducer.balancer, process.node.name
         hosts = module.membership.hosts.values()
         up = [h for h in hosts if h.up]
         self.require(
@@ -552,9 +561,9 @@
             name,
             module.sums.load,
         )
-        open_ids = {c.opening.id for c in reducer.conns if c.opening and not c.reason}
-        self.require(open_ids <= reducer.by_id.keys(), COUNTERS, "ids of calls that are open", name)
-        standing = sum(len(s.legs) for s in reducer.servers.values())
+        open_ids = {c.request.id for c in reducer.conns if c.request and not c.reason}
+        self.require(open_ids <= reducer.calls_by_id.keys(), COUNTERS, "ids of calls that are open", name)
+        standing = sum(len(s.legs) for s in reducer.hosts.values())
         self.require(
             standing == sum(c.up and not c.legs[-1].ended for c in reducer.conns),
             COUNTERS,
@@ -564,13 +573,16 @@
         )
         conns = len(reducer.conns)
         self.require(
-            len(module.records) <= module.records.MAX_IDLE_KEYS + reducer.most_ends + 1,
+            len(module.records) <= module.records.MAX_IDLE_KEYS + reducer.max_sockets + 1,
             BOUND,
             "records",
             name,
         )
         self.require(
-            len(reducer.unopened) <= conns and len(reducer.told) == 0, BOUND, "clients without a line", name
+            len(reducer.awaiting_first_line) <= conns and len(reducer.balancer_events) == 0,
+            BOUND,
+            "clients without a line",
+            name,
         )
         self.require(
             process.most_queue <= 3 * (process.all + 64) + 64,
@@ -697,5 +709,5 @@
                     "a node that did not end",
                     node.name,
                     len(process.reducer.conns),
-                    process.reducer.ends,
+                    process.reducer.open_sockets,
                 )
--- a/cottonspread/lab/sim/node.py
+++ b/cottonspread/lab/sim/node.py
@@ -37,7 +37,7 @@
 
 class Worker:
     """In the place of one end's thread and of the writer: one socket,
-    lines gathered as `lines.Gatherer` does.
+    lines gathered as `lines.LineReader` does.
     """
 
     def __init__(self, process, end, side=None):
@@ -92,7 +92,7 @@
                 whole = bytes(self.buffer[:end])
                 del self.buffer[:end]
                 self.since = process.world.now
-                self.say(ev.Got(self.end, whole, bool(self.buffer), process.clock(side.received_at)))
+                self.say(ev.LinesRead(self.end, whole, bool(self.buffer), process.clock(side.received_at)))
                 return True
             if len(self.buffer) == BUFFER_SIZE:
                 self.over("long-line")
@@ -104,7 +104,7 @@
             self.over("half-line")
 
     def over(self, how):
-        self.say(ev.Over(self.end, how))
+        self.say(ev.ReadEnded(self.end, how))
 
     def say(self, event):
         self.reading = False
@@ -140,7 +140,7 @@
         if ok and room < len(data):
             self.rest, side.write_blocked = data[room:], True
             return
-        self.process.post(ev.Written(self.end, ok, self.process.clock() if ok else 0))
+        self.process.post(ev.WriteDone(self.end, ok, self.process.clock() if ok else 0))
 
     def finish(self):
         self.side.shutdown_write()
@@ -154,7 +154,7 @@
             self.side.shutdown_write()
         if self.rest:  # the send that waits comes back with an error
             self.rest = b""
-            self.process.post(ev.Written(self.end, False))
+            self.process.post(ev.WriteDone(self.end, False))
         self.look()
 
     def free(self):
@@ -178,7 +178,7 @@
         self.decided = True
         if side is not None:
             self.side, side.owner = side, self
-        self.process.post(ev.Connected(self.end, side is not None, why))
+        self.process.post(ev.ConnectDone(self.end, side is not None, why))
 
 
 class Probe:
@@ -194,9 +194,9 @@
             None,
         )
         process.probes[self] = None
-        process.world.after(order.wait, self.end, Ending.TIMEOUT)
+        process.world.after(order.timeout, self.end, Ending.TIMEOUT)
         process.world.network.connect(
-            self, process.node.endpoint, process.endpoint_of(order.address), order.wait, self.up
+            self, process.node.endpoint, process.endpoint_of(order.address), order.timeout, self.up
         )
 
     def up(self, side, why):
@@ -212,7 +212,7 @@
         if side.received:
             self.data += side.recv()
         if self.data.endswith(b"\n"):
-            ending, report = lines.read_report(self.data)
+            ending, report = lines.parse_probe_answer(self.data)
             self.end(ending, report)
         elif side.eof or side.was_reset:
             self.end(Ending.CONNECT_FAILED)
@@ -228,7 +228,7 @@
         if self.side is not None:
             self.side.close()
         self.process.post(
-            ev.Asked(self.order.host, ending, report or {}, self.process.world.now - self.began)
+            ev.ProbeDone(self.order.host, ending, report or {}, self.process.world.now - self.began)
         )
 
 
@@ -343,7 +343,7 @@
         at, event = queue.popleft() if queue else (0, ev.Tick())
         now = self.clock()
         at = getattr(event, "at", 0) or at or now
-        if isinstance(event, ev.Got) and event.end.client and event.end.conn.opening is None:
+        if isinstance(event, ev.LinesRead) and event.end.is_client and event.end.conn.request is None:
             self.door.record_wait(now, now - at)
         self.step(event, at)
         self.free_at = self.world.now + STEP + self.random.randbelow(STEP // 2)
@@ -384,23 +384,23 @@
         match effect:
             case ev.Read(end=end):
                 world.after(self.random.randbelow(HOP), self.run_if_alive, end.worker.read)
-            case ev.Drain(end=end):
+            case ev.DiscardInput(end=end):
                 world.after(self.random.randbelow(HOP), self.run_if_alive, end.worker.drain)
             case ev.Connect():
                 worker = Worker(self, effect.end)
                 self.live[worker] = None
                 world.after(self.random.randbelow(HOP), self.run_if_alive, self.connect, worker, effect)
-            case ev.Ask():
+            case ev.Probe():
                 world.after(self.random.randbelow(HOP), self.run_if_alive, Probe, self, effect)
             case ev.FollowList():
                 self.caller.wanted()
-            case ev.Pass():
+            case ev.Transfer():
                 world.after(self.random.randbelow(HOP), self.run_if_alive, self.give, effect)
-            case ev.Stop():  # the last answers go out before the process may end
+            case ev.Exit():  # the last answers go out before the process may end
                 self.finished = True
                 self.writer_at = max(self.writer_at, world.now) + HOP
                 world.at(self.writer_at, self.run_if_alive, self.exit, STOPPED)
-            case ev.Say():
+            case ev.Log():
                 self.said(effect)
             case _:
                 self.writer_at = max(self.writer_at, world.now) + self.random.randbelow(HOP // 2)
@@ -419,7 +419,7 @@
 
     def connect(self, worker, effect):
         self.world.network.connect(
-            worker, self.node.endpoint, self.endpoint_of(effect.address), effect.wait, worker.connected
+            worker, self.node.endpoint, self.endpoint_of(effect.address), effect.timeout, worker.connected
         )
 
     def write_out(self, effect):
@@ -427,15 +427,15 @@
         invariants = self.node.fleet.invariants
         match effect:
             case ev.Write(end=end, data=data):
-                if effect.attempt and (why := self.must_not_begin(effect)):
-                    self.post(ev.Written(end, False, why=why))
+                if effect.first_line and (why := self.must_not_begin(effect)):
+                    self.post(ev.WriteDone(end, False, skip_reason=why))
                     return
                 invariants.on_node_write(self, end, data)
                 worker.write(data)
-            case ev.Finish(end=end):
+            case ev.ShutdownWrite(end=end):
                 invariants.on_node_close(self, end, "end")
                 worker.finish()
-            case ev.Cut(end=end, broken=broken):
+            case ev.Shutdown(end=end, reset=broken):
                 invariants.on_node_close(self, end, "cut")
                 worker.cut_off(broken)
             case ev.Free(end=end):
@@ -448,7 +448,7 @@
         client = effect.end.conn.client.worker
         if client is None or client.side.eof or client.side.was_reset:
             return "client-gone"
-        return "too-late" if effect.by and self.clock() >= effect.by else ""
+        return "too-late" if effect.send_by and self.clock() >= effect.send_by else ""
 
     def said(self, effect):
         if effect.event == "closed":
@@ -467,18 +467,18 @@
         elif len(self.live) >= self.most + SPARE_ENDS // 2:
             self.turn_away(side, "no-room-at-all", 0)
         else:
-            end = ev.End(True)
+            end = ev.ConnectionEnd(True)
             worker = Worker(self, end, side)
             self.live[worker] = None
             self.node.fleet.invariants.on_accepted(self, side)
-            self.post(ev.Came(end))
+            self.post(ev.ClientAccepted(end))
 
     def turn_away(self, side, reason, retry_after):
-        line = lines.busy(retry_after)
+        line = lines.busy_line(retry_after)
         with contextlib.suppress(BrokenPipeError):
             side.send(line)
         self.node.fleet.invariants.on_rejected(self, side, line)
-        self.reducer.counters.count_refused_on_accept(lines.type_named(side.recv()))
+        self.reducer.counters.count_refused_on_accept(lines.traffic_type_name(side.recv()))
         side.close()
         self.ended[reason] += 1
 
@@ -491,7 +491,7 @@
         self.takes = not self.shares_listener
         self.node.update_listener()
         heir = self.heir if self.heir is not None and not self.heir.dead else None
-        self.post(ev.StopAsked(self.shares_listener, heir is not None))
+        self.post(ev.StopRequested(self.shares_listener, heir is not None))
 
     def kill(self):
         """All its connections break, and new ones are refused."""
@@ -513,7 +513,7 @@
 
     def drain(self, on):
         """As operators call."""
-        self.hasten(ev.DrainAsked(on))
+        self.hasten(ev.DrainRequested(on))
 
     def freeze(self, span):
         """SIGSTOP, or a machine that gives it no core."""
@@ -527,11 +527,11 @@
             parts = config.read_node(json.dumps(values), {})
             config.check_no_key_missing(self.values, values)
         except config.ConfigurationError:
-            self.hasten(ev.NotRetuned())
+            self.hasten(ev.ReloadRejected())
             return
         self.values, self.discovery.names = values, parts[2]
-        begin = changeable(parts[4], self.reducer.begin)
-        self.hasten(ev.Retuned(begin, parts[2], parts[3]))
+        begin = changeable(parts[4], self.reducer.config)
+        self.hasten(ev.SettingsReloaded(begin, parts[2], parts[3]))
         self.door.target = door_target(begin)
 
     # Replacement
@@ -544,7 +544,7 @@
 
         def given(handed):
             text = handover.pack(handed, mark)
-            old.most, old.heir = old.reducer.most_ends, self
+            old.most, old.heir = old.reducer.max_sockets, self
             self.world.after(
                 self.random.randbelow(20_000), self.run_if_alive, take, handover.unpack(text, mark)
             )
@@ -554,33 +554,33 @@
                 return
             if handed:
                 self.limit(handed.room)
-                self.post(ev.Inherited(handed))
+                self.post(ev.StateInherited(handed))
             self.takes = True
             self.node.update_listener()
 
-        old.hasten(ev.HandOverAsked(given))
+        old.hasten(ev.HandOverRequested(given))
         self.world.after(round(ANSWER_WAIT * SECOND), self.run_if_alive, take, None)
 
     def limit(self, most):
         """While two processes share the limits of one; None: alone again."""
-        self.most = self.reducer.most_ends = min(most or self.all, self.all)
+        self.most = self.reducer.max_sockets = min(most or self.all, self.all)
 
     def give(self, order):
         """One standing connection to the heir, if its readers are idle; the heir answers."""
         workers, heir = (order.client.worker, order.host.worker), self.heir
         if heir is None or heir.dead or not all(worker.idle() for worker in workers):
-            self.post(ev.Passed(order.conn, False, heir is not None and not heir.dead))
+            self.post(ev.TransferDone(order.conn, False, heir is not None and not heir.dead))
             return
         for worker in workers:
             worker.gone = True
-        standing = handover.unpack_connection(handover.pack_connection(order.standing))
-        ends, new = (ev.End(True), ev.End(False)), []
+        standing = handover.unpack_connection(handover.pack_connection(order.connection))
+        ends, new = (ev.ConnectionEnd(True), ev.ConnectionEnd(False)), []
         for end, worker in zip(ends, workers, strict=True):
             new.append(Worker(heir, end, worker.side))
             new[-1].borrowed = True  # the old process has it too until it is told
             heir.live[new[-1]] = None
         heir.post(
-            ev.Adopted(
+            ev.TransferOffered(
                 *ends,
                 standing,
                 lambda taken: heir.world.after(
@@ -600,7 +600,7 @@
         if taken:
             heir.limit(heir.most + 2)
             self.node.fleet.invariants.on_connection_passed(self, order, new)
-        self.post(ev.Passed(order.conn, taken))
+        self.post(ev.TransferDone(order.conn, taken))
         if not taken and not self.dead:
             for worker in workers:
                 worker.look()
--- a/cottonspread/net/under_way.py
+++ b/cottonspread/net/active_set.py
@@ -7,36 +7,36 @@
 """
 
 
-class Busy:
+class ActiveSet:
     """Items with pending work, listed in a fixed order."""
 
-    def __init__(self, still, came):
-        """`still(item)`: whether the item still has pending work; `came(item)`: its sort key."""
-        self.still, self.came = still, came
-        self.noted = {}
-        self.looked_at = 0  # how many items were examined so far, for tests
+    def __init__(self, is_active, order):
+        """`is_active(item)`: whether the item still has pending work; `order(item)`: its sort key."""
+        self.is_active, self.order = is_active, order
+        self.members = {}
+        self.examined = 0  # how many items were examined so far, for tests
 
-    def note(self, one):
+    def add(self, one):
         """Adds an item that now has pending work."""
-        self.noted[one] = None
+        self.members[one] = None
 
-    def all(self):
+    def active(self):
         """The items that still have pending work; the others are removed."""
-        self.looked_at += len(self.noted)
-        self.noted = {one: None for one in self.noted if self.still(one)}
-        return sorted(self.noted, key=self.came)
+        self.examined += len(self.members)
+        self.members = {one: None for one in self.members if self.is_active(one)}
+        return sorted(self.members, key=self.order)
 
 
-def connection_is_busy(conn):
+def connection_is_active(conn):
     """Whether an endpoint is writing or closing, or the client has not sent its first line yet."""
     if conn.client.freed:
         return False
-    if conn.opening is None and not conn.reason:
+    if conn.request is None and not conn.reason:
         return True
     ends = [conn.client] + [leg.end for leg in conn.legs if leg.end is not None]
-    return any((end.writing or end.closing) and not end.freed for end in ends)
+    return any((end.writing_since or end.closing_since) and not end.freed for end in ends)
 
 
-def host_is_busy(host):
+def host_is_active(host):
     """Whether a line sent to the host awaits its echo, or a reported delay is still undecided."""
-    return bool(host.legs) and (bool(host.waiting.noted) or host.notes.unsettled())
+    return bool(host.legs) and (bool(host.waiting.members) or host.message_delays.undecided())
--- a/cottonspread/net/admission.py
+++ b/cottonspread/net/admission.py
@@ -20,7 +20,7 @@
 
 from cottonspread.net import pool, workers
 from cottonspread.net.departure import COMING
-from cottonspread.net.reducer import FIRST_WAIT
+from cottonspread.net.reducer import FIRST_LINE_TIMEOUT
 
 log = logging.getLogger("cottonspread.node")
 
@@ -201,7 +201,7 @@
 
     def turn_out_overdue(self):
         """Those that have waited too long."""
-        patience = COMING if self.gate.ending() else FIRST_WAIT
+        patience = COMING if self.gate.ending() else FIRST_LINE_TIMEOUT
         for client in self.waiting.take_overdue(self.clock(), patience):
             self.turn_away(client, "no-first-line")
 
--- a/cottonspread/net/departure.py
+++ b/cottonspread/net/departure.py
@@ -48,14 +48,14 @@
         Stopping: the client could as well have come to the successor, if there is one. Drained:
         the front sent it before it had its no.
         """
-        if self.stopping and not (self.handed and conn.began <= self.stopping):
+        if self.stopping and not (self.handed and conn.accepted_at <= self.stopping):
             return "stopping"
         return "draining" if self.draining and self.front.now - self.draining > COMING else ""
 
     def stands(self, conn):
         """A connection has come to stand: it is moved with the others where they are moved off."""
         if self.leaving:
-            self.front.at(self.leaving.first, self.move_off, self.leaving, conn)
+            self.front.call_at(self.leaving.first, self.move_off, self.leaving, conn)
 
     def send_off(self, reason, first, last, hurry_at):
         """Drain and SIGTERM: from `first` on every client is asked to move, those that stand now evenly up to
@@ -64,10 +64,10 @@
         standing = [conn for conn in self.front.conns if conn.up and not conn.reason]
         self.leaving = leaving = Leaving(reason, first, hurry_at, max(0, last - first), standing)
         if standing:
-            self.front.at(first, self.move_standing, leaving, 0)
-        self.front.at(leaving.hurry_at, self.hurry, leaving)
-        self.front.out.append(
-            ev.Say(reason.removeprefix("moved-"), {"standing": len(standing), "open": len(self.front.conns)})
+            self.front.call_at(first, self.move_standing, leaving, 0)
+        self.front.call_at(leaving.hurry_at, self.hurry, leaving)
+        self.front.effects.append(
+            ev.Log(reason.removeprefix("moved-"), {"standing": len(standing), "open": len(self.front.conns)})
         )
 
     def move_standing(self, leaving, number):
@@ -77,7 +77,7 @@
             number += 1
             if number < len(leaving.standing):
                 when = leaving.first + leaving.span * number // len(leaving.standing)
-                self.front.at(when, self.move_standing, leaving, number)
+                self.front.call_at(when, self.move_standing, leaving, number)
 
     def move_off(self, leaving, conn):
         """One that came to stand since."""
@@ -96,33 +96,33 @@
             self.send_off("moved-draining", self.front.now + COMING, last, last + SECOND // 4)
         else:
             self.draining, self.leaving = 0, None
-            self.front.out.append(ev.Say("resumed", {"open": len(self.front.conns)}))
+            self.front.effects.append(ev.Log("resumed", {"open": len(self.front.conns)}))
 
     def stop(self, e):
-        """SIGTERM, `StopAsked`."""
+        """SIGTERM, `StopRequested`."""
         if self.stopping:
             return
         # The platform's time runs from when it asked, whatever this node was late by.
-        longest = min(max(t.guard_time for t in self.front.begin.types), 3 * SECOND)
+        longest = min(max(t.guard_time for t in self.front.config.types), 3 * SECOND)
         self.stopping, self.stop_by, self.handed = (
             self.front.now,
-            self.front.happened + longest + LAST_LOOK,
-            e.handed,
+            self.front.event_time + longest + LAST_LOOK,
+            e.has_successor,
         )
         # New connections go on coming here for a while: who is moved now would come back to this
         # node. And in a rolling restart the node before this one is just coming back: who was
         # moved at once found none to take it.
-        last = self.front.happened + longest
+        last = self.front.event_time + longest
         first = max(self.front.now + COMING, self.front.now + (last - self.front.now) * 3 // 5)
         if self.draining:  # who stands here was to be moved by then: nobody is held for longer
             first = max(self.front.now, self.draining + COMING)
             last = max(first, min(last, self.draining + DRAINED - SECOND // 2))
         self.send_off("moved-stopping", first, last, last + LAST_ANSWERS)
         # In the sweep alone it would be looked at up to a quarter second late.
-        self.front.at(self.stop_by, self.stop_when_done)
-        if e.heir:  # who could not be passed on by then is moved
-            self.front.heir = True
-            self.front.pass_to_successor(conn for conn in self.front.conns if conn.up and not conn.reason)
+        self.front.call_at(self.stop_by, self.stop_when_done)
+        if e.transfer_connections:  # who could not be passed on by then is moved
+            self.front.transfers_enabled = True
+            self.front.transfer(conn for conn in self.front.conns if conn.up and not conn.reason)
 
     def hurries(self):
         """Whether no further attempt is to be made."""
@@ -135,9 +135,9 @@
         for conn in list(self.front.conns):
             for leg in conn.legs if not conn.up else ():
                 self.front.end_leg(leg, Ending.TIMEOUT)  # and no other leg is sent, see `send`
-        for name in sorted(self.front.asking, key=str):  # calls that wait for a probe are lost as well
-            self.front.tell(io.ProbeEnded(name, Ending.FULL))
-        self.front.asking.clear()
+        for name in sorted(self.front.probing, key=str):  # calls that wait for a probe are lost as well
+            self.front.queue_event(io.ProbeEnded(name, Ending.FULL))
+        self.front.probing.clear()
 
     def stop_when_done(self):
         """Asks for the end of the process once it is time, or nobody is left."""
@@ -148,11 +148,11 @@
             # first: nobody is cut off without MOVE.
             if self.leaving:
                 self.hurry(self.leaving)
-                self.front.tell_module()  # the answers go out before the end is asked for
+                self.front.run_balancer()  # the answers go out before the end is asked for
             for conn in list(self.front.conns):
                 # its first line may come just now, and nobody would read it
-                if conn.opening is None and not conn.reason:
-                    self.front.turn_out(conn, "stopping")
+                if conn.request is None and not conn.reason:
+                    self.front.dismiss(conn, "stopping")
                 self.front.move(conn, "moved-stopping")
             self.stopped = True
-            self.front.out += [ev.Say("stopped", {"left": len(self.front.conns)}), ev.Stop()]
+            self.front.effects += [ev.Log("stopped", {"left": len(self.front.conns)}), ev.Exit()]
--- a/cottonspread/net/discovery.py
+++ b/cottonspread/net/discovery.py
@@ -143,7 +143,7 @@
         authoritative, and the initial list is posted only if that request fails.
         """
         self.record(listed, addresses, unread)
-        self.initial = events.Heard(listed, addresses)
+        self.initial = events.ListReceived(listed, addresses)
         if trusted:
             self.publish_initial()
 
@@ -229,7 +229,7 @@
             raise ListError("got changes in response to a request for the full list")
         self.version, self.need_full_list, self.lower_versions, self.initial = version, False, 0, None
         self.record(listed, addresses, unread)
-        self.post(events.Heard(listed, addresses))
+        self.post(events.ListReceived(listed, addresses))
         if self.on_list:
             self.on_list(
                 version,
--- a/cottonspread/net/events.py
+++ b/cottonspread/net/events.py
@@ -6,19 +6,19 @@
 
 
 @dataclass(eq=False, slots=True)
-class End:
+class ConnectionEnd:
     """One end of a connection, a client's or a host's, as the reducer knows it."""
 
-    client: bool
+    is_client: bool
     conn: object = None  # the connection it belongs to
     leg: object = None  # of a host's end: its leg
     worker: object = None  # the workers' own, not the reducer's
     connected: bool = False  # of a host's end: it came up
-    reading: bool = False  # an order to read is out
-    writing: int = 0  # when the order to write that is out was given; 0: none is
-    closing: int = 0  # when it was closed from here; 0: it is not
-    finish: bool = False  # to be closed once what is being written is out
-    over: bool = False  # nothing more comes from it
+    read_pending: bool = False  # an order to read is out
+    writing_since: int = 0  # when the order to write that is out was given; 0: none is
+    closing_since: int = 0  # when it was closed from here; 0: it is not
+    shutdown_when_written: bool = False  # to be closed once what is being written is out
+    input_ended: bool = False  # nothing more comes from it
     freed: bool = False
 
 
@@ -26,56 +26,56 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Came:
+class ClientAccepted:
     """A client has connected."""
 
-    end: End
-    since: int = 0  # when it was accepted; 0: now
+    end: ConnectionEnd
+    accepted_at: int = 0  # when it was accepted; 0: now
 
 
 @dataclass(frozen=True, slots=True)
-class Connected:
-    end: End
+class ConnectDone:
+    end: ConnectionEnd
     ok: bool
-    why: str = ""
+    error: str = ""
 
 
 @dataclass(frozen=True, slots=True)
-class Got:
+class LinesRead:
     """Whole lines, as they came."""
 
-    end: End
+    end: ConnectionEnd
     data: bytes
-    more: bool = False  # part of a further line is there already
+    more_follows: bool = False  # part of a further line is there already
     at: int = 0  # when the kernel had it; 0: not known
 
 
 @dataclass(frozen=True, slots=True)
-class Written:
-    end: End
+class WriteDone:
+    end: ConnectionEnd
     ok: bool
     at: int = 0  # when the kernel took it; 0: not known
-    why: str = ""  # an attempt of which nothing was sent: "client-gone" or "too-late"
+    skip_reason: str = ""  # an attempt of which nothing was sent: "client-gone" or "too-late"
 
 
 @dataclass(frozen=True, slots=True)
-class Over:
+class ReadEnded:
     """Nothing more comes: the other side ended ("end"), broke ("reset") or sent what is no line."""
 
-    end: End
-    how: str
+    end: ConnectionEnd
+    cause: str
 
 
 @dataclass(frozen=True, slots=True)
-class Heard:
+class ListReceived:
     """Discovery has spoken."""
 
-    listed: io.ListUpdate
+    update: io.ListUpdate
     addresses: dict
 
 
 @dataclass(frozen=True, slots=True)
-class Asked:
+class ProbeDone:
     """A probe is over. `report`: the host's load report, by name."""
 
     host: object
@@ -90,73 +90,74 @@
 
 
 @dataclass(frozen=True, slots=True)
-class StopAsked:
-    """SIGTERM. `handed`: a successor takes what comes from now on; what was taken before is answered as ever.
+class StopRequested:
+    """SIGTERM. `has_successor`: a successor takes what comes from now on; what was taken
+    before is answered as ever.
 
-    `heir`: it takes standing connections too.
+    `transfer_connections`: it takes standing connections too.
     """
 
-    handed: bool = False
-    heir: bool = False
+    has_successor: bool = False
+    transfer_connections: bool = False
 
 
 @dataclass(frozen=True, slots=True)
-class Passed:
-    """What became of a `Pass`: the successor has the connection, or not; then it is read here as before.
+class TransferDone:
+    """What became of a `Transfer`: the successor has the connection, or not; then it is read here as before.
 
-    `again`: it was just being read.
+    `retry`: it was just being read.
     """
 
     conn: object
-    taken: bool
-    again: bool = False
+    accepted: bool
+    retry: bool = False
 
 
 @dataclass(frozen=True, slots=True)
-class Adopted:
+class TransferOffered:
     """A standing connection from the process before this one, which has let go
-    of it once `give` is called with True.
+    of it once `reply` is called with True.
     """
 
-    client: End
-    host: End
-    standing: object
-    give: object
+    client: ConnectionEnd
+    host: ConnectionEnd
+    connection: object
+    reply: object
 
 
 @dataclass(frozen=True, slots=True)
-class DrainAsked:
+class DrainRequested:
     """By the operators: the node is to be drained, or (`on` is false) to serve again."""
 
     on: bool
 
 
 @dataclass(frozen=True, slots=True)
-class Retuned:
+class SettingsReloaded:
     """SIGHUP with a file that is in order."""
 
-    begin: io.NodeConfig
+    config: io.NodeConfig
     names: object
-    hearing: object
+    host_protocol: object
 
 
 @dataclass(frozen=True, slots=True)
-class NotRetuned:
+class ReloadRejected:
     """SIGHUP with one that is not: nothing changes."""
 
 
 @dataclass(frozen=True, slots=True)
-class Inherited:
+class StateInherited:
     """From the process that this one replaces."""
 
-    handed: object
+    state: object
 
 
 @dataclass(frozen=True, slots=True)
-class HandOverAsked:
+class HandOverRequested:
     """By a successor of this process, which may hold `room` connections while both are there."""
 
-    give: object  # called with what is handed over
+    reply: object  # called with what is handed over
 
 
 @dataclass(frozen=True, slots=True)
@@ -169,60 +170,62 @@
 
 @dataclass(frozen=True, slots=True)
 class Connect:
-    end: End
+    end: ConnectionEnd
     address: tuple
-    wait: int
+    timeout: int
 
 
 @dataclass(frozen=True, slots=True)
-class Ask:
-    """Probe a host on a connection of its own; `Asked` comes within `wait` microseconds or little more."""
+class Probe:
+    """Probe a host on a connection of its own; `ProbeDone` comes within `timeout` microseconds
+    or little more.
+    """
 
     host: object
     address: tuple
-    wait: int
+    timeout: int
 
 
 @dataclass(frozen=True, slots=True)
 class Read:
-    end: End
+    end: ConnectionEnd
 
 
 @dataclass(frozen=True, slots=True)
 class Write:
-    end: End
+    end: ConnectionEnd
     data: bytes
-    attempt: bool = False  # the first line of an attempt: it goes out only while its client is there
-    by: int = 0  # and not later than this; 0: whenever
+    first_line: bool = False  # the first line of an attempt: it goes out only while its client is there
+    send_by: int = 0  # and not later than this; 0: whenever
 
 
 @dataclass(frozen=True, slots=True)
-class Drain:
-    """Read to the other side's end and drop what comes: `Over` follows.
+class DiscardInput:
+    """Read to the other side's end and drop what comes: `ReadEnded` follows.
 
     For an end that was closed from here.
     """
 
-    end: End
+    end: ConnectionEnd
 
 
 @dataclass(frozen=True, slots=True)
-class Finish:
+class ShutdownWrite:
     """End the sending; the other side is read until it ends too."""
 
-    end: End
+    end: ConnectionEnd
 
 
 @dataclass(frozen=True, slots=True)
-class Cut:
-    """End both directions now; `broken` as a reset."""
+class Shutdown:
+    """End both directions now; `reset` as a reset."""
 
-    end: End
-    broken: bool = False
+    end: ConnectionEnd
+    reset: bool = False
 
 
 @dataclass(frozen=True, slots=True)
-class Quit:
+class DiscardUnread:
     """The process is about to end and closes all sockets: what lies unread on them is taken, behind all that
     was written. Over unread bytes a close is a reset, which takes the last line with it.
     """
@@ -232,17 +235,17 @@
 class Free:
     """Give the socket back: nothing is out on this end any more."""
 
-    end: End
+    end: ConnectionEnd
 
 
 @dataclass(frozen=True, slots=True)
-class Pass:
-    """Pass a connection on which nothing is under way to the successor; `Passed` comes."""
+class Transfer:
+    """Pass a connection on which nothing is under way to the successor; `TransferDone` comes."""
 
     conn: object
-    client: End
-    host: End
-    standing: object
+    client: ConnectionEnd
+    host: ConnectionEnd
+    connection: object
 
 
 @dataclass(frozen=True, slots=True)
@@ -251,7 +254,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Say:
+class Log:
     """A log line."""
 
     event: str
@@ -260,5 +263,5 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Stop:
+class Exit:
     """The node is done."""
--- a/cottonspread/net/lines.py
+++ b/cottonspread/net/lines.py
@@ -15,7 +15,7 @@
 from cottonspread.interface import Ending
 
 PING, PONG, ERR, MOVE, BYE = b"PING", b"PONG\r\n", b"ERR\r\n", b"MOVE\r\n", b"BYE"
-STATS, LONGEST_REPORT = b"STATS\r\n", 4096
+STATS, MAX_REPORT_BYTES = b"STATS\r\n", 4096
 ENDINGS = {b"BYE": Ending.OK, b"MOVE": Ending.CANCELLED, b"BUSY": Ending.FULL}
 WORD, NUMBER = re.compile(r"[!-~]{1,64}"), re.compile(r"[0-9]+")
 
@@ -45,7 +45,7 @@
     """The socket now belongs to another process."""
 
 
-class Gatherer:
+class LineReader:
     """Reads complete lines from a blocking socket.
 
     It takes a buffer from the pool only while it holds part of a line. Without a buffer it only peeks at the
@@ -55,12 +55,12 @@
     def __init__(self, sock, pool, half_line_wait):
         self.sock, self.pool, self.wait = sock, pool, half_line_wait
         self.buffer, self.filled, self.since, self.age = None, 0, 0.0, 0
-        self.lock, self.idle, self.gone = threading.Lock(), False, False
+        self.lock, self.idle, self.released = threading.Lock(), False, False
 
-    def lines(self):
+    def read_lines(self):
         """Blocks until at least one complete line has arrived; returns all complete lines, unchanged.
 
-        Returns b"" at the end of the connection. Raises SocketReleasedError after `let_go`.
+        Returns b"" at the end of the connection. Raises SocketReleasedError after `try_release`.
         Raises LineError if a line is longer than the buffer, stays incomplete for too long or is cut off by
         the end of the connection.
         """
@@ -103,13 +103,13 @@
         finally:
             with self.lock:
                 self.idle = False
-                if self.gone:
+                if self.released:
                     raise SocketReleasedError
 
-    def take_back(self):
-        """Undoes `let_go`. True if the thread that was waiting in `peek` has returned meanwhile."""
+    def reclaim(self):
+        """Undoes `try_release`. True if the thread that was waiting in `peek` has returned meanwhile."""
         with self.lock:
-            self.gone = False
+            self.released = False
             return not self.idle
 
     def drop(self):
@@ -119,7 +119,7 @@
             self.buffer, self.filled = None, 0
 
 
-def let_go(gatherers):
+def try_release(gatherers):
     """Makes the given readers leave their sockets alone, if all of them are idle; returns whether they were.
 
     Must not be called from several threads at once.
@@ -130,12 +130,12 @@
         if not all(one.idle for one in gatherers):
             return False
         for one in gatherers:
-            one.gone = True
+            one.released = True
         return True
 
 
 @dataclass(frozen=True)
-class Opening:
+class OpenRequest:
     """A client's first line (`OPEN`), parsed."""
 
     line: bytes  # unchanged, as received
@@ -150,7 +150,7 @@
     held_by: str = None
 
 
-def read_opening(line, types, tenants, grouped, longest_wait):
+def parse_open(line, types, tenants, grouped, longest_wait):
     """Parses `OPEN ID KEY NAME=VALUE,..`; raises LineError with the reason code.
 
     `types` and `tenants` map names to numbers; `longest_wait` is in microseconds.
@@ -176,7 +176,7 @@
         raise LineError("garbled")
     wait = int(wait) * 1000
     who = pairs.get("g")
-    return Opening(
+    return OpenRequest(
         line,
         words[1],
         types[pairs["c"]],
@@ -190,13 +190,13 @@
     )
 
 
-def type_named(line):
+def traffic_type_name(line):
     """The name of the traffic type in a first line that need not be valid otherwise; "" if it has none."""
     named = re.match(rb"OPEN [^ ]+ [^ ]+ (?:[^ ]*,)?c=([^ ,\r\n]*)", line)
     return named[1].decode("ascii", "replace") if named else ""
 
 
-def onward(line, wait):
+def open_for_host(line, wait):
     """The first line as it is forwarded to a host, with `d` set to the time that this node will wait.
 
     `wait` is in microseconds, `d` in milliseconds.
@@ -204,12 +204,12 @@
     return re.sub(rb"(?<=[ ,])d=\d+", b"d=%d" % max(1, wait // 1000), line, count=1)
 
 
-def busy(retry_after):
+def busy_line(retry_after):
     """A `BUSY` line. `retry_after`: microseconds after which the client should come back; 0: not told."""
     return b"BUSY %d\r\n" % (retry_after // 1000) if retry_after else b"BUSY\r\n"
 
 
-def read_answer(line, rest=b""):
+def parse_answer(line, rest=b""):
     """Parses a host's first line: None if it accepted the call, else how the attempt ended.
 
     `rest`: input that came after the line. A refusal followed by more input is not trusted and counts as an
@@ -221,7 +221,7 @@
     return Ending.ERROR if rest else ENDINGS.get(words[0], Ending.ERROR)
 
 
-def read_report(line):
+def parse_probe_answer(line):
     """Parses a host's answer to STATS: (how the probe ended, the values of its load report by name).
 
     Any answer other than `PONG` and `ERR` (the host has too many probes, or allows none) carries no
@@ -233,7 +233,7 @@
     )
 
 
-def read_load(line):
+def parse_load(line):
     """The value of a host's `LOAD X` line; None for any other line."""
     if not line.startswith(b"LOAD "):
         return None
--- a/cottonspread/net/logfmt.py
+++ b/cottonspread/net/logfmt.py
@@ -17,7 +17,7 @@
     return f"{key}={text if plain else json.dumps(text)}"
 
 
-class KeyValue(logging.Formatter):
+class KeyValueFormatter(logging.Formatter):
     """Formats `log.info("event", extra={"pairs": {...}})` as `time=... level=info node=... event=event ...`.
 
     `own`: pairs added to every line.
@@ -45,7 +45,7 @@
         return " ".join(pair(k, v) for k, v in self.pairs(record).items())
 
 
-class JsonLines(KeyValue):
+class JsonFormatter(KeyValueFormatter):
     """Formats a record as one JSON object per line."""
 
     def format(self, record):
@@ -66,10 +66,10 @@
             self.queue.put_nowait(record)
 
 
-FORMATS = {"pairs": KeyValue, "json": JsonLines}
+FORMATS = {"pairs": KeyValueFormatter, "json": JsonFormatter}
 
 
-def start(node, level=logging.INFO, format="pairs", **own):
+def configure(node, level=logging.INFO, format="pairs", **own):
     """Sets up logging to standard error; returns a function that flushes and stops it.
 
     `own`: pairs added to every line.
--- a/cottonspread/net/node.py
+++ b/cottonspread/net/node.py
@@ -20,7 +20,7 @@
 from cottonspread.net.admission import Admission
 from cottonspread.net.closing import Closer
 from cottonspread.net.pool import BufferPool
-from cottonspread.net.reducer import WAITING_PART, Reducer
+from cottonspread.net.reducer import PENDING_CLIENTS_DIVISOR, Reducer
 
 log = logging.getLogger("cottonspread.node")
 
@@ -166,19 +166,22 @@
 
     def serves(self):
         """Whether connections are taken from the listener, and there is a server to send them to."""
-        return self.reducer.listed and not self.reducer.stopping and self.admission is not None
+        return self.reducer.has_hosts and not self.reducer.stopping and self.admission is not None
 
     def called(self, word):
         """The answer to an operator's call; in the thread of their address, which may wait for nothing."""
         if word == "health":
             return b"200 yes\n" if self.serves() else b"400 no\n"
         if word == "counters":
-            return b"200 the figures\n%sEOF\n" % self.reducer.counters.text(len(self.reducer.by_id)).encode()
+            return (
+                b"200 the figures\n%sEOF\n"
+                % self.reducer.counters.text(len(self.reducer.calls_by_id)).encode()
+            )
         if word not in ("quiesce", "resume"):
             return b"400 known calls: health, counters, quiesce, resume\n"
         if self.reducer.stopping:
             return b"400 stopping\n"
-        self.hasten(ev.DrainAsked(word == "quiesce"))
+        self.hasten(ev.DrainRequested(word == "quiesce"))
         return b"200 draining\n" if word == "quiesce" else b"200 serving\n"
 
     def hasten(self, event):
@@ -203,43 +206,43 @@
     def inherit(self, handed):
         """Before `take`: what the process before this one hands over."""
         self.limit(handed.room)
-        self.post(ev.Inherited(handed))
+        self.post(ev.StateInherited(handed))
 
     def limit(self, most):
         """While two processes share the limits of one; None: alone again."""
-        self.most = self.reducer.most_ends = min(most or self.all, self.all)
+        self.most = self.reducer.max_sockets = min(most or self.all, self.all)
 
     def hand_over(self, wait=0.5):
         """What a successor is to know, or None if the reducer is too late to tell."""
         given = queue.SimpleQueue()
-        self.hasten(ev.HandOverAsked(given.put))
+        self.hasten(ev.HandOverRequested(given.put))
         try:
             handed = given.get(timeout=wait)
         except queue.Empty:
             return None
-        self.most = self.reducer.most_ends
+        self.most = self.reducer.max_sockets
         return handed
 
     def retune(self, endpoints, resource_limits, names, host_protocol, begin):
         """Another configuration from now on: list, calls and connections stay."""
-        begin = changeable(begin, self.reducer.begin)
+        begin = changeable(begin, self.reducer.config)
         renamed = (names.zones, names.kinds) != (self.discovery.names.zones, self.discovery.names.kinds)
         self.discovery.names = names
-        self.hasten(ev.Retuned(begin, names, host_protocol))
+        self.hasten(ev.SettingsReloaded(begin, names, host_protocol))
         with self.lock:
             self.door.target = door_target(begin)
         self.follow(endpoints.discovery, renamed)
 
     def adopt(self, standing, client, host):
         """A standing connection of the process before this one, with its two sockets. Whether it is taken."""
-        ends = ev.End(True), ev.End(False)
+        ends = ev.ConnectionEnd(True), ev.ConnectionEnd(False)
         for end, sock in zip(ends, (client, host), strict=True):
             if not self.workers.begin(end, sock):
                 for left in (client, host):
                     left.close()
                 return False
         given = queue.SimpleQueue()
-        self.post(ev.Adopted(*ends, standing, given.put))
+        self.post(ev.TransferOffered(*ends, standing, given.put))
         taken = given.get()  # however late: the reducer alone knows whether it has it
         if taken:  # its room comes with it
             self.limit(self.most + 2)
@@ -256,7 +259,7 @@
         if heir:
             self.giver = passing.Giver(heir, self.post)
             workers.start_thread(self.giver.run, stack=workers.WIDE)
-        self.post(ev.StopAsked(handed, heir is not None))
+        self.post(ev.StopRequested(handed, heir is not None))
 
     def ping(self, wait=1.0):
         """Whether a PING is answered: by the reducer and the workers as a client's
@@ -266,11 +269,11 @@
         with ours:
             ours.settimeout(wait)
             theirs.setsockopt(socket.SOL_SOCKET, socket.SO_RCVTIMEO, workers.RCVTIMEO)
-            end = ev.End(True)
+            end = ev.ConnectionEnd(True)
             if not self.workers.begin(end, theirs):
                 theirs.close()
                 return False
-            self.post(ev.Came(end))
+            self.post(ev.ClientAccepted(end))
             try:
                 ours.sendall(lines.PING + b"\r\n")
                 return ours.recv(16) == lines.PONG
@@ -284,17 +287,17 @@
         reducer, ended = self.reducer, dict(self.ended)
         return {
             "steps": self.steps,
-            "listed": reducer.listed,
+            "listed": reducer.has_hosts,
             "list": self.discovery.version,
             "connections": len(reducer.conns),
-            "calls": len(reducer.by_id),
+            "calls": len(reducer.calls_by_id),
             "ended": sum(n for reason, n in ended.items() if reason not in NO_CALL),
             "bad": sum(n for reason, n in ended.items() if reason in BADLY),
         }
 
     def stop(self):
         """Before all that waits: the platform's time runs from here, whatever lies in the queue."""
-        self.hasten(ev.StopAsked())
+        self.hasten(ev.StopRequested())
 
     def join(self, wait=None):
         return self.done.wait(wait)
@@ -309,7 +312,7 @@
                 at, event = self.next(left)
             now = self.clock.now()
             at = getattr(event, "at", 0) or at or now
-            if isinstance(event, ev.Got) and event.end.client and event.end.conn.opening is None:
+            if isinstance(event, ev.LinesRead) and event.end.is_client and event.end.conn.request is None:
                 with self.lock:
                     self.door.record_wait(now, now - at)
             for effect in self.step(event, at):
@@ -335,15 +338,15 @@
         return self.reducer.after_fault(event)
 
     def carry_out(self, effect):
-        if isinstance(effect, ev.Say):
+        if isinstance(effect, ev.Log):
             if effect.event == "closed":
                 self.ended[effect.pairs["reason"]] += 1
             log.log(logging.getLevelName(effect.level.upper()), effect.event, extra={"pairs": effect.pairs})
         elif isinstance(effect, ev.FollowList):
             self.discovery.enabled.set()
-        elif isinstance(effect, ev.Pass):
+        elif isinstance(effect, ev.Transfer):
             self.giver.orders.put(effect)
-        elif isinstance(effect, ev.Stop):
+        elif isinstance(effect, ev.Exit):
             self.finish()
         else:
             self.workers.carry_out(effect)
@@ -360,7 +363,7 @@
                 self.turn_away_unknown()
         self.turn_away_unknown()
         self.hold_up_nobody()
-        self.workers.carry_out(ev.Quit())
+        self.workers.carry_out(ev.DiscardUnread())
         self.closer.stop()
         self.workers.writes.put(None)  # the last answers go out before the process may end
 
@@ -377,16 +380,16 @@
                 event = self.events.get_nowait()[1]
             except queue.Empty:
                 break
-            if isinstance(event, ev.Came) and event.end.worker is not None:
-                self.workers.carry_out(ev.Write(event.end, lines.busy(self.reducer.retry_after())))
-                self.workers.carry_out(ev.Finish(event.end))
+            if isinstance(event, ev.ClientAccepted) and event.end.worker is not None:
+                self.workers.carry_out(ev.Write(event.end, lines.busy_line(self.reducer.retry_after())))
+                self.workers.carry_out(ev.ShutdownWrite(event.end))
 
     # What `admission.Admission` asks of its gate
 
     def most_waiting(self):
         """How many clients may wait for their first line now: no more than a part, and none where calls need
         the descriptors."""
-        return min(self.most // WAITING_PART, self.most + SPARE_ENDS // 4 - len(self.workers.live))
+        return min(self.most // PENDING_CLIENTS_DIVISOR, self.most + SPARE_ENDS // 4 - len(self.workers.live))
 
     def ending(self):
         """Whether the node was asked to end."""
@@ -397,13 +400,13 @@
         if not self.admits(first):
             self.turn_away(client.sock, "node-late")
             return
-        end = ev.End(True)
+        end = ev.ConnectionEnd(True)
         # What has come and is not yet in the reducer's count: hundreds at once would pass the limit.
         room = len(self.workers.live) < self.most + SPARE_ENDS // 4
         if not room or not self.workers.begin(end, client.sock):
             self.turn_away(client.sock, "no-room-at-all", 0)
             return
-        self.post(ev.Came(end, client.since))
+        self.post(ev.ClientAccepted(end, client.since))
 
     def admits(self, first):
         """Whether there is time for it. The door is for calls: a front that asks whether the node serves is
@@ -419,13 +422,13 @@
         `retry_after`: microseconds; None: as the settings say."""
         after = self.reducer.retry_after() if retry_after is None else retry_after
         try:
-            sock.send(lines.busy(after), socket.MSG_DONTWAIT)
+            sock.send(lines.busy_line(after), socket.MSG_DONTWAIT)
             sock.shutdown(socket.SHUT_WR)
         except OSError:
             pass
         with contextlib.suppress(OSError):  # it has not come yet
             self.reducer.counters.count_refused_on_accept(
-                lines.type_named(sock.recv(4096, socket.MSG_DONTWAIT))
+                lines.traffic_type_name(sock.recv(4096, socket.MSG_DONTWAIT))
             )
         self.closer.take(sock)
         self.ended[reason] += 1
--- a/cottonspread/net/passing.py
+++ b/cottonspread/net/passing.py
@@ -27,18 +27,18 @@
     def run(self):
         while True:
             order = self.orders.get()
-            self.post(ev.Passed(order.conn, *self.give(order)))
+            self.post(ev.TransferDone(order.conn, *self.give(order)))
 
     def give(self, order):
         """Whether the successor has it, and if not, whether it was just being read."""
         workers = order.client.worker, order.host.worker
         gatherers = [worker.gatherer for worker in workers]
-        if None in gatherers or not lines.let_go(gatherers):
+        if None in gatherers or not lines.try_release(gatherers):
             return False, True
         try:
             socket.send_fds(
                 self.sock,
-                [handover.pack_connection(order.standing)],
+                [handover.pack_connection(order.connection)],
                 [worker.sock.fileno() for worker in workers],
             )
             taken = self.sock.recv(1) == TAKEN
@@ -46,7 +46,7 @@
             log.warning("passing", extra={"pairs": {"why": fault}})
             taken = False
         for worker in workers if not taken else ():
-            if worker.gatherer.take_back():
+            if worker.gatherer.reclaim():
                 worker.orders.put(ev.Read(worker.end))
         return taken, False
 
--- a/cottonspread/net/reducer.py
+++ b/cottonspread/net/reducer.py
@@ -21,16 +21,16 @@
 from cottonspread.interface import Ending
 from cottonspread.net import events as ev
 from cottonspread.net import lines
+from cottonspread.net.active_set import ActiveSet, connection_is_active, host_is_active
 from cottonspread.net.departure import COMING, Departure
-from cottonspread.net.notes import Heard, Notes
-from cottonspread.net.under_way import Busy, connection_is_busy, host_is_busy
+from cottonspread.net.message_delays import ConnectionSignals, MessageDelays
 from cottonspread.policy import Balancer
 
 SECOND = 1_000_000
-SWEEP = SECOND // 4
-LISTEN = SECOND // 10  # how often it is looked whose echoes stay out
-FIRST_WAIT = 2 * SECOND  # for a client's first line, checks before it included
-WAITING_PART = 5  # one part in so many of all ends, at most, is clients without a first line
+SWEEP_INTERVAL = SECOND // 4
+ECHO_CHECK_INTERVAL = SECOND // 10  # how often it is looked whose echoes stay out
+FIRST_LINE_TIMEOUT = 2 * SECOND  # for a client's first line, checks before it included
+PENDING_CLIENTS_DIVISOR = 5  # one part in so many of all ends, at most, is clients without a first line
 LONGEST_WAIT = 10  # times the longest guard time: a client that says it waits longer is wrong
 LINGER = SECOND  # what the other side gets to end its half of a closed connection
 LINGERING_FROM = 10  # nobody is waited for so once all ends but one part in so many are taken
@@ -52,18 +52,18 @@
 
     conn: "Conn"
     number: int
-    host: "Server"
+    host: "Host"
     until: int
     by: int = 0  # its first byte may go out until then; 0: while the call is open
     address: tuple = None  # where it was dialled
-    end: ev.End = None
+    end: ev.ConnectionEnd = None
     begun: bool = False  # its first line has been given to the workers
     written: bool = False  # its first line's last byte is out
     up: bool = False
     ended: bool = False
     farewell: Ending = None  # what the host said on its way out
     stood: int = 0  # the later it came to stand, the higher
-    heard: Heard = field(default_factory=Heard)
+    signals: ConnectionSignals = field(default_factory=ConnectionSignals)
 
 
 @dataclass(eq=False)
@@ -73,9 +73,9 @@
     It is also the call's id towards the module.
     """
 
-    client: ev.End
-    began: int  # when it was accepted
-    opening: lines.Opening = None
+    client: ev.ConnectionEnd
+    accepted_at: int
+    request: lines.OpenRequest = None
     type: io.TrafficType = None  # the one it opened under, whatever the settings become
     max_legs: int = 1  # as they were then
     guard: int = 0
@@ -92,76 +92,84 @@
 
 
 @dataclass(eq=False)
-class Server:
+class Host:
     """What a front keeps of a host: its address, and what its messages take."""
 
     name: object
-    notes: Notes
+    message_delays: MessageDelays
     address: tuple = None
     legs: dict = field(default_factory=dict)  # standing
     number: int = 0  # the later it was first heard of, the higher
-    waiting: Busy = None  # those of its legs on which a line may wait for its echo
+    waiting: ActiveSet = None  # those of its legs on which a line may wait for its echo
 
     def __post_init__(self):
-        self.waiting = Busy(lambda leg: leg in self.legs and leg.heard.waiting, attrgetter("stood"))
+        self.waiting = ActiveSet(lambda leg: leg in self.legs and leg.signals.waiting, attrgetter("stood"))
 
 
 class Reducer:
-    def __init__(self, now, begin, names, hearing, most_ends, balancer=Balancer):
-        self.now, self.happened, self.out, self.told = now, now, [], deque()
-        self.begin, self.names, self.hearing, self.most_ends = begin, names, hearing, most_ends
-        self.module = balancer(now, begin)
+    def __init__(self, now, config, names, host_protocol, max_sockets, balancer=Balancer):
+        self.now, self.event_time, self.effects, self.balancer_events = now, now, [], deque()
+        self.config, self.names, self.host_protocol, self.max_sockets = (
+            config,
+            names,
+            host_protocol,
+            max_sockets,
+        )
+        self.balancer = balancer(now, config)
         self.own = Lateness()
-        self.servers, self.entries, self.conns, self.ends = {}, {}, {}, 0
-        self.unopened = {}  # clients without a sound first line, the oldest first
+        self.hosts, self.entries, self.conns, self.open_sockets = {}, {}, {}, 0
+        self.awaiting_first_line = {}  # clients without a sound first line, the oldest first
         self.lingering = {}  # clients that were told the end and have not gone yet, the oldest first
         # calls that are open, and ended ones, by the client's word for them
-        self.by_id, self.ended_ids = {}, {}
+        self.calls_by_id, self.ended_ids = {}, {}
         self.timers, self.stamp = [], 0
         number = attrgetter("number")
-        self.busy_conns, self.busy_hosts = Busy(connection_is_busy, number), Busy(host_is_busy, number)
-        self.asking = set()  # hosts with a probe under way whose end the module waits for
+        self.active_conns, self.active_hosts = (
+            ActiveSet(connection_is_active, number),
+            ActiveSet(host_is_active, number),
+        )
+        self.probing = set()  # hosts with a probe under way whose end the module waits for
         self.probes = 0
         self.counters = Counters(())
-        self.listed, self.departure = False, Departure(self)
+        self.has_hosts, self.departure = False, Departure(self)
         # a successor takes standing connections; the one on its way there
-        self.heir, self.passing = False, None
+        self.transfers_enabled, self.passing = False, None
         # those that wait for it, and those on which something was under way
         self.to_pass, self.busy = deque(), []
         self.usual = 0.0  # mean of the loads told
-        self.tune(begin)
+        self.tune(config)
         self.handlers = {
-            ev.Came: self.came,
-            ev.Connected: self.connected,
-            ev.Got: self.got,
-            ev.Written: self.wrote,
-            ev.Over: self.over,
-            ev.Heard: self.heard,
+            ev.ClientAccepted: self.came,
+            ev.ConnectDone: self.connected,
+            ev.LinesRead: self.got,
+            ev.WriteDone: self.wrote,
+            ev.ReadEnded: self.over,
+            ev.ListReceived: self.list_received,
             ev.ListFailed: self.list_failed,
-            ev.Asked: self.asked,
-            ev.StopAsked: self.departure.stop,
-            ev.DrainAsked: self.departure.drain,
-            ev.Retuned: self.retuned,
-            ev.NotRetuned: self.not_retuned,
-            ev.Inherited: self.inherit,
-            ev.HandOverAsked: self.hand_over,
-            ev.Passed: self.passed,
-            ev.Adopted: self.adopt,
+            ev.ProbeDone: self.asked,
+            ev.StopRequested: self.departure.stop,
+            ev.DrainRequested: self.departure.drain,
+            ev.SettingsReloaded: self.retuned,
+            ev.ReloadRejected: self.not_retuned,
+            ev.StateInherited: self.inherit,
+            ev.HandOverRequested: self.hand_over,
+            ev.TransferDone: self.passed,
+            ev.TransferOffered: self.adopt,
             ev.Tick: lambda e: None,
         }
-        self.after(SWEEP, self.sweep)
-        self.after(LISTEN, self.listen)
-        for action in self.module.actions():
+        self.call_later(SWEEP_INTERVAL, self.sweep)
+        self.call_later(ECHO_CHECK_INTERVAL, self.listen)
+        for action in self.balancer.actions():
             self.do(action)
-        if not begin.server_list.polled:
-            self.out.append(ev.FollowList())
+        if not config.server_list.polled:
+            self.effects.append(ev.FollowList())
 
-    def tune(self, begin):
-        self.begin = begin
-        self.longest_wait = LONGEST_WAIT * max(t.guard_time for t in begin.types)
-        targets = [t.message_target for t in begin.types if t.message_target]
-        self.slow_from = min(targets, default=SECOND) // 3
-        self.counters.add_types(t.name for t in begin.types)
+    def tune(self, config):
+        self.config = config
+        self.longest_wait = LONGEST_WAIT * max(t.guard_time for t in config.types)
+        targets = [t.message_target for t in config.types if t.message_target]
+        self.slow_threshold = min(targets, default=SECOND) // 3
+        self.counters.add_types(t.name for t in config.types)
 
     @property
     def stopping(self):
@@ -181,16 +189,16 @@
     def step(self, now, event, at=0):
         """Everything that `event` and the passing of time ask for. `at`: when it happened; 0: now."""
         self.now = max(now, self.now)
-        self.happened = min(at or self.now, self.now)
-        self.own.record(self.now, self.now - min(self.happened, self.due()))
-        self.tell_module()  # what a fault left over
+        self.event_time = min(at or self.now, self.now)
+        self.own.record(self.now, self.now - min(self.event_time, self.due()))
+        self.run_balancer()  # what a fault left over
         while self.timers and self.timers[0][0] <= self.now:
             what, args = heapq.heappop(self.timers)[2:]
             what(*args)
-            self.tell_module()
+            self.run_balancer()
         self.handlers[type(event)](event)
-        self.tell_module()
-        out, self.out = self.out, []
+        self.run_balancer()
+        out, self.effects = self.effects, []
         return out
 
     def after_fault(self, event):
@@ -199,19 +207,19 @@
         if conn is not None and not conn.reason:
             self.leave(conn, "fault")
             self.finish(conn, "fault", lines.ERR)
-        out, self.out = self.out, []
+        out, self.effects = self.effects, []
         return out
 
     def due(self):
         """When `step` is to be called even if nothing happens."""
         return self.timers[0][0] if self.timers else self.now + SECOND
 
-    def at(self, when, what, *args):
+    def call_at(self, when, what, *args):
         self.stamp += 1
         heapq.heappush(self.timers, (when, self.stamp, what, args))
 
-    def after(self, span, what, *args):
-        self.at(self.now + span, what, *args)
+    def call_later(self, span, what, *args):
+        self.call_at(self.now + span, what, *args)
 
     def next_number(self):
         """Numbers rise in the order in which they are given out."""
@@ -220,13 +228,13 @@
 
     # The module
 
-    def tell(self, event):
-        self.told.append(event)
+    def queue_event(self, event):
+        self.balancer_events.append(event)
 
-    def tell_module(self):
+    def run_balancer(self):
         """One event after the other, each with its actions: what an action leads to is told after it."""
-        while self.told:
-            for action in self.module.handle(self.now, self.told.popleft()):
+        while self.balancer_events:
+            for action in self.balancer.handle(self.now, self.balancer_events.popleft()):
                 self.do(action)
 
     def do(self, action):
@@ -234,7 +242,7 @@
             case io.Send():
                 self.send(action.call, action.host, action.deadline, action.send_by)
             case io.Reject():
-                self.answer(action.call, lines.busy(action.retry_after), "rejected")
+                self.answer(action.call, lines.busy_line(action.retry_after), "rejected")
             case io.Release():
                 self.answer(action.call, lines.ERR, "released")
             case io.Cancel():
@@ -242,52 +250,54 @@
             case io.Move():
                 self.move(action.call, "moved")
             case io.Timer():
-                self.after(action.after, self.tell, io.TimerFired(action.token))
+                self.call_later(action.after, self.queue_event, io.TimerFired(action.token))
             case io.Subscribe():
-                self.out.append(ev.FollowList())
+                self.effects.append(ev.FollowList())
             case io.Probe():
                 self.probe(action.host)
             case io.Log():
-                self.out.append(ev.Say("decision", {"text": action.text}))
+                self.effects.append(ev.Log("decision", {"text": action.text}))
             case _:
                 raise TypeError(f"this front has no way to do {action!r}")
 
     # Clients
 
     def came(self, e):
-        self.ends += 1
-        conn = Conn(e.end, e.since or self.now, heard_of=self.now, number=self.next_number())
+        self.open_sockets += 1
+        conn = Conn(e.end, e.accepted_at or self.now, heard_of=self.now, number=self.next_number())
         e.end.conn = conn
         self.conns[conn] = None
-        self.busy_conns.note(conn)
+        self.active_conns.add(conn)
         # Hundreds that connect and say nothing held every descriptor, and usual clients found no room. A
         # usual client's line comes on the heels of its connection, so the oldest of those without one goes.
-        while len(self.unopened) >= max(2, self.most_ends // WAITING_PART):
-            self.turn_out(next(iter(self.unopened)), "no-first-line")
+        while len(self.awaiting_first_line) >= max(2, self.max_sockets // PENDING_CLIENTS_DIVISOR):
+            self.dismiss(next(iter(self.awaiting_first_line)), "no-first-line")
         # Who was told the end and does not go keeps a descriptor for a moment, and never the last ones.
-        room = self.most_ends * (LINGERING_FROM - 1) // LINGERING_FROM - self.ends
+        room = self.max_sockets * (LINGERING_FROM - 1) // LINGERING_FROM - self.open_sockets
         for end in list(islice(self.lingering, max(0, 1 - room))):
             self.cut(end)
-        self.unopened[conn] = None
+        self.awaiting_first_line[conn] = None
         self.read(e.end)
 
-    def turn_out(self, conn, reason):
+    def dismiss(self, conn, reason):
         """The end of one that is no usual client.
 
         Who said nothing may be saying it just now: to come again is harmless.
         """
-        self.unopened.pop(conn, None)
+        self.awaiting_first_line.pop(conn, None)
         harmless = reason in ("no-first-line", "ping", "stopping")
-        self.finish(conn, conn.reason or reason, lines.busy(self.retry_after()) if harmless else lines.ERR)
+        self.finish(
+            conn, conn.reason or reason, lines.busy_line(self.retry_after()) if harmless else lines.ERR
+        )
 
     def got(self, e):
-        e.end.reading = False
-        if e.end.closing or e.end.finish:
+        e.end.read_pending = False
+        if e.end.closing_since or e.end.shutdown_when_written:
             self.read(e.end)  # read to its end, and dropped
-        elif not e.end.client:
+        elif not e.end.is_client:
             self.host_lines(e.end.leg, e.data)
-        elif e.end.conn.opening is None:
-            self.first_line(e.end.conn, e.data, e.more)
+        elif e.end.conn.request is None:
+            self.first_line(e.end.conn, e.data, e.more_follows)
         else:
             self.client_lines(e.end.conn, e.data)
 
@@ -296,56 +306,56 @@
         # Who sends on before the answer is no client of ours; its lines
         # would reach a host as a usual client's.
         if rest or more:
-            self.turn_out(conn, "early-line")
+            self.dismiss(conn, "early-line")
             return
         if first.rstrip(b"\r") == lines.PING:
             conn.pings += 1
-            if self.listed and not self.departure.draining and not self.departure.turns_away(conn):
+            if self.has_hosts and not self.departure.draining and not self.departure.turns_away(conn):
                 self.write(conn.client, lines.PONG)
             else:
-                self.turn_out(conn, "not-ready")
+                self.dismiss(conn, "not-ready")
             return
         try:
-            opening = lines.read_opening(
+            opening = lines.parse_open(
                 first + b"\n",
                 self.names.types,
                 self.names.tenants,
-                self.begin.groups_share_work,
+                self.config.groups_share_work,
                 self.longest_wait,
             )
         except lines.LineError as fault:
-            self.turn_out(conn, str(fault))
+            self.dismiss(conn, str(fault))
             return
         # Ids are new with every connection. Hosts answer one that is open already, here or at another node,
         # with ERR: every host that was asked looked broken for it, and each such leg costs a host work.
-        if opening.id in self.by_id or opening.id in self.ended_ids:
-            self.turn_out(conn, "id-in-use")
+        if opening.id in self.calls_by_id or opening.id in self.ended_ids:
+            self.dismiss(conn, "id-in-use")
             return
-        conn.opening, conn.type, conn.max_legs = (
+        conn.request, conn.type, conn.max_legs = (
             opening,
-            self.begin.types[opening.type],
-            self.begin.legs.max_legs,
+            self.config.types[opening.type],
+            self.config.legs.max_legs,
         )
-        self.unopened.pop(conn, None)
-        self.by_id[opening.id] = conn
+        self.awaiting_first_line.pop(conn, None)
+        self.calls_by_id[opening.id] = conn
         wait = opening.wait if opening.held_by is None else STANDING_WAIT
         # Its time runs from when the line was here, and what this node may be late
         # with the answer is not the call's.
-        lain = self.now - self.happened
-        conn.guard = self.happened + wait
+        lain = self.now - self.event_time
+        conn.guard = self.event_time + wait
         left = max(0, wait - lain - min(self.own.recent_max(self.now), (wait - lain) // 4))
         # Two descriptors for every call, and some left to answer with: at the edge a call is turned away.
         turned = self.departure.turns_away(conn)
-        if turned or self.ends + 1 > self.most_ends:
-            self.finish(conn, turned or "no-room", lines.busy(self.retry_after()))
+        if turned or self.open_sockets + 1 > self.max_sockets:
+            self.finish(conn, turned or "no-room", lines.busy_line(self.retry_after()))
             return
-        host = self.servers.get(opening.held_by)
+        host = self.hosts.get(opening.held_by)
         if opening.held_by is not None and (host is None or host.address is None):
             self.finish(conn, "held-by-unknown", lines.ERR)
             return
         self.read(conn.client)  # to notice when it leaves
-        self.at(conn.guard + self.begin.tick, self.overdue, conn)
-        self.tell(
+        self.call_at(conn.guard + self.config.tick, self.overdue, conn)
+        self.queue_event(
             io.CallArrived(
                 conn,
                 opening.type,
@@ -362,22 +372,22 @@
             self.open_leg(Leg(conn, len(conn.legs), host, conn.guard), STANDING_WAIT // 4)
 
     def retry_after(self):
-        return self.begin.legs.max_retry_after // 2 if self.begin.legs.may_retry_after else 0
+        return self.config.legs.max_retry_after // 2 if self.config.legs.may_retry_after else 0
 
     def client_lines(self, conn, data):
         if not conn.up:  # see `first_line`
             self.leave(conn, "early-line")
-            self.turn_out(conn, "early-line")
+            self.dismiss(conn, "early-line")
             return
         leg = conn.legs[-1]
-        leg.heard.sent(self.now, data.count(b"\n"))
+        leg.signals.sent(self.now, data.count(b"\n"))
         self.wait_for_echo(leg)
         self.write(leg.end, data)
 
     def overdue(self, conn):
         """The module's answer did not come in time: visible, for it breaks a rule."""
         if not conn.answered and not conn.up:
-            self.out.append(ev.Say("overdue", {"call": conn.opening.id}, "error"))
+            self.effects.append(ev.Log("overdue", {"call": conn.request.id}, "error"))
             self.leave(conn, "overdue")
             self.finish(conn, "overdue", lines.ERR)
 
@@ -387,7 +397,7 @@
             return
         conn.answered, conn.reason = True, conn.reason or reason
         if not conn.up:
-            self.tell(io.CallExpired(conn))
+            self.queue_event(io.CallExpired(conn))
         for leg in conn.legs:
             self.end_leg(leg, Ending.CANCELLED)
 
@@ -405,14 +415,14 @@
             conn.counted = True
             self.counters.count_answer("busy" if line.startswith(b"BUSY") else "failure", conn.type.name)
         self.closed_id(conn)
-        if line and not conn.client.writing:
+        if line and not conn.client.writing_since:
             self.write(conn.client, line)
         self.close(conn.client)
 
     # Legs
 
     def send(self, conn, name, until, by):
-        leg = Leg(conn, len(conn.legs), self.server(name), until, by)
+        leg = Leg(conn, len(conn.legs), self.host(name), until, by)
         out = [other for other in conn.legs if not other.ended]
         if (
             conn.answered
@@ -421,7 +431,7 @@
             or until <= self.now
             or leg.number >= conn.max_legs
             or out
-            and not self.begin.legs.parallel_legs
+            and not self.config.legs.parallel_legs
         ):
             conn.legs.append(leg)
             self.end_leg(leg, Ending.NOT_SENT)
@@ -430,15 +440,15 @@
             conn.legs.append(leg)
             self.end_leg(leg, Ending.CONNECT_FAILED)
             return
-        self.open_leg(leg, min(self.hearing.connect_timeout, until - self.now))
+        self.open_leg(leg, min(self.host_protocol.connect_timeout, until - self.now))
 
     def open_leg(self, leg, wait):
         conn, host, until, leg.address = leg.conn, leg.host, leg.until, leg.host.address
         conn.legs.append(leg)
-        leg.end = ev.End(False, conn, leg)
-        self.ends += 1
-        self.out.append(ev.Connect(leg.end, host.address, wait))
-        self.at(until, self.time_out, leg)
+        leg.end = ev.ConnectionEnd(False, conn, leg)
+        self.open_sockets += 1
+        self.effects.append(ev.Connect(leg.end, host.address, wait))
+        self.call_at(until, self.time_out, leg)
 
     def time_out(self, leg, waited=False):
         """What this node may have been late with itself is not the host's: the answer may lie here unread.
@@ -448,11 +458,11 @@
         """
         if leg.up or leg.ended:
             return
-        late, last = self.own.recent_max(self.now), leg.conn.guard - 2 * self.begin.tick
+        late, last = self.own.recent_max(self.now), leg.conn.guard - 2 * self.config.tick
         if not waited and late and leg.until + late <= last:
-            self.at(leg.until + late, self.time_out, leg, True)
+            self.call_at(leg.until + late, self.time_out, leg, True)
         elif not waited and late and self.now < last:
-            self.at(last, self.call_off, leg)
+            self.call_at(last, self.call_off, leg)
         else:
             self.end_leg(leg, Ending.TIMEOUT if waited or not late else Ending.CANCELLED)
 
@@ -463,24 +473,26 @@
     def connected(self, e):
         leg, e.end.connected = e.end.leg, e.ok
         if not e.ok:
-            e.end.over = True
+            e.end.input_ended = True
             self.free(e.end)
             if not leg.ended:
-                self.out.append(ev.Say("connect-fails", {"host": leg.host.name, "why": e.why}))
+                self.effects.append(ev.Log("connect-fails", {"host": leg.host.name, "why": e.error}))
             self.end_leg(leg, Ending.CONNECT_FAILED)
         elif leg.ended:
-            e.end.over = True  # given up while it came up: nothing was sent
+            e.end.input_ended = True  # given up while it came up: nothing was sent
             self.free(e.end)
         elif why := self.too_late(leg):
-            e.end.over = True
+            e.end.input_ended = True
             self.free(e.end)
             self.not_begun(leg, why)
         else:
-            opening, leg.begun = leg.conn.opening, True
-            line = opening.line if not opening.wait else lines.onward(opening.line, leg.until - self.now)
-            leg.end.writing = self.now or 1
-            self.busy_conns.note(leg.conn)
-            self.out.append(ev.Write(leg.end, line, attempt=True, by=leg.by))
+            opening, leg.begun = leg.conn.request, True
+            line = (
+                opening.line if not opening.wait else lines.open_for_host(opening.line, leg.until - self.now)
+            )
+            leg.end.writing_since = self.now or 1
+            self.active_conns.add(leg.conn)
+            self.effects.append(ev.Write(leg.end, line, first_line=True, send_by=leg.by))
 
     def too_late(self, leg):
         """The one look before an attempt's first line goes out: why it must not, or "".
@@ -488,9 +500,9 @@
         What a connection was dialled for may have passed while it came up: its host drains, is gone or is
         another by now, or its repeats are not known as such any more.
         """
-        if leg.conn.opening.held_by is not None:  # it stands there already
+        if leg.conn.request.held_by is not None:  # it stands there already
             return ""
-        entry, server = self.entries.get(leg.host.name), self.servers.get(leg.host.name)
+        entry, server = self.entries.get(leg.host.name), self.hosts.get(leg.host.name)
         if (
             entry is None
             or entry.state is not io.HostState.UP
@@ -505,7 +517,7 @@
         elsewhere; too late, it may go nowhere.
         """
         if not leg.ended:
-            self.out.append(ev.Say("not-sent", {"host": leg.host.name, "why": why}))
+            self.effects.append(ev.Log("not-sent", {"host": leg.host.name, "why": why}))
         self.end_leg(leg, Ending.CONNECT_FAILED if why == "host-drains" else Ending.NOT_SENT)
 
     def end_leg(self, leg, ending, broken=False):
@@ -514,15 +526,15 @@
             return
         # A leg that was given up before its line went to the workers cannot have run: a call that must not
         # run twice was answered as failed, though it had never been sent.
-        if not leg.begun and leg.conn.opening.held_by is None:
+        if not leg.begun and leg.conn.request.held_by is None:
             ending = {Ending.TIMEOUT: Ending.CONNECT_FAILED, Ending.CANCELLED: Ending.NOT_SENT}.get(
                 ending, ending
             )
         leg.ended = True
         self.leave_host(leg)
         conn = leg.conn
-        closed = conn.answered or conn.up or conn.opening.held_by is not None
-        self.tell(io.LegEnded(conn, leg.number, ending, closed))
+        closed = conn.answered or conn.up or conn.request.held_by is not None
+        self.queue_event(io.LegEnded(conn, leg.number, ending, closed))
         if leg.end is not None:
             self.cut(leg.end, broken)
         if closed and not conn.answered and not conn.up:  # one open before the start, not found again
@@ -533,37 +545,37 @@
         the others where they are moved off.
         """
         if not leg.host.legs:
-            leg.host.notes.met_at = self.now
+            leg.host.message_delays.connected_since = self.now
         leg.host.legs[leg], leg.stood = None, self.next_number()
-        if leg.host.notes.unsettled():  # from connections that stood there before
-            self.busy_hosts.note(leg.host)
+        if leg.host.message_delays.undecided():  # from connections that stood there before
+            self.active_hosts.add(leg.host)
         self.departure.stands(leg.conn)
 
     def leave_host(self, leg):
         host = leg.host
         host.legs.pop(leg, None)
-        if not host.legs and host.address is None and self.servers.get(host.name) is host:
-            del self.servers[host.name]  # gone, and this was the last that stood there
+        if not host.legs and host.address is None and self.hosts.get(host.name) is host:
+            del self.hosts[host.name]  # gone, and this was the last that stood there
 
     def host_lines(self, leg, data):
         if leg.up:
             self.pass_on(leg, data)
             return
         first, _, rest = data.partition(b"\n")
-        ending = lines.read_answer(first, rest)
+        ending = lines.parse_answer(first, rest)
         conn = leg.conn
         if ending is None:
             leg.up = conn.up = conn.counted = True
             self.counters.count_answer("success", conn.type.name)
             # Its host may have been called gone meanwhile, and taken back: watched under
             # another's name it would be silent unheard.
-            leg.host = self.server(leg.host.name)
-            conn.setup = self.now - conn.began
+            leg.host = self.host(leg.host.name)
+            conn.setup = self.now - conn.accepted_at
             self.stand(leg)
-            if self.heir:
+            if self.transfers_enabled:
                 self.busy.append(conn)
-            if conn.opening.held_by is None:
-                self.tell(io.LegAccepted(conn, leg.number, 0))
+            if conn.request.held_by is None:
+                self.queue_event(io.LegAccepted(conn, leg.number, 0))
             self.pass_on(leg, data, len(first) + 1)
         elif ending is Ending.OK:  # it ran, and to its end
             conn.answered = True
@@ -575,51 +587,55 @@
     def pass_on(self, leg, data, skip=0):
         """Lines of a host that is up, on to the client unchanged; some of them tell something."""
         for line in data[skip:].splitlines(keepends=True):
-            load = lines.read_load(line)
+            load = lines.parse_load(line)
             if load is not None:
                 self.load_line(leg, load)
             elif line.rstrip(b"\r\n") in lines.ENDINGS:
                 leg.farewell = lines.ENDINGS[line.rstrip(b"\r\n")]
             else:
-                self.echo(leg, leg.heard.echoed(), self.happened)
+                self.echo(leg, leg.signals.echoed(), self.event_time)
         self.write(leg.conn.client, data)
 
     # What messages take
 
     def wait_for_echo(self, leg):
-        leg.host.waiting.note(leg)
-        self.busy_hosts.note(leg.host)
+        leg.host.waiting.add(leg)
+        self.active_hosts.add(leg.host)
 
     def load_line(self, leg, value):
-        notes = leg.host.notes
-        self.busy_hosts.note(leg.host)  # what is made of it may change as time passes
-        if self.hearing.sends_delay and self.hearing.load_may_be_delay:
+        notes = leg.host.message_delays
+        self.active_hosts.add(leg.host)  # what is made of it may change as time passes
+        if self.host_protocol.sends_delay and self.host_protocol.load_may_be_delay:
             # Where the settings say that loads are not told, such a line can only be the other note: taken
             # for a connection's load, with which each begins elsewhere, no jam was seen at all.
             delay = (
-                notes.delay(
-                    self.now, leg.heard, value, notes.waited(self.now, leg.host.waiting.all())[0], self.usual
+                notes.classify(
+                    self.now,
+                    leg.signals,
+                    value,
+                    notes.silence(self.now, leg.host.waiting.active())[0],
+                    self.usual,
                 )
-                if self.hearing.sends_load
-                else notes.take(self.now, round(value * 1000))
+                if self.host_protocol.sends_load
+                else notes.accept_delay(self.now, round(value * 1000))
             )
-            self.tell_loads(leg.host, notes.mistaken)
-            notes.mistaken.clear()
+            self.tell_loads(leg.host, notes.misread_loads)
+            notes.misread_loads.clear()
             if delay:
-                self.tell(io.DelayReported(leg.conn, delay))
+                self.queue_event(io.DelayReported(leg.conn, delay))
             if delay is not None:
                 return
         self.tell_load(leg, value)
 
     def tell_load(self, leg, value):
-        leg.heard.load = value
+        leg.signals.load = value
         self.usual += (value - self.usual) / 50 if self.usual else value
-        if self.hearing.sends_load:
-            self.tell(io.LoadReported(leg.conn, value))
+        if self.host_protocol.sends_load:
+            self.queue_event(io.LoadReported(leg.conn, value))
 
     def tell_loads(self, host, loads):
         for heard, load in loads:
-            for leg in [leg for leg in host.legs if leg.heard is heard]:
+            for leg in [leg for leg in host.legs if leg.signals is heard]:
                 self.tell_load(leg, load)
 
     def echo(self, leg, sent, back):
@@ -627,37 +643,41 @@
 
         `back`: when it was here.
         """
-        notes = leg.host.notes
-        if sent is None or not self.hearing.sends_delay:
+        notes = leg.host.message_delays
+        if sent is None or not self.host_protocol.sends_delay:
             return
         notes.answered = max(notes.answered, sent)
         delay = max(0, back - sent)
-        late = delay > self.slow_from
+        late = delay > self.slow_threshold
         if (
             late
             and self.now - notes.told_at >= SECOND
             or notes.over
             and not late
-            and not notes.word
-            and (notes.waited(self.now, leg.host.waiting.all())[0] <= self.slow_from)
+            and not notes.reported_delay
+            and (notes.silence(self.now, leg.host.waiting.active())[0] <= self.slow_threshold)
         ):
             self.tell_delay(leg, delay, late)
 
     def tell_delay(self, leg, delay, over):
-        leg.host.notes.told_at, leg.host.notes.over = self.now, over
-        self.tell(io.DelayReported(leg.conn, delay))
+        leg.host.message_delays.told_at, leg.host.message_delays.over = self.now, over
+        self.queue_event(io.DelayReported(leg.conn, delay))
 
     def listen(self):
         """A host that echoes nothing tells by that alone what its messages take, at least."""
-        self.after(LISTEN, self.listen)
+        self.call_later(ECHO_CHECK_INTERVAL, self.listen)
         late = self.own.recent_max(self.now)  # an echo may have lain here so long
-        for host in [host for host in self.busy_hosts.all() if host.legs]:
+        for host in [host for host in self.active_hosts.active() if host.legs]:
             # A client that takes nothing keeps its host from being read, which is no silence of the host's.
-            heard = [leg for leg in host.waiting.all() if not leg.conn.client.writing]
-            waited, leg = host.notes.waited(self.now, heard)
+            heard = [leg for leg in host.waiting.active() if not leg.conn.client.writing_since]
+            waited, leg = host.message_delays.silence(self.now, heard)
             waited = max(0, waited - late)
-            loads = host.notes.lapsed(self.now)
-            claim = host.notes.confirmed(self.now, waited) if self.hearing.sends_delay else None
+            loads = host.message_delays.resolved_loads(self.now)
+            claim = (
+                host.message_delays.confirmed_claim(self.now, waited)
+                if self.host_protocol.sends_delay
+                else None
+            )
             if claim:  # what was taken for a load was none
                 loads.append(claim[1:])
             self.tell_loads(host, loads)
@@ -665,12 +685,13 @@
                 self.tell_delay(leg, claim[0], True)
             # The first word on a silence, then one at half a second, by which the module knows a hang, and
             # then one a second.
-            elif self.hearing.sends_delay and waited >= 3 * self.slow_from:
-                told = host.notes.told_at - (self.now - waited)  # how long it was silent at the last word
-                if self.now - host.notes.told_at >= SECOND or 0 <= told < HANG <= waited:
+            elif self.host_protocol.sends_delay and waited >= 3 * self.slow_threshold:
+                # how long it was silent at the last word
+                told = host.message_delays.told_at - (self.now - waited)
+                if self.now - host.message_delays.told_at >= SECOND or 0 <= told < HANG <= waited:
                     self.tell_delay(leg, waited, True)
             for leg in heard:
-                if leg.heard.waiting and self.now - leg.heard.waiting[0] - min(late, SECOND) > SILENT:
+                if leg.signals.waiting and self.now - leg.signals.waiting[0] - min(late, SECOND) > SILENT:
                     self.move(leg.conn, "silent-host")
 
     # Probes
@@ -680,29 +701,29 @@
 
         One for which there is no room tells nothing of its host.
         """
-        host = self.server(name)
+        host = self.host(name)
         if host.address is None:
-            self.tell(io.ProbeEnded(name, Ending.CONNECT_FAILED))
+            self.queue_event(io.ProbeEnded(name, Ending.CONNECT_FAILED))
         elif (
-            self.probes * PROBES_PART >= self.most_ends
-            or self.ends + 2 > self.most_ends
+            self.probes * PROBES_PART >= self.max_sockets
+            or self.open_sockets + 2 > self.max_sockets
             or self.departure.hurries()
         ):
-            self.tell(io.ProbeEnded(name, Ending.FULL))
+            self.queue_event(io.ProbeEnded(name, Ending.FULL))
         else:
-            self.asking.add(name)
+            self.probing.add(name)
             self.probes += 1
-            self.ends += 1
-            self.out.append(ev.Ask(name, host.address, PROBE_WAIT))
+            self.open_sockets += 1
+            self.effects.append(ev.Probe(name, host.address, PROBE_WAIT))
 
     def asked(self, e):
         self.probes -= 1
-        self.ends -= 1
-        if e.host in self.asking:
-            self.asking.discard(e.host)
+        self.open_sockets -= 1
+        if e.host in self.probing:
+            self.probing.discard(e.host)
             # A node that was late itself may have left the answer lying: no word on the host.
             late = e.ending is Ending.TIMEOUT and self.own.recent_max(self.now)
-            self.tell(probe_ended(e.host, Ending.FULL if late else e.ending, e.waited, e.report))
+            self.queue_event(probe_ended(e.host, Ending.FULL if late else e.ending, e.waited, e.report))
 
     # Ends and moves
 
@@ -711,7 +732,7 @@
         if not conn.up or conn.reason or conn.asked:
             return
         conn.asked = reason
-        if not conn.client.writing and conn is not self.passing:
+        if not conn.client.writing_since and conn is not self.passing:
             self.move_now(conn)
 
     def move_now(self, conn):
@@ -722,15 +743,16 @@
 
     def over(self, e):
         end, conn = e.end, e.end.conn
-        end.reading, end.over = False, not e.how.endswith("-line")  # after what is no line more may come
-        if not end.closing and not end.finish:
-            if end.client:
-                self.client_over(conn, e.how)
+        # after what is no line more may come
+        end.read_pending, end.input_ended = False, not e.cause.endswith("-line")
+        if not end.closing_since and not end.shutdown_when_written:
+            if end.is_client:
+                self.client_over(conn, e.cause)
             else:
-                self.host_over(end.leg, e.how)
-        if not end.over:
+                self.host_over(end.leg, e.cause)
+        if not end.input_ended:
             self.read(end)
-        elif not end.writing:
+        elif not end.writing_since:
             self.free(end)
 
     def client_over(self, conn, how):
@@ -741,13 +763,13 @@
             if conn.up:
                 self.close(conn.client)
             else:
-                self.turn_out(conn, how)
+                self.dismiss(conn, how)
             return
         if conn.up:
             conn.reason = conn.reason or ("client-end" if how == "end" else "client-" + how)
             conn.answered = True
             self.end_leg(conn.legs[-1], Ending.CANCELLED, broken)
-        elif conn.opening is not None:
+        elif conn.request is not None:
             self.leave(conn, "left-in-setup")
         conn.reason = conn.reason or (
             "ping" if conn.pings else "no-first-line" if how in ("end", "reset") else how
@@ -771,42 +793,46 @@
     # Reading, writing, closing
 
     def read(self, end):
-        if not end.reading and not end.over:
-            end.reading = True
-            self.out.append(ev.Drain(end) if end.closing else ev.Read(end))
+        if not end.read_pending and not end.input_ended:
+            end.read_pending = True
+            self.effects.append(ev.DiscardInput(end) if end.closing_since else ev.Read(end))
 
     def write(self, end, data):
         if not end.freed:
-            end.writing = self.now or 1
-            self.busy_conns.note(end.conn)
-            self.out.append(ev.Write(end, data))
+            end.writing_since = self.now or 1
+            self.active_conns.add(end.conn)
+            self.effects.append(ev.Write(end, data))
 
     def wrote(self, e):
         end, conn = e.end, e.end.conn
-        first = e.ok and not end.client and not end.leg.written
+        first = e.ok and not end.is_client and not end.leg.written
         if first:  # also if the leg has ended meanwhile: its host has the line
             end.leg.written = True
             self.counters.backend_calls += 1
-        if end.client and conn.up and self.now - end.writing - self.own.recent_max(self.now) > self.slow_from:
-            conn.legs[-1].heard.waiting.clear()  # echoes were late for want of a reader
-        elif not end.client and end.leg.up and e.at:
-            end.leg.heard.written(end.writing, e.at)
-        end.writing = 0
-        if end.over:
+        if (
+            end.is_client
+            and conn.up
+            and self.now - end.writing_since - self.own.recent_max(self.now) > self.slow_threshold
+        ):
+            conn.legs[-1].signals.waiting.clear()  # echoes were late for want of a reader
+        elif not end.is_client and end.leg.up and e.at:
+            end.leg.signals.written(end.writing_since, e.at)
+        end.writing_since = 0
+        if end.input_ended:
             self.free(end)
-        elif end.closing:
+        elif end.closing_since:
             return
-        elif end.finish:
+        elif end.shutdown_when_written:
             self.close(end)
         elif not e.ok:
-            self.write_failed(end, e.why)
+            self.write_failed(end, e.skip_reason)
         else:
             self.read_on(end, first)
 
     def write_failed(self, end, why):
         """`why`: the reason if an attempt's first line was not begun, else ""."""
         conn = end.conn
-        if end.client:
+        if end.is_client:
             self.client_over(conn, "reset")
         elif why == "client-gone":  # its own end comes as well, perhaps behind much else
             self.client_over(conn, "end")
@@ -822,7 +848,7 @@
         conn = end.conn
         if first:
             self.read(end)
-        elif not end.client:
+        elif not end.is_client:
             self.read(conn.client)  # the next lines only once these are out: nothing piles up here
         elif conn.asked and not conn.reason:
             self.move_now(conn)
@@ -833,34 +859,34 @@
 
     def close(self, end):
         """End the sending; read on to the other's end, or a reset would eat the last line."""
-        if end.closing or end.freed:
+        if end.closing_since or end.freed:
             return
-        if end.writing:
-            end.finish = True
+        if end.writing_since:
+            end.shutdown_when_written = True
             return
-        end.closing = self.now
-        self.busy_conns.note(end.conn)
-        if end.over:
+        end.closing_since = self.now
+        self.active_conns.add(end.conn)
+        if end.input_ended:
             self.free(end)
             return
-        self.out.append(ev.Finish(end))
-        if end.client:
+        self.effects.append(ev.ShutdownWrite(end))
+        if end.is_client:
             self.lingering[end] = None
         self.read(end)
 
     def cut(self, end, broken=False):
         if end.freed:
             return
-        end.closing = end.closing or self.now
-        self.busy_conns.note(end.conn)
+        end.closing_since = end.closing_since or self.now
+        self.active_conns.add(end.conn)
         self.lingering.pop(end, None)
         if end.worker is not None:
-            self.out.append(ev.Cut(end, broken))
+            self.effects.append(ev.Shutdown(end, broken))
         # Its end is noticed by reading: one that was waiting for the other side to take its lines was never
         # given back.
-        if end.client or end.connected:
+        if end.is_client or end.connected:
             self.read(end)
-        if end.over and not end.writing:
+        if end.input_ended and not end.writing_since:
             self.free(end)
 
     def free(self, end):
@@ -868,26 +894,26 @@
             return
         end.freed = True
         self.lingering.pop(end, None)
-        self.ends -= 1
-        self.out.append(ev.Free(end))
-        if end.client:
+        self.open_sockets -= 1
+        self.effects.append(ev.Free(end))
+        if end.is_client:
             self.conns.pop(end.conn, None)
-            self.unopened.pop(end.conn, None)
+            self.awaiting_first_line.pop(end.conn, None)
             self.closed_id(end.conn)
-            self.out.append(ev.Say("closed", self.summary(end.conn)))
+            self.effects.append(ev.Log("closed", self.summary(end.conn)))
 
     def closed_id(self, conn):
-        if conn.opening and self.by_id.get(conn.opening.id) is conn:
-            del self.by_id[conn.opening.id]
-            self.ended_ids[conn.opening.id] = None
+        if conn.request and self.calls_by_id.get(conn.request.id) is conn:
+            del self.calls_by_id[conn.request.id]
+            self.ended_ids[conn.request.id] = None
             if len(self.ended_ids) > ENDED_IDS:
                 del self.ended_ids[next(iter(self.ended_ids))]
 
     def summary(self, conn):
         leg = conn.legs[-1] if conn.legs else None
-        pairs = {"reason": conn.reason or "unknown", "s": (self.now - conn.began) / SECOND}
-        if conn.opening:
-            pairs |= {"call": conn.opening.id, "type": conn.type.name, "legs": len(conn.legs)}
+        pairs = {"reason": conn.reason or "unknown", "s": (self.now - conn.accepted_at) / SECOND}
+        if conn.request:
+            pairs |= {"call": conn.request.id, "type": conn.type.name, "legs": len(conn.legs)}
         if leg:
             pairs["host"] = leg.host.name
         if conn.up:
@@ -896,84 +922,89 @@
 
     def sweep(self):
         """What waits too long, looked at four times a second."""
-        self.after(SWEEP, self.sweep)
+        self.call_later(SWEEP_INTERVAL, self.sweep)
         late = self.own.recent_max(self.now)
-        for conn in self.busy_conns.all():
+        for conn in self.active_conns.active():
             self.sweep_end(conn.client)
             if (
-                conn.opening is None
+                conn.request is None
                 and not conn.reason
-                and self.now - conn.heard_of - late > (COMING if self.departure.stopping else FIRST_WAIT)
+                and self.now - conn.heard_of - late
+                > (COMING if self.departure.stopping else FIRST_LINE_TIMEOUT)
             ):
-                self.turn_out(conn, "ping" if conn.pings else "no-first-line")
+                self.dismiss(conn, "ping" if conn.pings else "no-first-line")
             for leg in conn.legs:
                 if leg.end is not None:
                     self.sweep_end(leg.end)
-        self.counters.hosts_down = self.module.membership.count_unavailable(self.now)
+        self.counters.hosts_down = self.balancer.membership.count_unavailable(self.now)
         if self.departure.stopping:
-            self.pass_to_successor(self.busy)
+            self.transfer(self.busy)
             self.departure.stop_when_done()
 
     def sweep_end(self, end):
         if end.freed:
             return
-        if end.writing and self.now - end.writing - self.own.recent_max(self.now) > STUCK and not end.closing:
-            self.out.append(ev.Say("stuck", {"client": end.client}, "warning"))
-            if end.client:
+        if (
+            end.writing_since
+            and self.now - end.writing_since - self.own.recent_max(self.now) > STUCK
+            and not end.closing_since
+        ):
+            self.effects.append(ev.Log("stuck", {"client": end.is_client}, "warning"))
+            if end.is_client:
                 self.client_over(end.conn, "stuck")
             elif end.leg.up:
                 self.move(end.conn, "host-stuck")
             else:
                 self.host_over(end.leg, "stuck")
-        elif end.closing and self.now - end.closing > LINGER:
-            end.closing = self.now
-            self.out.append(ev.Cut(end))
+        elif end.closing_since and self.now - end.closing_since > LINGER:
+            end.closing_since = self.now
+            self.effects.append(ev.Shutdown(end))
 
     # The list
 
-    def server(self, name):
-        if name not in self.servers:
-            self.servers[name] = Server(name, Notes(self.slow_from), number=self.next_number())
-        return self.servers[name]
+    def host(self, name):
+        if name not in self.hosts:
+            self.hosts[name] = Host(name, MessageDelays(self.slow_threshold), number=self.next_number())
+        return self.hosts[name]
 
-    def heard(self, e):
+    def list_received(self, e):
         for name, address in e.addresses.items():
-            self.server(name).address = address
-        self.listed = self.listed or any(entry.state is io.HostState.UP for entry in e.listed.entries)
-        self.tell(e.listed)
+            self.host(name).address = address
+        self.has_hosts = self.has_hosts or any(entry.state is io.HostState.UP for entry in e.update.entries)
+        self.queue_event(e.update)
         # Weights that move come each second; what is said of the list is who came, left or began anew.
         new = [
             entry
-            for entry in e.listed.entries
+            for entry in e.update.entries
             if not entry.equals_except_weight(self.entries.get(entry.host, NOT_LISTED))
         ]
         self.entries.update((entry.host, entry) for entry in new)
-        gone = {entry.host for entry in e.listed.entries if entry.state is io.HostState.GONE}
-        if e.listed.kind is not io.ListUpdateKind.CHANGES:
-            gone |= self.servers.keys() - e.addresses.keys()
+        gone = {entry.host for entry in e.update.entries if entry.state is io.HostState.GONE}
+        if e.update.kind is not io.ListUpdateKind.CHANGES:
+            gone |= self.hosts.keys() - e.addresses.keys()
         for name in gone:
             self.entries.pop(name, None)
-            server = self.servers.get(name)  # None: gone before it was ever heard of
+            server = self.hosts.get(name)  # None: gone before it was ever heard of
             if server is not None:
                 server.address = None
                 if not server.legs:
-                    del self.servers[name]
+                    del self.hosts[name]
         self.counters.hosts_listed = len(self.entries)
-        if new or gone or e.listed.kind is not io.ListUpdateKind.CHANGES:
-            self.out.append(
-                ev.Say(
+        if new or gone or e.update.kind is not io.ListUpdateKind.CHANGES:
+            self.effects.append(
+                ev.Log(
                     "list",
                     {
-                        "news": e.listed.kind.name.lower(),
-                        "version": e.listed.version,
-                        "entries": len(e.listed.entries),
+                        "news": e.update.kind.name.lower(),
+                        "version": e.update.version,
+                        "entries": len(e.update.entries),
                     },
                 )
             )
 
     def list_failed(self, e):
-        if self.begin.server_list.polled:  # the others are not told, and keep the last list
-            self.tell(io.ListUpdate(io.ListUpdateKind.FAILED, took=e.took))
+        if self.config.server_list.polled:  # the others are not told, and keep the last list
+            self.queue_event(io.ListUpdate(io.ListUpdateKind.FAILED, took=e.took))
 
     # Other settings, and the next process
 
@@ -983,37 +1014,37 @@
         Clients that stand and calls that are open keep the type, and the
         limit on legs, that they opened under.
         """
-        self.names, self.hearing = e.names, e.hearing
-        self.tune(e.begin)
-        for host in self.servers.values():
-            host.notes.slow_from = self.slow_from
+        self.names, self.host_protocol = e.names, e.host_protocol
+        self.tune(e.config)
+        for host in self.hosts.values():
+            host.message_delays.slow_threshold = self.slow_threshold
         self.counters.reconfig_ok += 1
-        self.tell(io.Reconfigured(e.begin))
+        self.queue_event(io.Reconfigured(e.config))
 
     def not_retuned(self, e):
         self.counters.reconfig_failed += 1
 
     def inherit(self, e):
-        self.ended_ids.update(dict.fromkeys(e.handed.ids))
-        self.tell(io.Inherited(e.handed.records, e.handed.sent))
-        if e.handed.draining:
-            self.departure.drain(ev.DrainAsked(True))
+        self.ended_ids.update(dict.fromkeys(e.state.ids))
+        self.queue_event(io.Inherited(e.state.records, e.state.sent))
+        if e.state.draining:
+            self.departure.drain(ev.DrainRequested(True))
 
     def hand_over(self, e):
         """The room that is free is shared with the successor until one of the two is alone."""
-        free = max(0, self.most_ends - self.ends)
-        self.most_ends -= free // 2
-        e.give(
+        free = max(0, self.max_sockets - self.open_sockets)
+        self.max_sockets -= free // 2
+        e.reply(
             handover.snapshot(
-                self.module,
+                self.balancer,
                 self.now,
                 room=free // 2,
                 draining=bool(self.departure.draining),
-                ids=tuple(self.by_id),
+                ids=tuple(self.calls_by_id),
             )
         )
 
-    def pass_to_successor(self, conns):
+    def transfer(self, conns):
         """These standing connections are for a successor, if there is one."""
         self.to_pass.extend(conns)
         self.busy.clear()
@@ -1026,43 +1057,43 @@
             leg, ends = conn.legs[-1], (conn.client, conn.legs[-1].end)
             if conn.reason or conn.asked:
                 continue
-            if leg.farewell or any(end.writing or not end.reading for end in ends):
+            if leg.farewell or any(end.writing_since or not end.read_pending for end in ends):
                 self.busy.append(conn)
                 continue
-            opening, self.passing = conn.opening, conn
-            self.out.append(
-                ev.Pass(
+            opening, self.passing = conn.request, conn
+            self.effects.append(
+                ev.Transfer(
                     conn,
                     *ends,
                     handover.OpenConnection(
                         opening.id,
                         conn.type.name,
                         leg.host.name,
-                        conn.began,
+                        conn.accepted_at,
                         conn.setup,
                         opening.key,
                         opening.group,
                         opening.tenant,
-                        leg.heard.load,
-                        tuple(leg.heard.waiting),
+                        leg.signals.load,
+                        tuple(leg.signals.waiting),
                     ),
                 )
             )
 
     def passed(self, e):
         conn, self.passing = e.conn, None
-        if e.taken:
+        if e.accepted:
             leg = conn.legs[-1]
             conn.answered, conn.reason, leg.ended = True, "handed-over", True
             self.leave_host(leg)
-            self.tell(io.LegEnded(conn, leg.number, Ending.OK, True))
-            self.most_ends -= 2  # its room goes with it
+            self.queue_event(io.LegEnded(conn, leg.number, Ending.OK, True))
+            self.max_sockets -= 2  # its room goes with it
             for end in (leg.end, conn.client):
-                end.reading, end.over = False, True
+                end.read_pending, end.input_ended = False, True
                 self.free(end)
         elif conn.asked:  # meanwhile
             self.move_now(conn)
-        elif e.again:
+        elif e.retry:
             self.busy.append(conn)
         self.pass_next()
 
@@ -1070,22 +1101,22 @@
         """It goes on here as if it had been opened here, under the type of the same
         name; it was counted where it was opened.
         """
-        one = e.standing
+        one = e.connection
         number = self.names.types.get(one.type)
-        if number is None or one.id in self.by_id or self.departure.stopping:
+        if number is None or one.id in self.calls_by_id or self.departure.stopping:
             for end in (e.client, e.host):
                 end.freed = True
-                self.out.append(ev.Free(end))
-            e.give(False)
+                self.effects.append(ev.Free(end))
+            e.reply(False)
             return
-        opening = lines.Opening(
+        opening = lines.OpenRequest(
             b"", one.id, number, 0, one.key, one.group, one.tenant, one.load, held_by=one.host
         )
         conn = Conn(
             e.client,
             one.began,
             opening,
-            self.begin.types[number],
+            self.config.types[number],
             up=True,
             setup=one.setup,
             counted=True,
@@ -1094,15 +1125,15 @@
         leg = Leg(
             conn,
             0,
-            self.server(one.host),
+            self.host(one.host),
             0,
             end=e.host,
             begun=True,
             written=True,
             up=True,
-            heard=Heard(load=one.load),
+            signals=ConnectionSignals(load=one.load),
         )
-        leg.heard.waiting.extend(one.waiting)
+        leg.signals.waiting.extend(one.waiting)
         conn.legs.append(leg)
         e.client.conn = e.host.conn = conn
         e.host.leg, e.host.connected = leg, True
@@ -1111,12 +1142,14 @@
         if one.waiting:
             self.wait_for_echo(leg)
         self.ended_ids.pop(one.id, None)  # the predecessor told it with the others that were open
-        self.by_id[one.id] = conn
-        self.ends += 2
-        self.tell(io.CallArrived(conn, number, 0, one.key, one.group, one.tenant, one.load, held_by=one.host))
+        self.calls_by_id[one.id] = conn
+        self.open_sockets += 2
+        self.queue_event(
+            io.CallArrived(conn, number, 0, one.key, one.group, one.tenant, one.load, held_by=one.host)
+        )
         if one.load:
             self.tell_load(leg, one.load)
         for end in (e.client, e.host):
             self.read(end)
-        self.out.append(ev.Say("adopted", {"call": one.id, "type": one.type, "host": one.host}))
-        e.give(True)
+        self.effects.append(ev.Log("adopted", {"call": one.id, "type": one.type, "host": one.host}))
+        e.reply(True)
--- a/cottonspread/net/workers.py
+++ b/cottonspread/net/workers.py
@@ -81,15 +81,15 @@
                     self.read()
                     if isinstance(order, ev.Read)
                     else self.drain()
-                    if isinstance(order, ev.Drain)
+                    if isinstance(order, ev.DiscardInput)
                     else self.connect(order)
                 )
             except Exception:  # our own fault: in plain sight, and the connection ends
                 log.exception("fault", extra={"pairs": {"while": type(order).__name__}})
                 said = (
-                    ev.Connected(self.end, False)
+                    ev.ConnectDone(self.end, False)
                     if isinstance(order, ev.Connect)
-                    else ev.Over(self.end, "fault")
+                    else ev.ReadEnded(self.end, "fault")
                 )
             if said is not None:
                 self.post(said)
@@ -97,29 +97,29 @@
     def connect(self, order):
         sock = self.sock
         try:
-            sock.settimeout(max(0.001, order.wait / 1e6))
+            sock.settimeout(max(0.001, order.timeout / 1e6))
             sock.connect(order.address)
             prepare(sock)
-            return ev.Connected(self.end, True)
+            return ev.ConnectDone(self.end, True)
         except OSError as fault:
-            return ev.Connected(self.end, False, errno.errorcode.get(fault.errno, type(fault).__name__))
+            return ev.ConnectDone(self.end, False, errno.errorcode.get(fault.errno, type(fault).__name__))
 
     def read(self):
         if self.gatherer is None:
-            self.gatherer = lines.Gatherer(self.sock, self.pool, HALF_LINE_WAIT)
+            self.gatherer = lines.LineReader(self.sock, self.pool, HALF_LINE_WAIT)
         try:
-            data = self.gatherer.lines()
+            data = self.gatherer.read_lines()
             return (
-                ev.Got(self.end, data, self.gatherer.filled > 0, self.clock() - self.gatherer.age)
+                ev.LinesRead(self.end, data, self.gatherer.filled > 0, self.clock() - self.gatherer.age)
                 if data
-                else (ev.Over(self.end, "end"))
+                else (ev.ReadEnded(self.end, "end"))
             )
         except lines.SocketReleasedError:
             return None
         except lines.LineError as fault:
-            return ev.Over(self.end, str(fault))
+            return ev.ReadEnded(self.end, str(fault))
         except OSError:
-            return ev.Over(self.end, "reset")
+            return ev.ReadEnded(self.end, "reset")
 
     def drain(self):
         """To the other side's end, at a bounded pace: who sends on at full speed keeps no reader busy.
@@ -143,7 +143,7 @@
                 look.poll(CUT_WAIT)
         except OSError:
             pass
-        return ev.Over(self.end, "end")
+        return ev.ReadEnded(self.end, "end")
 
     def empty(self):
         """From another thread, as the process ends: what lies here unread is dropped."""
@@ -199,15 +199,15 @@
         """
         began, data = time.monotonic(), b""
         try:
-            with socket.create_connection(order.address, timeout=order.wait / 1e6) as sock:
+            with socket.create_connection(order.address, timeout=order.timeout / 1e6) as sock:
                 sock.sendall(lines.STATS)
-                while not data.endswith(b"\n") and len(data) < lines.LONGEST_REPORT:
-                    sock.settimeout(max(0.001, order.wait / 1e6 - (time.monotonic() - began)))
-                    got = sock.recv(lines.LONGEST_REPORT)
+                while not data.endswith(b"\n") and len(data) < lines.MAX_REPORT_BYTES:
+                    sock.settimeout(max(0.001, order.timeout / 1e6 - (time.monotonic() - began)))
+                    got = sock.recv(lines.MAX_REPORT_BYTES)
                     if not got:
                         raise ConnectionResetError
                     data += got
-            ending, report = lines.read_report(data)
+            ending, report = lines.parse_probe_answer(data)
         except TimeoutError:
             ending, report = Ending.TIMEOUT, {}
         except OSError as fault:
@@ -219,28 +219,28 @@
                 errno.EADDRNOTAVAIL,
             )
             ending, report = Ending.FULL if ours else Ending.CONNECT_FAILED, {}
-        self.post(ev.Asked(order.host, ending, report, round((time.monotonic() - began) * 1e6)))
+        self.post(ev.ProbeDone(order.host, ending, report, round((time.monotonic() - began) * 1e6)))
 
     def carry_out(self, effect):
-        if isinstance(effect, ev.Ask):
+        if isinstance(effect, ev.Probe):
             try:
                 start_thread(self.ask, effect)
             except RuntimeError:  # no thread is to be had; as below, by way of the writer
-                self.writes.put(ev.Asked(effect.host, Ending.FULL, {}))
+                self.writes.put(ev.ProbeDone(effect.host, Ending.FULL, {}))
             return
         if isinstance(effect, ev.Connect):
             try:
                 sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
             except OSError as fault:
                 # By way of the writer: the reducer's own thread may not wait for room in its queue.
-                self.writes.put(ev.Connected(effect.end, False, errno.errorcode.get(fault.errno, "socket")))
+                self.writes.put(ev.ConnectDone(effect.end, False, errno.errorcode.get(fault.errno, "socket")))
                 return
             if not self.begin(effect.end, sock):
                 sock.close()
-                self.writes.put(ev.Connected(effect.end, False, "no-thread"))
+                self.writes.put(ev.ConnectDone(effect.end, False, "no-thread"))
                 return
             effect.end.worker.orders.put(effect)
-        elif isinstance(effect, (ev.Read, ev.Drain)):
+        elif isinstance(effect, (ev.Read, ev.DiscardInput)):
             if effect.end.worker is not None:
                 effect.end.worker.orders.put(effect)
         else:
@@ -252,10 +252,10 @@
             if effect is None:  # the node is done
                 self.written()
                 return
-            if isinstance(effect, (ev.Connected, ev.Asked)):
+            if isinstance(effect, (ev.ConnectDone, ev.ProbeDone)):
                 self.post(effect)
                 continue
-            if isinstance(effect, ev.Quit):
+            if isinstance(effect, ev.DiscardUnread):
                 for worker in list(self.live):
                     worker.empty()
                 continue
@@ -266,23 +266,23 @@
                 self.write_one(worker, effect)
             except (OSError, RuntimeError):  # the other side was first, or no thread is to be had
                 if isinstance(effect, ev.Write):
-                    self.post(ev.Written(effect.end, False))
+                    self.post(ev.WriteDone(effect.end, False))
 
     def write_one(self, worker, effect):
         """One order that belongs to an end: what is to be sent, or how its sending ends."""
         if isinstance(effect, ev.Write):
-            why = self.must_not_begin(effect) if effect.attempt else ""
+            why = self.must_not_begin(effect) if effect.first_line else ""
             if why:
-                self.post(ev.Written(effect.end, False, why=why))
+                self.post(ev.WriteDone(effect.end, False, skip_reason=why))
             else:
                 self.write(worker.sock, effect)
         elif isinstance(effect, ev.Free):  # behind the others: no order may meet a number used again
-            if worker.gatherer is not None and worker.gatherer.gone:
+            if worker.gatherer is not None and worker.gatherer.released:
                 worker.sock.close()  # its thread looks up only when something comes to the new owner
             worker.orders.put(effect)
-        elif isinstance(effect, ev.Finish):
+        elif isinstance(effect, ev.ShutdownWrite):
             worker.sock.shutdown(socket.SHUT_WR)
-        elif effect.broken:
+        elif effect.reset:
             worker.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
             worker.sock.shutdown(socket.SHUT_RD)  # wakes its reader; the reset goes out at the close
         else:
@@ -299,7 +299,7 @@
                 return "client-gone"
         except OSError:  # given back just now
             return "client-gone"
-        return "too-late" if effect.by and self.clock() >= effect.by else ""
+        return "too-late" if effect.send_by and self.clock() >= effect.send_by else ""
 
     def write(self, sock, effect):
         try:
@@ -307,7 +307,7 @@
         except BlockingIOError:
             sent = 0
         if sent == len(effect.data):
-            self.post(ev.Written(effect.end, True, self.clock()))
+            self.post(ev.WriteDone(effect.end, True, self.clock()))
         else:  # no slow peer holds up the others
             start_thread(self.write_slowly, sock, effect, sent)
 
@@ -317,4 +317,4 @@
             ok = True
         except OSError:
             ok = False
-        self.post(ev.Written(effect.end, ok, self.clock()))
+        self.post(ev.WriteDone(effect.end, ok, self.clock()))
--- a/tests/configstore/test_shell_section.py
+++ b/tests/configstore/test_shell_section.py
@@ -86,7 +86,7 @@
     for faulty, said in (("{", "invalid JSON"), ("[]", "not an object"), ('{"settings": {}}', "missing")):
         ok, why = serving.apply_published(node, active, faulty)
         assert not ok and said in why
-    assert node.retuned == ["second"] and node.hastened == [ev.NotRetuned] * 3
+    assert node.retuned == ["second"] and node.hastened == [ev.ReloadRejected] * 3
     assert serving.reload(node, active) == "" and node.retuned == ["second"] * 2, (
         "SIGHUP keeps what is carried"
     )
--- a/tests/crossings/standins.py
+++ b/tests/crossings/standins.py
@@ -212,7 +212,7 @@
 
 
 def listed(node, version=None):
-    node.seen.wait(ev.Heard, lambda e: e.listed.entries and version in (None, e.listed.version))
+    node.seen.wait(ev.ListReceived, lambda e: e.update.entries and version in (None, e.update.version))
 
 
 def client(node, *lines):
--- a/tests/crossings/test_attempts.py
+++ b/tests/crossings/test_attempts.py
@@ -21,7 +21,7 @@
         post = node.workers.post
 
         def late(event):
-            if isinstance(event, ev.Over) and event.end.client:
+            if isinstance(event, ev.ReadEnded) and event.end.is_client:
                 kept.wait(10)
             post(event)
 
@@ -33,13 +33,13 @@
         assert gate.here.wait(10)
         one.close(how)
         until(
-            lambda: any(workers.gone(w.sock) for w in list(node.workers.live) if w.end.client),
+            lambda: any(workers.gone(w.sock) for w in list(node.workers.live) if w.end.is_client),
             "the client's end is not here",
         )
         gate.open.set()
         first = next(host for host in hosts if host.waits())
         assert first.take().rest() == b"", "sent for nobody"
-        node.seen.wait(ev.Written, lambda e: e.why == "client-gone")
+        node.seen.wait(ev.WriteDone, lambda e: e.skip_reason == "client-gone")
         kept.set()
         until(lambda: node.ended["left-in-setup"] == 1, "not ended")
         assert not any(host.waits() for host in hosts)
@@ -50,11 +50,11 @@
     gate, told = Gate(), threading.Semaphore(0)
 
     def before(node):
-        node.reducer.handlers[ev.NotRetuned] = lambda e: gate.wait()
+        node.reducer.handlers[ev.ReloadRejected] = lambda e: gate.wait()
         post = node.workers.post
 
         def counted(event):
-            if isinstance(event, ev.Got):
+            if isinstance(event, ev.LinesRead):
                 told.release()
             post(event)
 
@@ -62,7 +62,7 @@
 
     with running(agent, before, sockets=1024) as node:
         listed(node)
-        node.hasten(ev.NotRetuned())
+        node.hasten(ev.ReloadRejected())
         assert gate.here.wait(10)
         many = [client(node, opening(n)) for n in range(150)]
         until(lambda: len(node.workers.live) == len(many), "not all accepted")
@@ -183,14 +183,14 @@
     gate = Gate()
 
     def before(node):
-        node.reducer.handlers[ev.NotRetuned] = lambda e: gate.wait()
+        node.reducer.handlers[ev.ReloadRejected] = lambda e: gate.wait()
 
     with running(agent, before) as node:
         listed(node)
         one = client(node, opening(1, "once", wait=300))
         peer = serve(hosts)
         assert peer.line.startswith(b"OPEN ")
-        node.hasten(ev.NotRetuned())
+        node.hasten(ev.ReloadRejected())
         assert gate.here.wait(10)
         began = node.clock.now()
         peer.say(b"UP r")
@@ -233,7 +233,7 @@
         until(lambda: any(h.waits() for h in hosts), "nobody came")
         first, other = sorted(hosts, key=lambda h: not h.waits())
         peer = first.take()
-        node.seen.wait(ev.Written, lambda e: not e.end.client)
+        node.seen.wait(ev.WriteDone, lambda e: not e.end.is_client)
         peer.close(how)
         assert one.hear() == b"ERR" and one.hear() == b""
         assert not other.waits()
--- a/tests/crossings/test_closing.py
+++ b/tests/crossings/test_closing.py
@@ -54,7 +54,7 @@
 ):
     """The node closes one who said nothing; its line is here before the close, or right after it."""
     gate = Gate()
-    monkeypatch.setattr(admission, "FIRST_WAIT", 100_000)
+    monkeypatch.setattr(admission, "FIRST_LINE_TIMEOUT", 100_000)
 
     def before(node):
         turn_away = node.turn_away
@@ -78,7 +78,7 @@
 def test_a_request_that_crosses_the_end_of_a_connection_that_rests_after_a_ping(hosts, agent, monkeypatch):
     """The same where the reducer knows the client already."""
     gate = Gate()
-    monkeypatch.setattr(reducer, "FIRST_WAIT", 100_000)
+    monkeypatch.setattr(reducer, "FIRST_LINE_TIMEOUT", 100_000)
 
     def before(node):
         finish = node.workers.carry_out
@@ -175,7 +175,7 @@
         assert one.hear() == b"ERR"
         peer.sock.sendall(b"UP r\r\n" * 10)
         assert one.hear() == b""
-        until(lambda: not node.reducer.ends, "a descriptor is kept")
+        until(lambda: not node.reducer.open_sockets, "a descriptor is kept")
 
 
 @pytest.mark.parametrize("answer", (b"UP r\r\n", b""))
@@ -192,7 +192,7 @@
             pass
         assert one.rest() in (b"ERR\r\n", b"UP r\r\n")
         one.close()
-        until(lambda: not node.reducer.ends, "a descriptor is kept")
+        until(lambda: not node.reducer.open_sockets, "a descriptor is kept")
 
 
 def test_a_descriptor_that_is_used_again_meets_no_order_for_the_one_before(hosts, agent):
--- a/tests/crossings/test_floods.py
+++ b/tests/crossings/test_floods.py
@@ -88,7 +88,7 @@
         peer = serve(hosts)
         peer.say(b"UP r")
         assert usual.hear() == b"UP r"
-        came = [event for event in node.seen.told if isinstance(event, ev.Came)]
+        came = [event for event in node.seen.told if isinstance(event, ev.ClientAccepted)]
         assert len(came) == 1
         assert client(node, b"PING").hear() == b"PONG"
         for one in crowd:
@@ -146,7 +146,7 @@
 )
 def test_any_first_line_is_read_or_turned_down(line):
     try:
-        read = lines.read_opening(line.split(b"\n")[0] + b"\n", NAMES.types, {}, True, 10_000_000)
+        read = lines.parse_open(line.split(b"\n")[0] + b"\n", NAMES.types, {}, True, 10_000_000)
         assert 0 <= read.wait <= 10_000_000 and read.type == 0 and not set(read.id) & set(" \r\n\0")
     except lines.LineError as fault:
         assert str(fault)
@@ -155,10 +155,10 @@
 @profile(max_examples=300, deadline=None)
 @given(st.binary(max_size=60), st.binary(max_size=10))
 def test_any_answer_of_a_host_is_up_or_some_ending(line, rest):
-    ending = lines.read_answer(line, rest)
+    ending = lines.parse_answer(line, rest)
     assert ending is None or isinstance(ending, type(lines.ENDINGS[b"BYE"]))
-    assert lines.read_load(line) is None or lines.read_load(line) >= 0
-    lines.read_report(line)
+    assert lines.parse_load(line) is None or lines.parse_load(line) >= 0
+    lines.parse_probe_answer(line)
 
 
 @profile(max_examples=100, deadline=None)
@@ -167,12 +167,12 @@
     data = b"OPEN a b c=d,d=1\r\nM 1 \x00\xff\r\n" + tail.replace(b"\n", b"") + b"\r\n"
     ours, theirs = socket.socketpair()
     with ours, theirs:
-        gatherer, got, at = lines.Gatherer(ours, BufferPool(), 1), b"", 0
+        gatherer, got, at = lines.LineReader(ours, BufferPool(), 1), b"", 0
         for cut in cuts + [len(data)]:
             theirs.sendall(data[at : at + cut])
             at = min(len(data), at + cut)
             while data.rfind(b"\n", 0, at) + 1 > len(got):
-                got += gatherer.lines()
+                got += gatherer.read_lines()
         assert got == data and gatherer.buffer is None
 
 
@@ -325,7 +325,7 @@
     assert said.startswith("cottonspread: settings.") and said.count("\n") == 1
     with running(agent) as node:
         listed(node)
-        begin, told_before = node.reducer.begin, len(node.seen.told)
+        begin, told_before = node.reducer.config, len(node.seen.told)
         active = type(
             "Force",
             (),
@@ -335,8 +335,8 @@
             },
         )()
         cli.node.reload(node, active)
-        node.seen.wait(ev.NotRetuned)
-        assert node.reducer.begin is begin and len(node.seen.told) > told_before
+        node.seen.wait(ev.ReloadRejected)
+        assert node.reducer.config is begin and len(node.seen.told) > told_before
 
 
 def test_names_may_hold_what_a_name_may_hold(hosts):
--- a/tests/crossings/test_list.py
+++ b/tests/crossings/test_list.py
@@ -134,7 +134,7 @@
         agent.change(hosts[0], "Terminating")
         listed(node, agent.version)
         assert time.monotonic() - began < TOLD + ROOM
-        assert all(e.listed.entries for e in node.seen.told if isinstance(e, ev.Heard)), (
+        assert all(e.update.entries for e in node.seen.told if isinstance(e, ev.ListReceived)), (
             "nobody is ever dropped on a bad word"
         )
         one = client(node, opening(1))
@@ -187,8 +187,8 @@
     with running(agent) as node:
         listed(node)
         assert len(node.reducer.entries) == 2
-        heard = [e for e in node.seen.told if isinstance(e, ev.Heard)]
-        assert all(len(e.listed.entries) in (0, 2) for e in heard)
+        heard = [e for e in node.seen.told if isinstance(e, ev.ListReceived)]
+        assert all(len(e.update.entries) in (0, 2) for e in heard)
 
 
 def test_a_new_process_asks_before_it_believes_what_it_knew(hosts, agent):
@@ -221,7 +221,7 @@
 def test_a_new_process_serves_from_what_it_knew_while_discovery_is_down(hosts, agent, scaled, fault):
     agent.always = fault
     with running(agent, known=[hosts[0].entry | {"lifecycle": "Ready"}]) as node:
-        until(lambda: node.reducer.listed, "not ready")
+        until(lambda: node.reducer.has_hosts, "not ready")
         assert client(node, b"PING").hear() == b"PONG"
         one = client(node, opening(1))
         peer = hosts[0].take()
@@ -254,7 +254,7 @@
         node.follow(second.address)
         node.follow(third.address)
         node.seen.wait(
-            ev.Heard, lambda e: {entry.host for entry in e.listed.entries} == {"s-1", "s-2", "s-3"}
+            ev.ListReceived, lambda e: {entry.host for entry in e.update.entries} == {"s-1", "s-2", "s-3"}
         )
         third.change(hosts[0], "Terminating")
         listed(node, 4)
@@ -291,7 +291,7 @@
         first = agent.calls.get(timeout=WAIT)
         watch = watching(agent)
         assert "since=" not in first.path and "since=1" in watch.path
-        node.seen.wait(ev.Heard, lambda e: e.listed.entries)
+        node.seen.wait(ev.ListReceived, lambda e: e.update.entries)
         assert not any(isinstance(e, ev.ListFailed) for e in node.seen.told)
 
 
@@ -400,7 +400,7 @@
         agent.scripted.put(falls_silent)
         agent.change(hosts[1], "Ready")
         node.seen.wait(
-            ev.Heard, lambda e: any(one.state is io.HostState.DRAINING for one in e.listed.entries)
+            ev.ListReceived, lambda e: any(one.state is io.HostState.DRAINING for one in e.update.entries)
         )
         assert len(silences) == 1
         one = client(node, opening(1))
--- a/tests/crossings/test_pieces.py
+++ b/tests/crossings/test_pieces.py
@@ -55,7 +55,7 @@
         one = client(node)
         piece(node, one, LINE[:cut])
         node.stop()
-        node.seen.wait(ev.StopAsked)
+        node.seen.wait(ev.StopRequested)
         one.sock.sendall(LINE[cut:])
         assert one.hear().startswith(b"BUSY") and one.hear() == b"" and not one.broken()
         assert not any(host.waits() for host in hosts)
@@ -65,7 +65,7 @@
 def retuned(node, agent, **more):
     parts = config.read_node(settings(agent, settings=SETTINGS | more), {})
     node.retune(*parts[:-1])
-    node.seen.wait(ev.Retuned)
+    node.seen.wait(ev.SettingsReloaded)
 
 
 @pytest.mark.parametrize("cut", (1, len(LINE) // 2, len(LINE) - 1))
--- a/tests/crossings/test_shutdown.py
+++ b/tests/crossings/test_shutdown.py
@@ -94,7 +94,10 @@
 
         def what():
             late.append(client(node, opening(1)))
-            until(lambda: any(isinstance(e[1], ev.Came) for e in list(node.events.queue)), "not accepted")
+            until(
+                lambda: any(isinstance(e[1], ev.ClientAccepted) for e in list(node.events.queue)),
+                "not accepted",
+            )
 
         at_the_end(monkeypatch, node, what)
         node.stop()
@@ -122,7 +125,7 @@
         before = client(node, opening(1))
         peer = serve(hosts)
         node.stop()
-        node.seen.wait(ev.StopAsked)
+        node.seen.wait(ev.StopRequested)
         after = client(node, opening(2))
         clean_end(after, b"BUSY")
         peer.say(b"UP r")
@@ -194,11 +197,11 @@
     gate = Gate()
 
     def before(node):
-        node.reducer.handlers[ev.NotRetuned] = lambda e: gate.wait()
+        node.reducer.handlers[ev.ReloadRejected] = lambda e: gate.wait()
 
     with running(agent, before) as node:
         listed(node)
-        node.hasten(ev.NotRetuned())
+        node.hasten(ev.ReloadRejected())
         assert gate.here.wait(WAIT)
         while True:
             try:
@@ -210,12 +213,12 @@
         asked.join(WAIT)
         assert not asked.is_alive(), "the one who asks is held up"
         gate.open.set()
-        node.seen.wait(ev.StopAsked)
+        node.seen.wait(ev.StopRequested)
         told = node.seen.told
         assert (
             sum(
                 isinstance(e, ev.Tick)
-                for e in told[: next(n for n, e in enumerate(told) if isinstance(e, ev.StopAsked))]
+                for e in told[: next(n for n, e in enumerate(told) if isinstance(e, ev.StopRequested))]
             )
             < 100
         )
@@ -227,18 +230,18 @@
         one, peer = standing(node, hosts)
         began = node.clock.now()
         node.stop()
-        node.seen.wait(ev.StopAsked)
-        node.hasten(ev.DrainAsked(True))
+        node.seen.wait(ev.StopRequested)
+        node.hasten(ev.DrainRequested(True))
         node.retune(
             node.endpoints,
             node.resource_limits,
             node.discovery.names,
-            node.reducer.hearing,
-            node.reducer.begin,
+            node.reducer.host_protocol,
+            node.reducer.config,
         )
         node.follow(node.endpoints.discovery, True)
         node.stop()
-        node.hasten(ev.DrainAsked(False))
+        node.hasten(ev.DrainRequested(False))
         clean_end(one, b"MOVE")
         one.close()
         assert node.join(WAIT)
@@ -259,7 +262,7 @@
 
     kept = {number: signal.getsignal(number) for number in (signal.SIGHUP, signal.SIGTERM, signal.SIGINT)}
     monkeypatch.setattr(command.ActiveConfiguration, "read", reading)
-    monkeypatch.setattr(command.logfmt, "start", lambda *_, **__: lambda: None)
+    monkeypatch.setattr(command.logfmt, "configure", lambda *_, **__: lambda: None)
     try:
         assert cli.main(["serve", "--config", str(file)]) == 0
     finally:
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -143,7 +143,7 @@
     ],
 )
 def test_the_type_of_a_call_turned_away_at_the_door_is_read(line, name):
-    assert lines.type_named(line) == name
+    assert lines.traffic_type_name(line) == name
 
 
 # A node with such an address
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -21,8 +21,8 @@
 from cottonspread.net import discovery, lines, logfmt, workers
 from cottonspread.net import events as ev
 from cottonspread.net.http import HttpClient, ResponseError
+from cottonspread.net.message_delays import ConnectionSignals, MessageDelays
 from cottonspread.net.node import Node, grow_table
-from cottonspread.net.notes import Heard, Notes
 from cottonspread.net.pool import BUFFER_SIZE, BufferPool
 from cottonspread.net.workers import WIDE, Workers, start_thread
 
@@ -42,15 +42,17 @@
 def test_lines_come_whole_and_idle_connections_hold_no_buffer():
     ours, theirs = pair()
     pool = BufferPool()
-    gatherer = lines.Gatherer(ours, pool, 1)
+    gatherer = lines.LineReader(ours, pool, 1)
     theirs.sendall(b"one\r\ntwo\r\nthr")
-    assert gatherer.lines() == b"one\r\ntwo\r\n" and gatherer.filled == 3
+    assert gatherer.read_lines() == b"one\r\ntwo\r\n" and gatherer.filled == 3
     theirs.sendall(b"ee\r\n")
     assert (
-        gatherer.lines() == b"three\r\n" and gatherer.buffer is None and pool.allocated == 1 == len(pool.free)
+        gatherer.read_lines() == b"three\r\n"
+        and gatherer.buffer is None
+        and pool.allocated == 1 == len(pool.free)
     )
     theirs.close()
-    assert gatherer.lines() == b""
+    assert gatherer.read_lines() == b""
 
 
 @pytest.mark.parametrize("sent, reason", [(b"x" * BUFFER_SIZE, "long-line"), (b"half", "half-line")])
@@ -59,18 +61,18 @@
     theirs.sendall(sent)
     theirs.shutdown(socket.SHUT_WR)
     with pytest.raises(lines.LineError, match=reason):
-        lines.Gatherer(ours, BufferPool(), 1).lines()
+        lines.LineReader(ours, BufferPool(), 1).read_lines()
 
 
 def test_the_longest_line_passes():
     ours, theirs = pair()
     theirs.sendall(b"x" * (BUFFER_SIZE - 2) + b"\r\n")
-    assert len(lines.Gatherer(ours, BufferPool(), 1).lines()) == BUFFER_SIZE
+    assert len(lines.LineReader(ours, BufferPool(), 1).read_lines()) == BUFFER_SIZE
 
 
 def test_the_first_line_goes_on_unchanged_but_for_d():
     line = b"OPEN 9b1f 7f3a c=chat,d=2000,id=7,g=5c\r\n"
-    assert lines.onward(line, 301_900) == line.replace(b"d=2000", b"d=301")
+    assert lines.open_for_host(line, 301_900) == line.replace(b"d=2000", b"d=301")
 
 
 def test_the_table_of_descriptors_has_its_size_before_there_are_threads():
@@ -82,12 +84,12 @@
     assert int(size.split()[1]) >= 3000
 
 
-# Notes
+# MessageDelays
 
 
 def test_words_on_messages_are_told_from_loads():
     """A jammed host's words taken for loads made its connections weigh nothing, and no jam was seen."""
-    notes, heard = Notes(slow_from=17_000), Heard()
+    notes, heard = MessageDelays(slow_threshold=17_000), ConnectionSignals()
     told = []
     for at, value in (
         (0, 41_000),
@@ -99,7 +101,7 @@
         (4_732, 11_000),
         (9_731, 20.1),
     ):
-        delay = notes.delay(at * 1000, heard, value, 0, USUAL)
+        delay = notes.classify(at * 1000, heard, value, 0, USUAL)
         told.append(delay)
         if delay is None:
             heard.load = value
@@ -108,72 +110,76 @@
 
 def test_a_word_of_many_seconds_needs_a_silence_to_be_believed():
     """A load that falls on a host's second would else be taken for a hang."""
-    notes, heard = Notes(slow_from=17_000), Heard(load=40_000)
-    assert notes.delay(5_000_000, heard, 14_236.5, 0, USUAL) is None
-    assert notes.confirmed(5_050_000, 0) is None
-    assert notes.confirmed(5_400_000, 60_000) is None
-    assert notes.confirmed(5_800_000, 500_000) == (15_036_500, heard, 40_000)
-    assert notes.delay(6_000_000, heard, 14_986.5, 500_000, USUAL) == 14_986_500
+    notes, heard = MessageDelays(slow_threshold=17_000), ConnectionSignals(load=40_000)
+    assert notes.classify(5_000_000, heard, 14_236.5, 0, USUAL) is None
+    assert notes.confirmed_claim(5_050_000, 0) is None
+    assert notes.confirmed_claim(5_400_000, 60_000) is None
+    assert notes.confirmed_claim(5_800_000, 500_000) == (15_036_500, heard, 40_000)
+    assert notes.classify(6_000_000, heard, 14_986.5, 500_000, USUAL) == 14_986_500
 
 
 def test_a_load_told_in_a_silence_stays_a_load():
     """One of 250,419 became a word of 250 s, and its connection lost its load."""
-    notes = Notes(slow_from=17_000)
-    assert notes.delay(5_000_000, Heard(load=200_000), 250_419, 0, USUAL) is None
-    assert notes.confirmed(5_500_000, 500_000) is None
+    notes = MessageDelays(slow_threshold=17_000)
+    assert notes.classify(5_000_000, ConnectionSignals(load=200_000), 250_419, 0, USUAL) is None
+    assert notes.confirmed_claim(5_500_000, 500_000) is None
 
 
 def test_a_word_that_grows_by_the_time_passed_is_a_hang():
     """Lines are two seconds apart, so that a silence can be late to tell."""
-    notes, heard, other = Notes(slow_from=17_000), Heard(load=40_000), Heard(load=8_000)
-    assert notes.delay(5_000_000, heard, 13_986.5, 0, USUAL) is None
-    assert notes.delay(5_400_000, other, 9_000, 0, USUAL) is None
-    assert notes.delay(6_000_500, heard, 14_900.2, 0, USUAL) is None
-    assert notes.delay(6_001_000, heard, 14_986.5, 0, USUAL) == 14_986_500
+    notes, heard, other = (
+        MessageDelays(slow_threshold=17_000),
+        ConnectionSignals(load=40_000),
+        ConnectionSignals(load=8_000),
+    )
+    assert notes.classify(5_000_000, heard, 13_986.5, 0, USUAL) is None
+    assert notes.classify(5_400_000, other, 9_000, 0, USUAL) is None
+    assert notes.classify(6_000_500, heard, 14_900.2, 0, USUAL) is None
+    assert notes.classify(6_001_000, heard, 14_986.5, 0, USUAL) == 14_986_500
 
 
 def test_a_light_load_is_no_jam():
     """A connection that fell to 380 us a second was taken for a host whose
     messages take 380 ms: all were moved.
     """
-    notes, heard = Notes(slow_from=17_000), Heard(load=2_212)
-    assert notes.delay(5_000_000, heard, 379.956, 0, USUAL) == 0
-    assert notes.lapsed(5_900_000) == [] and notes.lapsed(6_200_000) == [(heard, 379.956)]
-    assert notes.delay(8_000_000, heard, 379.956, 0, USUAL) == 0
-    assert notes.delay(9_001_000, heard, 441.2, 0, USUAL) == 441_200
+    notes, heard = MessageDelays(slow_threshold=17_000), ConnectionSignals(load=2_212)
+    assert notes.classify(5_000_000, heard, 379.956, 0, USUAL) == 0
+    assert notes.resolved_loads(5_900_000) == [] and notes.resolved_loads(6_200_000) == [(heard, 379.956)]
+    assert notes.classify(8_000_000, heard, 379.956, 0, USUAL) == 0
+    assert notes.classify(9_001_000, heard, 441.2, 0, USUAL) == 441_200
 
 
 def test_a_host_met_just_now_may_have_piled_up_anything():
     """Words of 1.4 to 3 s from a slow host were taken for loads, and it was sent call after call."""
-    notes, heard = Notes(slow_from=17_000, met_at=2_200_000), Heard()
-    assert notes.delay(2_200_000, heard, 297_243, 0, USUAL) is None
+    notes, heard = MessageDelays(slow_threshold=17_000, connected_since=2_200_000), ConnectionSignals()
+    assert notes.classify(2_200_000, heard, 297_243, 0, USUAL) is None
     heard.load = 297_243
-    assert notes.delay(2_380_000, heard, 1354.567, 0, USUAL) == 1_354_567
-    assert notes.delay(3_381_000, heard, 1820.216, 0, USUAL) == 1_820_216
+    assert notes.classify(2_380_000, heard, 1354.567, 0, USUAL) == 1_354_567
+    assert notes.classify(3_381_000, heard, 1820.216, 0, USUAL) == 1_820_216
 
 
 def test_the_first_line_of_a_connection_may_be_a_word():
     """Its load is told only when it works; taken for a load, the word of a jammed host was lost."""
-    notes, fresh = Notes(slow_from=17_000), Heard()
-    assert notes.delay(7_380_000, fresh, 2784.4, 0, USUAL) == 0  # small for a load: not told as one yet
-    assert notes.delay(8_380_500, fresh, 2114.3, 0, USUAL) == 2_114_300 and not notes.mistaken
-    assert notes.delay(8_400_000, Heard(), 52_000, 0, USUAL) is None
+    notes, fresh = MessageDelays(slow_threshold=17_000), ConnectionSignals()
+    assert notes.classify(7_380_000, fresh, 2784.4, 0, USUAL) == 0  # small for a load: not told as one yet
+    assert notes.classify(8_380_500, fresh, 2114.3, 0, USUAL) == 2_114_300 and not notes.misread_loads
+    assert notes.classify(8_400_000, ConnectionSignals(), 52_000, 0, USUAL) is None
 
 
 def test_three_words_on_one_beat_are_known_by_that_and_the_load_is_set_right():
-    notes, light = Notes(slow_from=17_000), Heard(load=700)
+    notes, light = MessageDelays(slow_threshold=17_000), ConnectionSignals(load=700)
     for at, value, delay in (
         (1_000, 2245.1, None),
         (1_400, 820, None),
         (2_001, 2463.7, None),
         (3_001, 2725.4, 2_725_400),
     ):
-        assert notes.delay(at * 1000, light, value, 0, USUAL) == delay
+        assert notes.classify(at * 1000, light, value, 0, USUAL) == delay
         light.load = value
-    assert notes.mistaken == [(light, 820), (light, 700)]
+    assert notes.misread_loads == [(light, 820), (light, 700)]
     # the beat is known now: the next time one word tells
-    assert notes.delay(4_001_000, light, 9.5, 0, USUAL) == 9_500 and not notes.word
-    assert notes.delay(9_002_000, light, 310, 0, USUAL) == 310_000
+    assert notes.classify(4_001_000, light, 9.5, 0, USUAL) == 9_500 and not notes.reported_delay
+    assert notes.classify(9_002_000, light, 310, 0, USUAL) == 310_000
 
 
 # Probes
@@ -191,12 +197,12 @@
     ],
 )
 def test_a_load_report_is_read_and_what_is_no_number_left_out(line, told):
-    assert lines.read_report(line) == told
+    assert lines.parse_probe_answer(line) == told
 
 
 def probe(address, wait=WAIT):
     told = queue.Queue()
-    Workers(BufferPool(), told.put, lambda: 0).carry_out(ev.Ask("s-1", address, round(wait * 1_000_000)))
+    Workers(BufferPool(), told.put, lambda: 0).carry_out(ev.Probe("s-1", address, round(wait * 1_000_000)))
     return told.get(timeout=WAIT)
 
 
@@ -399,19 +405,22 @@
         listing(45, False, "Gone").replace(b"hostPort", b"hostPart"),
     )
     one = discovery.Discovery(
-        answers.address, names, lambda e: heard.put(e) if isinstance(e, ev.Heard) else failed.append(e), 0
+        answers.address,
+        names,
+        lambda e: heard.put(e) if isinstance(e, ev.ListReceived) else failed.append(e),
+        0,
     )
     monkeypatch.setattr(discovery.time, "sleep", lambda _: None)
     one.enabled.set()
     start_thread(one.run, stack=WIDE)  # with less, JSON nested deep ended the whole process
     told = [heard.get(timeout=WAIT) for _ in range(4)]
     one.stop()
-    assert [e.listed.version for e in told] == [41, 43, 44, 45] and len(failed) == 4
-    assert told[0].listed.entries[0] == io.Entry("s-1", 0, -1, 1.0, 0, 7000) and told[0].addresses == {
+    assert [e.update.version for e in told] == [41, 43, 44, 45] and len(failed) == 4
+    assert told[0].update.entries[0] == io.Entry("s-1", 0, -1, 1.0, 0, 7000) and told[0].addresses == {
         "s-1": ("10.1.0.18", 8080)
     }
-    assert told[1].listed.entries[0].state is io.HostState.DRAINING
-    assert told[3].listed.entries[0].state is io.HostState.GONE and not told[3].addresses
+    assert told[1].update.entries[0].state is io.HostState.DRAINING
+    assert told[3].update.entries[0].state is io.HostState.GONE and not told[3].addresses
 
 
 @pytest.mark.parametrize("known, first", ((True, "/api/targets?since=41&"), (False, "/api/targets")))
@@ -425,7 +434,7 @@
     get = one.http.get
     monkeypatch.setattr(one.http, "get", lambda path, wait: paths.append(path) or get(path, wait))
     one.poll()
-    assert heard.get(timeout=WAIT).listed.kind is (
+    assert heard.get(timeout=WAIT).update.kind is (
         io.ListUpdateKind.CHANGES if known else io.ListUpdateKind.FULL
     )
     assert len(paths) == 1 and paths[0].startswith(first) and (known or paths[0] == first)
@@ -439,14 +448,14 @@
     one = discovery.Discovery(
         first.address,
         config.Names({}, {"here": 0}, {}, {}),
-        lambda e: heard.put(e) if isinstance(e, ev.Heard) else failed.append(e),
+        lambda e: heard.put(e) if isinstance(e, ev.ListReceived) else failed.append(e),
         0,
     )
     one.enabled.set()
     start_thread(one.run, stack=WIDE)
-    assert heard.get(timeout=WAIT).listed.version == 41
+    assert heard.get(timeout=WAIT).update.version == 41
     one.change_address(second.address)
-    assert [heard.get(timeout=WAIT).listed.version for _ in range(2)] == [7, 8] and not failed
+    assert [heard.get(timeout=WAIT).update.version for _ in range(2)] == [7, 8] and not failed
     one.stop()
 
 
@@ -566,7 +575,7 @@
     record = logging.LogRecord("cottonspread.x", logging.INFO, "", 0, "closed", (), None)
     record.pairs = {"reason": "completed", "why": 'a "b" c', "s": 1.5}
     assert (
-        logfmt.KeyValue("n1")
+        logfmt.KeyValueFormatter("n1")
         .format(record)
         .endswith('level=info node=n1 event=closed reason=completed why="a \\"b\\" c" s=1.500')
     )
@@ -622,14 +631,14 @@
     endpoints = config.Endpoints("n1", ("127.0.0.1", 0), discovery_of(servers))
     node = Node(endpoints, resource_limits, names, host_protocol, begin, known)
     listed = threading.Event()
-    heard = node.reducer.heard
+    heard = node.reducer.list_received
 
     def hear(event):
         heard(event)
-        if event.listed.entries:
+        if event.update.entries:
             listed.set()
 
-    monkeypatch.setitem(node.reducer.handlers, ev.Heard, hear)
+    monkeypatch.setitem(node.reducer.handlers, ev.ListReceived, hear)
     node.start()
     assert listed.wait(WAIT)
     yield node, node.listener.getsockname()
@@ -683,7 +692,7 @@
     node, address = service
     said = stdio.StringIO()
     handler = logging.StreamHandler(said)
-    handler.setFormatter(logfmt.KeyValue("n1"))
+    handler.setFormatter(logfmt.KeyValueFormatter("n1"))
     logging.getLogger("cottonspread").addHandler(handler)
     stands = Client(address, b"OPEN 01 02 c=chat,d=2000,g=0a")
     assert stands.hear().startswith(b"UP ")
@@ -692,7 +701,7 @@
         raise RuntimeError("decisions broken")
 
     with monkeypatch.context() as patch:
-        patch.setattr(node.reducer.module, "handle", broken)
+        patch.setattr(node.reducer.balancer, "handle", broken)
         struck = Client(address, b"OPEN 03 04 c=chat,d=2000,g=0b")
         assert struck.hear() == b"ERR"
     stands.say(b"still here")
@@ -755,7 +764,7 @@
     }
     file = tmp_path / "node.json"
     file.write_text(json.dumps(config_of))
-    monkeypatch.setattr(logfmt, "start", lambda node: lambda: None)
+    monkeypatch.setattr(logfmt, "configure", lambda node: lambda: None)
     logger, handler = logging.getLogger("cottonspread"), Said()
     monkeypatch.setattr(logger, "handlers", [handler])
     monkeypatch.setattr(logger, "level", logging.INFO)
@@ -773,11 +782,11 @@
 def test_the_last_answers_go_out_before_the_node_is_done():
     node = Node(*config.read_node(NODE, {}))
     ours, theirs = socket.socketpair()
-    end = ev.End(True)
+    end = ev.ConnectionEnd(True)
     node.listener = socket.create_server(("127.0.0.1", 0))
     node.workers.begin(end, theirs)
     node.carry_out(ev.Write(end, b"BUSY\r\n"))
-    node.carry_out(ev.Stop())
+    node.carry_out(ev.Exit())
     assert not node.join(0), "the process might end here, with the answer not yet written"
     node.workers.write_all()
     assert node.join(0) and ours.recv(100) == b"BUSY\r\n"
--- a/tests/test_reducer.py
+++ b/tests/test_reducer.py
@@ -73,15 +73,15 @@
         self.handlers = {
             ev.Connect: self.connect,
             ev.Read: self.read,
-            ev.Drain: self.read,
+            ev.DiscardInput: self.read,
             ev.Write: self.write,
-            ev.Finish: lambda effect, end, name: self.out.append(["finish", name]),
-            ev.Cut: lambda effect, end, name: self.out.append(["cut", name] + ["broken"] * effect.broken),
+            ev.ShutdownWrite: lambda effect, end, name: self.out.append(["finish", name]),
+            ev.Shutdown: lambda effect, end, name: self.out.append(["cut", name] + ["broken"] * effect.reset),
             ev.Free: self.free,
-            ev.Pass: self.pass_on,
-            ev.Ask: self.ask,
-            ev.Say: self.log,
-            ev.Stop: lambda effect, end, name: self.out.append(["stop"]),
+            ev.Transfer: self.pass_on,
+            ev.Probe: self.ask,
+            ev.Log: self.log,
+            ev.Exit: lambda effect, end, name: self.out.append(["stop"]),
         }
         self.perform(self.reducer.step(0, ev.Tick()))
 
@@ -101,9 +101,9 @@
                 handler(effect, end, name)
         for effect in effects:
             end = getattr(effect, "end", None)
-            if isinstance(effect, ev.Cut) and end in self.reading:  # wakes its reader
+            if isinstance(effect, ev.Shutdown) and end in self.reading:  # wakes its reader
                 self.reading.discard(end)
-                self.step(ev.Over(end, "end"))
+                self.step(ev.ReadEnded(end, "end"))
             elif isinstance(effect, ev.Write) and end in self.writing and self.names[end] not in self.held:
                 self.written(end, True)
 
@@ -119,7 +119,7 @@
     def write(self, effect, end, name):
         assert end not in self.writing, f"two writes on {name}"
         self.writing.add(end)
-        if end.client and effect.data.split()[0] != b"PONG":
+        if end.is_client and effect.data.split()[0] != b"PONG":
             self.said.setdefault(name, []).append(effect.data)
             self.answered.setdefault(name, self.now)
         self.out += [["write", name, *line.split()] for line in effect.data.decode().splitlines()]
@@ -134,7 +134,7 @@
         assert {effect.client, effect.host} <= self.reading, "passed on while nobody reads it"
         assert not {effect.client, effect.host} & self.writing and not self.away
         self.away = effect
-        one = effect.standing
+        one = effect.connection
         self.out.append(
             ["pass", self.names[effect.client], one.id, one.type, one.host, str(len(one.waiting))]
         )
@@ -149,23 +149,25 @@
             return
         told = self.said.setdefault("closed", [])
         client = next(
-            n for n, e in self.ends.items() if e.client and e.conn is not None and e.freed and n not in told
+            n
+            for n, e in self.ends.items()
+            if e.is_client and e.conn is not None and e.freed and n not in told
         )
         told.append(client)
         self.out.append(["closed", client, effect.pairs["reason"]])
 
     def written(self, end, ok, why=""):
         self.writing.discard(end)
-        if ok and not end.client:
+        if ok and not end.is_client:
             self.whole.add(end)
-        self.step(ev.Written(end, ok, why=why))
+        self.step(ev.WriteDone(end, ok, skip_reason=why))
 
     def recount(self):
         """The figures from what went over the connections, without the node's own count."""
         counted = Counter(backend_calls=len(self.whole - self.adopted))
         for name, end in self.ends.items():
             said = self.said.get(name)
-            if end.client and end not in self.adopted and end.conn.opening and said:
+            if end.is_client and end not in self.adopted and end.conn.request and said:
                 word = said[0].split()[0]
                 answer = {b"UP": "success", b"BUSY": "busy"}.get(word, "failure")
                 counted[answer, end.conn.type.name] += 1
@@ -197,28 +199,28 @@
             word.partition(":")[0]: pairs(word.partition(":")[2].split(",")).get("port", 80)
             for word in args[1:]
         }
-        self.step(ev.Heard(listed, {e.host: (e.host, int(ports[e.host])) for e in listed.entries}))
+        self.step(ev.ListReceived(listed, {e.host: (e.host, int(ports[e.host])) for e in listed.entries}))
 
     def on_down(self, end, args, at):
         self.step(ev.ListFailed())
 
     def on_came(self, end, args, at):
-        self.step(ev.Came(self.named(ev.End(True), args[0])))
+        self.step(ev.ClientAccepted(self.named(ev.ConnectionEnd(True), args[0])))
 
     def on_got(self, end, args, at, more=False):
         assert end in self.reading, f"nobody reads {args[0]}"
         self.reading.discard(end)
         data = "".join(text.strip() + "\r\n" for text in " ".join(args[1:]).split("|"))
-        self.step(ev.Got(end, data.encode(), more, at), at)
+        self.step(ev.LinesRead(end, data.encode(), more, at), at)
 
     def on_half(self, end, args, at):
         self.on_got(end, args, at, more=True)
 
     def on_up(self, end, args, at):
-        self.step(ev.Connected(end, True))
+        self.step(ev.ConnectDone(end, True))
 
     def on_fail(self, end, args, at):
-        self.step(ev.Connected(end, False))
+        self.step(ev.ConnectDone(end, False))
 
     def on_hold(self, end, args, at):
         self.held.add(args[0])
@@ -233,14 +235,14 @@
         if args[1] == "taken":
             self.passed |= {effect.client, effect.host}
             self.reading -= self.passed
-        self.step(ev.Passed(effect.conn, args[1] == "taken", args[1] == "again"))
+        self.step(ev.TransferDone(effect.conn, args[1] == "taken", args[1] == "again"))
 
     def on_adopt(self, end, args, at):
-        ends = self.named(ev.End(True), args[0]), self.named(ev.End(False), args[1])
+        ends = self.named(ev.ConnectionEnd(True), args[0]), self.named(ev.ConnectionEnd(False), args[1])
         key, load = [*args[5:], None, 0][:2]
         self.adopted.update(ends)
         self.step(
-            ev.Adopted(
+            ev.TransferOffered(
                 *ends,
                 handover.OpenConnection(
                     args[2], args[3], args[4], self.now, 0, key, key, load=float(load or 0)
@@ -252,28 +254,28 @@
     def on_over(self, end, args, at):
         assert end in self.reading, f"nobody reads {args[0]}"
         self.reading.discard(end)
-        self.step(ev.Over(end, args[1] if len(args) > 1 else "end"))
+        self.step(ev.ReadEnded(end, args[1] if len(args) > 1 else "end"))
 
     def on_asked(self, end, args, at):
         self.asks.remove(args[0])
         report = {"x0": float(args[2])} if len(args) > 2 else {}
-        self.step(ev.Asked(args[0], io.Ending[args[1].upper()], report))
+        self.step(ev.ProbeDone(args[0], io.Ending[args[1].upper()], report))
 
     def on_stop(self, end, args, at):
-        self.step(ev.StopAsked("handed" in args, "heir" in args))
+        self.step(ev.StopRequested("handed" in args, "heir" in args))
 
     def on_retune(self, end, args, at):
         if not args:
-            self.step(ev.NotRetuned())
+            self.step(ev.ReloadRejected())
             return
         site, *types = [part.split() for part in " ".join(args).split("|")]
         types = [traffic_type(words[0], pairs(words[1:])) for words in types]
-        self.step(ev.Retuned(begin(pairs(site), types), names_of(types), self.reducer.hearing))
+        self.step(ev.SettingsReloaded(begin(pairs(site), types), names_of(types), self.reducer.host_protocol))
 
     def on_handed(self, end, args, at):
         words = [word.partition("=")[::2] for word in args]
         self.step(
-            ev.Inherited(
+            ev.StateInherited(
                 handover.HandoverState(
                     50,
                     "draining" in args,
@@ -285,7 +287,7 @@
 
     def on_handover(self, end, args, at):
         self.step(
-            ev.HandOverAsked(
+            ev.HandOverRequested(
                 lambda handed: self.out.append(
                     [
                         "handed",
@@ -300,15 +302,15 @@
         )
 
     def on_drain(self, end, args, at):
-        self.step(ev.DrainAsked(True))
+        self.step(ev.DrainRequested(True))
 
     def on_resume(self, end, args, at):
-        self.step(ev.DrainAsked(False))
+        self.step(ev.DrainRequested(False))
 
     def on_figures(self, end, args, at):
         told = {
             name + "." * bool(labels) + labels[7:-2]: value
-            for name, labels, value in self.reducer.counters.samples(len(self.reducer.by_id))
+            for name, labels, value in self.reducer.counters.samples(len(self.reducer.calls_by_id))
         }
         for word in args:
             assert told[word.split("=")[0]] == int(word.split("=")[1]), (word, told)
@@ -331,15 +333,17 @@
                 end = self.ends[name]
                 if end in self.writing:
                     self.act(self.now, "wrote", [name, "broken"])
-                elif not end.client and not end.connected and end not in self.freed:
+                elif not end.is_client and not end.connected and end not in self.freed:
                     self.act(self.now, "fail", [name])
                 elif end in self.reading:
                     self.act(self.now, "over", [name])
         self.act(self.now + ms(60_000), "tick", [])
-        assert set(self.ends.values()) == self.freed and not self.reducer.conns and not self.reducer.ends
-        assert not self.reducer.module.calls and not any(s.legs for s in self.reducer.servers.values())
+        assert (
+            set(self.ends.values()) == self.freed and not self.reducer.conns and not self.reducer.open_sockets
+        )
+        assert not self.reducer.balancer.calls and not any(s.legs for s in self.reducer.hosts.values())
         for name, end in self.ends.items():
-            if end.client and end.conn and end.conn.opening and end not in self.adopted:
+            if end.is_client and end.conn and end.conn.request and end not in self.adopted:
                 said = self.said.get(name, [])
                 # after UP lines are only passed
                 finals = 1 if said and said[0].startswith(b"UP") else len(said)
@@ -348,7 +352,7 @@
                 in_time = (
                     gone
                     or self.stood_still
-                    or end.conn.opening.held_by
+                    or end.conn.request.held_by
                     or self.answered[name] <= end.conn.guard
                 )
                 assert in_time, f"{name}: answered {self.answered[name] - end.conn.guard} us after its time"
@@ -420,9 +424,9 @@
                 continue  # nobody reads there meanwhile
             if end in world.writing:
                 moves += [("wrote", [name]), ("wrote", [name, "broken"])]
-            elif not end.client and not end.freed and not end.connected:
+            elif not end.is_client and not end.freed and not end.connected:
                 moves += [("up", [name])] * 3 + [("fail", [name])]
-            elif end in world.reading and end.client and end.conn.opening is None:
+            elif end in world.reading and end.is_client and end.conn.request is None:
                 moves += [
                     (
                         "got",
@@ -436,7 +440,7 @@
                     )
                 ] * 3
             elif end in world.reading:
-                moves += [("got", [name, one_of(SAID) if not end.client else f"M {n} cd"])] * 4
+                moves += [("got", [name, one_of(SAID) if not end.is_client else f"M {n} cd"])] * 4
                 moves += [("over", [name, one_of(["end", "reset", "half-line"])]), ("hold", [name])]
         verb, args = one_of(moves)
         world.act(now, verb, " ".join(args).split())
@@ -445,14 +449,14 @@
 
 def test_a_late_echo_is_told_once_a_second_and_then_the_first_in_time():
     world, told = World({}, [traffic_type("any", {})]), []
-    handle = world.reducer.module.handle
+    handle = world.reducer.balancer.handle
 
     def listen(now, event):
         if isinstance(event, io.DelayReported):
             told.append((now // 1000, event.delay // 1000))
         return handle(now, event)
 
-    world.reducer.module.handle = listen
+    world.reducer.balancer.handle = listen
     for line in (
         "0 list full a",
         "0 came c1",
--- a/tests/test_succession.py
+++ b/tests/test_succession.py
@@ -94,7 +94,7 @@
     before = active.values, active.parts
     file.write_text(json.dumps(without(path)))
     reload(node, active)
-    assert [type(e) for e in node.events] == [ev.NotRetuned] and not node.retuned
+    assert [type(e) for e in node.events] == [ev.ReloadRejected] and not node.retuned
     assert (active.values, active.parts) == before
 
 
@@ -140,7 +140,7 @@
     file.write_text(text)
     with caplog.at_level("INFO", "cottonspread"):
         reload(node, active)
-    assert [type(e) for e in node.events] == [ev.NotRetuned] and not node.retuned
+    assert [type(e) for e in node.events] == [ev.ReloadRejected] and not node.retuned
     assert (active.values, active.parts) == before
     assert [str(r.pairs["why"]).partition(": ")[0] for r in caplog.records if r.getMessage() == "reload"] == [
         key
@@ -486,34 +486,35 @@
     """Two readers of one socket split its lines."""
     (ours, gatherer), done = service_ends, threading.Event()
     started = threading.Thread(
-        target=lambda: (pytest.raises(lines.SocketReleasedError, gatherer.lines), done.set()), daemon=True
+        target=lambda: (pytest.raises(lines.SocketReleasedError, gatherer.read_lines), done.set()),
+        daemon=True,
     )
     started.start()
     while not gatherer.idle:
         pass
-    assert lines.let_go([gatherer]) and not done.is_set()
+    assert lines.try_release([gatherer]) and not done.is_set()
     ours.sendall(b"for the next\r\n")
     assert done.wait(WAIT) and gatherer.sock.recv(100) == b"for the next\r\n"
-    assert gatherer.take_back()  # its reader has left: it is to be asked anew
+    assert gatherer.reclaim()  # its reader has left: it is to be asked anew
     ours.sendall(b"here again\r\n")
-    assert gatherer.lines() == b"here again\r\n"
+    assert gatherer.read_lines() == b"here again\r\n"
 
 
 def test_a_reader_in_the_midst_of_a_line_does_not_let_go(service_ends):
     ours, gatherer = service_ends
-    assert not lines.let_go([gatherer])  # nobody reads there
-    other = lines.Gatherer(gatherer.sock, BufferPool(), 1)
+    assert not lines.try_release([gatherer])  # nobody reads there
+    other = lines.LineReader(gatherer.sock, BufferPool(), 1)
     other.idle = True
-    assert not lines.let_go([other, gatherer]) and not other.gone
+    assert not lines.try_release([other, gatherer]) and not other.released
 
 
 def test_a_reader_that_is_taken_back_before_anything_came_goes_on(service_ends):
     (ours, gatherer), heard = service_ends, []
-    reader = threading.Thread(target=lambda: heard.append(gatherer.lines()), daemon=True)
+    reader = threading.Thread(target=lambda: heard.append(gatherer.read_lines()), daemon=True)
     reader.start()
     while not gatherer.idle:
         pass
-    assert lines.let_go([gatherer]) and not gatherer.take_back()
+    assert lines.try_release([gatherer]) and not gatherer.reclaim()
     ours.sendall(b"as ever\r\n")
     reader.join(WAIT)
     assert heard == [b"as ever\r\n"]
@@ -522,7 +523,7 @@
 @pytest.fixture
 def service_ends():
     ours, theirs = socket.socketpair()
-    yield ours, lines.Gatherer(theirs, BufferPool(), 1)
+    yield ours, lines.LineReader(theirs, BufferPool(), 1)
     ours.close()
     theirs.close()
 
