--- a/cottonspread/lab/sim/invariants.py
+++ b/cottonspread/lab/sim/invariants.py
@@ -1,9 +1,8 @@
-"""What must hold at every step of a simulated fleet, checked at the machines' edges: on
-what is written, heard and closed there.
+"""Invariants of a simulated fleet, checked at every step on what machines write, receive and close.
 
-No code is shared with the node, and none of its words is believed but where its own books are counted
-over (`books`). Times allow the 50 ms that sockets get. The first promise that breaks ends the play:
-`InvariantError` says which, of whom, and when.
+No code is shared with the node, and none of its state is trusted, except that its own counters are recounted
+(`check_counters`). Times have the tolerance of 50 ms that runs on sockets have. The first violation ends the
+run: `InvariantError` says which invariant, for whom, and when.
 """
 
 from collections import Counter, defaultdict, deque
@@ -18,12 +17,10 @@
     3 * SECOND,
     4 * SECOND,
 )
-CALM_PERIOD = 20 * SECOND  # after the last trouble: by then every sound client is served
-COUNTER_CHECK_INTERVAL = 40  # steps of a process between two counts of all its sums
-TIMERS_PER_CALL, TIMER_LIFETIME = (
-    8,
-    50 * SECOND,
-)  # what a call may leave in the node's timers at most, and for how long
+CALM_PERIOD = 20 * SECOND  # after the last fault; from then on every well-behaved client must be served
+COUNTER_CHECK_INTERVAL = 40  # steps of a process between two recounts of its counters
+# How many timers a call may leave at the node, and for how long
+TIMERS_PER_CALL, TIMER_LIFETIME = 8, 50 * SECOND
 
 ANSWER, EFFECTS, DRAINS, COLD, COUNTERS, BOUND, PROGRESS, ORDER = (
     "rule 1",
@@ -38,25 +35,33 @@
 
 
 class InvariantError(AssertionError):
-    """A promise did not hold."""
+    """An invariant was violated."""
 
     def __init__(self, invariant, what, at, context):
+        """`what`: the violation; `at`: its time in microseconds; `context`: the objects concerned."""
         super().__init__(f"{invariant}: {what}, at {at / SECOND:.6f} s: {context}")
         self.invariant, self.what, self.at, self.context = invariant, what, at, context
 
 
 class Leg:
-    """A first line on its way to a host, as the node's machine sees it."""
+    """A first line on its way to a host, as observed at the node's machine.
+
+    `active`: not ended or given up; `never_ran`: it cannot have run at the host; `up`: the host answered UP.
+    """
 
     __slots__ = ("host", "sent", "side", "active", "never_ran", "up", "ended_at", "observed")
 
     def __init__(self, host, sent, side, observed):
+        """`observed`: the call that the leg belongs to."""
         self.host, self.sent, self.side, self.observed = host, sent, side, observed
         self.active, self.never_ran, self.up, self.ended_at = True, False, False, 0
 
 
 class ObservedCall:
-    """One call of a client, from its line on."""
+    """One call of a client, observed from its first line on.
+
+    `deadline`: the end of its guard time; `answer`: the node's final answer; `excuse`: why none is required.
+    """
 
     __slots__ = (
         "id",
@@ -78,10 +83,11 @@
     )
 
     def __init__(self, id, kind, call):
+        """`kind`: the call's traffic type; `call`: the client's call, None for a misbehaving client."""
         self.id, self.kind, self.call, self.process, self.node = id, kind, call, None, None
         self.sent, self.deadline, self.answer, self.answered_at, self.legs = 0, 0, b"", 0, []
         self.moved, self.closed_at, self.excuse, self.side, self.accepted_at = False, 0, "", None, 0
-        self.up_leg = None  # the one whose UP was passed on
+        self.up_leg = None  # the leg whose UP was forwarded to the client
 
     def __repr__(self):
         legs = [
@@ -94,14 +100,17 @@
 
 
 class Invariants:
+    """Checks all invariants of a fleet."""
+
     def __init__(self, fleet, checked=True):
+        """`checked`: if false, violations are ignored."""
         self.fleet, self.world, self.checked = fleet, fleet.world, checked
         self.kinds = fleet.plan.experiment.load.types
         self.grace = round(fleet.plan.experiment.nodes.grace_ms * 1000)
         self.calls, self.by_client, self.receipts, self.pauses = {}, {}, set(), defaultdict(list)
         self.unfit_since, self.host_started_at, self.host_known_at = defaultdict(dict), {}, defaultdict(list)
         self.run_counts, self.legs_by_side, self.check_counts = Counter(), {}, Counter()
-        # ids that others use too; echoes that hosts have sent
+        # IDs that another connection uses too; echoes that hosts have sent and clients have not received
         self.reused_ids, self.host_echoes = set(), defaultdict(deque)
         self.last_fault_end, self.partial_lines, self.last_echoes, self.served_clients, self.most = (
             0,
@@ -113,38 +122,45 @@
         self.drained_since, self.dead_links, self.accept_times = {}, set(), defaultdict(deque)
 
     def fail(self, invariant, what, *context):
+        """Raises InvariantError."""
         raise InvariantError(invariant, what, self.world.now, context)
 
     def require(self, holds, invariant, what, *context):
+        """Counts a check, and fails if it does not hold."""
         self.check_counts[invariant] += 1
         if not holds and self.checked:
             self.fail(invariant, what, *context)
 
-    # Troubles, as far as they excuse
+    # Faults that excuse violations
 
     def on_fault(self, fault):
+        """Records a fault that was started."""
         self.last_fault_end = max(self.last_fault_end, self.world.now + round(fault.seconds * SECOND))
 
     def on_pause(self, node, since, until):
+        """Records a time for which a node's process is stopped."""
         self.pauses[node].append((since, until))
 
     def was_paused(self, node, since, until):
-        """Whether a node's process was stopped at some time between."""
+        """Returns whether a node's process was stopped at some time in the interval."""
         return any(a <= until and b >= since for a, b in self.pauses.get(node, ()))
 
     def on_links_reset(self, links):
+        """Does nothing: both sides see the reset."""
         pass
 
     def on_link_dead(self, link):
+        """Records a link that delivers nothing more."""
         self.dead_links.add(link)
 
     # Calls
 
     def on_call_made(self, call):
+        """Starts to observe a client's call."""
         self.calls[call.id] = self.by_client[call] = ObservedCall(call.id, call.kind, call)
 
     def on_call_sent(self, call):
-        """Its line is on its way to the node's machine."""
+        """Handles a call whose first line is on its way to the node's machine."""
         observed = self.calls[call.id]
         observed.node, observed.side = call.node, call.side
         observed.sent, observed.deadline = (
@@ -154,6 +170,7 @@
         self.world.at(observed.deadline + TOLERANCE + 1, self.check_answered, observed)
 
     def on_accepted(self, process, side):
+        """Handles a connection that a node's process has accepted."""
         self.accept_times[process].append(self.world.now)
         side.peer.owner.accepted_at = self.world.now
         observed = self.call_of(side)
@@ -161,10 +178,11 @@
             observed.process, observed.node, observed.accepted_at = process, process.node, self.world.now
 
     def call_of(self, side):
-        """The call on this side of a node's, if it is a player's."""
+        """Returns the observed call on a node's side of a client connection, None for other connections."""
         return self.by_client.get(side.peer.owner)
 
     def check_answered(self, observed):
+        """Requires that the call got its answer before its deadline, unless that is excused."""
         if (
             observed.answer
             or observed.excuse
@@ -178,7 +196,7 @@
         self.require(False, ANSWER, "no answer before the guard time", observed)
 
     def on_node_write(self, process, end, data):
-        """A node's machine is to carry this."""
+        """Handles data that a node's machine is about to send."""
         side = end.worker.side
         if end.client:
             observed = self.call_of(side)
@@ -189,18 +207,20 @@
 
     @staticmethod
     def waited_in_listener(observed):
-        """Whether it has lost its time in the platform's listener, while there was no process to take it."""
+        """Returns whether the call lost its time in a shared listener while no process accepted."""
         return observed.node.shares_listener and (
             not observed.accepted_at or observed.accepted_at > observed.deadline - 2 * TOLERANCE
         )
 
     def on_rejected(self, process, side, line):
+        """Handles a connection that was answered and closed at once on being accepted."""
         observed = self.call_of(side)
         if observed is not None:
             observed.process, observed.node, observed.accepted_at = process, process.node, self.world.now
             self.on_answer(observed, line)
 
     def on_answer(self, observed, data):
+        """Handles a line to a client: its final answer, or what follows it."""
         now = self.world.now
         if data.startswith(b"MOVE"):
             observed.moved = True
@@ -232,8 +252,9 @@
     # Legs
 
     def on_leg(self, process, end, side, line):
+        """Handles the first line of a leg: checks that the call may be sent to this host now."""
         now, host = self.world.now, side.peer.endpoint.name
-        client = end.conn.client.worker  # what its client calls itself may be another's id
+        client = end.conn.client.worker  # not by its ID, which may be another call's
         owner = client.side.peer.owner if client is not None else None
         observed = self.by_client.get(owner) or self.by_client.setdefault(
             owner, ObservedCall(f"bad {owner and owner.id}", self.kinds[0], None)
@@ -285,12 +306,12 @@
         observed.legs.append(leg)
 
     def on_worker_event(self, process, event):
-        """A word of the workers for the reducer: from then on the node knows."""
+        """Handles an event from the workers to the reducer, from which on the node knows of it."""
         end = getattr(event, "end", None)
         if end is None or end.client or end.worker is None:
             return
         leg = self.legs_by_side.get(end.worker.side)
-        if leg is None or not leg.active:  # what comes from one that was given up is dropped
+        if leg is None or not leg.active:  # the node drops what a leg sends that it has given up
             return
         if isinstance(event, ev.Got) and not leg.up:
             word = event.data.split(None, 1)[0] if event.data.strip() else b""
@@ -305,7 +326,7 @@
             leg.active = False
 
     def on_node_close(self, process, end, how):
-        """The node ends a connection, or its sending."""
+        """Handles a connection that the node closes, or whose sending it ends."""
         if end.worker is None or end.worker.side is None:
             return
         side = end.worker.side
@@ -322,8 +343,9 @@
             self.check_closed_without_move(observed, side)
 
     def check_closed_without_move(self, observed, side):
-        """A standing connection was ended without MOVE: by its client, by its
-        host, or by nobody's will but the node's.
+        """Checks that a connection closed without MOVE was not closed by the node's own decision.
+
+        The reason must be the client, the host, or a fault.
         """
         leg = observed.up_leg
         closed_by_others = (
@@ -348,12 +370,13 @@
         )
 
     def on_host_ended(self, leg):
-        """A host's end has come to the node: it is passed on within a second."""
+        """Handles the end of a host's connection at the node, which must be forwarded within a second."""
         if leg.up and not leg.ended_at:
             leg.ended_at = self.world.now
             self.world.after(END_FORWARD_TIMEOUT + TOLERANCE, self.check_end_forwarded, leg)
 
     def check_end_forwarded(self, leg):
+        """Requires that the end of a host's connection was forwarded to the client."""
         observed, call = leg.observed, leg.observed.call
         if (
             call is None
@@ -375,7 +398,7 @@
     # Hosts and clients
 
     def on_host_data(self, conn, data):
-        """Bytes at a host: a client's lines come in their order, each once."""
+        """Handles data at a host: a client's lines must arrive in order, each once."""
         call = conn.call
         if call is None or not self.checked:
             return
@@ -390,10 +413,12 @@
                 self.last_echoes[conn] = last + 1
 
     def on_host_write(self, conn, line):
+        """Records an echo that a host sends."""
         if line.startswith(b"e"):
             self.host_echoes[conn].append(line)
 
     def on_host_record(self, line):
+        """Handles a line of the hosts' record."""
         kind = line["k"]
         if kind == "ran":
             self.run_counts[line["id"]] += 1
@@ -409,16 +434,17 @@
         elif kind == "tipped":
             host, started = line["host"], self.host_started_at.get(line["host"], 0)
             known = [at for at in self.host_known_at[host] if at >= started]
-            # Nobody could hold back for a start that no list had told yet.
+            # A node cannot spare a cold host before a list has told it of the start.
             self.require(
                 not known or self.world.now < min(known) + TOLERANCE,
                 COLD,
-                "a cold host was pushed over",
+                "a cold host was overloaded",
                 host,
                 line["v"],
             )
 
     def on_client_line(self, call, line):
+        """Handles a line that a client receives."""
         if line.startswith(b"UP "):
             self.require(
                 (call.id, line[3:].decode()) in self.receipts,
@@ -439,11 +465,12 @@
             )
 
     def on_client_done(self, call, how):
+        """Handles the end of a client's call."""
         observed = self.calls[call.id]
         if call.up:
             self.served_clients.add(call.schedule_index)
         now = self.world.now
-        # A client that broke off or was cut asks for nothing more.
+        # A client that has disconnected, or was ended with the run, expects no more echoes.
         if (
             call.unanswered_lines
             and not call.slow_until
@@ -464,7 +491,7 @@
             self.require(
                 excused or observed.closed_at or self.was_paused(observed.node, call.up, now),
                 ANSWER,
-                "a standing connection broke",
+                "an established connection broke",
                 observed,
                 how,
             )
@@ -479,21 +506,26 @@
             )
 
     def on_bad_client(self, one):
+        """Schedules the check that a misbehaving client gets an error or a close."""
         if one.kind not in ("hangs-up", "crowd") and one.kind != "same-id":
             self.world.after(BAD_CLIENT_TIMEOUT + TOLERANCE, self.check_bad_client, one)
 
     def check_bad_client(self, one):
+        """Requires that a misbehaving client was answered or closed in time after a process accepted it."""
         if one.closed or self.was_paused(one.node, one.connected_at, self.world.now) or not one.accepted_at:
             return
         left = one.accepted_at + BAD_CLIENT_TIMEOUT + TOLERANCE - self.world.now
         if left > 0:
             self.world.after(left, self.check_bad_client, one)
         else:
-            self.require(False, ANSWER, "a bad client was neither told nor closed", one.kind, one.id)
+            self.require(
+                False, ANSWER, "a misbehaving client was neither answered nor closed", one.kind, one.id
+            )
 
     # The list
 
     def on_list_answer(self, process, whole, hosts):
+        """Handles an answer of the list; `hosts` holds (name, lifecycle, start time)."""
         now, unfit_since, named = self.world.now, self.unfit_since[process], set()
         for name, state, started in hosts:
             named.add(name)
@@ -511,12 +543,12 @@
     # Processes
 
     def after_step(self, process):
-        """After every step of a reducer."""
+        """Checks the descriptor count after a step of a reducer, and all counters from time to time."""
         if not self.checked:
             return
         reducer, contract = process.reducer, process.contract
         held = len(contract.ends) + sum(contract.probes.values())
-        if reducer.ends != held:  # what waits in its queue is not in its count yet
+        if reducer.ends != held:  # events that are still queued are not in its count
             waiting = [event for _, event in process.queue]
             held -= sum(isinstance(e, ev.Came) + 2 * isinstance(e, ev.Adopted) for e in waiting)
             held += sum(isinstance(e, ev.Asked) for e in waiting)
@@ -525,6 +557,7 @@
             self.check_counters(process)
 
     def check_counters(self, process):
+        """Recounts the sums that a node keeps, and checks the bounds of its tables."""
         reducer, module, name = process.reducer, process.reducer.module, process.node.name
         hosts = module.membership.hosts.values()
         up = [h for h in hosts if h.up]
@@ -597,6 +630,7 @@
         )
 
     def on_process_exit(self, process):
+        """Handles the end of a process: its open calls are excused if it was killed, else checked."""
         for observed in self.calls.values():
             if observed.process is process and not observed.closed_at:
                 if process.dead == "killed":
@@ -610,38 +644,42 @@
                     self.check_unfinished_call(observed)
 
     def check_unfinished_call(self, observed):
-        """Its node ended by itself with this call open."""
+        """Checks a call that was open when its node ended by itself."""
         if observed.side is None or observed.sent > self.world.now:
-            observed.excuse = "not taken"  # its line had not come yet
+            observed.excuse = "not received"  # its line had not arrived yet
         elif not observed.answer:
             self.require(False, ANSWER, "a node ended with a call that it had not answered", observed)
         elif observed.answer.startswith(b"UP"):
             self.check_closed_without_move(observed, observed.side.peer)
 
     def on_forced_kill(self, process):
+        """Handles a SIGKILL that follows SIGTERM: only a process that was paused may need it."""
         self.require(
             self.was_paused(process.node, self.world.now - 8 * SECOND, self.world.now),
             ANSWER,
-            "a node was still there at its SIGKILL",
+            "a node was still running at its SIGKILL",
             process.node.name,
             len(process.reducer.conns),
         )
 
     def on_connection_passed(self, process, order, new):
-        """A standing connection is another process's now."""
+        """Handles an established connection that was passed on to another process."""
         client, _ = new
         observed = self.call_of(client.side)
         if observed is not None:
             observed.process = client.process
 
     def on_drain(self, process):
+        """Schedules the check that a drained node moves its clients."""
         since = self.drained_since[process] = self.world.now
         self.world.after(DRAIN_TIMEOUT + TOLERANCE, self.check_drained, process, since)
 
     def on_resume(self, process):
+        """Records that a drained node serves again."""
         self.drained_since.pop(process, None)
 
     def check_drained(self, process, since):
+        """Requires that a drained node has moved its established connections."""
         if (
             self.drained_since.get(process) != since
             or process.dead
@@ -656,18 +694,19 @@
                 and not observed.closed_at
                 and (observed.call is not None and not observed.call.done and not observed.call.slow_until)
             ):
-                self.require(False, ANSWER, "held by a drained node, and not moved", observed)
+                self.require(False, ANSWER, "kept by a drained node and not moved", observed)
 
     # The end
 
     def check_at_end(self):
+        """Checks at the end of the traffic that clients were served, and recounts all counters."""
         if not self.checked:
             return
         calm, asked = self.last_fault_end + CALM_PERIOD, {}
         if 2 * sum(host.model.state == "up" and not host.gone for host in self.fleet.hosts.values()) < len(
             self.fleet.hosts
         ):
-            calm = self.world.now  # too few are left to bear it all
+            calm = self.world.now  # too few hosts are left for the load
         for observed in self.calls.values():
             call = observed.call
             if call is not None and not call.retry and not call.again and call.intended >= calm:
@@ -677,7 +716,7 @@
                 self.require(
                     first in self.served_clients,
                     PROGRESS,
-                    "a sound client was not served though all is calm",
+                    "a well-behaved client was not served although there was no fault",
                     observed,
                 )
         for node in self.fleet.nodes:
@@ -685,13 +724,13 @@
                 self.check_counters(process)
 
     def check_all_released(self):
-        """Every process was told to stop, and has."""
+        """Requires that every process has ended after it was told to stop."""
         for node in self.fleet.nodes:
             for process in node.processes:
                 self.require(
                     self.was_paused(node, self.world.now - 8 * SECOND, self.world.now),
                     COUNTERS,
-                    "a node that did not end",
+                    "a node did not end after SIGTERM",
                     node.name,
                     len(process.reducer.conns),
                     process.reducer.ends,
