--- a/benchmarks/crossings/list_clock.py
+++ b/benchmarks/crossings/list_clock.py
@@ -19,49 +19,49 @@
 from test_list import FAULTS  # noqa: E402
 
 
-def measured(fault, times, asked):
+def measure(fault, failures, poll):
     hosts = [Host("s-1"), Host("s-2")]
-    agent, struck = Agent().list(*hosts), threading.Semaphore(0)
+    agent, failed = Agent().list(*hosts), threading.Semaphore(0)
 
-    def script(call):
-        struck.release()
+    def fail_request(call):
+        failed.release()
         fault(call)
 
-    more = {"settings": SETTINGS | {"MembershipMode": "ask", "AskEvery": 10_000}} if asked else {}
-    with running(agent, **more) as node:
+    settings = {"settings": SETTINGS | {"MembershipMode": "ask", "AskEvery": 10_000}} if poll else {}
+    with running(agent, **settings) as node:
         listed(node)
-        for _ in range(times):
-            agent.scripted.put(script)
+        for _ in range(failures):
+            agent.scripted.put(fail_request)
         agent.change(hosts[1], "Ready")
-        for _ in range(times):
-            struck.acquire()
-        began = time.monotonic()
+        for _ in range(failures):
+            failed.acquire()
+        started = time.monotonic()
         agent.change(hosts[0], "Terminating")
         while not any(
             getattr(getattr(e, "listed", None), "version", 0) == agent.version for e in list(node.seen.told)
         ):
             time.sleep(0.001)
-        return time.monotonic() - began
+        return time.monotonic() - started
 
 
-def main(given):
-    told = [
+def main(args):
+    results = [
         {
             "fault": fault.__name__,
-            "times": times,
-            "list": "asked" if asked else "pushed",
-            "s": round(measured(fault, times, asked), 3),
+            "times": failures,
+            "list": "asked" if poll else "pushed",
+            "s": round(measure(fault, failures, poll), 3),
         }
-        for asked in (False, True)
+        for poll in (False, True)
         for fault in FAULTS
-        for times in (1, 3)
+        for failures in (1, 3)
     ]
-    for one in told:
-        print(*one.values())
-    print("longest", max(one["s"] for one in told))
-    if given:
-        Path(given[0]).write_text(json.dumps(told, indent=1) + "\n")
-    return 0 if max(one["s"] for one in told) < 6 else 1
+    for result in results:
+        print(*result.values())
+    print("longest", max(result["s"] for result in results))
+    if args:
+        Path(args[0]).write_text(json.dumps(results, indent=1) + "\n")
+    return 0 if max(result["s"] for result in results) < 6 else 1
 
 
 if __name__ == "__main__":
--- a/benchmarks/crossings/mutants.py
+++ b/benchmarks/crossings/mutants.py
@@ -15,7 +15,7 @@
 from pathlib import Path
 
 ROOT = Path(__file__).parent.parent.parent
-AT_ONCE, WAIT = 4, 90
+MAX_PARALLEL, TEST_TIMEOUT = 4, 90
 
 ATTEMPTS, CLOSING, SHUTDOWN, LIST, FLOODS = (
     f"tests/crossings/test_{name}.py" for name in ("attempts", "closing", "shutdown", "list", "floods")
@@ -409,58 +409,60 @@
 ]
 
 
-def place(package, file, line):
+def find_file(package, file, line):
     """The file that the line stands in."""
     if file != POLICY:
         return package / file
     files = sorted((package / "policy").glob("*.py"))
-    return next((one for one in files if line in one.read_text()), files[0])
+    return next((path for path in files if line in path.read_text()), files[0])
 
 
-def play(mutant):
-    what, file, line, other, tests = mutant
-    with tempfile.TemporaryDirectory() as folder:
-        copy = Path(folder) / "tree"
+def run_mutant(mutant):
+    name, file, line, replacement, tests = mutant
+    with tempfile.TemporaryDirectory() as directory:
+        copy = Path(directory) / "tree"
         shutil.copytree(ROOT, copy, ignore=shutil.ignore_patterns(".git", ".venv", "journal", "__pycache__"))
-        path = place(copy / "cottonspread", file, line)
+        path = find_file(copy / "cottonspread", file, line)
         text = path.read_text()
         if text.count(line) != 1:
             return {
-                "mutant": what,
+                "mutant": name,
                 "file": file,
                 "noticed": False,
                 "why": f"its line stands there {text.count(line)} times",
             }
-        path.write_text(text.replace(line, other))
+        path.write_text(text.replace(line, replacement))
         try:
-            done = subprocess.run(
+            completed = subprocess.run(
                 [sys.executable, "-m", "pytest", "-q", "-n", "0", "-p", "no:cacheprovider", *tests],
                 cwd=copy,
                 capture_output=True,
                 text=True,
-                timeout=WAIT,
+                timeout=TEST_TIMEOUT,
             )
         except subprocess.TimeoutExpired:
-            return {"mutant": what, "file": file, "noticed": True, "why": f"hung for {WAIT} s"}
-        last = done.stdout.strip().splitlines()[-1] if done.stdout.strip() else done.stderr[-200:]
+            return {"mutant": name, "file": file, "noticed": True, "why": f"hung for {TEST_TIMEOUT} s"}
+        summary = (
+            completed.stdout.strip().splitlines()[-1] if completed.stdout.strip() else completed.stderr[-200:]
+        )
         return {
-            "mutant": what,
+            "mutant": name,
             "file": file,
-            "noticed": done.returncode == 1 and "failed" in last,
-            "why": last,
+            "noticed": completed.returncode == 1 and "failed" in summary,
+            "why": summary,
         }
 
 
-def main(given):
-    with ThreadPoolExecutor(AT_ONCE) as pool:
-        told = []
-        for one in pool.map(play, MUTANTS):
-            told.append(one)
-            verdict = "noticed" if one["noticed"] else "NOT NOTICED"
-            print(f"{verdict}: {one['mutant']} ({one['file']}): {one['why']}", flush=True)
-    if given:
-        Path(given[0]).write_text(json.dumps(told, indent=1) + "\n")
-    return 0 if all(one["noticed"] for one in told) else 1
+def main(args):
+    with ThreadPoolExecutor(MAX_PARALLEL) as pool:
+        results = []
+        for result in pool.map(run_mutant, MUTANTS):
+            results.append(result)
+            verdict = "noticed" if result["noticed"] else "NOT NOTICED"
+            print(f"{verdict}: {result['mutant']} ({result['file']}): {result['why']}", flush=True)
+    if args:
+        Path(args[0]).write_text(json.dumps(results, indent=1) + "\n")
+    return 0 if all(result["noticed"] for result in results) else 1
 
 
 if __name__ == "__main__":
