--- a/benchmarks/crossings/list_clock.py
+++ b/benchmarks/crossings/list_clock.py
@@ -1,9 +1,8 @@
-"""How long a change takes to reach a node after a call of the list has gone wrong, with the real times:
+"""Measures how long a change takes to reach a node after failed requests for the list, with real time-outs:
 
     python benchmarks/crossings/list_clock.py OUT.json
 
-The change comes, and the list can be reached, in the moment after the fault
-has struck: the longest way there is.
+The change happens, and the list answers again, just after the last failure: the worst case.
 """
 
 import json
@@ -20,6 +19,7 @@
 
 
 def measure(fault, failures, poll):
+    """Returns the seconds from a change, after `failures` failed requests, until the node has it."""
     hosts = [Host("s-1"), Host("s-2")]
     agent, failed = Agent().list(*hosts), threading.Semaphore(0)
 
@@ -45,6 +45,7 @@
 
 
 def main(args):
+    """Measures all cases; returns 1 if the longest takes 6 s or more."""
     results = [
         {
             "fault": fault.__name__,
--- a/benchmarks/crossings/mutants.py
+++ b/benchmarks/crossings/mutants.py
@@ -1,9 +1,9 @@
-"""Takes out, one by one, the lines that make a crossing right, and runs the tests that are to notice it:
+"""Breaks, one by one, lines that get concurrent events right, and runs the tests that must fail then:
 
     python benchmarks/crossings/mutants.py OUT.json
 
-Works in a copy of the tree, which is removed. Exit code 1 if a mutant is not
-noticed, or its line is not there any more.
+Works in a copy of the tree, which is removed afterwards. Exits with 1 if a mutant is not noticed, or if its
+line is not found.
 """
 
 import json
@@ -25,9 +25,9 @@
     "tests/crossings/test_pieces.py",
     "tests/test_reducer.py::test_whatever_comes_is_answered_once_and_given_back",
 )
-POLICY = "policy"  # the decisions: whichever of their files has the line
+POLICY = "policy"  # stands for whichever file of the package holds the line
 
-# (what is taken out, file, the line as it stands, the line in its place, tests of which one must fail)
+# (name, file, the line, its replacement, tests of which one must fail)
 MUTANTS = [
     (
         "the look for the client before the first byte",
@@ -410,7 +410,7 @@
 
 
 def find_file(package, file, line):
-    """The file that the line stands in."""
+    """Returns the path of the file that holds the line."""
     if file != POLICY:
         return package / file
     files = sorted((package / "policy").glob("*.py"))
@@ -418,6 +418,7 @@
 
 
 def run_mutant(mutant):
+    """Runs one mutant's tests in a changed copy of the tree; returns its row of the results."""
     name, file, line, replacement, tests = mutant
     with tempfile.TemporaryDirectory() as directory:
         copy = Path(directory) / "tree"
@@ -429,7 +430,7 @@
                 "mutant": name,
                 "file": file,
                 "noticed": False,
-                "why": f"its line stands there {text.count(line)} times",
+                "why": f"its line was found {text.count(line)} times",
             }
         path.write_text(text.replace(line, replacement))
         try:
@@ -441,7 +442,7 @@
                 timeout=TEST_TIMEOUT,
             )
         except subprocess.TimeoutExpired:
-            return {"mutant": name, "file": file, "noticed": True, "why": f"hung for {TEST_TIMEOUT} s"}
+            return {"mutant": name, "file": file, "noticed": True, "why": f"timed out after {TEST_TIMEOUT} s"}
         summary = (
             completed.stdout.strip().splitlines()[-1] if completed.stdout.strip() else completed.stderr[-200:]
         )
@@ -454,6 +455,7 @@
 
 
 def main(args):
+    """Runs all mutants; returns the exit code."""
     with ThreadPoolExecutor(MAX_PARALLEL) as pool:
         results = []
         for result in pool.map(run_mutant, MUTANTS):
