--- /dev/null
+++ b/cottonspread/cli/initial_list.py
@@ -0,0 +1,48 @@
+"""The server list that a process starts with, and saves for the next process."""
+
+import logging
+import time
+
+from cottonspread.lists import saved
+from cottonspread.net import discovery
+
+log = logging.getLogger("cottonspread.cli")
+
+
+def newer_list(saved, parts):
+    """The saved list, or the one in the configuration if its version is higher; both as parsed JSON."""
+    known = parts[-1]
+    try:
+        version = discovery.read_list(saved, parts[2])[0] if saved else -1
+    except discovery.ListError as fault:
+        log.warning("saved-list", extra={"pairs": {"why": fault, "kept": "none"}})
+        return known
+    return saved if version >= discovery.read_list(known, parts[2])[0] else known
+
+
+class InitialList:
+    """The list that a node starts with, and the file that saves the list from discovery."""
+
+    def __init__(self, parts, path, timeout):
+        """Replaces the list in `parts[-1]` by the saved one if that is newer; `path`: None to save none.
+
+        `timeout`: seconds to wait for a list from discovery before the node serves with the initial one.
+        """
+        self.saved = saved.SavedList(path, parts[4].dynamic_weights) if path else None
+        self.timeout, self.received, self.started_at = timeout, False, time.monotonic()
+        if path:
+            parts[-1] = newer_list(saved.read(path), parts)
+
+    def on_list(self, *update):
+        """Saves a list from discovery; see `Node.__init__`."""
+        if self.saved:
+            self.saved.update(*update)
+        self.received = True
+
+    def ready(self, node):
+        """Whether a node that does not accept connections yet is able to serve."""
+        return (
+            node.reducer.listed
+            and (self.received or time.monotonic() - self.started_at >= self.timeout)
+            and node.ping()
+        )
--- a/cottonspread/lab/sim/agent.py
+++ b/cottonspread/lab/sim/agent.py
@@ -1,7 +1,7 @@
 """The host list as a node's discovery agent serves it.
 
 It is the lab's own list, delayed, cut off, garbled, restarted, or contradicting other agents. Requests come
-from the node's own list client (`discovery.Discovery.turn`); only the arrival and content of answers are
+from the node's own list client (`discovery.Discovery.poll`); only the arrival and content of answers are
 simulated.
 """
 
@@ -74,7 +74,7 @@
 
 
 class Caller:
-    """One process's calls to its agent, in place of `http.Http`."""
+    """One process's calls to its agent, in place of `http.HttpClient`."""
 
     def __init__(self, agent, process):
         """Replaces the HTTP client of the process's `Discovery`."""
@@ -90,15 +90,15 @@
 
     def wanted(self):
         """Starts to follow the list."""
-        self.process.discovery.wanted.set()
+        self.process.discovery.enabled.set()
         self.send_request()
 
     def send_request(self):
         """Sends the next request."""
         self.call += 1
         discovery, self.answer = self.process.discovery, None
-        _, wait = discovery.call()
-        self.due = self.world.now + (0 if discovery.whole else discovery.WATCH_MS * 1000)
+        _, wait = discovery.next_request()
+        self.due = self.world.now + (0 if discovery.need_full_list else discovery.WATCH_TIMEOUT_MS * 1000)
         self.world.after(round(wait * SECOND), self.fail, self.call, TimeoutError("no answer in time"))
         self.world.at(self.due, self.answer_if_due, self.call)
         self.answer_if_due()
@@ -126,19 +126,19 @@
         discovery = self.process.discovery
         if (
             call != self.call
-            or not discovery.wanted.is_set()
+            or not discovery.enabled.is_set()
             or self.answer is None
             and self.world.now < self.agent.silent_until
         ):
             return
         self.call += 1
         pause = self.run_turn()
-        if discovery.wanted.is_set():
+        if discovery.enabled.is_set():
             self.world.after(round(pause * SECOND) + 1, self.process.run_if_alive, self.send_request)
 
     def run_turn(self):
         """Runs one turn of the list client; returns the seconds that it then pauses."""
-        return self.process.discovery.turn()
+        return self.process.discovery.poll()
 
     def get(self, path, wait):
         """Returns the body of an answer, or raises the failure of the call."""
@@ -175,4 +175,4 @@
         """Does nothing: there is no socket."""
         pass
 
-    give_up = close
+    abort = close
--- a/cottonspread/lab/sim/invariants.py
+++ b/cottonspread/lab/sim/invariants.py
@@ -569,7 +569,7 @@
             module.sums.legs,
         )
         for h in hosts:
-            load = sum(leg.load for leg in h.legs) + module.loads.GROUP * len(+h.groups)
+            load = sum(leg.load for leg in h.legs) + module.loads.GROUP_COST * len(+h.groups)
             self.require(h.load == load, COUNTERS, "load of a host", name, h.name, h.load, load)
             self.require(
                 h.setups == sum(not leg.accepted for leg in h.legs),
@@ -597,7 +597,10 @@
         )
         conns = len(reducer.conns)
         self.require(
-            len(module.records) <= module.records.MOST + reducer.most_ends + 1, BOUND, "records", name
+            len(module.records) <= module.records.MAX_IDLE_KEYS + reducer.most_ends + 1,
+            BOUND,
+            "records",
+            name,
         )
         self.require(
             len(reducer.unopened) <= conns and len(reducer.told) == 0, BOUND, "clients without a line", name
--- a/cottonspread/lab/sim/node.py
+++ b/cottonspread/lab/sim/node.py
@@ -13,15 +13,15 @@
 
 from cottonspread import config
 from cottonspread.front import handover
-from cottonspread.front.lateness import Door
-from cottonspread.interface import Ending, News
+from cottonspread.front.lateness import AdmissionLimiter
+from cottonspread.interface import Ending, ListUpdateKind
 from cottonspread.lab.sim.contract import Contract
 from cottonspread.lab.sim.network import Endpoint
 from cottonspread.lab.sim.world import EPOCH, SECOND
 from cottonspread.net import discovery, lines
 from cottonspread.net import events as ev
 from cottonspread.net.node import SPARE_ENDS, changeable, door_target, may_watch, most_ends
-from cottonspread.net.pool import SIZE
+from cottonspread.net.pool import BUFFER_SIZE
 from cottonspread.net.reducer import Reducer
 from cottonspread.net.workers import HALF_LINE_WAIT
 
@@ -83,7 +83,7 @@
     def gather(self):
         """Takes what is there; whether the reducer was told of a whole line, or of one too long."""
         side, process = self.side, self.process
-        while took := side.recv(SIZE - len(self.buffer)) if side.received else b"":
+        while took := side.recv(BUFFER_SIZE - len(self.buffer)) if side.received else b"":
             if not self.buffer:
                 self.since = process.world.now
             self.buffer += took
@@ -94,7 +94,7 @@
                 self.since = process.world.now
                 self.say(ev.Got(self.end, whole, bool(self.buffer), process.clock(side.received_at)))
                 return True
-            if len(self.buffer) == SIZE:
+            if len(self.buffer) == BUFFER_SIZE:
                 self.over("long-line")
                 return True
         return False
@@ -242,8 +242,8 @@
         self.random = world.random_stream(node.name, "process", node.start_count)
         self.skew, self.drift = node.skew, node.drift
         self.parts = config.read_node(json.dumps(values), {})
-        place, room, names, hearing, begin, known = self.parts
-        self.most = self.all = most_ends(room, place.operator)
+        endpoints, resource_limits, names, host_protocol, begin, known = self.parts
+        self.most = self.all = most_ends(resource_limits, endpoints.operator)
         self.queue, self.urgent, self.awake, self.wake_at = deque(), deque(), False, 1 << 62
         self.free_at, self.writer_at, self.frozen, self.late_writes = world.now, world.now, 0, None
         self.dead, self.numbers, self.steps, self.ended, self.began, self.finished = (
@@ -261,21 +261,21 @@
             None,
             not shared,
         )
-        version, listed, addresses, unread = discovery.read_list(known, names, News.SAVED)
-        self.door = Door(door_target(begin))
+        version, listed, addresses, unread = discovery.read_list(known, names, ListUpdateKind.SAVED)
+        self.door = AdmissionLimiter(door_target(begin))
         self.discovery = discovery.Discovery(
-            place.discovery,
+            endpoints.discovery,
             names,
             self.post,
             version,
-            begin.listing.ask,
+            begin.server_list.polled,
             node.save_list,
             may_watch(begin, listed, shared),
         )
-        self.reducer = Reducer(self.clock(), begin, names, hearing, self.most, *node.fleet.policy)
+        self.reducer = Reducer(self.clock(), begin, names, host_protocol, self.most, *node.fleet.policy)
         self.caller = node.agent.attach(self)
-        self.discovery.begin(
-            listed, addresses, unread, trusted=begin.listing.ask or node.save_list is not None
+        self.discovery.start_with(
+            listed, addresses, unread, trusted=begin.server_list.polled or node.save_list is not None
         )
         self.wake()
 
@@ -344,7 +344,7 @@
         now = self.clock()
         at = getattr(event, "at", 0) or at or now
         if isinstance(event, ev.Got) and event.end.client and event.end.conn.opening is None:
-            self.door.lain(now, now - at)
+            self.door.record_wait(now, now - at)
         self.step(event, at)
         self.free_at = self.world.now + STEP + self.random.randbelow(STEP // 2)
         if self.queue or self.urgent:
@@ -478,7 +478,7 @@
         with contextlib.suppress(BrokenPipeError):
             side.send(line)
         self.node.fleet.invariants.on_rejected(self, side, line)
-        self.reducer.figures.turned_away(lines.type_named(side.recv()))
+        self.reducer.counters.count_refused_on_accept(lines.type_named(side.recv()))
         side.close()
         self.ended[reason] += 1
 
@@ -525,7 +525,7 @@
         """SIGHUP with this file. What cannot change while it runs stays, as in `Node.retune`."""
         try:
             parts = config.read_node(json.dumps(values), {})
-            config.complete(self.values, values)
+            config.check_no_key_missing(self.values, values)
         except config.ConfigurationError:
             self.hasten(ev.NotRetuned())
             return
@@ -573,7 +573,7 @@
             return
         for worker in workers:
             worker.gone = True
-        standing = handover.unpack_standing(handover.pack_standing(order.standing))
+        standing = handover.unpack_connection(handover.pack_connection(order.standing))
         ends, new = (ev.End(True), ev.End(False)), []
         for end, worker in zip(ends, workers, strict=True):
             new.append(Worker(heir, end, worker.side))
--- a/cottonspread/net/http.py
+++ b/cottonspread/net/http.py
@@ -1,159 +1,169 @@
-"""A small HTTP/1.1 client for one address: GET, and POST of JSON; answers bounded in size and time."""
+"""A small HTTP/1.1 client for one address: GET, and POST of JSON, with limits on response size and time."""
 
 import contextlib
 import socket
 import time
 
-MOST_HEAD, MOST_BODY = 16 * 1024, 8 * 1024 * 1024
+MAX_HEAD, MAX_BODY = 16 * 1024, 8 * 1024 * 1024
 
 
 class ResponseError(ValueError):
-    """What came back is no HTTP answer that can be used."""
+    """The response is malformed, too large, cut off or has a status other than 200."""
 
 
-class Http:
-    """Keeps its connection from one call to the next where the other side allows it."""
+class HttpClient:
+    """Keeps its connection alive between requests where the server allows it."""
 
-    def __init__(self, address, connect_wait):
-        self.address, self.connect_wait = address, connect_wait
-        self.sock, self.rest, self.until, self.given_up = None, b"", 0.0, False
-        self.heard = False  # whether anything of the answer to the call that is out has come
+    def __init__(self, address, connect_timeout):
+        """`address`: (host, port); `connect_timeout`: seconds."""
+        self.address, self.connect_timeout = address, connect_timeout
+        self.sock, self.buffered, self.deadline, self.aborted = None, b"", 0.0, False
+        self.response_started = False  # whether any byte of the current response has been received
 
-    def give_up(self):
-        """From another thread: a call that is out ends at once, and none begins."""
-        self.given_up, sock = True, self.sock
+    def abort(self):
+        """Ends the current request at once and refuses further ones. Called from another thread."""
+        self.aborted, sock = True, self.sock
         if sock is not None:
-            with contextlib.suppress(OSError):  # ended already
+            with contextlib.suppress(OSError):  # already closed
                 sock.shutdown(socket.SHUT_RDWR)
 
     def close(self):
+        """Closes the connection; the next request opens a new one."""
         if self.sock is not None:
             self.sock.close()
-        self.sock, self.rest = None, b""
+        self.sock, self.buffered = None, b""
 
     def get(self, path, wait):
-        """The body of the answer, within `wait` seconds for all of it; OSError or
-        ResponseError if there is none.
+        """Returns the response body. `wait`: seconds for the whole request.
+
+        Raises OSError or ResponseError.
         """
-        return self.ask(path, wait, None)
+        return self.request(path, wait, None)
 
     def post(self, path, wait, body):
-        """As `get`, with JSON as bytes. It may be sent twice, so only what may come twice goes this way."""
-        return self.ask(path, wait, body)
+        """As `get`, with JSON as bytes. May send the request twice, so it must be idempotent."""
+        return self.request(path, wait, body)
 
-    def ask(self, path, wait, body):
-        """What `get` and `post` have in common; `body`: None for GET."""
-        kept = self.sock is not None
-        self.until = time.monotonic() + wait
+    def request(self, path, wait, body):
+        """Common part of `get` and `post`; `body`: None for GET."""
+        reused = self.sock is not None
+        self.deadline = time.monotonic() + wait
         try:
             try:
-                return self.call(path, body)
+                return self.exchange(path, body)
             except (ConnectionError, ResponseError):
-                # Only a kept connection may have been closed in the meantime, which tells nothing. An answer
-                # that says no, or is none, would only be had again.
-                if not kept or self.heard or self.given_up:
+                # Retry only if a reused connection failed before any response byte: the server may have
+                # closed it while it was idle. An error response would only be repeated.
+                if not reused or self.response_started or self.aborted:
                     raise
                 self.close()
-                # In what is left of the time, so that two silences take no longer than one.
-                return self.call(path, body)
+                # The retry gets only the time left, so that two timeouts in a row take no longer than one.
+                return self.exchange(path, body)
         except (OSError, ResponseError):
             self.close()
             raise
 
-    def call(self, path, body):
-        self.heard = bool(self.rest)
+    def exchange(self, path, body):
+        """Sends one request and returns the response body, connecting first if there is no connection."""
+        self.response_started = bool(self.buffered)
         if self.sock is None:
-            wait = min(self.left(), self.connect_wait)
+            wait = min(self.time_left(), self.connect_timeout)
             self.sock = socket.create_connection(self.address, timeout=wait)
             self.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        if self.given_up:  # just while it was connecting
-            raise ConnectionAbortedError("given up")
+        if self.aborted:  # `abort` was called while connecting
+            raise ConnectionAbortedError("request aborted")
         host = "{}:{}".format(*self.address)
         method, size = ("GET", "") if body is None else ("POST", f"Content-Length: {len(body)}\r\n")
         head = f"{method} {path} HTTP/1.1\r\nHost: {host}\r\nAccept: application/json\r\n{size}\r\n"
-        self.sock.settimeout(self.left())
+        self.sock.settimeout(self.time_left())
         self.sock.sendall(head.encode() + (body or b""))
-        status, headers = self.head()
+        status, headers = self.read_head()
         while 100 <= status < 200:
-            status, headers = self.head()
+            status, headers = self.read_head()
         keep = headers.get("connection", "").lower() != "close"
-        answer, keep = self.body(headers, keep)
+        answer, keep = self.read_body(headers, keep)
         if not keep:
             self.close()
         if status != 200:
             raise ResponseError(f"status {status}")
         return answer
 
-    def left(self):
-        """Seconds left for the answer; TimeoutError if there are none."""
-        left = self.until - time.monotonic()
+    def time_left(self):
+        """Seconds left until the deadline; raises TimeoutError if it has passed."""
+        left = self.deadline - time.monotonic()
         if left <= 0:
-            raise TimeoutError("the answer takes too long")
+            raise TimeoutError("response timed out")
         return left
 
-    def more(self):
-        self.sock.settimeout(self.left())
+    def receive(self):
+        """Reads once from the socket into the buffer; returns False at the end of the stream."""
+        self.sock.settimeout(self.time_left())
         got = self.sock.recv(65536)
-        self.rest += got
-        self.heard = self.heard or bool(got)
+        self.buffered += got
+        self.response_started = self.response_started or bool(got)
         return bool(got)
 
-    def line(self, most):
-        while (end := self.rest.find(b"\n")) < 0:
-            if len(self.rest) > most or not self.more():
-                raise ResponseError("cut off or too long in its head")
-        line, self.rest = self.rest[:end].rstrip(b"\r"), self.rest[end + 1 :]
+    def read_line(self, limit):
+        """Reads one line, without its line end; ResponseError if it is longer than about `limit` bytes."""
+        while (end := self.buffered.find(b"\n")) < 0:
+            if len(self.buffered) > limit or not self.receive():
+                raise ResponseError("response head cut off or too long")
+        line, self.buffered = self.buffered[:end].rstrip(b"\r"), self.buffered[end + 1 :]
         return line
 
-    def head(self):
-        words = self.line(MOST_HEAD).split(None, 2)
+    def read_head(self):
+        """Reads the status line and the headers: (status, headers by lower-case name)."""
+        words = self.read_line(MAX_HEAD).split(None, 2)
         if len(words) < 2 or not words[0].startswith(b"HTTP/1.") or not words[1].isdigit():
-            raise ResponseError("no status line")
+            raise ResponseError("no HTTP status line")
         headers, size = {}, 0
         if words[0] == b"HTTP/1.0":
             headers["connection"] = "close"
-        while line := self.line(MOST_HEAD):
+        while line := self.read_line(MAX_HEAD):
             size += len(line)
             name, colon, value = line.decode("latin-1").partition(":")
-            if not colon or size > MOST_HEAD:
-                raise ResponseError("headers cannot be read")
+            if not colon or size > MAX_HEAD:
+                raise ResponseError("malformed or too large headers")
             headers[name.strip().lower()] = value.strip()
         return int(words[1]), headers
 
-    def exactly(self, count):
-        if count > MOST_BODY:
+    def read_exactly(self, count):
+        """Reads `count` bytes of the body."""
+        if count > MAX_BODY:
             raise ResponseError("body too large")
-        while len(self.rest) < count:
-            if not self.more():
+        while len(self.buffered) < count:
+            if not self.receive():
                 raise ResponseError("body cut off")
-        taken, self.rest = self.rest[:count], self.rest[count:]
+        taken, self.buffered = self.buffered[:count], self.buffered[count:]
         return taken
 
-    def body(self, headers, keep):
+    def read_body(self, headers, keep):
+        """Reads the body: (body, whether the connection can be reused)."""
         if headers.get("transfer-encoding", "").lower() == "chunked":
-            return self.chunks(), keep
+            return self.read_chunks(), keep
         if "content-length" in headers:
             if not headers["content-length"].isdigit():
-                raise ResponseError("length cannot be read")
-            return self.exactly(int(headers["content-length"])), keep
-        while self.more():  # up to the end of the connection
-            if len(self.rest) > MOST_BODY:
+                raise ResponseError("invalid Content-Length")
+            return self.read_exactly(int(headers["content-length"])), keep
+        while self.receive():  # no length given: the body ends with the connection
+            if len(self.buffered) > MAX_BODY:
                 raise ResponseError("body too large")
-        return self.rest, False
+        return self.buffered, False
 
-    def chunks(self):
+    def read_chunks(self):
+        """Reads a body in chunked transfer encoding."""
         parts, size = [], 0
         while True:
             try:
-                count = int(self.line(1024).split(b";")[0], 16)
+                count = int(self.read_line(1024).split(b";")[0], 16)
             except ValueError:
-                raise ResponseError("chunk size cannot be read") from None
+                raise ResponseError("invalid chunk size") from None
             size += count
-            if count < 0 or size > MOST_BODY:
+            if count < 0 or size > MAX_BODY:
                 raise ResponseError("body too large")
             if not count:
-                while self.line(MOST_HEAD):
+                while self.read_line(MAX_HEAD):
                     pass
                 return b"".join(parts)
-            parts.append(self.exactly(count))
-            self.line(1024)
+            parts.append(self.read_exactly(count))
+            self.read_line(1024)
--- a/tests/scale/test_overview.py
+++ b/tests/scale/test_overview.py
@@ -6,7 +6,7 @@
 from notation import begin, traffic_type
 
 from cottonspread import interface as io
-from cottonspread.interface import Ending, State
+from cottonspread.interface import Ending, HostState
 from cottonspread.policy import Balancer
 from cottonspread.policy.ceilings import Ceilings
 from cottonspread.state import SECOND
@@ -27,14 +27,14 @@
 def walked(node):
     """(servers apart, part of slow ones, legs, load, mean weights) by walks over all servers and legs."""
     now, health, order = node.now, node.health, node.rotation.order
-    fresh = {h for h in node.overview.marked if h.up and node.slow_start.part(h, now) < 1}
-    near = [h for h in order if health.slow(h, now, health.NEAR)]
-    full = [h for h in order if node.readings.full(h, now)]
-    probed = node.settings.probed
-    apart = {h for h in order if h in fresh or h.trickle or probed and (h in full or h in near)}
-    heard = [h for h in order if h.legs or now - h.cut_at < Ceilings.CALM]
-    slow = [h for h in heard if health.slow(h, now) and not h.hung or now - h.cut_at < Ceilings.CALM]
-    weights = [leg.load - node.loads.of(leg) for h in order for leg in h.legs]
+    fresh = {h for h in node.overview.exceptional if h.up and node.slow_start.capacity_share(h, now) < 1}
+    near = [h for h in order if health.is_slow(h, now, health.NEAR_SLOW_SHARE)]
+    full = [h for h in order if node.readings.is_full(h, now)]
+    probed = node.settings.probes_report_load
+    apart = {h for h in order if h in fresh or h.recovery_limit or probed and (h in full or h in near)}
+    heard = [h for h in order if h.legs or now - h.cut_at < Ceilings.CALM_TIME]
+    slow = [h for h in heard if health.is_slow(h, now) and not h.hung or now - h.cut_at < Ceilings.CALM_TIME]
+    weights = [leg.load - node.loads.weight_of(leg) for h in order for leg in h.legs]
     return apart, len(slow) / (len(heard) + 2), weights
 
 
@@ -53,7 +53,7 @@
         self.site = site
         self.node = Balancer(self.now, begin(site, self.types))
         self.entries = {n: io.Entry(f"s{n}", n % 3) for n in range(SERVERS)}
-        self.tell(io.Listed(io.News.FULL, 1, tuple(self.entries.values())))
+        self.tell(io.ListUpdate(io.ListUpdateKind.FULL, 1, tuple(self.entries.values())))
 
     def tell(self, event):
         """Passes an event on, and answers what is asked for."""
@@ -62,16 +62,21 @@
                 self.open.setdefault(action.call, []).append(action.host)
             elif isinstance(action, io.Probe):
                 load = self.chance.choice((0.2, 0.5, 0.9, 1.5))
-                self.tell(io.Probed(action.host, Ending.OK, 0, load))
+                self.tell(io.ProbeEnded(action.host, Ending.OK, 0, load))
 
     def change(self):
         """The list tells of some server."""
         number = self.chance.randrange(SERVERS)
         news = self.chance.choice(
-            ({"state": State.DRAINING}, {"state": State.GONE}, {"state": State.UP}, {"started": self.now})
+            (
+                {"state": HostState.DRAINING},
+                {"state": HostState.GONE},
+                {"state": HostState.UP},
+                {"started": self.now},
+            )
         )
         self.entries[number] = self.entries[number]._replace(**news)
-        self.tell(io.Listed(io.News.CHANGES, 1, (self.entries[number],)))
+        self.tell(io.ListUpdate(io.ListUpdateKind.CHANGES, 1, (self.entries[number],)))
 
     def end(self, call, leg):
         """A leg ends. After an error the call may go on, and its next leg be accepted much later."""
@@ -90,49 +95,49 @@
             held = f"s{chance.randrange(SERVERS)}" if chance.random() < 0.2 else None
             if held:
                 self.open[self.calls] = [held]
-            self.tell(io.Arrived(self.calls, 0, SECOND, None, f"g{self.calls % 7}", held_by=held))
+            self.tell(io.CallArrived(self.calls, 0, SECOND, None, f"g{self.calls % 7}", held_by=held))
             return
         call = chance.choice(list(self.open))
         leg = len(self.open[call]) - 1
         if kind < 0.55:
-            self.tell(io.Accepted(call, leg, 0))
+            self.tell(io.LegAccepted(call, leg, 0))
         elif kind < 0.7:
             self.end(call, leg)
         elif kind < 0.8:
-            self.tell(io.LoadTold(call, chance.choice((0.0, 5000.0, chance.random() * 20_000))))
+            self.tell(io.LoadReported(call, chance.choice((0.0, 5000.0, chance.random() * 20_000))))
         elif kind < 0.93:
-            self.tell(io.DelayTold(call, chance.choice(DELAYS)))
+            self.tell(io.DelayReported(call, chance.choice(DELAYS)))
         elif kind < 0.98:
             self.change()
         else:
             faster = (traffic_type("t", {"message": chance.choice((20, 50, 400))}),)
-            self.tell(io.Retuned(begin(self.site, faster)))
+            self.tell(io.Reconfigured(begin(self.site, faster)))
 
 
 @pytest.mark.parametrize("seed", range(24))
 def test_a_look_finds_what_a_walk_finds(seed):
     play = Play(seed)
     node, overview, looks = play.node, play.node.overview, 0
-    plain_look = overview.look
+    plain_look = overview.refresh
 
     def look(now):
         nonlocal looks
-        due = now - overview.looked_at >= overview.EVERY
+        due = now - overview.refreshed_at >= overview.REFRESH_INTERVAL
         plain_look(now)
         if due:
             looks += 1
             apart, slow_part, wrong_weights = walked(node)
-            assert node.sums.apart == apart
-            assert overview.slow_part == slow_part
+            assert node.sums.excluded == apart
+            assert overview.slow_share == slow_part
             assert not any(wrong_weights)
 
-    overview.look = look
+    overview.refresh = look
     for _ in range(STEPS):
         play.step()
         up = [h for h in node.membership.hosts.values() if h.up]
         assert (node.sums.legs, node.sums.load) == sums_of(up)
         assert node.sums.holding == sum(bool(h.legs) for h in up)
-        assert (node.sums.apart_legs, node.sums.apart_load) == sums_of(node.sums.apart)
+        assert (node.sums.excluded_legs, node.sums.excluded_load) == sums_of(node.sums.excluded)
     assert looks > STEPS / 20
 
 
@@ -141,12 +146,12 @@
     play = Play(0)
     node = play.node
     host = node.rotation.order[0]
-    node.overview.mark(host)
+    node.overview.mark_exceptional(host)
     host.cut_at = node.now
     for _ in range(3):
         node.now += SECOND
-        node.overview.look(node.now)
-        assert node.overview.slow_part == 1 / (1 + 2)
-    node.now += Ceilings.CALM
-    node.overview.look(node.now)
-    assert node.overview.slow_part == 0
+        node.overview.refresh(node.now)
+        assert node.overview.slow_share == 1 / (1 + 2)
+    node.now += Ceilings.CALM_TIME
+    node.overview.refresh(node.now)
+    assert node.overview.slow_share == 0
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -9,7 +9,7 @@
 from test_net import NODE, WAIT, Client, discovery_of, service, toy  # noqa: F401 (fixtures)
 
 from cottonspread import config
-from cottonspread.front.figures import ANSWERS, Figures
+from cottonspread.front.counters import ANSWERS, Counters
 from cottonspread.net import admin, lines
 from cottonspread.net import events as ev
 from cottonspread.net.node import Node, most_ends
@@ -43,7 +43,7 @@
         (b"health\r\n", b"200 health\n"),
         (b"health\n", b"200 health\n"),
         (b" health \r\n", b"200 health\n"),
-        (b"x" * admin.LONGEST + b"\n", b"200 " + b"x" * admin.LONGEST + b"\n"),
+        (b"x" * admin.MAX_LINE + b"\n", b"200 " + b"x" * admin.MAX_LINE + b"\n"),
         (b"health\r\nhealth\r\n", b"400"),
         (b"health\nh", b"400"),
         (b"x" * 4000, b"400"),
@@ -71,15 +71,15 @@
     """They are turned out for a new one when all places are taken: with their time limit
     alone the thirteenth waited two seconds.
     """
-    silent = [socket.create_connection(door[1], timeout=WAIT) for _ in range(3 * admin.MOST)]
+    silent = [socket.create_connection(door[1], timeout=WAIT) for _ in range(3 * admin.MAX_CALLERS)]
     for sock in silent:
         sock.sendall(b"hea")
     assert call(door[1], b"health\n") == b"200 health\n"
-    assert len(door[0].callers) <= admin.MOST
+    assert len(door[0].callers) <= admin.MAX_CALLERS
 
 
 def test_a_line_that_never_ends_is_closed_after_its_time(door, monkeypatch):
-    monkeypatch.setattr(admin, "LINE_WAIT", 0.05)
+    monkeypatch.setattr(admin, "LINE_TIMEOUT", 0.05)
     with socket.create_connection(door[1], timeout=WAIT) as sock:
         sock.sendall(b"heal")
         assert sock.makefile("rb").read().startswith(b"400")
@@ -101,25 +101,25 @@
     one.stop()
 
 
-# Figures
+# Counters
 
 
 def test_every_type_known_has_its_figures_zero_included_and_names_are_escaped():
-    figures = Figures(["plain", 'a"b\\c\nd'])
-    figures.answered("busy", "plain")
-    figures.turned_away("plain")
-    figures.turned_away("unheard-of")
-    text = figures.text(3)
+    counters = Counters(["plain", 'a"b\\c\nd'])
+    counters.count_answer("busy", "plain")
+    counters.count_refused_on_accept("plain")
+    counters.count_refused_on_accept("unheard-of")
+    text = counters.text(3)
     assert 'app_busy{tier="plain"} 2\n' in text and "app_inflight 3\n" in text
     assert 'app_success{tier="a\\"b\\\\c\\nd"} 0\n' in text
     assert all(
         re.fullmatch(r'app_[a-z_]+(\{tier="(?:[^"\\]|\\.)*"\})? \d+', line) for line in text.splitlines()
     )
-    figures.know(["new"])
-    assert 'app_failure{tier="new"} 0\n' in figures.text(0) and 'app_busy{tier="plain"} 2\n' in figures.text(
+    counters.add_types(["new"])
+    assert 'app_failure{tier="new"} 0\n' in counters.text(
         0
-    )
-    assert {name for name, _, _ in figures.numbers(0)} == {
+    ) and 'app_busy{tier="plain"} 2\n' in counters.text(0)
+    assert {name for name, _, _ in counters.samples(0)} == {
         *ANSWERS,
         "inflight",
         "backend_calls",
@@ -152,7 +152,7 @@
 @pytest.fixture
 def operated(monkeypatch, toy):  # noqa: F811
     parts = list(config.read_node(NODE, {}))
-    parts[0] = config.Place("n1", ("127.0.0.1", 0), discovery_of(toy.Toy(2)), ("127.0.0.1", 0))
+    parts[0] = config.Endpoints("n1", ("127.0.0.1", 0), discovery_of(toy.Toy(2)), ("127.0.0.1", 0))
     node = Node(*parts)
     node.start()
     yield node, node.listener.getsockname(), node.admin.listener.getsockname()
@@ -218,9 +218,13 @@
 
 def test_a_node_without_the_key_has_no_such_address(service):  # noqa: F811
     node, _ = service
-    assert node.place.operator is None and node.admin is None
+    assert node.endpoints.operator is None and node.admin is None
 
 
 def test_the_descriptors_of_the_address_are_set_aside():
-    room = config.Room(192, 256)
-    assert most_ends(room) - most_ends(room, ("127.0.0.1", 1)) == admin.SET_ASIDE > admin.MOST
+    resource_limits = config.ResourceLimits(192, 256)
+    assert (
+        most_ends(resource_limits) - most_ends(resource_limits, ("127.0.0.1", 1))
+        == admin.RESERVED_DESCRIPTORS
+        > admin.MAX_CALLERS
+    )
--- a/tests/test_reducer.py
+++ b/tests/test_reducer.py
@@ -43,7 +43,7 @@
 from cottonspread.front import handover
 from cottonspread.net import events as ev
 from cottonspread.net.reducer import Reducer
-from cottonspread.state import Chance
+from cottonspread.state import SeededRandom
 
 FILES = sorted((Path(__file__).parent / "reducer").glob("*.txt"))
 
@@ -58,7 +58,7 @@
             0,
             begin(site, types),
             names_of(types),
-            config.Hearing(ms(50), "no_loads" not in site, True, "loads_only" not in site),
+            config.HostProtocol(ms(50), "no_loads" not in site, True, "loads_only" not in site),
             int(site.get("ends", 100)),
         )
         self.ends, self.names, self.held, self.out = {}, {}, set(), []
@@ -172,8 +172,8 @@
         return +counted
 
     def figures(self):
-        figures = self.reducer.figures
-        return +Counter(figures.answers | {"backend_calls": figures.backend_calls})
+        counters = self.reducer.counters
+        return +Counter(counters.answers | {"backend_calls": counters.backend_calls})
 
     def act(self, now, verb, args):
         while verb != "asleep" and self.reducer.due() < now:  # the loop's own calls in between
@@ -188,8 +188,8 @@
         return out
 
     def on_list(self, end, args, at):
-        listed = io.Listed(
-            io.News.SAVED if args[0] == "saved" else io.News[args[0].upper()],
+        listed = io.ListUpdate(
+            io.ListUpdateKind.SAVED if args[0] == "saved" else io.ListUpdateKind[args[0].upper()],
             1,
             tuple(entry(word) for word in args[1:]),
         )
@@ -242,7 +242,9 @@
         self.step(
             ev.Adopted(
                 *ends,
-                handover.Standing(args[2], args[3], args[4], self.now, 0, key, key, load=float(load or 0)),
+                handover.OpenConnection(
+                    args[2], args[3], args[4], self.now, 0, key, key, load=float(load or 0)
+                ),
                 lambda taken: self.out.append(["adopted", "yes" if taken else "no"]),
             )
         )
@@ -272,7 +274,7 @@
         words = [word.partition("=")[::2] for word in args]
         self.step(
             ev.Inherited(
-                handover.HandOver(
+                handover.HandoverState(
                     50,
                     "draining" in args,
                     tuple(v for k, v in words if k == "id"),
@@ -306,7 +308,7 @@
     def on_figures(self, end, args, at):
         told = {
             name + "." * bool(labels) + labels[7:-2]: value
-            for name, labels, value in self.reducer.figures.numbers(len(self.reducer.by_id))
+            for name, labels, value in self.reducer.counters.samples(len(self.reducer.by_id))
         }
         for word in args:
             assert told[word.split("=")[0]] == int(word.split("=")[1]), (word, told)
@@ -378,7 +380,7 @@
 @pytest.mark.parametrize("seed", range(150))
 def test_whatever_comes_is_answered_once_and_given_back(seed):
     """A hundred events drawn at random, each of which may happen; the world checks the rest."""
-    chance = Chance(seed)
+    chance = SeededRandom(seed)
 
     def one_of(choices):
         return choices[chance.below(len(choices))]
@@ -446,7 +448,7 @@
     handle = world.reducer.module.handle
 
     def listen(now, event):
-        if isinstance(event, io.DelayTold):
+        if isinstance(event, io.DelayReported):
             told.append((now // 1000, event.delay // 1000))
         return handle(now, event)
 
