--- a/cottonspread/lab/sim/agent.py
+++ b/cottonspread/lab/sim/agent.py
@@ -41,9 +41,9 @@
         self.book.change(name, lifecycle, started_ms, self.book.entries.get(name) or entry)
         self.answer_waiting_calls()
 
-    def update_weights(self, held):
-        """Updates the hosts' weights from `held`, and answers waiting calls."""
-        self.book.weigh(held)
+    def update_weights(self, usage):
+        """Updates the hosts' weights from `usage`, and answers waiting calls."""
+        self.book.weigh(usage)
         self.answer_waiting_calls()
 
     def go_silent(self, span):
@@ -59,7 +59,7 @@
 
     def answer_waiting_calls(self):
         """Answers the calls that have an answer by now, and forgets dead processes."""
-        self.callers = [one for one in self.callers if not one.process.dead]
+        self.callers = [caller for caller in self.callers if not caller.process.dead]
         for caller in self.callers:
             caller.answer_if_due()
 
@@ -88,7 +88,7 @@
         )
         process.discovery.http = process.discovery.target = self
 
-    def wanted(self):
+    def follow_list(self):
         """Starts to follow the list."""
         self.process.discovery.enabled.set()
         self.send_request()
--- a/cottonspread/lab/sim/fleet.py
+++ b/cottonspread/lab/sim/fleet.py
@@ -90,10 +90,10 @@
         if whole:
             self.saved_instances = {}
         self.generation = version
-        for one in instances:
-            self.saved_instances[one["instanceId"]] = one
-            if one["lifecycle"] == "Gone":
-                del self.saved_instances[one["instanceId"]]
+        for instance in instances:
+            self.saved_instances[instance["instanceId"]] = instance
+            if instance["lifecycle"] == "Gone":
+                del self.saved_instances[instance["instanceId"]]
 
     def update_listener(self):
         """Selects which processes accept connections; a shared listener queues them while there is none."""
@@ -122,12 +122,12 @@
 def expand_zone_faults(plan):
     """Replaces the loss of a zone by faults of its machines, which vanish and come back cold."""
     faults = []
-    for one in plan.faults:
-        if one.kind == "zone-lost":
-            one = msgspec.structs.replace(
-                one, kind="vanish", on=[m.name for m in plan.machines if m.zone in one.on]
+    for fault in plan.faults:
+        if fault.kind == "zone-lost":
+            fault = msgspec.structs.replace(
+                fault, kind="vanish", on=[m.name for m in plan.machines if m.zone in fault.on]
             )
-        faults.append(one)
+        faults.append(fault)
     return msgspec.structs.replace(plan, faults=faults)
 
 
@@ -160,8 +160,8 @@
             self.world.at(node.random.randbelow(self.start_window), node.start)
         for after, name, lifecycle, started in listing.changes(self.plan):
             self.schedule_change(after - round(x.listing.lag_ms * 1000), name, lifecycle, started)
-        for one in self.plan.faults:
-            self.world.at(round(one.at * SECOND), fault_injection.inject, self, one)
+        for fault in self.plan.faults:
+            self.world.at(round(fault.at * SECOND), fault_injection.inject, self, fault)
         if x.listing.weights_ms:
             self.world.after(
                 round(x.listing.weights_ms * 1000), self.update_weights, round(x.listing.weights_ms * 1000)
@@ -200,12 +200,12 @@
 
     def update_weights(self, every):
         """Updates the weights of all hosts at every agent, now and every `every` microseconds."""
-        held = {
+        usage = {
             m.name: (m.traits.cores * m.traits.speed, len(self.hosts[m.name].model.conns) / m.traits.cores)
             for m in self.plan.machines
         }
         for agent in self.agents:
-            agent.update_weights(held)
+            agent.update_weights(usage)
         self.world.after(every, self.update_weights, every)
 
     # Records
--- a/cottonspread/lab/sim/generator.py
+++ b/cottonspread/lab/sim/generator.py
@@ -91,7 +91,7 @@
 
 def last_fault_end(faults):
     """Returns the second at which the last fault ends."""
-    return max([one.at + one.seconds for one in faults] or [0.0])
+    return max([fault.at + fault.seconds for fault in faults] or [0.0])
 
 
 def with_fitted_length(scenario):
@@ -113,8 +113,8 @@
     The limit is a third of what the hosts can do without faults, and of the nodes' descriptors, so that a
     client that is not served then was rejected without good reason.
     """
-    life = sum(one["life_s"] for one in types) / len(types)
-    work = sum(one["life_s"] * one["load_us"] for one in types) / len(types) / 1e6 + 0.0024
+    life = sum(kind["life_s"] for kind in types) / len(types)
+    work = sum(kind["life_s"] * kind["load_us"] for kind in types) / len(types) / 1e6 + 0.0024
     sockets = (fleet["nodes.sockets"] - 48) * fleet["nodes.count"] / 2
     return round(min(rate, fleet["hosts.count"] * 2.0 / 3 / work, sockets / 3 / life), 2)
 
@@ -185,4 +185,4 @@
                     random, round(start + random.choice((0, 0, 1)) * random.randint(0, 2000) / 1000, 3), fleet
                 )
             )
-    return with_fitted_length(Scenario(fleet, types, loads, sorted(faults, key=lambda one: one.at)))
+    return with_fitted_length(Scenario(fleet, types, loads, sorted(faults, key=lambda fault: fault.at)))
--- a/cottonspread/lab/sim/node.py
+++ b/cottonspread/lab/sim/node.py
@@ -393,7 +393,7 @@
             case ev.Ask():
                 world.after(self.random.randbelow(HOP), self.run_if_alive, Probe, self, effect)
             case ev.FollowList():
-                self.caller.wanted()
+                self.caller.follow_list()
             case ev.Pass():
                 world.after(self.random.randbelow(HOP), self.run_if_alive, self.give, effect)
             case ev.Stop():  # the last answers go out before the process may end
--- a/cottonspread/lab/sim/scenario.py
+++ b/cottonspread/lab/sim/scenario.py
@@ -55,7 +55,7 @@
             for part in parents:
                 section = section.setdefault(part, {})
             section[key] = value
-        nested["faults"] = [msgspec.structs.asdict(one) for one in self.faults]
+        nested["faults"] = [msgspec.structs.asdict(fault) for fault in self.faults]
         try:
             return plans.check(msgspec.convert(nested, plans.Experiment, strict=False), simulated=True)
         except msgspec.ValidationError as fault:
@@ -141,16 +141,16 @@
     lines.append("fleet " + " ".join(f"{k}={format_value(v)}" for k, v in scenario.fleet.items()))
     for name, key, entries in (("type", "name", scenario.types), ("load", "kind", scenario.loads)):
         lines += [
-            " ".join([name, one[key], *(f"{k}={format_value(v)}" for k, v in one.items() if k != key)])
-            for one in entries
+            " ".join([name, entry[key], *(f"{k}={format_value(v)}" for k, v in entry.items() if k != key)])
+            for entry in entries
         ]
     if scenario.only is not None:
         lines.append("only " + " ".join(map(str, scenario.only)))
-    for one in scenario.faults:
-        words = [format_value(one.at * 1000), one.kind, *one.on]
+    for fault in scenario.faults:
+        words = [format_value(fault.at * 1000), fault.kind, *fault.on]
         words += [
             f"{key}={format_value(value)}"
-            for key, value, default in (("seconds", one.seconds, 0.0), ("factor", one.factor, 3.0))
+            for key, value, default in (("seconds", fault.seconds, 0.0), ("factor", fault.factor, 3.0))
             if value != default
         ]
         lines.append(" ".join(words))
