--- a/cottonspread/driver.py
+++ b/cottonspread/driver.py
@@ -1,7 +1,8 @@
-"""What runs the paths of calls: events find their call and leg, actions are gathered. It decides nothing.
+"""Runs the paths of calls: routes events to their call and leg, and collects actions. Makes no decisions.
 
-A path is a generator: it yields the next action of its call, or None to wait, and is sent the event that it
-waited for. The decisions, in `cottonspread.policy`, fill in the methods that end in `NotImplementedError`.
+A call's path is a generator: it yields the next action of its call, or None to wait, and is sent the event
+that it waited for. `cottonspread.policy` makes the decisions by overriding the methods that raise
+`NotImplementedError`.
 """
 
 from cottonspread import interface as io
@@ -10,16 +11,16 @@
 
 
 class Driver:
-    """Keeps the books of a node and leads the paths of its calls on. Times: microseconds of its clock."""
+    """Keeps a node's state and advances the paths of its calls. Times: microseconds of the caller's clock."""
 
     def __init__(self, now, settings, membership, records):
+        """The parts that the decisions bring along: `Settings`, `Membership` and `Records`."""
         self.now, self.pending, self.settings = now, [], settings
         self.membership, self.records, self.sums = membership, records, Sums()
-        self.shared_dependency = Host(
-            "way to the servers", io.Entry(None)
-        )  # what all set-ups share, a store perhaps
-        self.calls = {}  # open calls by their id
-        self.last_leg_at, self.calls_since_leg = now, 0  # when a leg last went out, and calls that came since
+        # Stands for what all set-ups depend on, such as a session store.
+        self.shared_dependency = Host("shared set-up dependency", io.Entry(None))
+        self.calls = {}  # open calls by id
+        self.last_leg_at, self.calls_since_leg = now, 0  # time of the last leg sent, calls arrived since
         self.waiting_for_probe = {}  # calls, by the server whose probe they wait for
         self.handlers = {
             io.CallArrived: self.handle_arrival,
@@ -36,7 +37,7 @@
         }
 
     def handle(self, now, event):
-        """Takes an event; returns the actions that follow. An event of an unknown type is passed over."""
+        """Handles an event and returns the resulting actions. Events of unknown types are ignored."""
         self.now = now
         handler = self.handlers.get(type(event))
         if handler:
@@ -44,14 +45,17 @@
         return self.actions()
 
     def actions(self):
-        """What is to be done by now, given out once."""
+        """Returns the pending actions and clears them."""
         pending, self.pending = self.pending, []
         return pending
 
-    # A call and its path
+    # Calls and their paths
 
     def handle_arrival(self, e):
-        """A call comes in, or is open already through this node. A group is its calls' key."""
+        """Handles a call that arrives, or that is open through this node already.
+
+        The key of a call with a group is the group.
+        """
         key = e.group if e.group is not None else e.key
         kind, most = self.settings.types[e.type], self.settings.limits.max_legs
         call = Call(e.call, kind, key, e.group, self.now + e.time_left, e.returned, max_legs=most)
@@ -65,7 +69,7 @@
         self.resume(call, None)
 
     def resume(self, call, result):
-        """Leads the call's path on to what it waits for next."""
+        """Resumes the call's path with a result, and handles the action that it yields."""
         action = call.path.send(result)
         if action is None:
             return
@@ -79,50 +83,50 @@
             self.finish(call)
 
     def send(self, call, host):
-        """A leg goes out: counted at its server, and among all set-ups of this node."""
+        """Opens a leg; counts it at its server and among all set-ups of this node."""
         host.sent.add(self.now)
         self.shared_dependency.sent.add(self.now)
         self.last_leg_at, self.calls_since_leg = self.now, 0
         self.open_leg(call, host)
 
     def open_leg(self, call, host):
-        """A new leg of the call stands at the server, not accepted yet."""
+        """Adds a leg of the call at the server, not accepted yet."""
         load, adds = self.load_of_new(call, host)
         self.sums.add(host, 1, adds)
         return call.open_leg(host, self.now, load)
 
     def move(self, leg):
-        """Asks a connection's client to come again, and not to this server."""
+        """Asks a connection's client to reconnect; the key's record is dropped, so it gets another server."""
         leg.move_requested = True
         self.records.drop(leg.call.key, leg.host)
         self.pending.append(io.Move(leg.call.id))
 
     def wait_for_probe(self, call, probe):
-        """One probe of a server serves all calls that wait for it."""
+        """Has the call wait for a probe of the server; one probe serves all calls that wait for it."""
         waiting = self.waiting_for_probe.setdefault(probe.host, [])
         waiting.append(call)
         if len(waiting) == 1:
             self.pending.append(probe)
 
     def finish(self, call):
-        """The call has its one final answer: nothing is sent for it after."""
+        """Ends the call's path after its one final answer: nothing more is sent for it."""
         call.ended = True
         call.path.close()
         self.forget(call)
 
     def forget(self, call):
-        """Nothing is kept of a call whose legs have all ended."""
+        """Removes the call if all its legs have ended."""
         if all(leg.ending for leg in call.legs):
             self.calls.pop(call.id, None)
 
-    # Events that find their call
+    # Events that concern a call
 
     def handle_leg_event(self, e):
-        """A leg is accepted, or has ended."""
+        """Handles a leg that was accepted or has ended."""
         call = self.calls.get(e.call)
         leg = call.legs[e.leg] if call and e.leg < len(call.legs) else None
         if leg is None or leg.ending:
-            return  # an end may cross with ours: nothing is held for it any more
+            return  # both sides may end a leg at the same time: nothing is kept of it any more
         if isinstance(e, io.LegAccepted):
             self.accept_leg(leg, e)
             return
@@ -135,7 +139,7 @@
             self.resume(call, e)
 
     def accept_leg(self, leg, e):
-        """The first word of acceptance counts."""
+        """Handles an acceptance; repeated ones are ignored."""
         if leg.accepted:
             return
         leg.accept()
@@ -144,7 +148,7 @@
             self.resume(leg.call, e)
 
     def handle_report(self, e):
-        """A word on a connection: what it costs its server, or what its messages take."""
+        """Handles a report on a connection: its load or its message delay."""
         call = self.calls.get(e.call)
         leg = call.legs[-1] if call and call.legs else None
         if leg is None or leg.ending:
@@ -155,14 +159,14 @@
             self.delay_reported(leg.host, e.delay)
 
     def handle_expiry(self, e):
-        """The client has given up."""
+        """Ends a call that its client gave up."""
         call = self.calls.get(e.call)
         if call and not call.ended:
             self.client_gave_up(call)
             self.finish(call)
 
     def handle_probe_end(self, e):
-        """A probe has ended, and calls wait for it."""
+        """Handles the end of a probe and resumes the calls that wait for it."""
         host = self.membership.hosts.get(e.host)
         if host:
             self.probe_ended(host, e)
@@ -171,7 +175,10 @@
                 self.resume(call, None)
 
     def handle_inherited(self, e):
-        """Two processes of one node: keys stay where they are, and the cold budget is one."""
+        """Takes over the state of the process that this one replaces.
+
+        The two are one node: keys stay on their servers, and the budget of cold servers is shared.
+        """
         hosts = self.membership.hosts
         for key, name in e.records:
             if name in hosts:
@@ -181,58 +188,58 @@
                 hosts[name].sent.add(at, legs)
 
     def handle_reconfigured(self, e):
-        """Other settings from now on. A call keeps the type that it opened under."""
+        """Applies another configuration. An open call keeps the type under which it was opened."""
         self.settings.apply(e.config)
 
     def handle_timer(self, e):
-        """It is time to see off a client of a server that drains, or to ask the list."""
+        """Moves a client off a draining server, or polls the list, as the timer's token says."""
         if e.token == "off":
             self.move_next_draining()
         else:
             self.pending.append(io.Subscribe())
 
-    # Filled in by the decisions
+    # Implemented by the policy
 
     def path(self, call):
         """The generator of the call's actions, from arrival to its final answer."""
         raise NotImplementedError
 
     def call_arrived(self, call):
-        """A call has arrived."""
+        """Called before the path of an arrived call starts."""
         raise NotImplementedError
 
     def load_of_new(self, call, host):
-        """(load of a new leg, what its server's load grows by), see `Loads`."""
+        """(weight of a new leg, weight that it adds to its server), see `Loads`."""
         raise NotImplementedError
 
     def leg_accepted(self, leg):
-        """A leg is accepted for the first time."""
+        """Called when a leg is accepted for the first time."""
         raise NotImplementedError
 
     def leg_ended(self, leg, ending):
-        """A leg has ended, whichever way; its books are to be closed."""
+        """Called at the end of a leg, whatever its cause; it has to close the leg."""
         raise NotImplementedError
 
     def client_gave_up(self, call):
-        """The client of an open call has given up."""
+        """Called when the client of an open call gives up."""
         raise NotImplementedError
 
     def load_reported(self, leg, load):
-        """What a connection costs its server, in microseconds of work a second."""
+        """Called with the load of a connection, in microseconds of work a second."""
         raise NotImplementedError
 
     def delay_reported(self, host, delay):
-        """What a message takes at a server, in microseconds."""
+        """Called with the message delay at a server, in microseconds."""
         raise NotImplementedError
 
     def probe_ended(self, host, e):
-        """`ProbeEnded`: a probe of the server has ended; calls that wait for it are resumed after."""
+        """Called with the `ProbeEnded` of a server, before the calls that wait for it are resumed."""
         raise NotImplementedError
 
     def list_updated(self, e):
-        """`ListUpdate`: a word from the list, or of an asking that failed."""
+        """Called with a `ListUpdate`."""
         raise NotImplementedError
 
     def move_next_draining(self):
-        """It is time for the next of the clients that are to leave servers that drain."""
+        """Called when the next client is to be moved off a draining server."""
         raise NotImplementedError
--- a/cottonspread/state.py
+++ b/cottonspread/state.py
@@ -1,4 +1,4 @@
-"""What a node keeps: chance, counts over time, servers, calls and their legs. No decisions here."""
+"""A node's state: random draws, counts over time, servers, calls and their legs. Makes no decisions."""
 
 from collections import Counter
 from dataclasses import dataclass, field
@@ -12,25 +12,27 @@
 
 
 class SeededRandom:
-    """Draws that depend on the node's seed and on how many came before."""
+    """Reproducible random draws, which depend on the node's seed and the number of earlier draws alone."""
 
     def __init__(self, seed):
+        """`seed`: a whole number; nodes with the same seed draw the same."""
         self.seed, self.drawn = seed, 0
 
     def below(self, n):
-        """The next draw, a whole number from 0 to n - 1."""
+        """Draws a whole number from 0 to n - 1."""
         self.drawn += 1
         return crc32(b"%d:%d" % (self.seed, self.drawn)) * n >> 32
 
 
 class SlidingCount:
-    """A count over the last `buckets` stretches of `width`, in buckets that are used again."""
+    """A count over a sliding window of time, kept in a ring of reused buckets."""
 
     def __init__(self, width, buckets):
+        """`width`: microseconds of a bucket; `buckets`: their number, so the window is their product."""
         self.width, self.counts, self.stamps = width, [0] * buckets, [-1] * buckets
 
     def add(self, now, amount=1):
-        """Counts into the bucket of this time."""
+        """Adds to the bucket of this time."""
         stamp = now // self.width
         at = stamp % len(self.counts)
         if self.stamps[at] != stamp:
@@ -38,28 +40,28 @@
         self.counts[at] += amount
 
     def buckets_in(self, now, span):
-        """(when, amount) of each bucket that `total` would count, the oldest first."""
+        """(start time, amount) of each non-empty bucket that `total` counts, the oldest first."""
         oldest = (now - span) // self.width
         return sorted(
             (s * self.width, c) for c, s in zip(self.counts, self.stamps, strict=True) if c and s >= oldest
         )
 
     def total(self, now, span):
-        """The count over the last `span`, and what else falls in the bucket where it begins."""
+        """The count over the last `span`, including all of the bucket in which it begins."""
         oldest = (now - span) // self.width
         return sum(c for c, s in zip(self.counts, self.stamps, strict=True) if s >= oldest)
 
 
 class Settings:
-    """What is in force, out of `NodeConfig`. All parts of the policy hold this one object."""
+    """The settings in force, from a `NodeConfig`. All parts of the policy share this one object."""
 
     def __init__(self, config, default_nodes):
-        """`default_nodes`: the number of nodes to reckon with where none is told."""
+        """`default_nodes`: the number of nodes assumed where the configuration has none."""
         self.default_nodes = default_nodes
         self.apply(config)
 
     def apply(self, config):
-        """Other settings from now on."""
+        """Puts the settings of `config` in force."""
         self.unread_change = True
         self.types, self.limits, self.tick, self.cold = config.types, config.legs, config.tick, config.cold
         self.zone, self.zone_crossing_price, self.move_price = (
@@ -73,7 +75,7 @@
         self.message_target = min(targets, default=SECOND)
 
     def take_change(self):
-        """Whether others came into force since this was last asked."""
+        """Whether the settings changed since the last call of this method."""
         changed, self.unread_change = self.unread_change, False
         return changed
 
@@ -84,43 +86,43 @@
 
     name: object
     entry: io.Entry
-    size: float = 1.0  # nominal, for its turn in the rotation
-    load_ratio: float = 0.0  # load asked of it over what it can do, as a probe told
+    size: float = 1.0  # nominal capacity, its weight in the rotation
+    load_ratio: float = 0.0  # load put on it over what it can do, as last probed
     load_ratio_at: int = -60 * SECOND
-    legs: dict = field(default_factory=dict)  # legs out or standing, in order of sending
-    setups: int = 0  # of these, not yet answered
+    legs: dict = field(default_factory=dict)  # legs being set up or established, in order of sending
+    setups: int = 0  # those of them not yet answered
     groups: Counter = field(default_factory=Counter)
-    load: int = 0  # what its legs and groups weigh here, see `Loads`
-    turn_credit: float = 0.0  # rotation: part of a turn saved up
-    answers: int = 0  # since it last started
-    last_draw_at: int = -60 * SECOND  # cold: when chance was last asked for a leg to it
-    ejected_until: int = 0  # health: no leg before this
-    skip_until: int = 0  # found not open to new keys: not looked at again before
-    recovery_limit: int = 0  # health: legs allowed in a trickle period; 0: no limit
-    ejection_time: int = 0
-    delay: int = 0  # what messages took, and when that was told
+    load: int = 0  # weight of its legs and groups on this node, see `Loads`
+    turn_credit: float = 0.0  # rotation: fraction of a turn accumulated
+    answers: int = 0  # answered set-ups since its last start or ejection
+    last_draw_at: int = -60 * SECOND  # slow start: time of the last draw for a leg to it
+    ejected_until: int = 0  # health: no leg before this time
+    skip_until: int = 0  # did not take a new key: not considered again before this time
+    recovery_limit: int = 0  # health: legs allowed in `Health.RECOVERY_PERIOD`; 0: no limit
+    ejection_time: int = 0  # health: duration of its last ejection; 0: recovered since
+    delay: int = 0  # last reported message delay
     delay_at: int = -10 * SECOND
-    same_reports: int = 0  # health: words in a row that said the same
-    slow_since: int = 0  # health: slow in every word since then; 0: not slow
-    hung: bool = False  # health: seen to hang, and not yet quick again
-    last_break_at: int = -10 * SECOND  # health: when a standing connection last broke
-    ceiling: float = 0.0  # overload: load it may hold from here; 0: no limit
-    cut_at: int = -10 * SECOND
-    draining: bool = False  # told to, and its clients are to leave
-    moves_own_clients: bool = False  # and it asks them to itself
+    same_reports: int = 0  # health: consecutive reports of the same delay
+    slow_since: int = 0  # health: slow in every report since then; 0: not slow
+    hung: bool = False  # health: found hanging, and slow in every report since
+    last_break_at: int = -10 * SECOND  # health: when an established connection last broke
+    ceiling: float = 0.0  # overload: weight that it may hold on this node; 0: no limit
+    cut_at: int = -10 * SECOND  # overload: when the ceiling was last cut
+    draining: bool = False  # the list says that it drains: its clients are to be moved
+    moves_own_clients: bool = False  # it drains, and moves its clients itself
     sent: SlidingCount = field(default_factory=lambda: SlidingCount(SECOND // 4, 64))  # legs, over up to 16 s
 
     @property
     def up(self):
-        """Whether the list lets it have something new."""
+        """Whether it may get new calls, as far as the list goes."""
         return self.entry.state is HostState.UP
 
     def staying_legs(self):
-        """Its legs that are accepted and not asked to leave."""
+        """The accepted legs whose clients have not been asked to move."""
         return [leg for leg in self.legs if leg.accepted and not leg.move_requested]
 
     def restart(self):
-        """It was started anew: what was found out of the process before it is forgotten."""
+        """Forgets what was observed of the server process before its restart."""
         self.skip_until = self.answers = self.recovery_limit = self.ejection_time = self.ejected_until = (
             self.delay
         ) = 0
@@ -129,25 +131,25 @@
 
 @dataclass(eq=False)
 class Leg:
-    """One try of a call at one server."""
+    """One attempt of a call at one server."""
 
     call: "Call"
     number: int
     host: Host
     sent_at: int
-    reported_load: float = 0.0  # its load as told; 0: not told
-    load: int = 0  # what it weighs, see `Loads`
+    reported_load: float = 0.0  # microseconds of work a second; 0: not reported
+    load: int = 0  # its weight, see `Loads`
     accepted: bool = False
     move_requested: bool = False
     ending: Ending = None
 
     def accept(self):
-        """The server has taken the call."""
+        """Marks the leg as accepted by its server."""
         self.accepted = True
         self.host.setups -= 1
 
     def close(self, ending):
-        """The leg has ended: its server holds it no more."""
+        """Marks the leg as ended and removes it from its server."""
         self.ending = ending
         del self.host.legs[self]
         self.host.setups -= not self.accepted
@@ -158,16 +160,16 @@
 
 
 class SlowReport(NamedTuple):
-    """A word of messages that take long at a server, beside the word before. Microseconds."""
+    """A report of slow messages at a server, beside the previous report. Microseconds."""
 
     delay: int
     previous: int
-    interval: int  # time between the two
-    still_slow: bool  # the word before said slow too, and still counts
+    interval: int  # time between the two reports
+    still_slow: bool  # the previous report was slow too, and is recent enough to count
 
     @property
     def growth(self):
-        """By how much messages take longer than they did while they were slow."""
+        """By how much the delay has grown since the previous report, if that was slow; else the delay."""
         return self.delay - self.previous if self.still_slow else self.delay
 
 
@@ -179,19 +181,19 @@
     type: io.TrafficType
     key: object
     group: object
-    guard: int  # when this try is given up by its client
+    guard: int  # time at which the client gives up
     returned: bool
     legs: list = field(default_factory=list)
     path: object = None
     max_legs: int = 1
-    max_load_ratio: float = 0.0  # a server asked for more is passed over, see `Readings`
+    max_load_ratio: float = 0.0  # servers with a higher load ratio are passed over, see `Readings`
     probes: int = 0
-    probed_host: Host = None  # whose probe it waited for: within the cold budget then
-    drawn_host: Host = None  # the fresh server that it is for, within the cold budget
+    probed_host: Host = None  # the server whose probe it waited for: a cold one was drawn then
+    drawn_host: Host = None  # the cold server drawn for it, within the budget of cold servers
     ended: bool = False
 
     def open_leg(self, host, now, load):
-        """A new leg of this weight stands at the server, not accepted yet."""
+        """Adds a leg of this weight at the server, not accepted yet."""
         leg = Leg(self, len(self.legs), host, now, load=load)
         self.legs.append(leg)
         host.legs[leg] = None
