--- a/cottonspread/policy/choice.py
+++ b/cottonspread/policy/choice.py
@@ -16,6 +16,7 @@
     FORCED_AFTER_CALLS, FORCED_AFTER_TIME = 8, 2 * SECOND
 
     def __init__(self, node, call):
+        """`node`: the `Balancer` that asks; `call`: the call for which a server is searched."""
         self.node, self.call, self.now, self.settings = node, call, node.now, node.settings
         self.overview, self.readings, self.health = node.overview, node.readings, node.health
         self.overview.refresh(self.now)
--- a/cottonspread/structures/__init__.py
+++ b/cottonspread/structures/__init__.py
@@ -1,4 +1,4 @@
-"""Data structures under the policy. They keep and count; which numbers bound them, the policy says."""
+"""Data structures used by the policy, which sets their limits."""
 
 from cottonspread.structures.cyclic_order import CyclicOrder
 from cottonspread.structures.decaying_counts import DecayingCounts
--- a/cottonspread/structures/cyclic_order.py
+++ b/cottonspread/structures/cyclic_order.py
@@ -1,21 +1,29 @@
-"""A cycle of servers with a place in it, taken in turn by their sizes."""
+"""Weighted round robin over a cyclic order of servers."""
 
 from bisect import bisect_left
 from heapq import heapify, heappop
 
 
 class CyclicOrder:
-    """Servers in a fixed cyclic order, and the place after the one that was taken last.
+    """Servers in a fixed cyclic order, and the current position: behind the server taken last.
 
-    `keep` costs a step for each server; `next` one for each that it looks at, wherever it stands.
+    `keep` costs one step for each server, `next` one step for each server that it considers.
     """
 
     def __init__(self):
-        self.order, self.at, self.largest = [], 0, 1
-        self.places, self.zones = {}, {}  # server: its place; zone asked for: places of its servers
+        """An empty order."""
+        self.order, self.at, self.largest = (
+            [],
+            0,
+            1,
+        )  # `at`: the current position; `largest`: the largest size
+        self.places, self.zones = (
+            {},
+            {},
+        )  # server: its position; zone: positions of its servers, when requested
 
     def keep(self, items):
-        """Exactly these from now on; new ones come last, in the order given."""
+        """Replaces the servers by these; new ones come last, in the given order."""
         following = list(self.following())
         wanted, known = set(items), set(following)
         self.order = [one for one in following if one in wanted] + [one for one in items if one not in known]
@@ -23,7 +31,7 @@
         self.places, self.zones = dict(zip(self.order, range(len(self.order)), strict=True)), {}
 
     def following(self):
-        """All from the place on, once round, lazily."""
+        """All servers, lazily, once round from the current position."""
         order, at = self.order, self.at
         for place in range(at, len(order)):
             yield order[place]
@@ -31,11 +39,11 @@
             yield order[place]
 
     def sorted(self, servers):
-        """Those of these servers that are in the order, by their places in it."""
+        """Those of the given servers that are in the order, sorted by position."""
         return sorted((one for one in servers if one in self.places), key=self.places.get)
 
     def in_zone(self, zone):
-        """Those of one zone, in the same order, lazily."""
+        """The servers of one zone, lazily, once round from the current position."""
         if zone not in self.zones:
             self.zones[zone] = [place for place, one in enumerate(self.order) if one.entry.zone == zone]
         places = self.zones[zone]
@@ -44,15 +52,18 @@
             yield self.order[places[(first + turn) % len(places)]]
 
     def among(self, servers):
-        """Some of them, in the same order, lazily."""
+        """The given servers, lazily, once round from the current position."""
         distances = [((self.places[one] - self.at) % len(self.order), one) for one in servers]
         heapify(distances)
         while distances:
             yield heappop(distances)[1]
 
     def next(self, fits, now, among):
-        """The next of `among` that is not shut and `fits(server)`, or None; one of half the largest takes
-        every second turn. `among`: as `following`, `in_zone` or `among` give them."""
+        """The next server of `among` that is not to be skipped and `fits(server)`, or None.
+
+        A server of half the largest size takes every second turn. `among`: servers as `following`, `in_zone`
+        or `among` yield them.
+        """
         left = (one for one in among if one.skip_until <= now)
         while True:
             waiting = []
@@ -66,4 +77,4 @@
                     waiting.append(one)
             if not waiting:
                 return None
-            left, fits = waiting, bool  # these fit, and it is soon the turn of one
+            left, fits = waiting, bool  # these fit already; go round until one has a whole turn
--- a/cottonspread/structures/decaying_counts.py
+++ b/cottonspread/structures/decaying_counts.py
@@ -1,13 +1,13 @@
-"""Counts of which the later ones weigh most."""
+"""Counts by key that weigh recent ones most."""
 
 from collections import Counter
 
 
 class DecayingCounts:
-    """How often each key was counted; all counts are halved once their total has come to `max_total`."""
+    """Counts by key; all are halved whenever their total reaches `max_total`."""
 
     def __init__(self, max_total, prior):
-        """`prior`: counts of others that are reckoned with besides."""
+        """`prior`: counts assumed of other keys, so that a few counts do not make a large share."""
         self.max_total, self.prior, self.counts, self.total = max_total, prior, Counter(), 0
 
     def add(self, key):
@@ -19,5 +19,5 @@
             self.total = sum(self.counts.values())
 
     def share(self, key):
-        """The key's part of all counts, 0 to 1."""
+        """The key's share of all counts, 0 to 1."""
         return self.counts[key] / (self.total + self.prior)
--- a/cottonspread/structures/lru_map.py
+++ b/cottonspread/structures/lru_map.py
@@ -1,31 +1,33 @@
-"""A map that knows when each key was last used, and which keys have a value."""
+"""A map in order of last use, indexed by value."""
 
 from collections import OrderedDict
 
 
 class LruMap:
-    """Key to value in order of last use, the longest idle first. Times are those of the caller's clock.
+    """Maps keys to values in order of last use, the longest idle first. Times are of the caller's clock.
 
-    Values are told apart by identity. An index makes `drop_value` cost a step for each key that it takes out.
+    Values are compared by identity. An index by value makes `drop_value` cost one step for each removed key.
     """
 
     def __init__(self):
-        self.entries = OrderedDict()  # key: (value, when last used)
-        self.keys_of = {}  # value: its keys, a set that is never empty
+        """An empty map."""
+        self.entries = OrderedDict()  # key: (value, time of last use)
+        self.keys_of = {}  # value: the set of its keys, never empty
 
     def __len__(self):
+        """The number of keys."""
         return len(self.entries)
 
     def items(self):
-        """(key, (value, when last used)), the longest idle first."""
+        """(key, (value, time of last use)), the longest idle first."""
         return self.entries.items()
 
     def get(self, key):
-        """The key's value, or None. Not a use."""
+        """The key's value, or None. Does not count as a use."""
         return self.entries.get(key, (None,))[0]
 
     def put(self, key, value, now):
-        """Sets the value and counts as a use; None is no key, and keeps nothing."""
+        """Sets the value, which counts as a use; the key None is ignored."""
         if key is None:
             return
         if self.get(key) is not value:
@@ -35,22 +37,22 @@
         self.entries.move_to_end(key)
 
     def touch(self, key, value, now):
-        """Counts as a use if the key still has this very value."""
+        """Counts as a use if the key still has this value."""
         if self.get(key) is value:
             self.put(key, value, now)
 
     def drop(self, key, value):
-        """Takes out the key if it still has this very value."""
+        """Removes the key if it still has this value."""
         if self.get(key) is value:
             self.remove(key)
 
     def drop_value(self, value):
-        """Takes out every key that has this very value."""
+        """Removes all keys that have this value."""
         for key in self.keys_of.pop(value, ()):
             del self.entries[key]
 
     def trim(self, oldest, most):
-        """Takes out, from the longest idle on, what was last used before `oldest` or is over `most` keys."""
+        """Removes the longest idle keys: those last used before `oldest`, and those in excess of `most`."""
         while self.entries:
             key, (_, used) = next(iter(self.entries.items()))
             if used >= oldest and len(self.entries) <= most:
@@ -58,7 +60,7 @@
             self.remove(key)
 
     def remove(self, key):
-        """Takes out the key, if it is there."""
+        """Removes the key if it is there."""
         value, _ = self.entries.pop(key, (None, 0))
         keys = self.keys_of.get(value)
         if keys:
--- a/cottonspread/structures/nominal_sizes.py
+++ b/cottonspread/structures/nominal_sizes.py
@@ -1,17 +1,21 @@
-"""What servers can do, out of the weights that the list tells."""
+"""Capacities of servers, from the weights in the server list."""
 
 
 class NominalSizes:
-    """Sizes of servers. A listed weight is its size; one that moves with load is size over 1 + calls held a
-    core, and then the largest listed for a kind (where kinds are not told, for a server) is its size."""
+    """Sizes of servers, that is, their nominal capacities.
 
-    SMALLEST = 0.01  # a server listed without any weight still gets its turns
+    A static weight is the size. A dynamic weight is the size over 1 + calls held a core; then the largest
+    weight listed for any server of a kind is the size (or for the server alone, if kinds are not known).
+    """
+
+    SMALLEST = 0.01  # a server listed with weight 0 still gets its turns
 
     def __init__(self, dynamic_weights):
-        self.dynamic_weights, self.largest = dynamic_weights, {}  # kind or server: the largest weight listed
+        """`dynamic_weights`: whether listed weights vary with load."""
+        self.dynamic_weights, self.largest = dynamic_weights, {}  # kind or server: its largest listed weight
 
     def update(self, entry, before):
-        """An entry of the list, and the one before it of the same server; whether a size has changed."""
+        """Takes in an entry and the server's previous one; returns whether a size has changed."""
         if not self.dynamic_weights:
             return entry.weight != before.weight
         size_class = self.size_class(entry)
@@ -21,10 +25,10 @@
         return grows
 
     def size_of(self, entry):
-        """The size of the server that is listed so."""
+        """The size of the server with this entry."""
         return max(self.largest.get(self.size_class(entry), entry.weight), self.SMALLEST)
 
     @staticmethod
     def size_class(entry):
-        """What servers of one size share: the kind, or the server where kinds are not told."""
+        """What servers of one size share: their kind, or the server itself if kinds are not known."""
         return entry.kind if entry.kind >= 0 else entry.host
--- a/cottonspread/structures/order_cache.py
+++ b/cottonspread/structures/order_cache.py
@@ -1,8 +1,8 @@
-"""Orders of servers, one for each key, by rendezvous hashing: all nodes make the same of the same servers.
+"""Orders of servers by key, by rendezvous hashing: all nodes compute the same order of the same servers.
 
-A server's rank for a key is a checksum of both; the order is by rank, then by name. A call asks for the first
-few servers of an order and seldom for more, so only those of a low rank are looked for, and no order is
-sorted whole.
+A server's rank for a key is a checksum of both; the order is by rank, then by name. A call needs the first
+few servers of an order and seldom more, so only servers of low rank are searched for, and no order is sorted
+as a whole.
 
 Rendezvous (highest random weight) hashing: Thaler and Ravishankar, "Using Name-Based Mappings to Increase Hit
 Rates", IEEE/ACM Transactions on Networking 6(1), 1998.
@@ -13,21 +13,22 @@
 from dataclasses import dataclass
 from zlib import crc32
 
-SPREAD = 2654435761  # multiplied, for checksums of like texts keep their order; 2**32 over the golden ratio
+# 2**32 over the golden ratio. Checksums are multiplied by it: those of similar texts keep their order.
+SPREAD = 2654435761
 MASK = 0xFFFFFFFF
-LANE = 8  # bytes of a lane: a checksum times SPREAD fits
-TOP = 3  # the byte of a lane that holds the highest eight bits of a rank
+LANE = 8  # bytes of a lane, which holds a checksum times SPREAD
+TOP = 3  # the byte of a lane with the highest eight bits of a rank
 STEPS = 256  # values of that byte
-SPARE = 8  # servers looked for beyond those asked for: the next that is asked for more has them
+SPARE = 8  # servers searched for beyond those requested, for later requests of a few more
 
 
 def start_of(key):
-    """The checksum of a key, from which its servers' ranks go on."""
+    """The checksum of a key, with which the checksums of its servers' ranks start."""
     return crc32(str(key).encode())
 
 
 def name_of(server):
-    """Its name in bytes, from which its ranks are made."""
+    """The server's name in bytes, from which its ranks are computed."""
     return str(server.name).encode()
 
 
@@ -37,21 +38,24 @@
 
 
 class Checksums:
-    """The checksums of many names of one length (bytes), side by side in one whole number, a lane each.
+    """The checksums of many names of equal length (in bytes), packed into one integer, a lane for each.
 
-    One operation on that number does all lanes at once, some thirty times as fast as a loop over the names.
-    The checksum of a key and a name is that of the name with bits turned over that depend on the key and the
-    length of the name alone (a CRC is linear over XOR): a key's ranks take one XOR and one product.
+    One operation on that integer processes all lanes, about thirty times as fast as a loop over the names.
+    The checksum of a key and a name is the name's with some bits flipped, which depend only on the key and
+    the length of the name (a CRC is linear over XOR): a key's ranks take one XOR and one multiplication.
     """
 
     def __init__(self, names):
+        """`names`: at least one, all of the same length."""
         self.length, self.size = len(names[0]), len(names) * LANE
         self.sums = int.from_bytes(struct.pack(f"<{len(names)}Q", *map(crc32, names)), "little")
         self.ones = int.from_bytes(b"\1".ljust(LANE, b"\0") * len(names), "little")
 
     def below(self, start, steps):
-        """The places, in the names given, of those whose rank for the key with that start has a highest byte
-        under `steps`."""
+        """Yields the index of each name whose rank has a highest byte below `steps`.
+
+        `start`: the checksum of the key for which the ranks are, see `start_of`.
+        """
         zeros = bytes(self.length)
         turned = crc32(zeros, start) ^ crc32(zeros)
         ranks = (self.sums ^ turned * self.ones) * SPREAD
@@ -65,27 +69,31 @@
 
 @dataclass(eq=False)
 class Prefix:
-    """The first servers of one key's order: all whose rank has a highest byte under `steps`."""
+    """The first servers of one key's order: all whose rank has a highest byte below `steps`."""
 
     servers: list
     steps: int
 
 
 class OrderCache:
-    """The first servers of each key's order, kept until there are `most` places in all of them together."""
+    """Caches the first servers of each key's order.
+
+    The cache is emptied once all cached orders together hold `most` servers.
+    """
 
     def __init__(self, most):
-        self.most, self.passes = most, 0  # passes over all servers so far
+        """`most`: the number of servers that all cached orders together may hold."""
+        self.most, self.passes = most, 0  # `passes`: searches through all servers so far
         self.keep([])
 
     def keep(self, servers):
-        """Exactly these servers from now on."""
+        """Replaces the servers by these and empties the cache."""
         self.servers = servers
-        self.lanes = None  # (Checksums, their servers) of each length of names; made when asked for
+        self.lanes = None  # (Checksums, their servers) for each length of names; computed when needed
         self.prefixes, self.places = {}, 0
 
     def first(self, key, count):
-        """The servers in the key's order, lazily; some `count` of them will be asked for."""
+        """The servers in the key's order, lazily; about `count` of them are expected to be needed."""
         prefix, given = self.prefixes.get(key), 0
         while True:
             if prefix is None or len(prefix.servers) < count and prefix.steps < STEPS:
@@ -98,12 +106,12 @@
             count = 2 * given + 1
 
     def sorted(self, key, servers):
-        """Some of the servers in the key's order."""
+        """The given servers in the key's order."""
         start = start_of(key)
         return sorted(servers, key=lambda one: (rank(start, name_of(one)), one.name))
 
     def longer(self, key, prefix, count):
-        """Makes the key's prefix, of some `count` servers and longer than the one there is."""
+        """Computes and caches a prefix of about `count` servers, longer than `prefix`."""
         if self.places >= self.most:
             self.prefixes, self.places = {}, 0
         steps = STEPS * count // max(1, len(self.servers)) + 1
@@ -115,7 +123,7 @@
         return prefix
 
     def by_length(self):
-        """(Checksums, their servers) of each length of names."""
+        """(Checksums, their servers) for each length of names."""
         if self.lanes is None:
             alike = defaultdict(list)
             for one in self.servers:
--- a/cottonspread/structures/server_table.py
+++ b/cottonspread/structures/server_table.py
@@ -1,4 +1,4 @@
-"""The servers by name, taken from the words of the list."""
+"""The servers by name, from the updates of the server list."""
 
 from cottonspread import interface as io
 from cottonspread.interface import HostState, ListUpdateKind
@@ -6,15 +6,17 @@
 
 
 class ServerTable:
-    """The servers that the list names. One that it names no more is gone, and stays while legs stand
-    there."""
+    """The listed servers. One that leaves the list is kept, as gone, while it has legs."""
 
     def __init__(self):
+        """No server is known yet."""
         self.hosts = {}  # by name
 
     def merge(self, listed):
-        """(server, its entry from now on) for each that a word from the list is about; the server still has
-        the entry from before, or the new one if it was not known."""
+        """Yields (server, its new entry) for each server that a list update concerns.
+
+        The caller sets the entry: the server still has its previous one, or the new one if it was not known.
+        """
         entries = list(listed.entries)
         if listed.kind is not ListUpdateKind.CHANGES:
             named = {entry.host for entry in entries}
@@ -26,20 +28,20 @@
             yield host, entry
 
     def get_or_add_unlisted(self, name):
-        """The server of this name; one that no list told of gets nothing new."""
+        """The server of this name; one that is not listed is added as gone, and gets no new calls."""
         return self.hosts.setdefault(name, Host(name, io.Entry(name, state=HostState.GONE)))
 
     def up(self):
-        """The servers that may get something new as far as the list goes."""
+        """The servers that may get new calls, as far as the list goes."""
         return [host for host in self.hosts.values() if host.up]
 
     def count_unavailable(self, now):
-        """How many listed servers get nothing new now: they drain, or are set aside."""
+        """How many listed servers get no new calls now, because they drain or are ejected."""
         listed = [host for host in self.hosts.values() if host.entry.state is not HostState.GONE]
         return sum(not host.up or now < host.ejected_until for host in listed)
 
     def drop_gone(self, hosts):
-        """Forgets those of these servers that are gone and hold no leg."""
+        """Removes those of these servers that are gone and have no leg."""
         for host in hosts:
             if host.entry.state is HostState.GONE and not host.legs:
                 self.hosts.pop(host.name, None)
--- a/cottonspread/structures/sums.py
+++ b/cottonspread/structures/sums.py
@@ -1,21 +1,26 @@
-"""Sums over all servers, without a walk over them."""
+"""Sums over all servers, updated with every event instead of computed by a walk."""
 
 NEVER = -1
 
 
 class Sums:
-    """Legs and load on all servers that are up, and on those of them that stand apart. They follow every
-    event: a call that walked the fleet for them would cost more the larger it is."""
+    """Legs and load on all servers that are up, and on those of them that are excluded from the means.
+
+    Every event updates the sums: a call that walked the fleet for them would cost more with each server.
+    """
 
     def __init__(self):
+        """No server is up yet."""
         self.legs, self.load, self.size, self.count = 0, 0, 0, 0
-        self.holding = 0  # servers that are up and hold legs
-        self.weighed_at_count = NEVER  # how many loads had been told as all legs were last weighed
+        self.holding = 0  # number of servers that are up and have legs
+        self.weighed_at_count = NEVER  # how many loads had been reported when all legs were last weighed
         self.exclude([])
 
     def add(self, host, legs, load):
-        """A server's load changes by `load`, and the legs out or standing there, still to be counted in
-        `host.legs`, by `legs`."""
+        """Adds to a server's load, and to the sums.
+
+        `legs`: the change in its number of legs, which `host.legs` does not show yet.
+        """
         host.load += load
         if host.up:
             self.legs += legs
@@ -27,14 +32,16 @@
             self.excluded_load += load
 
     def reweigh(self, leg, load):
-        """A leg weighs `load` from now on."""
+        """Sets the weight of a leg."""
         self.add(leg.host, 0, load - leg.load)
         leg.load = load
 
     def reweigh_all(self, hosts, reported, scale):
-        """Every leg on servers that are up weighs the load told of it over the mean of all, in parts of
-        `scale`, from now on. To be followed by `exclude`, whose sums do not follow this."""
-        if self.weighed_at_count == reported.added:  # no load was told since, so nothing weighs otherwise
+        """Sets the weight of every leg with a reported load to that load over the mean, times `scale`.
+
+        The sums over excluded servers are not updated: `exclude` has to be called next.
+        """
+        if self.weighed_at_count == reported.added:  # no load was reported since, so no weight has changed
             return
         self.weighed_at_count, mean = reported.added, reported.mean
         for host in hosts:
@@ -48,15 +55,18 @@
             self.load += change
 
     def recount(self, hosts):
-        """The servers that are up, after one came or went: none of them stands apart until `exclude` says
-        so, and what legs weigh on those that came back is to be looked at again."""
+        """Computes all sums anew after the set of servers that are up has changed.
+
+        None of them is excluded until `exclude` is called, and all legs are due to be weighed again, because
+        those on servers that came back were left out.
+        """
         self.legs, self.load = sum(len(host.legs) for host in hosts), sum(host.load for host in hosts)
         self.size, self.count = sum(host.size for host in hosts), len(hosts)
         self.holding, self.weighed_at_count = sum(1 for host in hosts if host.legs), NEVER
         self.exclude([])
 
     def exclude(self, hosts):
-        """These of the servers that are up do not count in the means from now on."""
+        """Excludes these of the servers that are up from the means, and no others."""
         self.excluded = set(hosts)
         self.excluded_legs, self.excluded_load = (
             sum(len(host.legs) for host in hosts),
@@ -65,7 +75,10 @@
         self.excluded_size = sum(host.size for host in hosts)
 
     def means(self):
-        """(legs, load, size; 1 for a size of 0) of a server that is up and not apart; of all if all are."""
+        """Mean (legs, load, size) of the servers that are up and not excluded, or of all if none is left.
+
+        A mean size of 0 is given as 1.
+        """
         count = self.count - len(self.excluded)
         if count <= 0:
             count = max(1, self.count)
