--- a/cottonspread/front/handover.py
+++ b/cottonspread/front/handover.py
@@ -9,7 +9,7 @@
 from dataclasses import asdict, dataclass, replace
 
 VERSION = 1
-MOST_RECORDS = 5000  # the latest; each is a line of some 60 bytes that counts as memory
+MAX_RECORDS = 5000  # the latest; each is a line of some 60 bytes that counts as memory
 
 
 @dataclass(frozen=True)
@@ -41,7 +41,7 @@
 
 def snapshot(module, now, **more):
     """What the module keeps that its successor needs. It is only read."""
-    records = [(key, host.name) for key, (host, _) in list(module.records.items())[-MOST_RECORDS:]]
+    records = [(key, host.name) for key, (host, _) in list(module.records.items())[-MAX_RECORDS:]]
     cold = [h for h in module.membership.hosts.values() if module.slow_start.capacity_share(h, now) < 1]
     return HandoverState(
         records=tuple(records),
@@ -54,49 +54,49 @@
     )
 
 
-def pack(handed, mark):
+def pack(state, mark):
     """`mark`: the word of the successor that asked."""
-    return json.dumps({"version": VERSION, "mark": mark, **asdict(handed)})
+    return json.dumps({"version": VERSION, "mark": mark, **asdict(state)})
 
 
-def pack_connection(standing):
+def pack_connection(connection):
     """A standing connection as a line of JSON, to go with its two sockets."""
-    return json.dumps({"version": VERSION, **asdict(standing)}).encode() + b"\n"
+    return json.dumps({"version": VERSION, **asdict(connection)}).encode() + b"\n"
 
 
 def unpack_connection(line):
     """ValueError if it cannot be read."""
-    said = json.loads(line)
-    if not isinstance(said, dict) or said.pop("version", None) != VERSION:
+    parsed = json.loads(line)
+    if not isinstance(parsed, dict) or parsed.pop("version", None) != VERSION:
         raise ValueError("no connection of this version")
     try:
-        one = OpenConnection(**said)
+        connection = OpenConnection(**parsed)
         return replace(
-            one,
-            waiting=tuple(map(int, one.waiting)),
-            began=int(one.began),
-            setup=int(one.setup),
-            tenant=int(one.tenant),
-            load=float(one.load),
+            connection,
+            waiting=tuple(map(int, connection.waiting)),
+            began=int(connection.began),
+            setup=int(connection.setup),
+            tenant=int(connection.tenant),
+            load=float(connection.load),
         )
-    except TypeError as fault:
-        raise ValueError(f"{type(fault).__name__}: {fault}") from fault
+    except TypeError as error:
+        raise ValueError(f"{type(error).__name__}: {error}") from error
 
 
 def unpack(text, mark):
     """None if this is not the answer to `mark`; ValueError if it cannot be read."""
-    said = json.loads(text)
-    if not isinstance(said, dict) or said.get("version") != VERSION:
+    parsed = json.loads(text)
+    if not isinstance(parsed, dict) or parsed.get("version") != VERSION:
         raise ValueError("no hand-over of this version")
-    if said.get("mark") != mark:
+    if parsed.get("mark") != mark:
         return None
     try:
         return HandoverState(
-            max(2, int(said["room"])),
-            bool(said["draining"]),
-            tuple(map(str, said["ids"])),
-            tuple((str(key), str(host)) for key, host in said["records"]),
-            tuple((str(host), int(at), int(count)) for host, at, count in said["sent"]),
+            max(2, int(parsed["room"])),
+            bool(parsed["draining"]),
+            tuple(map(str, parsed["ids"])),
+            tuple((str(key), str(host)) for key, host in parsed["records"]),
+            tuple((str(host), int(at), int(count)) for host, at, count in parsed["sent"]),
         )
-    except (KeyError, TypeError) as fault:
-        raise ValueError(f"{type(fault).__name__}: {fault}") from fault
+    except (KeyError, TypeError) as error:
+        raise ValueError(f"{type(error).__name__}: {error}") from error
--- a/cottonspread/front/lateness.py
+++ b/cottonspread/front/lateness.py
@@ -53,7 +53,7 @@
 
     INTERVAL = SECOND // 10
     INTERVALS = 5  # steps over which it is counted what the node got done
-    CUT, GROW = 0.85, 1.01
+    CUT, GROWTH = 0.85, 1.01
     DROP_LIMIT_AT = 2  # times what came: a limit so high is dropped
     MIN_RATE = 10.0  # a second: some always pass, or nothing would tell that the trouble is over
 
@@ -88,7 +88,7 @@
         ):
             self.rate = max(self.MIN_RATE, self.CUT * sum(self.handled) * a_second)
         elif mean < self.target // 2 and self.rate:
-            self.rate *= self.GROW
+            self.rate *= self.GROWTH
             if self.rate > self.DROP_LIMIT_AT * max(sum(self.arrivals) * a_second, self.MIN_RATE):
                 self.rate = 0.0
         self.last_mean, self.wait_sum, self.wait_count, self.arrived, self.interval_end = (
@@ -105,8 +105,8 @@
         self.arrived += 1
         if not self.rate:
             return True
-        most = max(1.0, self.rate * self.INTERVAL / SECOND)
-        self.tokens = min(most, self.tokens + self.rate * (now - self.refilled_at) / SECOND)
+        burst = max(1.0, self.rate * self.INTERVAL / SECOND)
+        self.tokens = min(burst, self.tokens + self.rate * (now - self.refilled_at) / SECOND)
         self.refilled_at = now
         if self.tokens < 1:
             return False
