--- a/cottonspread/front/__init__.py
+++ b/cottonspread/front/__init__.py
@@ -1,1 +1,1 @@
-"""What every front owes the module, without I/O."""
+"""What all front ends of the decision module share, without I/O."""
--- a/cottonspread/front/counters.py
+++ b/cottonspread/front/counters.py
@@ -1,47 +1,45 @@
-"""What a node counts for its operators.
+"""The counters that a node exposes to its operators. Does no I/O.
 
-Pure: the owner of a state counts into it, whoever asks gets it as text.
-
-Each event is counted in one place (`Reducer.finish`, `host_lines`, `wrote`, `retuned`), each number
-has one writer, and a reader in another thread takes whole numbers as they stand: nobody waits for
-anybody. Every process counts from 0.
+Each event is counted in one place (the methods of `net.reducer.Reducer` that end calls, write to hosts and
+apply settings). Each counter has one writer, and a reader in another thread takes the values as they are, so
+no locks are needed. Every process counts from 0.
 """
 
 ANSWERS = ("success", "busy", "failure")
 
 
 def label(text):
-    """A label's value, with what would end it escaped."""
+    """Escapes a label's value."""
     return text.replace("\\", r"\\").replace('"', r"\"").replace("\n", r"\n")
 
 
 class Counters:
-    """Counters of one process, as the operators read them."""
+    """The counters of one process."""
 
     def __init__(self, types):
-        """`types`: names of the traffic types that are in force at first."""
+        """`types`: names of the traffic types configured at first."""
         self.answers, self.refused_on_accept = {}, {}
         self.backend_calls = self.hosts_listed = self.hosts_down = self.reconfig_ok = self.reconfig_failed = 0
         self.add_types(types)
 
     def add_types(self, types):
-        """The names of the traffic types in force. What was counted under one that is gone stays."""
+        """Adds counters for configured traffic types, by name; those of types no longer configured stay."""
         for name in types:
             for answer in ANSWERS:
                 self.answers.setdefault((answer, name), 0)
             self.refused_on_accept.setdefault(name, 0)
 
     def count_answer(self, answer, name):
-        """Counts a final answer to a call of the traffic type of this name."""
+        """Counts a final answer to a call; `name`: of its traffic type."""
         self.answers[answer, name] += 1
 
     def count_refused_on_accept(self, name):
-        """BUSY before the reducer heard of it: by the thread that accepts, and no other."""
+        """Counts a BUSY sent before the reducer gets the connection; only the accepting thread calls this."""
         if name in self.refused_on_accept:
             self.refused_on_accept[name] += 1
 
     def samples(self, inflight):
-        """Every figure, as (name, labels, value)."""
+        """All values, as (name, labels, value)."""
         refused_on_accept = dict(self.refused_on_accept)
         for (answer, name), count in dict(self.answers).items():
             yield (
@@ -54,5 +52,5 @@
             yield name, "", getattr(self, name)
 
     def text(self, inflight):
-        """All figures, a line each; `inflight`: calls that are open now."""
+        """All values as text, one to a line; `inflight`: the number of open calls."""
         return "".join(f"app_{name}{labels} {value}\n" for name, labels, value in self.samples(inflight))
--- a/cottonspread/front/handover.py
+++ b/cottonspread/front/handover.py
@@ -1,7 +1,7 @@
-"""What a process passes to the one that replaces it, as text in a file. Pure.
+"""The state that a process passes to its successor, as text in a file. Does no I/O.
 
-To servers and clients the two are one node: keys go on to the server that has them, what went to cold
-servers counts on, the id of a call that is open in one is in use for the other. Times are the clock's,
+To servers and clients the two are one node: keys stay on their servers, legs sent to cold servers go on
+counting, and the id of a call open in one process is taken in the other. Times are of the monotonic clock,
 which all processes of a machine share.
 """
 
@@ -9,12 +9,12 @@
 from dataclasses import asdict, dataclass, replace
 
 VERSION = 1
-MAX_RECORDS = 5000  # the latest; each is a line of some 60 bytes that counts as memory
+MAX_RECORDS = 5000  # the latest ones; each takes about 60 bytes of text, which counts as memory
 
 
 @dataclass(frozen=True)
 class OpenConnection:
-    """An open connection, passed on between two lines."""
+    """An established connection, handed over between two lines of its protocol."""
 
     id: str
     type: str
@@ -24,23 +24,26 @@
     key: str = None
     group: str = None
     tenant: int = 0
-    load: float = 0.0  # as last told; 0: not told
-    waiting: tuple = ()  # when lines without an echo were sent
+    load: float = 0.0  # last reported, microseconds of work a second; 0: not reported
+    waiting: tuple = ()  # times at which the lines were sent that have no echo yet
 
 
 @dataclass(frozen=True)
 class HandoverState:
-    """What a process tells its successor, so that it does not begin from nothing."""
+    """The state that a process hands to its successor."""
 
-    room: int  # connections that the successor may hold while both are there
-    draining: bool = False  # the operators had this node drained
-    ids: tuple = ()  # of calls that are open
+    room: int  # connections that the successor may hold while both processes run
+    draining: bool = False  # whether operators drain this node
+    ids: tuple = ()  # of open calls
     records: tuple = ()  # (key, server), the longest idle first
-    sent: tuple = ()  # (server, when, legs): what cold servers were sent, the oldest first
+    sent: tuple = ()  # (server, time, legs) sent to cold servers, the oldest first
 
 
 def snapshot(module, now, **more):
-    """What the module keeps that its successor needs. It is only read."""
+    """The decision module's state that a successor needs; the module is only read.
+
+    `more`: the other fields of `HandoverState`.
+    """
     records = [(key, host.name) for key, (host, _) in list(module.records.items())[-MAX_RECORDS:]]
     cold = [h for h in module.membership.hosts.values() if module.slow_start.capacity_share(h, now) < 1]
     return HandoverState(
@@ -55,20 +58,20 @@
 
 
 def pack(state, mark):
-    """`mark`: the word of the successor that asked."""
+    """The state as JSON; `mark`: the token of the successor that asked for it."""
     return json.dumps({"version": VERSION, "mark": mark, **asdict(state)})
 
 
 def pack_connection(connection):
-    """A standing connection as a line of JSON, to go with its two sockets."""
+    """A connection as a line of JSON, to be sent along with its two sockets."""
     return json.dumps({"version": VERSION, **asdict(connection)}).encode() + b"\n"
 
 
 def unpack_connection(line):
-    """ValueError if it cannot be read."""
+    """The connection in a line of JSON; ValueError if it cannot be read."""
     parsed = json.loads(line)
     if not isinstance(parsed, dict) or parsed.pop("version", None) != VERSION:
-        raise ValueError("no connection of this version")
+        raise ValueError(f"not a handed-over connection of version {VERSION}")
     try:
         connection = OpenConnection(**parsed)
         return replace(
@@ -84,10 +87,10 @@
 
 
 def unpack(text, mark):
-    """None if this is not the answer to `mark`; ValueError if it cannot be read."""
+    """The state in a JSON text; None if it has another mark, ValueError if it cannot be read."""
     parsed = json.loads(text)
     if not isinstance(parsed, dict) or parsed.get("version") != VERSION:
-        raise ValueError("no hand-over of this version")
+        raise ValueError(f"not a handover state of version {VERSION}")
     if parsed.get("mark") != mark:
         return None
     try:
--- a/cottonspread/front/lateness.py
+++ b/cottonspread/front/lateness.py
@@ -1,9 +1,9 @@
-"""How late the node itself is, and what it turns away for that. Pure: driven by (time, what was measured).
+"""Measures how late the node itself is, and limits admission accordingly. Does no I/O and reads no clock.
 
-A node whose core is busy, shared or stopped handles what came some time ago. Taken for slowness of servers,
-that makes a node set aside every server it has (docs/notes/lab.md). So lateness is measured for itself: how
-long an event had lain when the reducer got to it, and by how much the reducer was late for its own timers.
-Times are whole microseconds.
+A node whose core is busy, shared or stopped handles events late. Mistaken for slowness of servers, that makes
+it eject every server it has (docs/notes/lab.md). So its own lateness is measured: how long an event had
+waited when the reducer got to it, and how late the reducer was for its own timers. Times are whole
+microseconds.
 """
 
 from collections import deque
@@ -13,68 +13,66 @@
 
 
 class Lateness:
-    """The node's own lateness over the last half to whole second."""
+    """The node's own greatest lateness in the last half to whole second."""
 
-    NEGLIGIBLE = SECOND // 50  # less is no news: a thread that waits its turn
+    NEGLIGIBLE = SECOND // 50  # no more than a thread waits to be scheduled
 
     def __init__(self):
-        """Nothing was late so far."""
+        """Nothing has been late so far."""
         self.since, self.current, self.previous = 0, 0, 0
 
     def record(self, now, late):
-        """Something that was due was dealt with so many microseconds late."""
+        """Records that something was handled `late` microseconds after it was due."""
         self.end_half_second(now)
         self.current = max(self.current, late)
 
     def end_half_second(self, now):
-        """Begins another half second, once one is over."""
+        """Starts a new half second if the current one is over."""
         if now - self.since >= HALF:
             self.previous = self.current if now - self.since < 2 * HALF else 0
             self.since, self.current = now, 0
 
     def recent_max(self, now):
-        """What the node may have been late by, with whatever is judged
-        now; 0 if that is no more than ordinary.
-        """
+        """By how much measurements made now may be late; 0 if that is negligible."""
         self.end_half_second(now)
         late = max(self.current, self.previous)
         return late if late > self.NEGLIGIBLE else 0
 
 
 class AdmissionLimiter:
-    """Which new connections are turned away because the node itself cannot keep up.
+    """Decides which new connections to refuse because the node itself cannot keep up.
 
-    Judged by how long clients' first lines had lain when the reducer got to them, on the mean over a tenth of
-    a second. Over `target` twice and not falling, the rate let in is cut to 0.85 of what the node got done,
-    which is what it can do while it is late: the queue drains, and the rate does not collapse cut by cut.
-    Under half the target the rate grows again. Falling by itself, as after a pause of the node, nothing is
-    cut: what lies there can still be answered.
+    It goes by how long clients' first lines had waited when the reducer got to them, on the mean over a tenth
+    of a second. If that is over `target` twice and not falling, the admitted rate is cut to 0.85 of what the
+    node handled lately, which is what it can do while it is late: so the queue drains, and repeated cuts do
+    not make the rate collapse. Under half the target the rate grows again. While the wait falls by itself, as
+    after a pause of the node, nothing is cut, because what waits there can still be answered.
     """
 
     INTERVAL = SECOND // 10
-    INTERVALS = 5  # steps over which it is counted what the node got done
+    INTERVALS = 5  # over so many, what the node handled is counted
     CUT, GROWTH = 0.85, 1.01
-    DROP_LIMIT_AT = 2  # times what came: a limit so high is dropped
-    MIN_RATE = 10.0  # a second: some always pass, or nothing would tell that the trouble is over
+    DROP_LIMIT_AT = 2  # a limit of so many times the arrival rate is dropped
+    MIN_RATE = 10.0  # a second: some are always admitted, or nothing would show that the overload is over
 
     def __init__(self, target):
-        """`target`: microseconds for which first lines may lie."""
-        # rate a second; 0: no limit
+        """`target`: microseconds for which first lines may wait."""
+        # `rate`: admitted connections a second; 0: no limit
         self.target, self.rate, self.tokens, self.refilled_at = target, 0.0, 0.0, 0
         self.interval_end, self.last_mean, self.wait_sum, self.wait_count, self.arrived = 0, 0, 0, 0, 0
         self.handled, self.arrivals = deque(maxlen=self.INTERVALS), deque(maxlen=self.INTERVALS)
 
     def record_wait(self, now, late):
-        """The reducer got to a first line that had lain so long."""
+        """Records that the reducer got to a first line `late` microseconds after it came."""
         self.end_interval(now)
         self.wait_sum += late
         self.wait_count += 1
 
     def end_interval(self, now):
-        """Judges the step of a tenth of a second that is over, if one is."""
+        """Adjusts the rate at the end of an interval."""
         if now < self.interval_end:
             return
-        if now - self.interval_end > self.INTERVALS * self.INTERVAL:  # nothing came for a while
+        if now - self.interval_end > self.INTERVALS * self.INTERVAL:  # nothing arrived for a while
             self.handled.clear()
             self.arrivals.clear()
         self.handled.append(self.wait_count)
@@ -100,7 +98,7 @@
         )
 
     def admits(self, now):
-        """Whether a connection that comes now is let in."""
+        """Whether to admit a connection that arrives now."""
         self.end_interval(now)
         self.arrived += 1
         if not self.rate:
--- a/cottonspread/front/reports.py
+++ b/cottonspread/front/reports.py
@@ -1,13 +1,13 @@
-"""A host's load report, in the platform's words, as the module's event. Both fronts hand it over."""
+"""Turns a host's load report, in the platform's notation, into an event. Both front ends use it."""
 
 from cottonspread import interface as io
 
 
 def parse_load_report(text):
-    """A load report, NAME:VALUE pairs set apart by commas, as values by name.
+    """The values of a load report by name; the report is NAME:VALUE pairs separated by commas.
 
-    One that is no finite number, negative or out of any range is left out: it must not cost the
-    probe's answer, for which calls wait.
+    Values that are not numbers, negative or beyond any plausible range are left out: they must not invalidate
+    the answer to the probe, for which calls wait.
     """
     values = {}
     for pair in (text or "").split(","):
@@ -20,9 +20,9 @@
 
 
 def probe_ended(host, ending, waited, report):
-    """The end of a probe.
+    """A `ProbeEnded` event.
 
-    `waited`: microseconds; `report`: values by name, `x0` load asked over what the host can do, `x1` seconds
-    of work piled up; a value that is not there counts as not told.
+    `waited`: microseconds; `report`: values by name, `x0` the load put on the host over what it can do, `x1`
+    seconds of queued work; a missing value counts as not reported.
     """
     return io.ProbeEnded(host, ending, waited, report.get("x0", -1.0), report.get("x1", 0.0))
--- a/cottonspread/structures/cyclic_order.py
+++ b/cottonspread/structures/cyclic_order.py
@@ -12,15 +12,10 @@
 
     def __init__(self):
         """An empty order."""
-        self.order, self.at, self.largest = (
-            [],
-            0,
-            1,
-        )  # `at`: the current position; `largest`: the largest size
-        self.places, self.zones = (
-            {},
-            {},
-        )  # server: its position; zone: positions of its servers, when requested
+        # `at`: the current position; `largest`: the largest size
+        self.order, self.at, self.largest = [], 0, 1
+        # server: its position; zone: positions of its servers, when requested
+        self.places, self.zones = {}, {}
 
     def keep(self, items):
         """Replaces the servers by these; new ones come last, in the given order."""
