--- a/tests/notation.py
+++ b/tests/notation.py
@@ -1,4 +1,4 @@
-"""The notation that all scenarios share: settings, servers, and the one way in which a file is played."""
+"""The notation of all scenario files: settings, servers, events, and the function that plays a file."""
 
 import re
 from fnmatch import fnmatchcase
@@ -7,14 +7,17 @@
 
 
 def pairs(words):
+    """WORD=VALUE words as a dictionary."""
     return dict(w.partition("=")[::2] for w in words)
 
 
 def ms(value):
+    """Milliseconds, as text, in whole microseconds."""
     return round(float(value) * 1000)
 
 
 def traffic_type(name, o):
+    """The traffic type of a `type` line; `o`: its options."""
     effect = io.Effect(o.get("effect", "may run again").replace("_", " "))
     return io.TrafficType(
         name,
@@ -29,6 +32,7 @@
 
 
 def begin(o, types, tenants=()):
+    """The node configuration of a `site` line; `o`: its options."""
     return io.NodeConfig(
         int(o.get("seed", 7)),
         0,
@@ -50,6 +54,7 @@
 
 
 def entry(word):
+    """The list's entry of a server written as HOST[:OPTION=VALUE[,...]]."""
     name, _, rest = word.partition(":")
     o = pairs(rest.split(",")) if rest else {}
     return io.Entry(
@@ -64,6 +69,7 @@
 
 
 def same(expected, words, bound):
+    """Whether an action's words match the expected ones; `bound`: the values of capital letters so far."""
     if len(expected) != len(words):
         return False
     for want, got in zip(expected, words, strict=True):
@@ -71,7 +77,7 @@
             if bound.get(want[1:], want[1:]) == got:
                 return False
         elif len(want) == 1 and "A" <= want <= "Z" and want != "M":
-            # a name for what stands there; words are the protocol's own
+            # A capital letter is bound to the value in its place; M is a word of the protocol.
             if bound.setdefault(want, got) != got:
                 return False
         elif not fnmatchcase(got, want):
@@ -80,10 +86,10 @@
 
 
 def play(file, start, act):
-    """Plays one file.
+    """Plays one scenario file.
 
-    `start(site, types)` makes what is played and gives what it does at once, as lists of words; `act(played,
-    time, verb, args, bound)` one line of it. Returns what was played.
+    `start(site, types)` creates the object under test and returns it with its first actions, as lists of
+    words; `act(played, time, verb, args, bound)` plays one line and returns the actions. Returns the object.
     """
     site, types, played, pending, bound = {}, [], None, [], {}
     lines = [line.split("#")[0] for line in file.read_text().splitlines()] + ["end"]
@@ -95,7 +101,7 @@
         if not words:
             continue
         if words[0] == ">":
-            assert pending, where + " -- no action"
+            assert pending, where + " -- no action is left"
             got = pending.pop(0)
             assert same(words[1:], got, bound), f"{where} -- got {' '.join(got)}"
             continue
@@ -103,7 +109,7 @@
             assert any(same(words[1:], a, bound) for a in pending), f"{where} -- not in {pending}"
             pending = []
             continue
-        assert not pending, f"before {where} -- more actions: {pending}"
+        assert not pending, f"before {where} -- unexpected actions: {pending}"
         if words[0] == "site":
             site = pairs(words[1:])
         elif words[0] == "type":
--- a/tests/test_idle.py
+++ b/tests/test_idle.py
@@ -1,4 +1,4 @@
-"""No node is idle: one that gets calls attempts some, whatever its servers did before."""
+"""A node that gets calls attempts some of them, however its earlier attempts ended."""
 
 import heapq
 import itertools
@@ -10,12 +10,14 @@
 from cottonspread.state import SECOND
 
 LASTS = 60 * SECOND
-IDLE, CALLS = 4 * SECOND, 15  # what the standing test counts as an idle process
+IDLE, CALLS = 4 * SECOND, 15  # what the long-running test counts as an idle process
 
 
 def longest_idle(ending, servers, rate, group, **site):
-    """(microseconds, calls) of the longest stretch of CALLS calls or more, all of them turned away.
-    Every attempt ends as `ending` says: in its time, or at once."""
+    """(microseconds, calls) of the longest time in which `CALLS` calls or more came and all were rejected.
+
+    Every attempt ends with `ending`: a time-out at its deadline, any other after a millisecond.
+    """
     node = Balancer(0, begin({"nodes": 20} | site, (traffic_type("t", {}),)))
     node.handle(0, io.ListUpdate(io.ListUpdateKind.FULL, 1, tuple(entry(f"s{n}") for n in range(servers))))
     ends, attempts, longest = [], {}, (0, 0)
@@ -46,7 +48,7 @@
 
 
 def test_a_node_whose_servers_all_fail_goes_on_trying():
-    """It rests for up to 8 s and more: not one attempt for up to 331 calls."""
+    """Ejections last 8 s and longer: without forced attempts there was none for up to 331 calls."""
     endings = io.Ending.TIMEOUT, io.Ending.CONNECT_FAILED
     cases = itertools.product(endings, (3, 8, 60), (5, 40), (False, True))
     worst = max(longest_idle(ending, servers, rate, group) for ending, servers, rate, group in cases)
@@ -54,7 +56,7 @@
 
 
 def test_a_cold_server_is_no_last_resort():
-    """Its budget is all nodes' together: calls that it may not have are turned away, however many come."""
+    """A cold server has one budget for all nodes: calls beyond it are rejected, however many come."""
     node = Balancer(0, begin({"nodes": 100, "seed": 5}, (traffic_type("t", {}),)))
     node.handle(0, io.ListUpdate(io.ListUpdateKind.FULL, 1, (entry("a:started=1"),)))
     sent = [
--- a/tests/test_idle_widely.py
+++ b/tests/test_idle_widely.py
@@ -1,14 +1,13 @@
-"""A node that is sent calls attempts some, however its attempts ended before and whatever its servers tell.
+"""A node that gets calls attempts some, however earlier attempts ended and whatever its servers report.
 
-What happens: all servers fail, or all are slow, or all tell probes that they are full. Each of them then
-rests or is shut (`Health.bad`, `Overview.near_slow`, `Ceilings.room`, `Readings.crowded`), beside them
-perhaps the way to all of them (`Balancer.way`), each for its own time and none knowing of the others. The
-node turns every call away and tries nothing, so it learns of no recovery.
+Guards against a node that attempts nothing and so learns of no recovery. All servers fail, or all are slow,
+or all report to probes that they are full. Each is then ejected or passed over (`Health.record_failure`,
+`Overview.near_slow`, `Ceilings.has_room`, `Readings.exceeds_bound`), perhaps also the dependency that they
+share (`Driver.shared_dependency`), each for its own time and independently. Every call is rejected.
 
-What showed it: the module alone, driven by the plays below. Before the mend the longest time without an
-attempt was 9.0 s where servers failed, and far longer where all were slow or told that they were full. The
-log says `aside for 8000 ms` for server after server, and then nothing. Mended in `Choice.overdue`; the story
-is told in docs/incidents/2026-12-03-all-rest-at-once.md.
+The longest time without an attempt was 9.0 s where servers failed, and far longer where all were slow or
+reported that they were full; the log says `ejected for 8000 ms` for server after server, and then nothing.
+`Choice.forced` ends such times; see docs/incidents/2026-12-03-all-rest-at-once.md.
 """
 
 import heapq
@@ -25,25 +24,25 @@
 from cottonspread.state import SECOND
 
 LASTS, RECOVERS = 40 * SECOND, 20 * SECOND
-IDLE, CALLS = 4 * SECOND, 15  # what the standing test counts as an idle process
+IDLE, CALLS = 4 * SECOND, 15  # what the long-running test counts as an idle process
 FAILURES = (Ending.TIMEOUT, Ending.CONNECT_FAILED, Ending.RESET, Ending.ERROR, Ending.FULL)
 ANSWER_TIME = 1000  # microseconds
-TELLING = SECOND  # between two words of a server on what its messages take
+TELLING = SECOND  # between two delay reports of a server
 
 
 class Play:
-    """One node that is sent calls at an even rate; how its attempts end is the sub-classes' part."""
+    """One node that gets calls at an even rate; sub-classes decide how its attempts end."""
 
     def __init__(self, servers, rate, grouped, **site):
         self.node = Balancer(0, begin(site, (traffic_type("t", {}),)))
         self.servers = [f"s{number}" for number in range(servers)]
         self.handle(0, io.ListUpdate(io.ListUpdateKind.FULL, 1, tuple(entry(name) for name in self.servers)))
         self.between, self.grouped = SECOND // rate, grouped
-        self.due = []  # (time, number, event) still to be told to the node, a heap
+        self.due = []  # (time, number, event) still to be passed to the node, a heap
         self.told = itertools.count()
         self.attempts = {}  # call: how many legs it had
         self.last_attempt, self.turned_away, self.longest_idle = 0, 0, 0
-        self.tried_again, self.tried = [], set()  # when idle times ended, and which servers got attempts
+        self.tried_again, self.tried = [], set()  # times at which idle times ended; servers that got attempts
 
     def handle(self, now, event):
         for action in self.node.handle(now, event):
@@ -79,7 +78,7 @@
             self.handle(now, io.CallArrived(f"c{now}", 0, 2 * SECOND, f"c{now}", group))
 
     def idle_time(self, now):
-        """The longest time until now in which CALLS calls or more were all turned away, in microseconds."""
+        """The longest time so far in which `CALLS` calls or more were all rejected, in microseconds."""
         self.end_idle_time(now)
         return self.longest_idle
 
@@ -94,7 +93,7 @@
 
 
 class Failing(Play):
-    """Every attempt fails until the servers are `sound`; endings are drawn from those given."""
+    """Every attempt fails, with endings drawn from those given, until the servers are healthy."""
 
     def __init__(self, endings, servers, rate, grouped, nodes, **site):
         self.endings, self.chance, self.sound = endings, Random(7), False
@@ -111,9 +110,9 @@
 
 
 class Slow(Play):
-    """Every server takes each call at once, holds some from the start, and tells that messages take long."""
+    """Every server accepts each call at once, holds some from the start, and reports slow messages."""
 
-    HELD, DELAYS = 3, (150_000, 171_000)  # connections a server; microseconds, told in turn
+    HELD, DELAYS = 3, (150_000, 171_000)  # connections a server; microseconds, reported in turn
 
     def __init__(self, servers, rate, grouped, load_told, **site):
         self.standing, self.load_told = {}, load_told
@@ -131,7 +130,7 @@
         one_of = {name: call for call, name in self.standing.items()}
         delay = self.DELAYS[now // TELLING % len(self.DELAYS)]
         for call in one_of.values():
-            if call in self.standing:  # a word told just now may have moved it
+            if call in self.standing:  # an earlier report may have moved it
                 self.handle(now, io.DelayReported(call, delay))
 
     def sent(self, now, action, leg):
@@ -152,7 +151,7 @@
     "endings", [(one,) for one in FAILURES] + [FAILURES], ids=[one.name for one in FAILURES] + ["mixed"]
 )
 def test_a_node_goes_on_trying_however_its_attempts_end(endings, servers):
-    """Also while its servers recover: no more calls are turned away in a row than before."""
+    """Holds also while the servers recover."""
     rates = (4, 12, 100) if servers < 16 else (4, 12)
     for rate, grouped, nodes in itertools.product(rates, (False, True), (1, 200)):
         play = Failing(endings, servers, rate, grouped, nodes)
@@ -181,15 +180,16 @@
 
 
 def test_many_nodes_do_not_try_again_in_step():
-    """All servers of two hundred nodes refuse from the same moment: what is behind them must not be asked by
-    all nodes at once. Those that were idle try again in different tenths of a second."""
+    """All servers refuse two hundred nodes from the same moment on. The nodes must not all retry at once, for
+    the sake of what is behind the servers: the idle ones try again in different tenths of a second.
+    """
     times, chance = [], Random(7)
     for _ in range(200):
         seed = chance.getrandbits(63)
         play = Failing((Ending.CONNECT_FAILED,), 5, 40, False, 200, seed=seed)
         play.run(SECOND, 20 * SECOND)
         times += play.tried_again
-    # The first rests of 8 s begin by 8.3 s and end by 16 s: in between nothing but idle nodes try.
+    # The first ejections of 8 s begin by 8.3 s and end by 16 s: all attempts in between are forced ones.
     in_each_tenth = Counter(at * 10 // SECOND for at in times if 9 * SECOND <= at < 16 * SECOND)
     assert sum(in_each_tenth.values()) >= 200
     assert max(in_each_tenth.values()) <= 200 // 4, in_each_tenth.most_common(3)
@@ -206,7 +206,7 @@
 
 
 def test_no_cold_server_is_tried_beyond_its_budget_when_all_rest():
-    """Fresh servers among those that refuse: what this node sends them stays what it draws for them."""
+    """Cold servers among those that refuse: this node sends them no more than it draws for them."""
     play = Failing((Ending.CONNECT_FAILED,), 4, 12, False, 200)
     play.run(SECOND, 20 * SECOND)
     fresh = tuple(entry(f"f{number}:started=20000") for number in range(4))
--- a/tests/test_lateness.py
+++ b/tests/test_lateness.py
@@ -1,4 +1,4 @@
-"""The node's own lateness, and the door, on a queue that handles so many a second."""
+"""The node's own lateness, and the limit on admission, on a simulated queue with a fixed service rate."""
 
 import pytest
 
@@ -17,8 +17,9 @@
 
 
 def played(arrivals, bears, pause=(0, 0), target=100_000):
-    """A node that does `bears` calls a second, and none in `pause`. (turned away, waits
-    of those done, (time, wait) of them).
+    """Plays a node that handles `bears` calls a second, and none during `pause`.
+
+    Returns (times of the refused calls, (time, wait) of the handled ones, the limiter).
     """
     door, turned, queue, done, free = AdmissionLimiter(target), [], [], [], 0
     for at in sorted(arrivals):
@@ -31,7 +32,7 @@
             free += SECOND // bears
             done.append((free, free - came))
         if pause[0] <= at < pause[1]:
-            queue.append(at)  # the kernel holds it: nobody asks the door
+            queue.append(at)  # it waits in the kernel's backlog: the limiter is not asked
         elif door.admits(at):
             queue.append(at)
         else:
@@ -40,6 +41,7 @@
 
 
 def steady(rate, seconds, start=0.0):
+    """Arrival times in microseconds, at an even rate a second."""
     return [round((start + n / rate) * SECOND) for n in range(round(rate * seconds))]
 
 
@@ -48,7 +50,7 @@
     turned, done, _ = played(steady(rate, 20), bears=600)
     late = sorted(wait for at, wait in done if at > 5 * SECOND)
     assert late[len(late) * 99 // 100] < 700_000
-    assert len(late) > 0.75 * 600 * 14, "the door turns away what the node could do"
+    assert len(late) > 0.75 * 600 * 14, "calls are refused that the node could handle"
 
 
 def test_without_the_door_the_same_queue_would_grow_without_end():
--- a/tests/test_many_nodes.py
+++ b/tests/test_many_nodes.py
@@ -1,5 +1,5 @@
-"""What only many nodes show: balancers with seeds of their own, each told of
-the same servers, none of the others.
+"""Behaviour that shows with many nodes only: balancers with seeds of their own that get the same server list,
+and know nothing of one another.
 """
 
 from collections import Counter, deque
@@ -17,6 +17,8 @@
 
 
 class Nodes:
+    """Forty balancers with the same servers."""
+
     def __init__(self, servers=SERVERS, **site):
         self.now, self.calls = SECOND, 0
         self.all = [
@@ -36,7 +38,7 @@
             node.handle(self.now, io.ListUpdate(news, 0, tuple(entry(word) for word in servers)))
 
     def call(self, node, group, **more):
-        """Where a call of the group stands; None where it was rejected."""
+        """The server that accepted a call of the group; None if the call was rejected."""
         self.calls += 1
         id = f"c{self.calls}"
         sent = [
@@ -52,8 +54,8 @@
 
 @pytest.mark.parametrize("returned", (False, True))
 def test_nodes_that_see_a_call_each_keep_a_group_on_few_servers(returned):
-    """Five groups of forty calls, one at each node: every group stood on every server,
-    and each server paid for all of them.
+    """Guards against groups spread over all servers: with five groups of forty calls, one at each node, every
+    group was on every server, and each server bore the cost of all of them.
     """
     servers = set()
     for group in ("g1", "g2", "g3", "g4", "g5"):
@@ -61,7 +63,7 @@
         stands = Counter(nodes.call(n, group, returned=returned) for n in range(NODES))
         assert None not in stands
         assert len(stands) <= 6, (group, stands)
-        # and not one server alone takes all of them
+        # nor does one server take all of them
         assert max(stands.values()) <= NODES * 2 / 3, (
             group,
             stands,
@@ -72,9 +74,10 @@
 
 @pytest.mark.parametrize("took", (0, 3 * SECOND))
 def test_nodes_turned_away_by_an_overbooked_list_ask_as_seldom_as_the_terms_let_them(took):
-    """What the list has counts as told 6 s after it could be reached, whatever failed before;
-    so from the begin of a call that failed to the next one pass 4.5 s at most, and more often
-    than that needs, no node asks for good.
+    """A change counts as known to the nodes 6 s after the list could be reached, whatever failed before.
+
+    So at most 4.5 s pass from the start of a failed poll to the next one, and in the long run no node polls
+    more often than that requires.
     """
     nodes, asked = Nodes(list="ask"), Counter()
     due = [(nodes.now + n * SECOND // 10, n) for n in range(NODES)]
@@ -97,8 +100,8 @@
 
 
 def test_all_nodes_together_use_the_cold_budget_and_do_not_pass_it():
-    """Six in ten servers replaced: for ten seconds the successors got a
-    call or two each, while nodes rejected.
+    """Guards against an unused budget: with six in ten servers replaced, the new ones got a call or two
+    each in ten seconds, while nodes rejected calls.
     """
     nodes, sent = Nodes([f"s{n}:started=1000" for n in range(6)] + ["w0", "w1", "w2", "w3", "w4", "w5"]), {}
     for tick in range(200):  # three calls of each node in ten seconds, of five groups
@@ -113,8 +116,10 @@
 
 
 def test_a_cold_server_is_given_calls_of_few_groups():
-    """Half of a fleet replaced, and every call drew at each successor in turn: each held two calls of two
-    groups, and paid for a group with every call.
+    """Guards against a draw at each cold server in turn for every call.
+
+    With half of a fleet replaced each new server had two calls of two groups, and bore the cost of a group
+    with every call.
     """
     nodes, sent = (
         Nodes(
@@ -127,13 +132,13 @@
         group = f"g{tick % 10}"
         sent.append((nodes.call(tick * 7 % NODES, group, returned=True), group))
     cold = [(host, group) for host, group in sent if host and host[0] == "s"]
-    assert len(cold) >= 60, len(cold)  # they get their part
+    assert len(cold) >= 60, len(cold)  # the cold servers get their share
     assert len(set(cold)) <= 80, len(set(cold))  # of 240 pairs of a server and a group
 
 
 def test_a_group_whose_few_servers_are_out_of_reach_goes_on_to_the_next_of_its_order():
-    """A zone cut off held all three servers of a group: its calls were rejected beside nine sound ones,
-    and a traffic type fell under the gate.
+    """Guards against calls rejected beside nine healthy servers: all three servers of a group were in a zone
+    that was cut off, and a traffic type fell below its acceptance threshold.
     """
     nodes = Nodes(legs=2)
     node, order = nodes.all[0], [host.name for host in nodes.all[0].rotation.group_orders.first("g", 0)]
@@ -144,8 +149,10 @@
 
 
 def test_a_node_takes_the_group_s_server_of_its_own_zone_where_there_is_one():
-    """Half of a fleet's connections crossed zones for nothing; each earned nothing while a zone
-    was cut off, and had its price before.
+    """Guards against needless zone crossings.
+
+    Half of a fleet's connections crossed zones, at a price for each, and earned nothing while a zone was cut
+    off.
     """
     nodes = Nodes()
     orders = {
@@ -162,7 +169,7 @@
 
 
 def test_another_time_for_asking_binds_from_the_reload_on():
-    """The wait kept to the settings of the start."""
+    """Guards against a poll delay that stays with the settings of the start."""
     site, types = {"list": "ask"}, (traffic_type("t", {}),)
     node = Balancer(0, begin(site, types))
     node.handle(
@@ -182,9 +189,10 @@
 
 
 def most_over(count, told, seed, unequal, restarts):
-    """Cold servers under calls of all nodes together: by how many calls the worst window of any passes its
-    budget of N and what 2 x root of N + 2 put down to chance. N: multiple x the part that it can do then x
-    what a warm one carries in the end, as its guide.
+    """Plays cold servers under the calls of all nodes, some of which restart. Returns (by how many calls the
+    worst window of any cold server exceeds its budget N and a statistical margin of 2 x sqrt(N) + 2, calls to
+    cold servers). N: `MULTIPLE` x the share of its capacity that it has then x what a warm one carries in the
+    end.
     """
     site = {"nodes": told, "moving": 0.03}
     types, chance = (traffic_type("t", {}),), SeededRandom(seed)
@@ -222,8 +230,8 @@
 
 
 def over_budget(times, carried):
-    """By how many calls the worst window of one cold server, begun at 1 s, passes its budget and chance;
-    `carried`: what a warm one carries.
+    """By how many calls the worst window of a cold server, started at 1 s, exceeds its budget and the margin;
+    `carried`: the calls that a warm one carries.
     """
     over = []
     for at in times:
@@ -238,10 +246,10 @@
 def test_what_all_processes_send_a_cold_server_stays_within_its_budget_and_chance(
     count, told, unequal, restarts
 ):
-    """Also where shares are unequal, processes begin anew in the ramp,
-    and none is told how many they are (0).
+    """Holds also where nodes get unequal shares of the calls, where processes restart during the warm-up, and
+    where no node knows how many they are (0).
     """
     for seed in (1, 2, 3):
         over, cold = most_over(count, told, seed, unequal, restarts)
         assert over <= 0, (seed, over, cold)
-        assert cold >= 4, "none is warmed up at all"
+        assert cold >= 4, "the cold servers got no calls"
--- a/tests/test_readings.py
+++ b/tests/test_readings.py
@@ -1,4 +1,4 @@
-"""What the module makes of load reports, in parts too small for a scenario."""
+"""How the module uses probe results, in details too small for a scenario."""
 
 import pytest
 from notation import begin, traffic_type
@@ -19,8 +19,8 @@
 
 
 def test_a_silent_probe_is_no_word_on_how_full_the_fleet_is(readings):
-    """Taken for a full server, six out of reach made a node think that groups cost too
-    much, and it rejected beside idle ones.
+    """Guards against unanswered probes that count as full servers: six servers out of reach made a node find
+    the whole fleet busy and save on the cost of groups, so that it rejected calls beside idle servers.
     """
     for n in range(10):
         readings.record(host(), io.ProbeEnded("a", io.Ending.TIMEOUT, 120_000), n)
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -1,18 +1,18 @@
-"""Plays the scenarios in tests/scenarios/*.txt against one node, without the bench.
+"""Plays the scenarios in tests/scenarios/*.txt against the decision module of one node.
 
-site WORD=VALUE ...           settings that differ from the defaults in `begin` below
-type NAME WORD=VALUE ...      a traffic type; without one there is a single repeatable type
+site WORD=VALUE ...           settings that differ from the defaults in `notation.begin`
+type NAME WORD=VALUE ...      a traffic type; without any there is a single repeatable type
 TIME EVENT ARGS               TIME in ms; events: list changes|full|saved|failed HOST[:WORD=VALUE[,..]] ..,
                               call ID .., open ID HOST .., accept ID LEG, done ID LEG ENDING [closed],
                               tune WORD=VALUE .. | TYPE WORD=VALUE .. | ..,
                               inherit KEY=HOST .. HOST:LEGS@MS ..,
                               load ID N, delay ID MS, expire ID, timer TOKEN,
                               probed HOST ENDING [LOAD [PILED]]
-> ACTION ARGS                 the actions that must follow, all of them, in this order (timers and logs
-                              aside); on a line of their own or behind their event
->? TEXT                       an action that must be somewhere among them, none of the others minded
-A capital name stands for a host: bound where it first comes, the same after; !A is any host but that one;
-a * stands for anything.
+> ACTION ARGS                 the actions that must follow, all of them, in this order (except timers and
+                              log lines); on a line of their own or behind their event
+>? TEXT                       an action that must be among them; the others are not checked
+A capital letter stands for a host: the one where it first occurs, and the same from then on; !A is any host
+but that one; * matches anything.
 """
 
 import re
@@ -77,7 +77,7 @@
 
 
 def recount(node):
-    """What the node keeps in sums is what a plain count finds, after every event."""
+    """Checks the node's sums against a plain count, after every event."""
     for host in node.membership.hosts.values():
         groups = {leg.call.group for leg in host.legs}
         assert host.load == sum(leg.load for leg in host.legs) + node.loads.GROUP_COST * len(groups)
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -1,4 +1,4 @@
-"""Slow start beside other events."""
+"""Slow start together with other events."""
 
 from dataclasses import replace
 
@@ -10,7 +10,7 @@
 
 
 def test_a_reload_that_ends_slow_start_finds_servers_that_are_in_it():
-    """Until the next look at the servers each call of a group raised a division by zero."""
+    """A call of a group raised a division by zero until the next refresh of the overview."""
     site, types = {"nodes": 40}, (traffic_type("t", {}),)
     node = Balancer(0, begin(site, types))
     servers = [f"s{n}:started=1000" for n in range(4)] + ["w0", "w1"]
