--- a/tests/notation.py
+++ b/tests/notation.py
@@ -68,7 +68,7 @@
     )
 
 
-def same(expected, words, bound):
+def matches(expected, words, bound):
     """Whether an action's words match the expected ones; `bound`: the values of capital letters so far."""
     if len(expected) != len(words):
         return False
@@ -103,10 +103,10 @@
         if words[0] == ">":
             assert pending, where + " -- no action is left"
             got = pending.pop(0)
-            assert same(words[1:], got, bound), f"{where} -- got {' '.join(got)}"
+            assert matches(words[1:], got, bound), f"{where} -- got {' '.join(got)}"
             continue
         if words[0] == ">?":
-            assert any(same(words[1:], a, bound) for a in pending), f"{where} -- not in {pending}"
+            assert any(matches(words[1:], a, bound) for a in pending), f"{where} -- not in {pending}"
             pending = []
             continue
         assert not pending, f"before {where} -- unexpected actions: {pending}"
--- a/tests/test_idle.py
+++ b/tests/test_idle.py
@@ -21,21 +21,21 @@
     node = Balancer(0, begin({"nodes": 20} | site, (traffic_type("t", {}),)))
     node.handle(0, io.ListUpdate(io.ListUpdateKind.FULL, 1, tuple(entry(f"s{n}") for n in range(servers))))
     ends, attempts, longest = [], {}, (0, 0)
-    last, turned_away = 0, 0
+    last, rejected = 0, 0
 
     def carry_out(now, actions):
-        nonlocal last, turned_away, longest
+        nonlocal last, rejected, longest
         for action in actions:
             if isinstance(action, io.Send):
                 number = attempts.get(action.call, 0)
                 attempts[action.call] = number + 1
                 until = action.deadline if ending is io.Ending.TIMEOUT else now + 1000
                 heapq.heappush(ends, (until, action.call, number))
-                if turned_away >= CALLS:
-                    longest = max(longest, (now - last, turned_away))
-                last, turned_away = now, 0
+                if rejected >= CALLS:
+                    longest = max(longest, (now - last, rejected))
+                last, rejected = now, 0
             elif isinstance(action, io.Reject):
-                turned_away += 1
+                rejected += 1
 
     for now in range(SECOND, LASTS, SECOND // rate):
         while ends and ends[0][0] <= now:
--- a/tests/test_idle_widely.py
+++ b/tests/test_idle_widely.py
@@ -27,7 +27,7 @@
 IDLE, CALLS = 4 * SECOND, 15  # what the long-running test counts as an idle process
 FAILURES = (Ending.TIMEOUT, Ending.CONNECT_FAILED, Ending.RESET, Ending.ERROR, Ending.FULL)
 ANSWER_TIME = 1000  # microseconds
-TELLING = SECOND  # between two delay reports of a server
+REPORT_INTERVAL = SECOND  # between two delay reports of a server
 
 
 class Play:
@@ -38,11 +38,11 @@
         self.servers = [f"s{number}" for number in range(servers)]
         self.handle(0, io.ListUpdate(io.ListUpdateKind.FULL, 1, tuple(entry(name) for name in self.servers)))
         self.between, self.grouped = SECOND // rate, grouped
-        self.due = []  # (time, number, event) still to be passed to the node, a heap
-        self.told = itertools.count()
+        self.scheduled = []  # (time, number, event) still to be passed to the node, a heap
+        self.sequence = itertools.count()
         self.attempts = {}  # call: how many legs it had
-        self.last_attempt, self.turned_away, self.longest_idle = 0, 0, 0
-        self.tried_again, self.tried = [], set()  # times at which idle times ended; servers that got attempts
+        self.last_attempt, self.rejected, self.longest_idle = 0, 0, 0
+        self.resumed_at, self.tried = [], set()  # times at which idle times ended; servers that got attempts
 
     def handle(self, now, event):
         for action in self.node.handle(now, event):
@@ -53,25 +53,25 @@
                 self.attempts[action.call] = leg + 1
                 self.sent(now, action, leg)
             elif isinstance(action, (io.Reject, io.Release)) and action.call not in self.attempts:
-                self.turned_away += 1
+                self.rejected += 1
             elif isinstance(action, io.Probe):
                 self.probed(now, action.host)
             elif isinstance(action, io.Move):
                 self.moved(now, action.call)
 
     def end_idle_time(self, now):
-        if self.turned_away >= CALLS:
+        if self.rejected >= CALLS:
             self.longest_idle = max(self.longest_idle, now - self.last_attempt)
-            self.tried_again.append(now)
-        self.last_attempt, self.turned_away = now, 0
+            self.resumed_at.append(now)
+        self.last_attempt, self.rejected = now, 0
 
-    def tell(self, at, event):
-        heapq.heappush(self.due, (at, next(self.told), event))
+    def schedule(self, at, event):
+        heapq.heappush(self.scheduled, (at, next(self.sequence), event))
 
     def run(self, first, last):
         for now in range(first, last, self.between):
-            while self.due and self.due[0][0] <= now:
-                at, _, event = heapq.heappop(self.due)
+            while self.scheduled and self.scheduled[0][0] <= now:
+                at, _, event = heapq.heappop(self.scheduled)
                 self.handle(at, event)
             number = now // self.between
             group = f"g{number % 5}" if self.grouped else None
@@ -96,17 +96,17 @@
     """Every attempt fails, with endings drawn from those given, until the servers are healthy."""
 
     def __init__(self, endings, servers, rate, grouped, nodes, **site):
-        self.endings, self.chance, self.sound = endings, Random(7), False
+        self.endings, self.rng, self.healthy = endings, Random(7), False
         super().__init__(servers, rate, grouped, nodes=nodes, **site)
 
     def sent(self, now, action, leg):
-        if self.sound:
-            self.tell(now + ANSWER_TIME, io.LegAccepted(action.call, leg, 0))
-            self.tell(now + ANSWER_TIME, io.LegEnded(action.call, leg, Ending.OK, True))
+        if self.healthy:
+            self.schedule(now + ANSWER_TIME, io.LegAccepted(action.call, leg, 0))
+            self.schedule(now + ANSWER_TIME, io.LegEnded(action.call, leg, Ending.OK, True))
             return
-        ending = self.chance.choice(self.endings)
+        ending = self.rng.choice(self.endings)
         at = action.deadline if ending is Ending.TIMEOUT else now + ANSWER_TIME
-        self.tell(at, io.LegEnded(action.call, leg, ending, False))
+        self.schedule(at, io.LegEnded(action.call, leg, ending, False))
 
 
 class Slow(Play):
@@ -114,34 +114,34 @@
 
     HELD, DELAYS = 3, (150_000, 171_000)  # connections a server; microseconds, reported in turn
 
-    def __init__(self, servers, rate, grouped, load_told, **site):
-        self.standing, self.load_told = {}, load_told
+    def __init__(self, servers, rate, grouped, reported_load, **site):
+        self.established, self.reported_load = {}, reported_load
         super().__init__(servers, rate, grouped, **site)
         for name, number in itertools.product(self.servers, range(self.HELD)):
             call = f"{name}.{number}"
-            self.standing[call] = name
+            self.established[call] = name
             group = f"g{number}" if grouped else None
             self.handle(0, io.CallArrived(call, 0, 2 * SECOND, call, group, held_by=name))
-        for at in range(SECOND, LASTS, TELLING):
-            self.run(at, at + TELLING)
-            self.tell_delays(at + TELLING)
-
-    def tell_delays(self, now):
-        one_of = {name: call for call, name in self.standing.items()}
-        delay = self.DELAYS[now // TELLING % len(self.DELAYS)]
-        for call in one_of.values():
-            if call in self.standing:  # an earlier report may have moved it
+        for at in range(SECOND, LASTS, REPORT_INTERVAL):
+            self.run(at, at + REPORT_INTERVAL)
+            self.report_delays(at + REPORT_INTERVAL)
+
+    def report_delays(self, now):
+        call_at = {name: call for call, name in self.established.items()}
+        delay = self.DELAYS[now // REPORT_INTERVAL % len(self.DELAYS)]
+        for call in call_at.values():
+            if call in self.established:  # an earlier report may have moved it
                 self.handle(now, io.DelayReported(call, delay))
 
     def sent(self, now, action, leg):
-        self.standing[action.call] = action.host
+        self.established[action.call] = action.host
         self.handle(now, io.LegAccepted(action.call, leg, 0))
 
     def probed(self, now, name):
-        self.tell(now, io.ProbeEnded(name, Ending.OK, 0, self.load_told, 0))
+        self.schedule(now, io.ProbeEnded(name, Ending.OK, 0, self.reported_load, 0))
 
     def moved(self, now, call):
-        self.standing.pop(call, None)
+        self.established.pop(call, None)
         leg = max(0, self.attempts.get(call, 1) - 1)
         self.handle(now, io.LegEnded(call, leg, Ending.CANCELLED, True))
 
@@ -156,17 +156,17 @@
     for rate, grouped, nodes in itertools.product(rates, (False, True), (1, 200)):
         play = Failing(endings, servers, rate, grouped, nodes)
         play.run(SECOND, LASTS)
-        play.sound = True
+        play.healthy = True
         play.run(LASTS, LASTS + RECOVERS)
         idle = play.idle_time(LASTS + RECOVERS)
         assert idle < IDLE, (idle, rate, grouped, nodes)
 
 
 @pytest.mark.parametrize("servers", (1, 5, 16, 60))
-@pytest.mark.parametrize("site, load_told", (({}, 0), ({"probe": 1}, 0.6)), ids=("unprobed", "probed"))
-def test_a_node_whose_servers_are_all_slow_goes_on_trying(site, load_told, servers):
+@pytest.mark.parametrize("site, reported_load", (({}, 0), ({"probe": 1}, 0.6)), ids=("unprobed", "probed"))
+def test_a_node_whose_servers_are_all_slow_goes_on_trying(site, reported_load, servers):
     for grouped, nodes in itertools.product((False, True), (1, 200)):
-        play = Slow(servers, 12, grouped, load_told, nodes=nodes, **site)
+        play = Slow(servers, 12, grouped, reported_load, nodes=nodes, **site)
         idle = play.idle_time(LASTS)
         assert idle < IDLE, (idle, grouped, nodes)
 
@@ -183,12 +183,12 @@
     """All servers refuse two hundred nodes from the same moment on. The nodes must not all retry at once, for
     the sake of what is behind the servers: the idle ones try again in different tenths of a second.
     """
-    times, chance = [], Random(7)
+    times, rng = [], Random(7)
     for _ in range(200):
-        seed = chance.getrandbits(63)
+        seed = rng.getrandbits(63)
         play = Failing((Ending.CONNECT_FAILED,), 5, 40, False, 200, seed=seed)
         play.run(SECOND, 20 * SECOND)
-        times += play.tried_again
+        times += play.resumed_at
     # The first ejections of 8 s begin by 8.3 s and end by 16 s: all attempts in between are forced ones.
     in_each_tenth = Counter(at * 10 // SECOND for at in times if 9 * SECOND <= at < 16 * SECOND)
     assert sum(in_each_tenth.values()) >= 200
--- a/tests/test_lateness.py
+++ b/tests/test_lateness.py
@@ -16,28 +16,28 @@
     assert one.recent_max(12 * SECOND) == 0
 
 
-def played(arrivals, bears, pause=(0, 0), target=100_000):
-    """Plays a node that handles `bears` calls a second, and none during `pause`.
+def played(arrivals, service_rate, pause=(0, 0), target=100_000):
+    """Plays a node that handles `service_rate` calls a second, and none during `pause`.
 
     Returns (times of the refused calls, (time, wait) of the handled ones, the limiter).
     """
-    door, turned, queue, done, free = AdmissionLimiter(target), [], [], [], 0
+    limiter, refused, queue, done, free_at = AdmissionLimiter(target), [], [], [], 0
     for at in sorted(arrivals):
-        while queue and max(free, queue[0]) + SECOND // bears <= at:
+        while queue and max(free_at, queue[0]) + SECOND // service_rate <= at:
             came = queue.pop(0)
-            free = max(free, came)
-            if pause[0] <= free < pause[1]:
-                free = pause[1]
-            door.record_wait(free, free - came)
-            free += SECOND // bears
-            done.append((free, free - came))
+            free_at = max(free_at, came)
+            if pause[0] <= free_at < pause[1]:
+                free_at = pause[1]
+            limiter.record_wait(free_at, free_at - came)
+            free_at += SECOND // service_rate
+            done.append((free_at, free_at - came))
         if pause[0] <= at < pause[1]:
             queue.append(at)  # it waits in the kernel's backlog: the limiter is not asked
-        elif door.admits(at):
+        elif limiter.admits(at):
             queue.append(at)
         else:
-            turned.append(at)
-    return turned, done, door
+            refused.append(at)
+    return refused, done, limiter
 
 
 def steady(rate, seconds, start=0.0):
@@ -47,22 +47,22 @@
 
 @pytest.mark.parametrize("rate", [700, 1200, 3000])
 def test_under_lasting_overload_the_wait_stays_bounded_and_the_node_goes_on_doing_what_it_can(rate):
-    turned, done, _ = played(steady(rate, 20), bears=600)
+    refused, done, _ = played(steady(rate, 20), service_rate=600)
     late = sorted(wait for at, wait in done if at > 5 * SECOND)
     assert late[len(late) * 99 // 100] < 700_000
     assert len(late) > 0.75 * 600 * 14, "calls are refused that the node could handle"
 
 
 def test_without_the_door_the_same_queue_would_grow_without_end():
-    _, done, _ = played(steady(1200, 20), bears=600, target=10**12)
+    _, done, _ = played(steady(1200, 20), service_rate=600, target=10**12)
     assert done[-1][1] > 9 * SECOND
 
 
 def test_after_a_pause_of_the_node_itself_all_that_lay_there_is_let_in():
-    turned, done, _ = played(steady(300, 10), bears=600, pause=(2 * SECOND, 4 * SECOND))
-    assert not turned and len(done) > 2900
+    refused, done, _ = played(steady(300, 10), service_rate=600, pause=(2 * SECOND, 4 * SECOND))
+    assert not refused and len(done) > 2900
 
 
 def test_once_the_load_is_gone_there_is_no_limit_any_more():
-    turned, _, door = played(steady(1500, 5) + steady(200, 10, start=5), bears=600)
-    assert turned and max(turned) < 9 * SECOND and not door.rate
+    refused, _, limiter = played(steady(1500, 5) + steady(200, 10, start=5), service_rate=600)
+    assert refused and max(refused) < 9 * SECOND and not limiter.rate
--- a/tests/test_many_nodes.py
+++ b/tests/test_many_nodes.py
@@ -33,9 +33,9 @@
         ]
         self.list(io.ListUpdateKind.FULL, *servers)
 
-    def list(self, news, *servers):
+    def list(self, kind, *servers):
         for node in self.all:
-            node.handle(self.now, io.ListUpdate(news, 0, tuple(entry(word) for word in servers)))
+            node.handle(self.now, io.ListUpdate(kind, 0, tuple(entry(word) for word in servers)))
 
     def call(self, node, group, **more):
         """The server that accepted a call of the group; None if the call was rejected."""
@@ -60,15 +60,15 @@
     servers = set()
     for group in ("g1", "g2", "g3", "g4", "g5"):
         nodes = Nodes()
-        stands = Counter(nodes.call(n, group, returned=returned) for n in range(NODES))
-        assert None not in stands
-        assert len(stands) <= 6, (group, stands)
+        placed = Counter(nodes.call(n, group, returned=returned) for n in range(NODES))
+        assert None not in placed
+        assert len(placed) <= 6, (group, placed)
         # nor does one server take all of them
-        assert max(stands.values()) <= NODES * 2 / 3, (
+        assert max(placed.values()) <= NODES * 2 / 3, (
             group,
-            stands,
+            placed,
         )
-        servers |= stands.keys()
+        servers |= placed.keys()
     assert len(servers) >= 6
 
 
@@ -79,14 +79,14 @@
     So at most 4.5 s pass from the start of a failed poll to the next one, and in the long run no node polls
     more often than that requires.
     """
-    nodes, asked = Nodes(list="ask"), Counter()
+    nodes, polls = Nodes(list="ask"), Counter()
     due = [(nodes.now + n * SECOND // 10, n) for n in range(NODES)]
     while due:
         now, n = min(due)
         due.remove((now, n))
         if now > 60 * SECOND:
             continue
-        asked[now // SECOND] += 1
+        polls[now // SECOND] += 1
         timer = next(
             a
             for a in nodes.all[n].handle(now, io.ListUpdate(io.ListUpdateKind.FAILED, took=took))
@@ -94,7 +94,7 @@
         )
         due.append((now + took + timer.after, n))
         assert 0 < took + timer.after <= 4.5 * SECOND
-    later = [asked[s] for s in range(20, 60)]
+    later = [polls[s] for s in range(20, 60)]
     assert sum(later) / len(later) <= NODES / 3.7, later
     assert max(later) <= 20, later
 
@@ -164,8 +164,8 @@
     )
     zones = {int(name[1:]) % 4: name for name in few}  # three servers in three of the four zones
     for n in range(NODES):
-        stands = nodes.call(n, group)
-        assert stands == zones[n % 4] if n % 4 in zones else stands in few
+        placed = nodes.call(n, group)
+        assert placed == zones[n % 4] if n % 4 in zones else placed in few
 
 
 def test_another_time_for_asking_binds_from_the_reload_on():
@@ -188,14 +188,14 @@
 LASTS = 3 * SECOND
 
 
-def most_over(count, told, seed, unequal, restarts):
+def max_excess(count, known, seed, unequal, restarts):
     """Plays cold servers under the calls of all nodes, some of which restart. Returns (by how many calls the
     worst window of any cold server exceeds its budget N and a statistical margin of 2 x sqrt(N) + 2, calls to
     cold servers). N: `MULTIPLE` x the share of its capacity that it has then x what a warm one carries in the
     end.
     """
-    site = {"nodes": told, "moving": 0.03}
-    types, chance = (traffic_type("t", {}),), SeededRandom(seed)
+    site = {"nodes": known, "moving": 0.03}
+    types, rng = (traffic_type("t", {}),), SeededRandom(seed)
     servers = [f"w{n}" for n in range(8)] + [f"s{n}:started=1000" for n in range(4)]
 
     def node(n, again=0):
@@ -214,7 +214,7 @@
             _, one, id = ends.popleft()
             one.handle(now, io.LegEnded(id, 0, io.Ending.OK, True))
         for _ in range(3):
-            n = min(chance.below(count), chance.below(count)) if unequal else chance.below(count)
+            n = min(rng.below(count), rng.below(count)) if unequal else rng.below(count)
             calls += 1
             id = f"c{calls}"
             for action in nodes[n].handle(
@@ -226,10 +226,10 @@
                     ends.append((now + LASTS, nodes[n], id))
     carried = sum(len(times) for name, times in sent.items() if name[0] == "w") / 8 * LASTS / (20 * SECOND)
     cold = [times for name, times in sent.items() if name[0] == "s"]
-    return max(over_budget(times, carried) for times in cold), sum(len(times) for times in cold)
+    return max(excess(times, carried) for times in cold), sum(len(times) for times in cold)
 
 
-def over_budget(times, carried):
+def excess(times, carried):
     """By how many calls the worst window of a cold server, started at 1 s, exceeds its budget and the margin;
     `carried`: the calls that a warm one carries.
     """
@@ -242,14 +242,14 @@
 
 
 @pytest.mark.parametrize("unequal, restarts", ((False, False), (True, False), (False, True), (True, True)))
-@pytest.mark.parametrize("count, told", ((20, 20), (30, 30), (200, 200), (20, 0), (30, 0), (200, 0)))
+@pytest.mark.parametrize("count, known", ((20, 20), (30, 30), (200, 200), (20, 0), (30, 0), (200, 0)))
 def test_what_all_processes_send_a_cold_server_stays_within_its_budget_and_chance(
-    count, told, unequal, restarts
+    count, known, unequal, restarts
 ):
     """Holds also where nodes get unequal shares of the calls, where processes restart during the warm-up, and
     where no node knows how many they are (0).
     """
     for seed in (1, 2, 3):
-        over, cold = most_over(count, told, seed, unequal, restarts)
+        over, cold = max_excess(count, known, seed, unequal, restarts)
         assert over <= 0, (seed, over, cold)
         assert cold >= 4, "the cold servers got no calls"
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -29,8 +29,8 @@
 
 def event(verb, args, types):
     if verb == "list":
-        news = io.ListUpdateKind.SAVED if args[0] == "saved" else io.ListUpdateKind[args[0].upper()]
-        return io.ListUpdate(news, 0, tuple(entry(w) for w in args[1:]))
+        kind = io.ListUpdateKind.SAVED if args[0] == "saved" else io.ListUpdateKind[args[0].upper()]
+        return io.ListUpdate(kind, 0, tuple(entry(w) for w in args[1:]))
     if verb in ("call", "open"):
         held = args.pop(1) if verb == "open" else None
         o = pairs(args[1:])
@@ -70,7 +70,7 @@
     }[verb]()
 
 
-def said(action):
+def words_of(action):
     words = [type(action).__name__.lower()]
     words += [str(v) for v in (getattr(action, n, None) for n in ("call", "leg", "host")) if v is not None]
     return words
@@ -86,8 +86,8 @@
     assert (node.sums.legs, node.sums.load) == (sum(len(h.legs) for h in up), sum(h.load for h in up))
 
 
-def without_asides(actions):
-    return [said(a) for a in actions if not isinstance(a, (io.Timer, io.Log))]
+def checked_actions(actions):
+    return [words_of(a) for a in actions if not isinstance(a, (io.Timer, io.Log))]
 
 
 @pytest.mark.parametrize("file", FILES, ids=lambda f: f.stem)
@@ -97,11 +97,11 @@
     def start(site, types):
         types_played.extend(types)
         node = Balancer(0, begin(site, types))
-        return node, without_asides(node.actions())
+        return node, checked_actions(node.actions())
 
     def act(node, now, verb, args, bound):
         actions = node.handle(now, event(verb, [bound.get(w, w) for w in args], types_played))
         recount(node)
-        return without_asides(actions)
+        return checked_actions(actions)
 
     play(file, start, act)
