--- a/cottonspread/config/__init__.py
+++ b/cottonspread/config/__init__.py
@@ -1,33 +1,33 @@
-"""The one place where configuration is read, checked and given defaults; every fault names its key.
+"""Reads and validates all configuration and applies defaults; every error names its key.
 
-`platform` reads what the platform tells a node (JSON and the environment),
-`operator` the operator's own file (TOML).
+`platform` reads a node's configuration from the platform (JSON and the environment), `operator` the
+operator's own file (TOML).
 """
 
 from cottonspread.config.platform import (
     ConfigurationError,
-    Hearing,
+    Endpoints,
+    HostProtocol,
     Names,
-    Place,
-    Room,
-    complete,
-    micros,
+    ResourceLimits,
+    check_no_key_missing,
+    ms_to_us,
     parse,
     read_begin,
     read_node,
-    with_own,
+    with_local_keys,
 )
 
 __all__ = [
-    "Hearing",
+    "HostProtocol",
     "Names",
-    "Place",
-    "Room",
+    "Endpoints",
+    "ResourceLimits",
     "ConfigurationError",
-    "complete",
-    "micros",
+    "check_no_key_missing",
+    "ms_to_us",
     "parse",
     "read_begin",
     "read_node",
-    "with_own",
+    "with_local_keys",
 ]
--- a/cottonspread/configstore/register.py
+++ b/cottonspread/configstore/register.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from cottonspread.configstore.messages import NOWHERE, Position, Record, ReplicaState, Stage
+from cottonspread.configstore.messages import EMPTY_POSITION, Position, Record, ReplicaState, Stage
 
 
 class RefusedError(Exception):
@@ -19,7 +19,7 @@
 
 def accepted_position(state: ReplicaState) -> Position:
     """The highest position ever accepted."""
-    return state.accepted.position if state.accepted else NOWHERE
+    return state.accepted.position if state.accepted else EMPTY_POSITION
 
 
 def generation_of(record: Record | None) -> int:
@@ -29,7 +29,7 @@
 
 def accept(state: ReplicaState, base: Position, record: Record) -> ReplicaState:
     """The state with this proposal accepted; the same state where it already is. RefusedError."""
-    if not record.is_sound():
+    if not record.is_valid():
         raise RefusedError("damaged record")
     highest = accepted_position(state)
     if highest == record.position:
@@ -53,14 +53,14 @@
     """The state with this record, which a majority accepted, committed; the same state where it, or a newer
     one, already is. RefusedError.
     """
-    if not record.is_sound():
+    if not record.is_valid():
         raise RefusedError("damaged record")
     committed = state.committed
     if record.generation < generation_of(committed):
         return state
     if committed is not None:
         if record.generation == committed.generation:
-            if record.seal != committed.seal:
+            if record.checksum != committed.checksum:
                 raise RefusedError("same generation, other record")
             return state
         if (record.version, record.stage) < (committed.version, committed.stage):
@@ -87,7 +87,7 @@
         state = commit(state, committed)
     if good is None or good.generation <= generation_of(state.good):
         return state
-    if not good.is_sound() or good.stage != Stage.EVERYWHERE:
+    if not good.is_valid() or good.stage != Stage.EVERYWHERE:
         raise RefusedError("damaged record")
     if good.generation > generation_of(state.committed):
         return commit(state, good)
--- a/cottonspread/configstore/storage.py
+++ b/cottonspread/configstore/storage.py
@@ -9,9 +9,9 @@
 import os
 
 from cottonspread.configstore import messages
-from cottonspread.lists.saved import sync, write_whole
+from cottonspread.lists.saved import sync_folder, write_atomically
 
-FILE_AT_MOST = messages.MESSAGE_AT_MOST + 100
+MAX_FILE_LENGTH = messages.MAX_MESSAGE_BYTES + 100
 
 
 class StorageError(ValueError):
@@ -21,7 +21,7 @@
 def write(path: str, message: messages.Message) -> None:
     """Durable when it returns. Raises OSError; the file is the old one or the new one then."""
     text = messages.encode(message).decode()
-    write_whole(path, f"{checksum(text)}\n{text}\n", sync_folder=True)
+    write_atomically(path, f"{checksum(text)}\n{text}\n", durable=True)
 
 
 def remove(path: str) -> None:
@@ -30,21 +30,21 @@
         os.unlink(path)
     except FileNotFoundError:
         return
-    sync(os.path.dirname(os.path.abspath(path)))
+    sync_folder(os.path.dirname(os.path.abspath(path)))
 
 
 def read(path: str, kind: type):
     """The message, or None where there is no file. Raises StorageError."""
     try:
         with open(path, encoding="utf-8") as file:
-            text = file.read(FILE_AT_MOST + 1)
+            text = file.read(MAX_FILE_LENGTH + 1)
     except FileNotFoundError:
         return None
     except (OSError, UnicodeDecodeError) as fault:
         raise StorageError(f"{path}: {fault}") from fault
-    told, _, body = text.partition("\n")
+    recorded, _, body = text.partition("\n")
     body = body.removesuffix("\n")
-    if len(text) > FILE_AT_MOST or told != checksum(body):
+    if len(text) > MAX_FILE_LENGTH or recorded != checksum(body):
         raise StorageError(f"{path}: damaged: its checksum does not fit")
     try:
         return messages.decode(body.encode(), kind)
--- a/cottonspread/net/admin.py
+++ b/cottonspread/net/admin.py
@@ -1,9 +1,8 @@
-"""The operators' address: one line to a connection, one answer, in a thread of its
-own that never waits for the reducer.
+"""The operators' address: one command line per connection, one answer.
 
-It never waits for a caller either: all are read and written as they are ready. A caller that says
-nothing has a time limit, and the one that has said nothing for longest makes room for a new one, so that
-callers who never finish keep nobody out.
+It is served in its own thread, which never waits for the reducer nor for a single caller: all sockets are
+non-blocking. A caller that sends no complete line is closed after a timeout, and when the limit is reached
+the oldest caller is closed in favour of a new one, so that idle callers cannot lock others out.
 """
 
 import contextlib
@@ -14,73 +13,88 @@
 
 log = logging.getLogger("cottonspread.admin")
 
-MOST = 12  # callers at a time; with the listener and the selector they are descriptors set aside
-SET_ASIDE = MOST + 3
-LINE_WAIT = 2.0  # seconds for a whole line, and as long again to take the answer
-LONGEST = 256  # bytes of a call
+MAX_CALLERS = 12  # concurrent callers; their descriptors, the listener's and the selector's are reserved
+RESERVED_DESCRIPTORS = MAX_CALLERS + 3
+LINE_TIMEOUT = 2.0  # seconds to send a whole line, and as many again to receive the answer
+MAX_LINE = 256  # bytes of a command
 BACKLOG = 64
 
 
 class Caller:
+    """One connection to the operators' address."""
+
     def __init__(self, sock):
-        self.sock, self.heard, self.answer, self.until = sock, b"", None, time.monotonic() + LINE_WAIT
+        """`sock`: non-blocking."""
+        self.sock, self.received, self.answer, self.deadline = (
+            sock,
+            b"",
+            None,
+            time.monotonic() + LINE_TIMEOUT,
+        )
 
 
 class Admin:
+    """The server of the operators' address."""
+
     def __init__(self, address, answer):
-        """`answer(word)`: what is said to a call, as bytes; it may wait for nothing.
+        """`answer(word)` returns the answer to a command, as bytes; it must not block.
 
-        OSError if the address is not to be had.
+        Raises OSError if the address cannot be bound.
         """
         try:
             self.listener = socket.create_server(address, backlog=BACKLOG)
         except OSError as fault:
-            fault.filename = "operator: {}:{}".format(*address)  # which of the node's two addresses it is
+            fault.filename = "operator: {}:{}".format(
+                *address
+            )  # tells which of the node's two addresses failed
             raise
         self.listener.setblocking(False)
-        self.give, self.callers, self.ended = answer, {}, False
+        self.answer_to, self.callers, self.stopped = answer, {}, False
         self.selector = selectors.DefaultSelector()
         self.selector.register(self.listener, selectors.EVENT_READ)
 
     def run(self):
-        while not self.ended:
+        """Serves callers until `stop`; then closes all sockets."""
+        while not self.stopped:
             now = time.monotonic()
-            first = min((c.until for c in self.callers.values()), default=now + 60)
-            for key, _ in self.selector.select(max(0.0, first - now)):
+            deadline = min((c.deadline for c in self.callers.values()), default=now + 60)
+            for key, _ in self.selector.select(max(0.0, deadline - now)):
                 try:
-                    self.welcome() if key.fileobj is self.listener else self.serve(self.callers[key.fileobj])
-                except KeyError:  # made room for another in this round
+                    self.accept() if key.fileobj is self.listener else self.serve(self.callers[key.fileobj])
+                except KeyError:  # evicted earlier in this round, in favour of a new caller
                     pass
                 except OSError as fault:
                     if key.fileobj is not self.listener:
-                        self.drop(key.fileobj)
-                    elif not self.ended:
+                        self.close(key.fileobj)
+                    elif not self.stopped:
                         log.warning("accept", extra={"pairs": {"why": fault}})
                         time.sleep(0.01)
             now = time.monotonic()
-            for caller in [c for c in self.callers.values() if c.until <= now]:
-                self.late(caller)
+            for caller in [c for c in self.callers.values() if c.deadline <= now]:
+                self.evict(caller)
         for sock in list(self.callers):
-            self.drop(sock)
+            self.close(sock)
         self.selector.close()
         self.listener.close()
 
     def stop(self):
-        """From another thread."""
-        self.ended = True
+        """Ends `run`. Called from another thread."""
+        self.stopped = True
         with contextlib.suppress(OSError):
             self.listener.shutdown(socket.SHUT_RDWR)  # wakes `run`
 
-    def welcome(self):
+    def accept(self):
+        """Accepts one caller; at the limit the oldest caller is closed first."""
         sock, _ = self.listener.accept()
         sock.setblocking(False)
-        if len(self.callers) >= MOST:
-            self.late(next(iter(self.callers.values())))
+        if len(self.callers) >= MAX_CALLERS:
+            self.evict(next(iter(self.callers.values())))
         self.callers[sock] = Caller(sock)
         self.selector.register(sock, selectors.EVENT_READ)
-        self.serve(self.callers[sock])  # its line mostly came with it
+        self.serve(self.callers[sock])  # the line has usually arrived already
 
     def serve(self, caller):
+        """Reads from, or writes to, a caller whose socket is ready."""
         if caller.answer:
             self.write(caller)
             return
@@ -88,31 +102,33 @@
             data = caller.sock.recv(4096)
         except BlockingIOError:
             return
-        if caller.answer is not None:  # all is said: what still comes is read, or the end would be a reset
+        if caller.answer is not None:  # answered: unread input would turn the close into a reset
             if not data:
-                self.drop(caller.sock)
+                self.close(caller.sock)
             return
-        caller.heard += data
-        line, ended, rest = caller.heard.partition(b"\n")
-        if not ended and data and len(caller.heard) <= LONGEST:
+        caller.received += data
+        line, ended, rest = caller.received.partition(b"\n")
+        if not ended and data and len(caller.received) <= MAX_LINE:
             return
-        if not caller.heard:
-            self.drop(caller.sock)
-        elif not ended or rest or len(line) > LONGEST:
-            self.say(caller, b"400 one whole line to a connection, of %d bytes at most\n" % LONGEST)
+        if not caller.received:
+            self.close(caller.sock)
+        elif not ended or rest or len(line) > MAX_LINE:
+            self.reply(caller, b"400 one whole line to a connection, of %d bytes at most\n" % MAX_LINE)
         else:
             try:
-                answer = self.give(line.strip().decode("ascii", "replace"))
-            except Exception:  # our own fault: in plain sight, and the others are answered
+                answer = self.answer_to(line.strip().decode("ascii", "replace"))
+            except Exception:  # a bug of ours: log it and go on serving the other callers
                 log.exception("fault", extra={"pairs": {"while": "operators' call"}})
                 answer = b"400 fault, see the log\n"
-            self.say(caller, answer)
+            self.reply(caller, answer)
 
-    def say(self, caller, answer):
-        caller.answer, caller.until = answer, time.monotonic() + LINE_WAIT
+    def reply(self, caller, answer):
+        """Starts sending the answer."""
+        caller.answer, caller.deadline = answer, time.monotonic() + LINE_TIMEOUT
         self.write(caller)
 
     def write(self, caller):
+        """Sends as much of the answer as the socket takes, then shuts down the sending side."""
         with contextlib.suppress(BlockingIOError):
             caller.answer = caller.answer[caller.sock.send(caller.answer) :]
         if caller.answer:
@@ -121,16 +137,17 @@
             self.selector.modify(caller.sock, selectors.EVENT_READ)
             caller.sock.shutdown(socket.SHUT_WR)
 
-    def late(self, caller):
-        """Its time is up, or its place is wanted."""
+    def evict(self, caller):
+        """Closes a caller that has timed out or has to make room for a new one."""
         try:
             if caller.answer is None:
                 caller.sock.send(b"400 no whole line came\n")
         except OSError:
             pass
-        self.drop(caller.sock)
+        self.close(caller.sock)
 
-    def drop(self, sock):
+    def close(self, sock):
+        """Forgets the caller and closes its socket."""
         if self.callers.pop(sock, None):
             self.selector.unregister(sock)
             sock.close()
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -20,10 +20,10 @@
 from cottonspread.lists import saved
 from cottonspread.net import discovery, lines, logfmt, workers
 from cottonspread.net import events as ev
-from cottonspread.net.http import Http, ResponseError
+from cottonspread.net.http import HttpClient, ResponseError
 from cottonspread.net.node import Node, grow_table
 from cottonspread.net.notes import Heard, Notes
-from cottonspread.net.pool import SIZE, Pool
+from cottonspread.net.pool import BUFFER_SIZE, BufferPool
 from cottonspread.net.workers import WIDE, Workers, start_thread
 
 EXAMPLES = Path(__file__).parent.parent / "examples"
@@ -41,29 +41,31 @@
 
 def test_lines_come_whole_and_idle_connections_hold_no_buffer():
     ours, theirs = pair()
-    pool = Pool()
+    pool = BufferPool()
     gatherer = lines.Gatherer(ours, pool, 1)
     theirs.sendall(b"one\r\ntwo\r\nthr")
     assert gatherer.lines() == b"one\r\ntwo\r\n" and gatherer.filled == 3
     theirs.sendall(b"ee\r\n")
-    assert gatherer.lines() == b"three\r\n" and gatherer.buffer is None and pool.made == 1 == len(pool.free)
+    assert (
+        gatherer.lines() == b"three\r\n" and gatherer.buffer is None and pool.allocated == 1 == len(pool.free)
+    )
     theirs.close()
     assert gatherer.lines() == b""
 
 
-@pytest.mark.parametrize("sent, reason", [(b"x" * SIZE, "long-line"), (b"half", "half-line")])
+@pytest.mark.parametrize("sent, reason", [(b"x" * BUFFER_SIZE, "long-line"), (b"half", "half-line")])
 def test_a_line_too_long_or_cut_off_is_told_by_its_reason(sent, reason):
     ours, theirs = pair()
     theirs.sendall(sent)
     theirs.shutdown(socket.SHUT_WR)
     with pytest.raises(lines.LineError, match=reason):
-        lines.Gatherer(ours, Pool(), 1).lines()
+        lines.Gatherer(ours, BufferPool(), 1).lines()
 
 
 def test_the_longest_line_passes():
     ours, theirs = pair()
-    theirs.sendall(b"x" * (SIZE - 2) + b"\r\n")
-    assert len(lines.Gatherer(ours, Pool(), 1).lines()) == SIZE
+    theirs.sendall(b"x" * (BUFFER_SIZE - 2) + b"\r\n")
+    assert len(lines.Gatherer(ours, BufferPool(), 1).lines()) == BUFFER_SIZE
 
 
 def test_the_first_line_goes_on_unchanged_but_for_d():
@@ -194,7 +196,7 @@
 
 def probe(address, wait=WAIT):
     told = queue.Queue()
-    Workers(Pool(), told.put, lambda: 0).carry_out(ev.Ask("s-1", address, round(wait * 1_000_000)))
+    Workers(BufferPool(), told.put, lambda: 0).carry_out(ev.Ask("s-1", address, round(wait * 1_000_000)))
     return told.get(timeout=WAIT)
 
 
@@ -220,11 +222,11 @@
     one = {"instanceId": "s-1", "lifecycle": "Ready", "weight": 3.0}
     for moving, kept in ((True, 3.0), (False, 0.2)):
         path = tmp_path / f"{moving}.json"
-        keeper = saved.Saved(str(path), moving)
-        keeper.told(1, [one], True)
-        keeper.told(2, [one | {"weight": 0.2}], False)
+        keeper = saved.SavedList(str(path), moving)
+        keeper.update(1, [one], True)
+        keeper.update(2, [one | {"weight": 0.2}], False)
         assert saved.read(str(path))["instances"][0]["weight"] == kept
-        keeper.told(3, [one | {"weight": 0.2, "lifecycle": "Terminating"}], False)
+        keeper.update(3, [one | {"weight": 0.2, "lifecycle": "Terminating"}], False)
         assert saved.read(str(path))["instances"][0]["lifecycle"] == "Terminating"
 
 
@@ -259,7 +261,7 @@
     chunked = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2;x=y\r\nde\r\n0\r\n\r\n"
     to_the_end = b"HTTP/1.0 200 OK\r\n\r\nabcde"
     for answer in (chunked, to_the_end, ok(b"abcde"), b"HTTP/1.1 100 Continue\r\n\r\n" + ok(b"abcde")):
-        assert Http(Answers(answer).address, 1).get("/", WAIT) == b"abcde"
+        assert HttpClient(Answers(answer).address, 1).get("/", WAIT) == b"abcde"
 
 
 @pytest.mark.parametrize(
@@ -275,13 +277,13 @@
 )
 def test_no_answer_is_made_of_a_bad_one(answer):
     with pytest.raises((ResponseError, OSError)):
-        Http(Answers(answer).address, 1).get("/", WAIT)
+        HttpClient(Answers(answer).address, 1).get("/", WAIT)
 
 
 def test_a_call_that_hangs_is_given_up():
     listener = socket.create_server(("127.0.0.1", 0))
     with pytest.raises(TimeoutError):
-        Http(listener.getsockname(), 1).get("/", 0.05)
+        HttpClient(listener.getsockname(), 1).get("/", 0.05)
 
 
 def listing(version, reset=True, state="Ready"):
@@ -400,7 +402,7 @@
         answers.address, names, lambda e: heard.put(e) if isinstance(e, ev.Heard) else failed.append(e), 0
     )
     monkeypatch.setattr(discovery.time, "sleep", lambda _: None)
-    one.wanted.set()
+    one.enabled.set()
     start_thread(one.run, stack=WIDE)  # with less, JSON nested deep ended the whole process
     told = [heard.get(timeout=WAIT) for _ in range(4)]
     one.stop()
@@ -422,7 +424,7 @@
     )
     get = one.http.get
     monkeypatch.setattr(one.http, "get", lambda path, wait: paths.append(path) or get(path, wait))
-    one.turn()
+    one.poll()
     assert heard.get(timeout=WAIT).listed.kind is (
         io.ListUpdateKind.CHANGES if known else io.ListUpdateKind.FULL
     )
@@ -440,10 +442,10 @@
         lambda e: heard.put(e) if isinstance(e, ev.Heard) else failed.append(e),
         0,
     )
-    one.wanted.set()
+    one.enabled.set()
     start_thread(one.run, stack=WIDE)
     assert heard.get(timeout=WAIT).listed.version == 41
-    one.follow(second.address)
+    one.change_address(second.address)
     assert [heard.get(timeout=WAIT).listed.version for _ in range(2)] == [7, 8] and not failed
     one.stop()
 
@@ -616,9 +618,9 @@
 def service(monkeypatch, toy):
     """A node, with the example's toy servers and discovery."""
     servers = toy.Toy(2)
-    place, room, names, hearing, begin, known = config.read_node(NODE, {})
-    place = config.Place("n1", ("127.0.0.1", 0), discovery_of(servers))
-    node = Node(place, room, names, hearing, begin, known)
+    endpoints, resource_limits, names, host_protocol, begin, known = config.read_node(NODE, {})
+    endpoints = config.Endpoints("n1", ("127.0.0.1", 0), discovery_of(servers))
+    node = Node(endpoints, resource_limits, names, host_protocol, begin, known)
     listed = threading.Event()
     heard = node.reducer.heard
 
