--- a/cottonspread/policy/ceilings.py
+++ b/cottonspread/policy/ceilings.py
@@ -24,15 +24,13 @@
     def cut(self, host, now):
         """Cuts the ceiling; yields the legs in excess of it, those that free the most load first."""
         host.ceiling, host.cut_at = host.load * self.CUT_TO, now
-        standing = sorted(
-            host.staying_legs(), key=lambda leg: (-self.loads.freed_by(leg), leg.call.type.revenue)
-        )
+        legs = sorted(host.staying_legs(), key=lambda leg: (-self.loads.freed_by(leg), leg.call.type.revenue))
         over = (
             host.load
             - host.ceiling
             - sum(self.loads.freed_by(leg) for leg in host.legs if leg.move_requested)
         )
-        for leg in standing:
+        for leg in legs:
             weight = self.loads.freed_by(leg)
             # The last one is drawn at random: otherwise nodes that each hold few would all move one too many.
             if over <= 0 or over < weight and self.rng.below(1000) >= 1000 * over / weight:
--- a/cottonspread/policy/choice.py
+++ b/cottonspread/policy/choice.py
@@ -26,14 +26,14 @@
         # A node hears nothing of servers on which it has no connection. Unless cold, such a server is judged
         # by the others: otherwise nodes with one connection on every third server keep an overloaded fleet
         # full.
-        self.try_unheard = (
+        self.try_unreported = (
             self.settings.nodes == 1 or node.rng.below(1000) >= 2500 * self.overview.slow_share**2
         )
 
     def host(self):
         """The server for the next leg; None if no server may get it now."""
-        rests = not self.health.may_send(self.node.shared_dependency, self.now)
-        host = None if rests and not self.forced else self.choose()
+        paused = not self.health.may_send(self.node.shared_dependency, self.now)
+        host = None if paused and not self.forced else self.choose()
         if host and self.forced:  # an ejected server gets an attempt, and stays in use if it answers
             host.ejected_until = self.node.shared_dependency.ejected_until = self.now
         return host
@@ -63,7 +63,7 @@
 
     def is_healthy(self, host):
         """Whether an exceptional server is neither ejected, nor nearly slow, nor at its load ceiling."""
-        if not self.health.may_send(host, self.now) or self.overview.near_slow(host, self.now):
+        if not self.health.may_send(host, self.now) or self.overview.is_near_slow(host, self.now):
             return False
         return self.node.ceilings.has_room(host, self.call, self.now)
 
@@ -84,8 +84,8 @@
         heavy = well_over(host.load / Loads.MEAN, self.mean_load * host.size / self.mean_size)
         if not self.is_lightly_loaded(host) or heavy and not self.readings.has_room(host, self.now):
             return False
-        heard = host.legs or host in self.overview.cold or self.readings.is_current(host, self.now)
-        if (heard or self.try_unheard or self.forced) and self.may_take(host):
+        has_reports = host.legs or host in self.overview.cold or self.readings.is_current(host, self.now)
+        if (has_reports or self.try_unreported or self.forced) and self.may_take(host):
             return True
         # When the fleet is overloaded all servers are skipped, instead of checking each one for every call.
         host.skip_until = self.now + self.SKIP_TIME
@@ -94,14 +94,14 @@
     def in_turn(self):
         """The next server in the rotation that takes new keys, those of the node's own zone first."""
         rotation = self.node.rotation
-        near = self.settings.zone_crossing_price and self.first_open(rotation.in_zone(self.settings.zone))
-        return near or self.first_open(rotation.following())
+        local = self.settings.zone_crossing_price and self.first_open(rotation.in_zone(self.settings.zone))
+        return local or self.first_open(rotation.following())
 
     def next_among(self, few):
         """The same among a few given servers."""
         rotation, zone = self.node.rotation, self.settings.zone
-        near = [host for host in few if host.entry.zone == zone] if self.settings.zone_crossing_price else ()
-        return self.first_open(rotation.among(near)) or self.first_open(rotation.among(few))
+        local = [host for host in few if host.entry.zone == zone] if self.settings.zone_crossing_price else ()
+        return self.first_open(rotation.among(local)) or self.first_open(rotation.among(few))
 
     def first_open(self, servers):
         """The first of these servers, in rotation order, that takes new keys."""
@@ -117,7 +117,7 @@
         """
         few = self.group_servers()
         # Cold servers come first: those replaced in a release stayed empty while the others were overloaded.
-        for host in self.fresh_first():
+        for host in self.cold_servers():
             if host.skip_until <= self.now and self.accepts_new_key(host):
                 return host
         host = self.next_among(few)
@@ -142,7 +142,7 @@
                 break
         return few
 
-    def fresh_first(self):
+    def cold_servers(self):
         """The cold servers that the call may try before the group's own."""
         node, call = self.node, self.call
         cold = node.rotation.group_orders.sorted(call.group, self.overview.cold)
--- a/cottonspread/policy/overview.py
+++ b/cottonspread/policy/overview.py
@@ -20,7 +20,7 @@
         self.slow_share = 0  # slow servers, as a share of those that this node has reports from
         self.refreshed_at = -SECOND
 
-    def keep(self, up, now):
+    def set_servers(self, up, now):
         """Takes over a changed set of servers that are up."""
         self.sums.recount(up)
         self.refreshed_at = -SECOND
@@ -70,9 +70,9 @@
 
     def is_exceptional(self, host, now):
         """Whether each call that might go there still has to check the server's state."""
-        return self.is_cold(host, now) or host.recovery_limit or host.ceiling or self.near_slow(host, now)
+        return self.is_cold(host, now) or host.recovery_limit or host.ceiling or self.is_near_slow(host, now)
 
-    def near_slow(self, host, now):
+    def is_near_slow(self, host, now):
         """Whether one more connection would make the server slow."""
         return self.health.is_slow(host, now, self.health.NEAR_SLOW_SHARE)
 
@@ -80,9 +80,9 @@
         """The share of slow servers. One that hangs does not count: it says nothing of the others' load."""
         cut = [h for h in watched if self.recently_cut(h, now)]
         slow = [h for h in watched if h.legs and not h.hung and self.health.is_slow(h, now)]
-        heard = self.sums.holding + sum(not h.legs for h in cut)
+        reporting = self.sums.holding + sum(not h.legs for h in cut)
         return len({*cut, *slow}) / (
-            heard + 2
+            reporting + 2
         )  # 2: a prior, because a single server says little of the others
 
     def is_excluded(self, host, now):
@@ -92,6 +92,6 @@
         Where probes report the load of all nodes' calls, so would slow, silent and full servers.
         """
         full_or_slow = self.settings.probes_report_load and (
-            self.readings.is_full(host, now) or self.near_slow(host, now)
+            self.readings.is_full(host, now) or self.is_near_slow(host, now)
         )
         return host in self.cold or host.recovery_limit or full_or_slow
--- a/cottonspread/policy/path.py
+++ b/cottonspread/policy/path.py
@@ -246,7 +246,7 @@
         self.membership.drop_gone(lost)
         up = self.membership.up()
         self.rotation.keep(up)
-        self.overview.keep(up, self.now)
+        self.overview.set_servers(up, self.now)
 
     def withdraw(self, host):
         """Handles a server that takes nothing new; from a draining one clients are moved one by one.
--- a/tests/test_idle_widely.py
+++ b/tests/test_idle_widely.py
@@ -2,7 +2,7 @@
 
 Guards against a node that attempts nothing and so learns of no recovery. All servers fail, or all are slow,
 or all report to probes that they are full. Each is then ejected or passed over (`Health.record_failure`,
-`Overview.near_slow`, `Ceilings.has_room`, `Readings.exceeds_bound`), perhaps also the dependency that they
+`Overview.is_near_slow`, `Ceilings.has_room`, `Readings.exceeds_bound`), perhaps also the dependency that they
 share (`Driver.shared_dependency`), each for its own time and independently. Every call is rejected.
 
 The longest time without an attempt was 9.0 s where servers failed, and far longer where all were slow or
@@ -209,8 +209,8 @@
     """Cold servers among those that refuse: this node sends them no more than it draws for them."""
     play = Failing((Ending.CONNECT_FAILED,), 4, 12, False, 200)
     play.run(SECOND, 20 * SECOND)
-    fresh = tuple(entry(f"f{number}:started=20000") for number in range(4))
-    play.handle(20 * SECOND, io.ListUpdate(io.ListUpdateKind.CHANGES, 2, fresh))
+    cold = tuple(entry(f"f{number}:started=20000") for number in range(4))
+    play.handle(20 * SECOND, io.ListUpdate(io.ListUpdateKind.CHANGES, 2, cold))
     play.run(20 * SECOND, 24 * SECOND)
-    to_fresh = sum(play.node.membership.hosts[one.host].sent.total(24 * SECOND, 4 * SECOND) for one in fresh)
-    assert to_fresh <= 2, to_fresh  # eight draws, two windows for each of four, at 3 legs in 200
+    to_cold = sum(play.node.membership.hosts[one.host].sent.total(24 * SECOND, 4 * SECOND) for one in cold)
+    assert to_cold <= 2, to_cold  # eight draws, two windows for each of four, at 3 legs in 200
