--- a/cottonspread/policy/choice.py
+++ b/cottonspread/policy/choice.py
@@ -23,9 +23,9 @@
         self.mean, load, self.mean_size = self.overview.means()
         self.mean_load = load / Loads.MEAN
         self.forced = node.calls_since_leg >= self.FORCED_AFTER_CALLS and self.now >= node.forced_attempt_at
-        # A node hears nothing of servers on which it has no connection. Unless cold, such a server is judged
-        # by the others: otherwise nodes with one connection on every third server keep an overloaded fleet
-        # full.
+        # A node gets no reports of servers on which it has no connection. Unless cold, such a server is
+        # judged by the share of slow ones among the others: otherwise nodes with one connection on every
+        # third server keep an overloaded fleet full.
         self.try_unreported = (
             self.settings.nodes == 1 or node.rng.below(1000) >= 2500 * self.overview.slow_share**2
         )
@@ -77,7 +77,7 @@
     def accepts_new_key(self, host):
         """Whether a new key may go to this server.
 
-        Its load is checked besides its connection count, because a server with few connections collects
+        Its load is checked as well as its connection count, because a server with few connections collects
         heavy ones. A server over the mean is passed over for this call, but not skipped for a time: with few
         connections each server was over the mean in turn, and calls were rejected while all were idle.
         """
@@ -98,7 +98,7 @@
         return local or self.first_open(rotation.following())
 
     def next_among(self, few):
-        """The same among a few given servers."""
+        """The next of a few given servers that takes new keys, those of the node's own zone first."""
         rotation, zone = self.node.rotation, self.settings.zone
         local = [host for host in few if host.entry.zone == zone] if self.settings.zone_crossing_price else ()
         return self.first_open(rotation.among(local)) or self.first_open(rotation.among(few))
--- a/cottonspread/policy/overview.py
+++ b/cottonspread/policy/overview.py
@@ -81,9 +81,8 @@
         cut = [h for h in watched if self.recently_cut(h, now)]
         slow = [h for h in watched if h.legs and not h.hung and self.health.is_slow(h, now)]
         reporting = self.sums.holding + sum(not h.legs for h in cut)
-        return len({*cut, *slow}) / (
-            reporting + 2
-        )  # 2: a prior, because a single server says little of the others
+        # The 2 is a prior, because a single server says little of the others.
+        return len({*cut, *slow}) / (reporting + 2)
 
     def is_excluded(self, host, now):
         """Whether the server is left out of the means.
--- a/tests/test_idle_widely.py
+++ b/tests/test_idle_widely.py
@@ -180,8 +180,8 @@
 
 
 def test_many_nodes_do_not_try_again_in_step():
-    """All servers refuse two hundred nodes from the same moment on. The nodes must not all retry at once, for
-    the sake of what is behind the servers: the idle ones try again in different tenths of a second.
+    """All servers refuse two hundred nodes from the same moment on. They must not all retry at once: that
+    would overload what the servers depend on. The idle ones try again in different tenths of a second.
     """
     times, rng = [], Random(7)
     for _ in range(200):
