--- a/cottonspread/policy/choice.py
+++ b/cottonspread/policy/choice.py
@@ -151,7 +151,7 @@
         )
         if budget < 1:
             calls = node.arrivals.total(self.now, self.settings.cold.window)
-            part = node.groups.calls.share(call.group)
-            call.drawn_host = call.drawn_host or node.slow_start.draw(cold, budget, part, calls)
+            share = node.groups.calls.share(call.group)
+            call.drawn_host = call.drawn_host or node.slow_start.draw(cold, budget, share, calls)
             return [h for h in cold if h is call.drawn_host]
         return cold if call.returned or self.overview.slow_share or self.readings.fleet_busy() else []
--- a/cottonspread/policy/health.py
+++ b/cottonspread/policy/health.py
@@ -50,9 +50,9 @@
             not host.recovery_limit or host.sent.total(now, self.RECOVERY_PERIOD) < host.recovery_limit
         )
 
-    def is_slow(self, host, now, part=1):
-        """Whether a recent report put its message delay at or over this part of the slow threshold."""
-        return host.delay >= self.slow_threshold() * part and now - host.delay_at < self.REPORT_MAX_AGE
+    def is_slow(self, host, now, share=1):
+        """Whether a recent report put its message delay at or over this share of the slow threshold."""
+        return host.delay >= self.slow_threshold() * share and now - host.delay_at < self.REPORT_MAX_AGE
 
     def record_delay(self, host, delay, now):
         """Records a reported message delay in microseconds; returns a `SlowReport` if slow, else None."""
--- a/cottonspread/policy/slow_start.py
+++ b/cottonspread/policy/slow_start.py
@@ -25,39 +25,39 @@
             return 1.0
         return cold.share + (1 - cold.share) * max(0, now - started) / cold.warm_after
 
-    def budget(self, part):
+    def budget(self, share):
         """How many legs this node may send, in a window, to a server with this share of its capacity."""
         cold = self.settings.cold
         if not cold.warm_after:
             return math.inf  # no server is cold under these settings, whatever held before
         return max(
-            1 / self.settings.nodes, cold.multiple * part * self.warm_mean * cold.window / cold.warm_after
+            1 / self.settings.nodes, cold.multiple * share * self.warm_mean * cold.window / cold.warm_after
         )
 
-    def draw(self, cold, budget, part, calls):
+    def draw(self, cold, budget, share, calls):
         """Draws one of many cold servers for a call of a group, or None.
 
         What this node may send to all of them is spread over its calls in a window, and a group keeps to its
         share of them: with a draw at each server in turn, nearly every call cost a cold server the work of
         one more group.
         """
-        few = min(len(cold), max(2, round(len(cold) * part)))
-        goes = self.rng.below(10000) * max(1, calls) < 10000 * self.SHARED_DRAW_FACTOR * budget * len(cold)
-        return cold[self.rng.below(few)] if goes else None
+        few = min(len(cold), max(2, round(len(cold) * share)))
+        sends = self.rng.below(10000) * max(1, calls) < 10000 * self.SHARED_DRAW_FACTOR * budget * len(cold)
+        return cold[self.rng.below(few)] if sends else None
 
     def may_send(self, host, now, drawn=False):
         """Whether the server may get another leg; `drawn`: this call was drawn for it already.
 
         A cold server is filled, over its warm-up time, to what a warm one carries.
         """
-        part, window = self.capacity_share(host, now), self.settings.cold.window
+        share, window = self.capacity_share(host, now), self.settings.cold.window
         # After a restart of a node all its clients come back at once, and set-ups that wait too long are
         # retried, which doubles the work: so on warm servers too their number grows with the answers.
-        if host.setups >= (1 if part < 1 else self.INITIAL_SETUPS) + host.answers:
+        if host.setups >= (1 if share < 1 else self.INITIAL_SETUPS) + host.answers:
             return False
-        if part >= 1 or len(host.legs) >= 1 + part * self.warm_mean:
-            return part >= 1
-        budget = self.budget(part)
+        if share >= 1 or len(host.legs) >= 1 + share * self.warm_mean:
+            return share >= 1
+        budget = self.budget(share)
         if budget >= 1:
             return host.sent.total(now, window) < budget
         # A draw made before the call waited for its probe still counts: otherwise no cold server got a call.
