--- a/cottonspread/policy/membership.py
+++ b/cottonspread/policy/membership.py
@@ -17,24 +17,31 @@
         self.rng, self.settings, self.failures = rng, settings, 0
         self.sizes = NominalSizes(dynamic_weights)
 
-    def apply_update(self, listed):
+    def apply_update(self, update):
         """Applies a list update.
 
         Returns (servers that are not up, servers that were restarted, whether more than dynamic weights
         changed).
         """
-        lost, started, known, new = [], [], len(self.hosts), listed.kind is not ListUpdateKind.CHANGES
-        for host, entry in self.merge(listed):
-            new = self.sizes.update(entry, host.entry) or new or not entry.equals_except_weight(host.entry)
+        withdrawn, restarted, known, changed = (
+            [],
+            [],
+            len(self.hosts),
+            update.kind is not ListUpdateKind.CHANGES,
+        )
+        for host, entry in self.merge(update):
+            changed = (
+                self.sizes.update(entry, host.entry) or changed or not entry.equals_except_weight(host.entry)
+            )
             if entry.started > host.entry.started:
-                started.append(host)
+                restarted.append(host)
             host.entry = entry
             if not host.up:
-                lost.append(host)
-        new = new or len(self.hosts) > known
-        for host in self.hosts.values() if new else ():
+                withdrawn.append(host)
+        changed = changed or len(self.hosts) > known
+        for host in self.hosts.values() if changed else ():
             host.size = self.sizes.size_of(host.entry)
-        return lost, started, new
+        return withdrawn, restarted, changed
 
     def poll_delay(self, took):
         """Microseconds until the next poll, after one that failed and took `took` microseconds.
--- a/cottonspread/policy/path.py
+++ b/cottonspread/policy/path.py
@@ -235,15 +235,15 @@
             self.pending.append(io.Timer(self.membership.poll_delay(e.took), "ask"))
             return
         self.membership.failures = 0
-        lost, started, new = self.membership.apply_update(e)
+        withdrawn, restarted, changed = self.membership.apply_update(e)
         # Load-dependent weights arrive every second for every server: rotation, orders and sums stay.
-        if not new:
+        if not changed:
             return
-        for host in lost:
+        for host in withdrawn:
             self.withdraw(host)
-        for host in started:
+        for host in restarted:
             host.restart()
-        self.membership.drop_gone(lost)
+        self.membership.drop_gone(withdrawn)
         up = self.membership.up()
         self.rotation.keep(up)
         self.overview.set_servers(up, self.now)
--- a/cottonspread/structures/server_table.py
+++ b/cottonspread/structures/server_table.py
@@ -12,13 +12,13 @@
         """No server is known yet."""
         self.hosts = {}  # by name
 
-    def merge(self, listed):
+    def merge(self, update):
         """Yields (server, its new entry) for each server that a list update concerns.
 
         The caller sets the entry: the server still has its previous one, or the new one if it was not known.
         """
-        entries = list(listed.entries)
-        if listed.kind is not ListUpdateKind.CHANGES:
+        entries = list(update.entries)
+        if update.kind is not ListUpdateKind.CHANGES:
             named = {entry.host for entry in entries}
             entries += [io.Entry(name, state=HostState.GONE) for name in self.hosts if name not in named]
         for entry in entries:
