--- a/cottonspread/driver.py
+++ b/cottonspread/driver.py
@@ -14,7 +14,7 @@
     """Keeps a node's state and advances the paths of its calls. Times: microseconds of the caller's clock."""
 
     def __init__(self, now, settings, membership, records):
-        """The parts that the decisions bring along: `Settings`, `Membership` and `Records`."""
+        """`settings`: a `Settings`; `membership`: a `Membership`; `records`: a `Records`."""
         self.now, self.pending, self.settings = now, [], settings
         self.membership, self.records, self.sums = membership, records, Sums()
         # Stands for what all set-ups depend on, such as a session store.
--- a/cottonspread/policy/path.py
+++ b/cottonspread/policy/path.py
@@ -107,7 +107,7 @@
         return half + self.rng.below(half + 1)
 
     def load_of_new(self, call, host):
-        """(weight of a new leg, weight it adds to its server); weighs the mean until its load is known."""
+        """(weight of a new leg, weight it adds to its server): the mean, until the leg's load is reported."""
         return Loads.MEAN, self.loads.added_by(call, host)
 
     def leg_accepted(self, leg):
@@ -236,7 +236,7 @@
             return
         self.membership.failures = 0
         withdrawn, restarted, changed = self.membership.apply_update(e)
-        # Load-dependent weights arrive every second for every server: rotation, orders and sums stay.
+        # Dynamic weights arrive every second for every server: rotation, orders and sums stay as they are.
         if not changed:
             return
         for host in withdrawn:
--- a/cottonspread/policy/retries.py
+++ b/cottonspread/policy/retries.py
@@ -14,7 +14,7 @@
     """Whether a new leg is allowed, given the possible effects of the earlier ones."""
     ran = may_have_run(call)
     if sum(leg.ending is Ending.ERROR for leg in ran) > 1:
-        return False  # several servers refuse it: the call itself is faulty, perhaps malicious
+        return False  # two servers failed on it: the call itself is at fault, perhaps malicious
     if not ran or call.type.effect is not Effect.REFERENCED:
         return not ran or call.type.effect is Effect.REPEATABLE
     return now < deduplicated_until(call)
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -7,7 +7,7 @@
                               tune WORD=VALUE .. | TYPE WORD=VALUE .. | ..,
                               inherit KEY=HOST .. HOST:LEGS@MS ..,
                               load ID N, delay ID MS, expire ID, timer TOKEN,
-                              probed HOST ENDING [LOAD [PILED]]
+                              probed HOST ENDING [LOAD [BACKLOG]]
 > ACTION ARGS                 the actions that must follow, all of them, in this order (except timers and
                               log lines); on a line of their own or behind their event
 >? TEXT                       an action that must be among them; the others are not checked
