--- a/cottonspread/policy/overview.py
+++ b/cottonspread/policy/overview.py
@@ -50,7 +50,7 @@
         self.refreshed_at = now
         self.sums.reweigh_all(self.rotation.order, self.loads.reported, self.loads.MEAN)
         if self.settings.take_change():  # other servers may be slow under the new settings
-            self.watched.update(self.rotation.places)
+            self.watched.update(self.rotation.positions)
         self.exceptional = {h: None for h in self.exceptional if self.is_exceptional(h, now)}
         self.cold = {h for h in self.exceptional if h.up and self.is_cold(h, now)}
         self.watched = {h: None for h in self.watched if self.is_watched(h, now)}
--- a/cottonspread/structures/cyclic_order.py
+++ b/cottonspread/structures/cyclic_order.py
@@ -15,7 +15,7 @@
         # `at`: the current position; `largest`: the largest size
         self.order, self.at, self.largest = [], 0, 1
         # server: its position; zone: positions of its servers, when requested
-        self.places, self.zones = {}, {}
+        self.positions, self.zones = {}, {}
 
     def keep(self, items):
         """Replaces the servers by these; new ones come last, in the given order."""
@@ -23,32 +23,32 @@
         wanted, known = set(items), set(following)
         self.order = [one for one in following if one in wanted] + [one for one in items if one not in known]
         self.at, self.largest = 0, max((one.size for one in items), default=1)
-        self.places, self.zones = dict(zip(self.order, range(len(self.order)), strict=True)), {}
+        self.positions, self.zones = dict(zip(self.order, range(len(self.order)), strict=True)), {}
 
     def following(self):
         """All servers, lazily, once round from the current position."""
         order, at = self.order, self.at
-        for place in range(at, len(order)):
-            yield order[place]
-        for place in range(at):
-            yield order[place]
+        for position in range(at, len(order)):
+            yield order[position]
+        for position in range(at):
+            yield order[position]
 
     def sorted(self, servers):
         """Those of the given servers that are in the order, sorted by position."""
-        return sorted((one for one in servers if one in self.places), key=self.places.get)
+        return sorted((one for one in servers if one in self.positions), key=self.positions.get)
 
     def in_zone(self, zone):
         """The servers of one zone, lazily, once round from the current position."""
         if zone not in self.zones:
-            self.zones[zone] = [place for place, one in enumerate(self.order) if one.entry.zone == zone]
-        places = self.zones[zone]
-        first = bisect_left(places, self.at)
-        for turn in range(len(places)):
-            yield self.order[places[(first + turn) % len(places)]]
+            self.zones[zone] = [position for position, one in enumerate(self.order) if one.entry.zone == zone]
+        positions = self.zones[zone]
+        first = bisect_left(positions, self.at)
+        for step in range(len(positions)):
+            yield self.order[positions[(first + step) % len(positions)]]
 
     def among(self, servers):
         """The given servers, lazily, once round from the current position."""
-        distances = [((self.places[one] - self.at) % len(self.order), one) for one in servers]
+        distances = [((self.positions[one] - self.at) % len(self.order), one) for one in servers]
         heapify(distances)
         while distances:
             yield heappop(distances)[1]
@@ -67,7 +67,7 @@
                     one.turn_credit += one.size / self.largest
                     if one.turn_credit >= 1:
                         one.turn_credit -= 1
-                        self.at = self.places[one] + 1
+                        self.at = self.positions[one] + 1
                         return one
                     waiting.append(one)
             if not waiting:
