--- a/cottonspread/front/reports.py
+++ b/cottonspread/front/reports.py
@@ -6,7 +6,7 @@
 def parse_load_report(text):
     """The values of a load report by name; the report is NAME:VALUE pairs separated by commas.
 
-    Values that are not numbers, negative or beyond any plausible range are left out: they must not invalidate
+    Values that are not finite, negative or beyond any plausible range are left out: they must not invalidate
     the answer to the probe, for which calls wait.
     """
     values = {}
