--- a/cottonspread/fleet/control.py
+++ b/cottonspread/fleet/control.py
@@ -11,7 +11,7 @@
 import socket
 
 MAX_SOCKET_PATH = 100  # of a socket: the kernel takes 107 bytes
-MOST_WAITING = 1 << 20  # bytes that a peer may leave unread
+MAX_BUFFERED_BYTES = 1 << 20  # bytes that a peer may leave unread
 
 
 def digest(text):
@@ -27,31 +27,31 @@
 
     def __init__(self, sock):
         sock.setblocking(False)
-        self.sock, self.rest, self.unsent = sock, b"", b""
+        self.sock, self.partial_line, self.unsent = sock, b"", b""
 
     def receive(self):
         """What has come, as objects, and whether the connection still stands."""
-        said, stands = [], True
+        message, stands = [], True
         try:
             while True:
                 data = self.sock.recv(65536)
                 if not data:
                     stands = False
                     break
-                self.rest += data
+                self.partial_line += data
         except BlockingIOError:
             pass
         except OSError:
             stands = False
-        *whole, self.rest = self.rest.split(b"\n")
+        *whole, self.partial_line = self.partial_line.split(b"\n")
         try:
-            said = [one for one in map(json.loads, whole) if isinstance(one, dict)]
+            message = [one for one in map(json.loads, whole) if isinstance(one, dict)]
         except ValueError:
             stands = False
-        return said, stands and len(self.rest) < MOST_WAITING
+        return message, stands and len(self.partial_line) < MAX_BUFFERED_BYTES
 
-    def send(self, said):
-        self.unsent += json.dumps(said, default=str).encode() + b"\n"
+    def send(self, message):
+        self.unsent += json.dumps(message, default=str).encode() + b"\n"
         return self.flush()
 
     def flush(self):
@@ -62,7 +62,7 @@
             pass
         except OSError:
             return False
-        return len(self.unsent) < MOST_WAITING
+        return len(self.unsent) < MAX_BUFFERED_BYTES
 
 
 def connect(path, wait=1.0):
--- a/cottonspread/fleet/plan.py
+++ b/cottonspread/fleet/plan.py
@@ -19,16 +19,20 @@
 from cottonspread.config import operator as op
 from cottonspread.fleet import control
 
-LIVE = (
+LIVE_KEYS = (
     "discovery",
     "settings",
     "load_lines",
 )  # keys of the platform's JSON that a running instance takes over
-FIXED = ("Me", "MembershipMode", "Weights")  # of the settings: a running node keeps what it started with
+FIXED_SETTINGS = (
+    "Me",
+    "MembershipMode",
+    "Weights",
+)  # of the settings: a running node keeps what it started with
 
 
 @dataclass(frozen=True)
-class Spec:
+class InstanceSpec:
     """One instance: `start` and `live` are JSON with sorted keys, so equal texts are equal meaning."""
 
     name: str
@@ -49,11 +53,11 @@
     program: tuple  # (python, folder put first on its path)
 
 
-def canonical(value):
+def canonical_json(value):
     return json.dumps(value, sort_keys=True)
 
 
-def stepped(address, port=0, octet=0):
+def offset_address(address, port=0, octet=0):
     """HOST:PORT some steps on."""
     host, _, number = address.rpartition(":")
     if octet:
@@ -61,17 +65,17 @@
     return f"{host}:{int(number) + port}"
 
 
-def beside(path, other):
+def resolve_path(path, other):
     return os.path.join(os.path.dirname(os.path.abspath(path)), other)
 
 
 def folders(path, fleet):
     """(for state, for logs)."""
-    state = beside(path, fleet.state)
-    return state, beside(path, fleet.logs) if fleet.logs else os.path.join(state, "log")
+    state = resolve_path(path, fleet.state)
+    return state, resolve_path(path, fleet.logs) if fleet.logs else os.path.join(state, "log")
 
 
-def read(path, program, check=lambda text: config.read_node(text, {}), carried=None):
+def read(path, program, check=lambda text: config.read_node(text, {}), store_text=None):
     """The plan that the files give now.
 
     Raises config.ConfigurationError, naming file and key. `check(text)` reads an instance's JSON: the parts
@@ -79,15 +83,17 @@
     stands for the template but for the keys that are this machine's own.
     """
     log, instance, fleet, section = op.read_fleet(path)
-    template = beside(path, fleet.config)
+    template = resolve_path(path, fleet.config)
     try:
         with open(template, encoding="utf-8") as file:
             text = file.read()
     except (OSError, UnicodeDecodeError) as fault:
         raise op.OperatorFileError([f"{path}: fleet.config: {template}: {fault}"]) from fault
     whole = config.parse(text, template)
-    if carried is not None and isinstance(whole, dict):
-        whole = config.with_own(config.parse(carried, "configuration"), whole, section.own if section else ())
+    if store_text is not None and isinstance(whole, dict):
+        whole = config.with_own(
+            config.parse(store_text, "configuration"), whole, section.own if section else ()
+        )
     if not isinstance(whole, dict) or not isinstance(whole.get("settings"), dict):
         raise op.OperatorFileError([f"{template}: settings: expected an object"])
     if not isinstance(whole.get("discovery"), str):
@@ -98,7 +104,7 @@
         own = {
             **whole,
             "name": name,
-            "listen": stepped(fleet.listen, fleet.port_step * n, fleet.host_step * n),
+            "listen": offset_address(fleet.listen, fleet.port_step * n, fleet.host_step * n),
             "settings": {
                 **whole["settings"],
                 "Me": fleet.first + n,
@@ -109,28 +115,28 @@
         own.pop("operator", None)
         try:
             own["discovery"] = (
-                stepped(whole["discovery"], fleet.discovery_step * n)
+                offset_address(whole["discovery"], fleet.discovery_step * n)
                 if fleet.discovery_step
                 else whole["discovery"]
             )
             if "seed" in whole:
                 own["seed"] = "%x" % (int(whole["seed"], 16) + n)
-            place = check(canonical(own))[0]
+            place = check(canonical_json(own))[0]
         except (config.ConfigurationError, ValueError, TypeError) as fault:
             raise op.OperatorFileError([f"{template}: {fault} (instance {name})"]) from fault
-        live = {key: own.pop(key) for key in LIVE if key in own} | {"level": log.level}
+        live = {key: own.pop(key) for key in LIVE_KEYS if key in own} | {"level": log.level}
         start = {
             "config": own,
-            "fixed": {key: live["settings"].get(key) for key in FIXED},
+            "fixed": {key: live["settings"].get(key) for key in FIXED_SETTINGS},
             "format": log.format,
             "instance": msgspec.to_builtins(instance),
             "program": list(program),
         }
-        specs[name] = Spec(name, place.listen, canonical(start), canonical(live))
+        specs[name] = InstanceSpec(name, place.listen, canonical_json(start), canonical_json(live))
     return Plan(fleet, specs, tuple(program))
 
 
-def bound(address):
+def listen_on(address):
     """A listening socket, or OSError. Without SO_REUSEPORT: a second one on this address is told at once."""
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     try:
@@ -149,7 +155,7 @@
     taken, faults = {}, []
     for spec in specs:
         try:
-            taken[spec.address] = bound(spec.address)
+            taken[spec.address] = listen_on(spec.address)
         except OSError as fault:
             why = "address in use" if fault.errno == errno.EADDRINUSE else fault.strerror or str(fault)
             faults.append(f"fleet.listen: {spec.address[0]}:{spec.address[1]} for {spec.name}: {why}")
--- a/cottonspread/fleet/carrying.py
+++ b/cottonspread/fleet/store_follower.py
@@ -15,18 +15,18 @@
 from cottonspread.config import operator as op
 from cottonspread.fleet import plan as plans
 
-CANARY_WATCH_S = 0.5
+MAX_CANARY_WATCH_S = 0.5
 """How long a canary watches a live change at most, twice: the store's own wait for canaries comes on top."""
 
 
-class Carrying:
+class StoreFollower:
     """Between the follower and the supervisor."""
 
     def __init__(self, supervisor, section):
         self.supervisor, self.section, self.client = supervisor, section, None
-        self.in_force, self.wanted = None, None
+        self.body_in_force, self.wanted_body = None, None
         """The carried text that the fleet runs under, and the one of the rollout under way or ended last."""
-        self.orders = queue.SimpleQueue()
+        self.handed_over = queue.SimpleQueue()
 
     def prepare(self):
         """What was in force before this supervisor counts from its first plan on.
@@ -35,7 +35,7 @@
         """
         from cottonspread.configstore.client import Client  # what a fleet without the section does not load
 
-        folder = plans.beside(self.supervisor.path, self.section.state)
+        folder = plans.resolve_path(self.supervisor.path, self.section.state)
         name = self.section.node or self.supervisor.fleet.name
         try:
             self.client = Client(name, tuple(self.section.replicas), folder, self.check, self.hand_over)
@@ -48,7 +48,7 @@
                 config.ConfigurationError
             ):  # else the file is what there is; the follower tells
                 self.check(self.client.saved)
-                self.in_force = self.wanted = self.client.saved.body
+                self.body_in_force = self.wanted_body = self.client.saved.body
 
     def start(self):
         """Begins to follow."""
@@ -65,16 +65,16 @@
 
     def hand_over(self, record, done):
         """In the follower's thread."""
-        self.orders.put((record, done))
+        self.handed_over.put((record, done))
 
-    def look(self):
+    def process_records(self):
         """In the supervisor's loop: what was handed over is rolled out."""
-        while not self.orders.empty():
-            record, done = self.orders.get()
+        while not self.handed_over.empty():
+            record, done = self.handed_over.get()
             try:
                 self.roll_out(record, done)
             except (config.ConfigurationError, OSError) as fault:
-                self.wanted = self.in_force
+                self.wanted_body = self.body_in_force
                 done(False, str(fault))
 
     def roll_out(self, record, done):
@@ -82,12 +82,12 @@
         supervisor = self.supervisor
         if supervisor.core.stopping:
             raise config.ConfigurationError("the fleet is stopping")
-        self.wanted = record.body
+        self.wanted_body = record.body
         pending = supervisor.core.pending
         plan = supervisor.read_plan((pending[0] if pending else supervisor.core.plan).program)
-        watch = 0.0 if record.stage.name == "EVERYWHERE" else CANARY_WATCH_S
+        watch = 0.0 if record.stage.name == "EVERYWHERE" else MAX_CANARY_WATCH_S
         plan = with_live_watch(plan, min(watch, plan.fleet.live_watch_s))
-        supervisor.begin(plan, "configuration", Teller(self, record, done))
+        supervisor.begin_rollout(plan, "configuration", OutcomeReporter(self, record, done))
 
     def status(self):
         """For staff."""
@@ -99,18 +99,18 @@
     return dataclasses.replace(plan, fleet=msgspec.structs.replace(plan.fleet, live_watch_s=seconds))
 
 
-class Teller:
+class OutcomeReporter:
     """Takes a rollout's outcome in the place of a line to staff."""
 
-    def __init__(self, carrying, record, done):
-        self.carrying, self.record, self.done = carrying, record, done
+    def __init__(self, store_follower, record, done):
+        self.store_follower, self.record, self.done = store_follower, record, done
 
-    def send(self, said):
+    def send(self, outcome):
         """`said`: {"ok", "why"}."""
-        carrying, body = self.carrying, self.record.body
-        if said["ok"]:
-            carrying.in_force = body
-        elif carrying.wanted == body:
-            carrying.wanted = carrying.in_force
-        self.done(said["ok"], said["why"])
+        store_follower, body = self.store_follower, self.record.body
+        if outcome["ok"]:
+            store_follower.body_in_force = body
+        elif store_follower.wanted_body == body:
+            store_follower.wanted_body = store_follower.body_in_force
+        self.done(outcome["ok"], outcome["why"])
         return True
--- a/cottonspread/fleet/supervisor.py
+++ b/cottonspread/fleet/supervisor.py
@@ -19,24 +19,36 @@
 
 from cottonspread import config
 from cottonspread.config import operator as op
-from cottonspread.fleet import carrying, control, notify
+from cottonspread.fleet import control, notify, store_follower
 from cottonspread.fleet import plan as plans
-from cottonspread.fleet.core import Apply, Core, Door, Forget, Kill, Leave, Outcome, Over, Say, Start, Take
+from cottonspread.fleet.core import (
+    AllStopped,
+    AnswerBusy,
+    ApplyLive,
+    CloseListener,
+    Core,
+    Kill,
+    LogEvent,
+    RolloutEnded,
+    Start,
+    StartAccepting,
+    StopAccepting,
+)
 from cottonspread.lists.saved import write_whole
 
 log = logging.getLogger("cottonspread.fleet")
 
-TICK = 0.05
-DOOR_WAIT = 1.0  # what a client gets to send its first line, and then to close, at the door
-MOST_AT_DOOR = 64
-STATUS_EVERY = 5.0
+POLL_INTERVAL = 0.05
+BUSY_CLIENT_TIMEOUT = 1.0  # what a client gets to send its first line, and then to close, at the door
+MAX_BUSY_CLIENTS = 64
+STATUS_INTERVAL = 5.0
 
 
 def now():
     return time.monotonic_ns() // 1000
 
 
-class Guest:
+class BusyClient:
     """A client at the door: its first line is read, for closing on unread bytes would eat the BUSY."""
 
     def __init__(self, sock):
@@ -47,24 +59,28 @@
     def __init__(self, path, program, check):
         self.path, self.own_program, self.check = os.path.abspath(path), tuple(program), check
         self.logging, _, self.fleet, section = op.read_fleet(self.path)
-        self.follower = carrying.Carrying(self, section) if section else None
+        self.store_follower = store_follower.StoreFollower(self, section) if section else None
         self.folder, self.logs = plans.folders(self.path, self.fleet)
         self.manager, self.selector, self.timers = notify.ServiceManager(), selectors.DefaultSelector(), []
-        self.sockets, self.doors, self.guests = {}, {}, {}  # by address; by name; by socket
+        self.listeners, self.busy_listeners, self.busy_clients = {}, {}, {}  # by address; by name; by socket
         self.children, self.pidfds, self.channels = {}, {}, {}  # by (name, generation)
-        self.waiting = {}  # control sockets not yet there
-        self.answers, self.was_ready, self.done, self.began = [], False, False, time.monotonic()
+        self.unconnected = {}  # control sockets not yet there
+        self.pending_replies, self.was_ready, self.done, self.started_at = [], False, False, time.monotonic()
         self.handlers = {
-            Start: self.start,
-            Take: lambda effect: self.order(effect, {"do": "take"}),
-            Leave: lambda effect: self.order(effect, {"do": "leave", "handed": effect.handed}),
-            Apply: lambda effect: self.order(effect, {"do": "apply", "live": effect.spec.live}),
-            Kill: lambda effect: self.end(effect.name, effect.generation),
-            Door: self.turn_door,
-            Forget: self.forget,
-            Say: self.say,
-            Outcome: self.outcome,
-            Over: self.over,
+            Start: self.start_instance,
+            StartAccepting: lambda effect: self.send_to_instance(effect, {"do": "take"}),
+            StopAccepting: lambda effect: self.send_to_instance(
+                effect, {"do": "leave", "handed": effect.has_successor}
+            ),
+            ApplyLive: lambda effect: self.send_to_instance(
+                effect, {"do": "apply", "live": effect.spec.live}
+            ),
+            Kill: lambda effect: self.kill_process(effect.name, effect.generation),
+            AnswerBusy: self.set_answering_busy,
+            CloseListener: self.close_listener,
+            LogEvent: self.log_event,
+            RolloutEnded: self.rollout_ended,
+            AllStopped: self.all_stopped,
         }
 
     # The start
@@ -92,38 +108,38 @@
                     f"pid {self.lock.holder_pid()}"
                 ]
             )
-        self.room(self.fleet.instances)
-        kept = self.kept()
-        self.program = tuple(kept.get("program") or self.own_program)
-        if self.follower:
-            self.follower.prepare()
+        self.raise_descriptor_limit(self.fleet.instances)
+        saved = self.load_state()
+        self.program = tuple(saved.get("program") or self.own_program)
+        if self.store_follower:
+            self.store_follower.prepare()
         plan = self.read_plan(self.program)
         found = self.find_instances()
-        self.bind(plan)
+        self.open_listeners(plan)
         self.core = Core(now(), plan)
-        self.core.generation = kept.get("generation", 0)
+        self.core.generation = saved.get("generation", 0)
         self.control = control.listen(os.path.join(self.folder, "fleet.sock"))
         self.control.setblocking(False)
-        self.selector.register(self.control, selectors.EVENT_READ, self.welcome)
+        self.selector.register(self.control, selectors.EVENT_READ, self.accept_command_connection)
         for name, generation, spec, status, sock in found:
-            self.core.adopted(name, generation, spec, status)
-            self.follow(name, generation, sock)
-        self.tell("settle")
+            self.core.adopt(name, generation, spec, status)
+            self.attach(name, generation, sock)
+        self.step("finish_adoption")
 
     def read_plan(self, program):
         """The plan of files and carried configuration now."""
-        carried = self.follower.wanted if self.follower else None
-        return plans.read(self.path, program, self.check, carried)
+        store_text = self.store_follower.wanted_body if self.store_follower else None
+        return plans.read(self.path, program, self.check, store_text)
 
-    def bind(self, plan):
+    def open_listeners(self, plan):
         """The addresses that are not held yet."""
-        self.sockets |= plans.bind_all(s for s in plan.specs.values() if s.address not in self.sockets)
+        self.listeners |= plans.bind_all(s for s in plan.specs.values() if s.address not in self.listeners)
 
-    def room(self, instances):
+    def raise_descriptor_limit(self, instances):
         """Each instance costs a listener, a control socket and a pidfd, twice while it is
         changed; its process has its own limit.
         """
-        need = 5 * instances + MOST_AT_DOOR + 32
+        need = 5 * instances + MAX_BUSY_CLIENTS + 32
         hard = control.raise_descriptor_limit(need)
         if hard < need:
             raise op.OperatorFileError(
@@ -133,7 +149,7 @@
                 ]
             )
 
-    def kept(self):
+    def load_state(self):
         try:
             with open(os.path.join(self.folder, "fleet.json"), encoding="utf-8") as file:
                 return json.load(file)
@@ -143,7 +159,7 @@
             log.warning("state", extra={"pairs": {"why": fault, "kept": "nothing"}})
             return {}
 
-    def keep(self):
+    def save_state(self):
         try:
             write_whole(
                 os.path.join(self.folder, "fleet.json"),
@@ -178,11 +194,13 @@
                 sock.settimeout(1.0)
                 _, fds, _, _ = socket.recv_fds(sock, 1, 1)
                 listener = socket.socket(fileno=fds[0])
-                spec = plans.Spec(hello["hello"], listener.getsockname()[:2], hello["start"], hello["live"])
-                if spec.address in self.sockets:
+                spec = plans.InstanceSpec(
+                    hello["hello"], listener.getsockname()[:2], hello["start"], hello["live"]
+                )
+                if spec.address in self.listeners:
                     listener.close()
                 else:
-                    self.sockets[spec.address] = listener
+                    self.listeners[spec.address] = listener
                 self.pidfds[spec.name, hello["generation"]] = os.pidfd_open(pid)
                 found.append((spec.name, hello["generation"], spec, status, sock))
             except (OSError, ValueError, LookupError) as fault:
@@ -190,15 +208,17 @@
                     "not-adopted",
                     extra={"pairs": {"pid": pid, "socket": file, "why": fault or type(fault).__name__}},
                 )
-                end_process(pid)
+                kill_and_wait(pid)
                 control.unlink(path)
         return found
 
-    def follow(self, name, generation, sock):
+    def attach(self, name, generation, sock):
         """A control connection that stands, and the process behind it."""
         line = control.JsonConnection(sock)
         self.channels[name, generation] = line
-        self.selector.register(sock, selectors.EVENT_READ, lambda: self.hear(name, generation, line))
+        self.selector.register(
+            sock, selectors.EVENT_READ, lambda: self.receive_status(name, generation, line)
+        )
         if (name, generation) in self.pidfds and (name, generation) not in self.children:
             self.watch_process(name, generation)
 
@@ -213,116 +233,116 @@
         for number in (signal.SIGTERM, signal.SIGINT, signal.SIGHUP):
             signal.signal(number, lambda n, _: signals.append(n))
         self.selector.register(wake, selectors.EVENT_READ, lambda: wake.recv(4096))
-        self.tell("tick")
-        self.begin_regular_work()
+        self.step("tick")
+        self.start_timers()
         while not self.done:
-            left = max(0.0, self.timers[0][0] - time.monotonic()) if self.timers else TICK
-            self.hear_all(min(TICK, left))
+            left = max(0.0, self.timers[0][0] - time.monotonic()) if self.timers else POLL_INTERVAL
+            self.poll_sockets(min(POLL_INTERVAL, left))
             while signals:
                 number = signals.pop(0)
                 if number == signal.SIGHUP:
-                    self.guarded(self.reload, None)
+                    self.call_guarded(self.reload, None)
                 else:
                     self.manager.notify_stopping()
-                    self.tell("stop")
+                    self.step("stop")
             while self.timers and self.timers[0][0] <= time.monotonic():
-                self.guarded(heapq.heappop(self.timers)[2])
-            self.connect_waiting()
-            self.tell("tick")
-        if self.follower:
-            self.follower.stop()
-        self.close_up()
+                self.call_guarded(heapq.heappop(self.timers)[2])
+            self.connect_instances()
+            self.step("tick")
+        if self.store_follower:
+            self.store_follower.stop()
+        self.close_listeners()
         control.unlink(os.path.join(self.folder, "fleet.sock"))
         return 0
 
-    def begin_regular_work(self):
-        self.at(0, self.regularly)
+    def start_timers(self):
+        self.call_later(0, self.send_status)
         if self.manager.watchdog_interval:
-            self.at(0, self.alive)
-        if self.follower:
-            self.follower.start()
-            self.at(0, self.follow_on)
+            self.call_later(0, self.send_watchdog)
+        if self.store_follower:
+            self.store_follower.start()
+            self.call_later(0, self.poll_store)
 
-    def follow_on(self):
-        self.at(TICK, self.follow_on)
-        self.follower.look()
+    def poll_store(self):
+        self.call_later(POLL_INTERVAL, self.poll_store)
+        self.store_follower.process_records()
 
-    def hear_all(self, wait):
+    def poll_sockets(self, wait):
         for key, _ in self.selector.select(wait):
             if self.selector.get_map().get(key.fd) is not key:  # closed by what came before it in this round
                 continue
-            self.guarded(key.data)
+            self.call_guarded(key.data)
 
-    def guarded(self, what, *args):
+    def call_guarded(self, what, *args):
         """Our own faults: in plain sight, and the fleet goes on."""
         try:
             what(*args)
         except Exception:
             log.exception("fault", extra={"pairs": {"while": getattr(what, "__qualname__", "event")}})
 
-    def at(self, after, what):
+    def call_later(self, after, what):
         heapq.heappush(self.timers, (time.monotonic() + after, id(what), what))
 
-    def alive(self):
+    def send_watchdog(self):
         self.manager.notify_watchdog()
-        self.at(self.manager.watchdog_interval, self.alive)
+        self.call_later(self.manager.watchdog_interval, self.send_watchdog)
 
-    def regularly(self):
-        self.at(STATUS_EVERY, self.regularly)
+    def send_status(self):
+        self.call_later(STATUS_INTERVAL, self.send_status)
         self.manager.send(f"STATUS={self.summary()}")
 
     def summary(self):
         slots = self.core.slots.values()
         return f"{sum(s.serving() for s in slots)} of {len(slots)} instances serve"
 
-    def tell(self, what, *args):
+    def step(self, what, *args):
         effects = self.core.step(now(), what, *args)
         if any(isinstance(effect, Start) for effect in effects):
-            self.keep()  # the generations, once for all that start now
+            self.save_state()  # the generations, once for all that start now
         for effect in effects:
-            self.carry_out(effect)
+            self.execute(effect)
         if not self.was_ready and self.core.ready():
             self.was_ready = True
             log.info(
                 "ready",
-                extra={"pairs": {"instances": len(self.core.slots), "s": time.monotonic() - self.began}},
+                extra={"pairs": {"instances": len(self.core.slots), "s": time.monotonic() - self.started_at}},
             )
             self.manager.notify_ready(self.summary())
 
-    def carry_out(self, effect):
+    def execute(self, effect):
         self.handlers[type(effect)](effect)
 
-    def turn_door(self, effect):
-        self.close_door(effect.name)
-        if effect.open:
-            self.open_door(effect.name)
+    def set_answering_busy(self, effect):
+        self.stop_answering_busy(effect.name)
+        if effect.enabled:
+            self.start_answering_busy(effect.name)
 
-    def forget(self, effect):
-        self.close_door(effect.name)
-        self.drop_sockets()
+    def close_listener(self, effect):
+        self.stop_answering_busy(effect.name)
+        self.close_unused_listeners()
 
-    def say(self, effect):
+    def log_event(self, effect):
         log.log(logging.getLevelName(effect.level.upper()), effect.event, extra={"pairs": effect.pairs})
 
-    def over(self, effect):
+    def all_stopped(self, effect):
         log.info("stopped")
-        self.answer({"ok": True, "why": "stopped"}, "stop")
+        self.reply({"ok": True, "why": "stopped"}, "stop")
         self.done = True
 
     # Processes
 
-    def start(self, effect):
+    def start_instance(self, effect):
         """-P: the folder that we happen to run in is not searched, or it would shadow the
         program asked for.
         """
         name, generation, spec = effect.name, effect.generation, effect.spec
         path = os.path.join(self.folder, f"{name}.{generation}.sock")
         python, checkout = json.loads(spec.start)["program"]
-        listener = self.sockets[spec.address]
+        listener = self.listeners[spec.address]
         told = {
             "name": name,
             "generation": generation,
-            "start": with_live(spec),
+            "start": with_live_settings(spec),
             "spec": spec.start,
             "live": spec.live,
             "folder": self.folder,
@@ -354,24 +374,24 @@
                 child.wait()
                 del self.children[name, generation]
             # not inside of a step of the core
-            self.at(0, lambda: self.tell("not_started", name, generation, why))
+            self.call_later(0, lambda: self.step("not_started", name, generation, why))
             return
-        self.waiting[name, generation] = path
+        self.unconnected[name, generation] = path
 
-    def connect_waiting(self):
-        for (name, generation), path in list(self.waiting.items()):
+    def connect_instances(self):
+        for (name, generation), path in list(self.unconnected.items()):
             try:
                 sock = control.connect(path)
             except OSError:
                 continue
-            del self.waiting[name, generation]
-            self.follow(name, generation, sock)
+            del self.unconnected[name, generation]
+            self.attach(name, generation, sock)
 
     def watch_process(self, name, generation):
         fd = self.pidfds[name, generation]
-        self.selector.register(fd, selectors.EVENT_READ, lambda: self.process_over(name, generation))
+        self.selector.register(fd, selectors.EVENT_READ, lambda: self.process_exited(name, generation))
 
-    def process_over(self, name, generation):
+    def process_exited(self, name, generation):
         fd = self.pidfds.pop((name, generation))
         self.selector.unregister(fd)
         os.close(fd)
@@ -379,160 +399,162 @@
         if child:
             code = child.wait()
             how = f"signal {-code}" if code < 0 else f"exit {code}"
-        self.waiting.pop((name, generation), None)
-        self.drop_channel(name, generation)
-        self.tell("exited", name, generation, how)
+        self.unconnected.pop((name, generation), None)
+        self.close_channel(name, generation)
+        self.step("exited", name, generation, how)
         if not self.core.rollout:
-            self.drop_sockets()
+            self.close_unused_listeners()
 
-    def end(self, name, generation):
+    def kill_process(self, name, generation):
         fd = self.pidfds.get((name, generation))
         if fd is not None:
             with contextlib.suppress(ProcessLookupError):
                 signal.pidfd_send_signal(fd, signal.SIGKILL)
 
-    def hear(self, name, generation, line):
+    def receive_status(self, name, generation, line):
         said, stands = line.receive()
         if not stands:
-            self.drop_channel(name, generation)
+            self.close_channel(name, generation)
         for one in said:
             if isinstance(one.get("status"), dict):
-                self.tell("told", name, generation, one["status"])
+                self.step("status_received", name, generation, one["status"])
 
-    def drop_channel(self, name, generation):
+    def close_channel(self, name, generation):
         line = self.channels.pop((name, generation), None)
         if line:
-            self.let_go(line.sock)
+            self.close_socket(line.sock)
 
-    def let_go(self, sock):
+    def close_socket(self, sock):
         self.selector.unregister(sock)
         sock.close()
 
-    def order(self, effect, said):
+    def send_to_instance(self, effect, said):
         line = self.channels.get((effect.name, effect.generation))
         if line:
             line.send(said)
 
-    def drop_sockets(self):
+    def close_unused_listeners(self):
         """Addresses that nobody wants any more."""
         wanted = {s.spec.address for s in self.core.slots.values()} | {
             p.spec.address for p in self.core.processes()
         }
         wanted |= {s.address for s in self.core.plan.specs.values()}
-        for address in self.sockets.keys() - wanted:
-            self.sockets.pop(address).close()
+        for address in self.listeners.keys() - wanted:
+            self.listeners.pop(address).close()
 
     # The door
 
-    def open_door(self, name):
-        sock = self.sockets.get(self.core.slots[name].spec.address)
-        if sock and sock not in self.doors.values():
-            self.doors[name] = sock
-            self.selector.register(sock, selectors.EVENT_READ, lambda: self.at_door(sock))
+    def start_answering_busy(self, name):
+        sock = self.listeners.get(self.core.slots[name].spec.address)
+        if sock and sock not in self.busy_listeners.values():
+            self.busy_listeners[name] = sock
+            self.selector.register(sock, selectors.EVENT_READ, lambda: self.accept_busy_client(sock))
 
-    def close_door(self, name):
-        sock = self.doors.pop(name, None)
+    def stop_answering_busy(self, name):
+        sock = self.busy_listeners.pop(name, None)
         if sock:
             self.selector.unregister(sock)
 
-    def at_door(self, listener, at_once=False):
+    def accept_busy_client(self, listener, at_once=False):
         """Whether there was one."""
         try:
             sock = listener.accept()[0]
         except OSError:
             return False
         sock.setblocking(False)
-        guest = Guest(sock)
+        client = BusyClient(sock)
         if at_once:  # its line is here, or it comes too late
             with contextlib.suppress(OSError):
-                guest.data = sock.recv(4096)
-            self.turn_away(guest)
+                client.data = sock.recv(4096)
+            self.answer_busy(client)
             sock.close()
             return True
-        self.guests[sock] = guest
-        self.selector.register(sock, selectors.EVENT_READ, lambda: self.guest(guest))
-        self.at(DOOR_WAIT, lambda: self.guest_late(guest))
-        if len(self.guests) > MOST_AT_DOOR:
-            oldest = next(iter(self.guests.values()))
-            self.guest(oldest)  # its line, if it is here
-            self.turn_away(oldest)
-            self.see_out(oldest)
+        self.busy_clients[sock] = client
+        self.selector.register(sock, selectors.EVENT_READ, lambda: self.read_busy_client(client))
+        self.call_later(BUSY_CLIENT_TIMEOUT, lambda: self.busy_client_timed_out(client))
+        if len(self.busy_clients) > MAX_BUSY_CLIENTS:
+            oldest = next(iter(self.busy_clients.values()))
+            self.read_busy_client(oldest)  # its line, if it is here
+            self.answer_busy(oldest)
+            self.close_busy_client(oldest)
         return True
 
-    def close_up(self):
+    def close_listeners(self):
         """The end of all addresses.
 
         Who is in the queue of one when it closes gets a reset, so nobody is left in it.
         """
-        for name in list(self.doors):
-            self.close_door(name)
-        for sock in list(self.sockets.values()):
-            self.at_door(sock)
-        until = time.monotonic() + DOOR_WAIT
-        while self.guests and time.monotonic() < until:
-            self.hear_all(TICK)
-        for sock in self.sockets.values():
-            while self.at_door(sock, at_once=True):
+        for name in list(self.busy_listeners):
+            self.stop_answering_busy(name)
+        for sock in list(self.listeners.values()):
+            self.accept_busy_client(sock)
+        until = time.monotonic() + BUSY_CLIENT_TIMEOUT
+        while self.busy_clients and time.monotonic() < until:
+            self.poll_sockets(POLL_INTERVAL)
+        for sock in self.listeners.values():
+            while self.accept_busy_client(sock, at_once=True):
                 pass
             sock.close()
 
-    def guest(self, guest):
+    def read_busy_client(self, client):
         try:
-            data = guest.sock.recv(4096)
+            data = client.sock.recv(4096)
         except BlockingIOError:
             return
         except OSError:
             data = b""
-        guest.data = (guest.data + data)[:4096]
+        client.data = (client.data + data)[:4096]
         if not data:
-            self.see_out(guest)
-        elif b"\n" in guest.data or len(guest.data) == 4096:
-            self.turn_away(guest)
+            self.close_busy_client(client)
+        elif b"\n" in client.data or len(client.data) == 4096:
+            self.answer_busy(client)
 
-    def turn_away(self, guest):
-        if guest.answered:
+    def answer_busy(self, client):
+        if client.answered:
             return
-        guest.answered = True
+        client.answered = True
         try:
-            guest.sock.send(b"ERR\r\n" if guest.data.strip() == b"PING" else b"BUSY\r\n")
-            guest.sock.shutdown(socket.SHUT_WR)
+            client.sock.send(b"ERR\r\n" if client.data.strip() == b"PING" else b"BUSY\r\n")
+            client.sock.shutdown(socket.SHUT_WR)
         except OSError:
-            self.see_out(guest)
-
-    def guest_late(self, guest):
-        if guest.sock in self.guests:
-            late = guest.answered
-            self.turn_away(guest)
-            self.see_out(guest) if late else self.at(DOOR_WAIT, lambda: self.see_out(guest))
+            self.close_busy_client(client)
+
+    def busy_client_timed_out(self, client):
+        if client.sock in self.busy_clients:
+            late = client.answered
+            self.answer_busy(client)
+            self.close_busy_client(client) if late else self.call_later(
+                BUSY_CLIENT_TIMEOUT, lambda: self.close_busy_client(client)
+            )
 
-    def see_out(self, guest):
-        if self.guests.pop(guest.sock, None):
-            self.let_go(guest.sock)
+    def close_busy_client(self, client):
+        if self.busy_clients.pop(client.sock, None):
+            self.close_socket(client.sock)
 
     # Commands
 
-    def welcome(self):
+    def accept_command_connection(self):
         try:
             line = control.JsonConnection(self.control.accept()[0])
         except OSError:
             return
-        self.selector.register(line.sock, selectors.EVENT_READ, lambda: self.command(line))
+        self.selector.register(line.sock, selectors.EVENT_READ, lambda: self.run_commands(line))
 
-    def command(self, line):
+    def run_commands(self, line):
         said, stands = line.receive()
         for one in said:
             try:
-                self.obey(line, one)
+                self.run_command(line, one)
             except config.ConfigurationError as fault:
                 line.send({"ok": False, "why": str(fault)})
             except Exception as fault:  # our own: told, and the fleet goes on
                 log.exception("fault", extra={"pairs": {"while": one.get("do")}})
                 line.send({"ok": False, "why": f"our own fault: {type(fault).__name__}: {fault}"})
         if not stands or not line.flush():
-            self.answers = [(k, other) for k, other in self.answers if other is not line]
-            self.let_go(line.sock)
+            self.pending_replies = [(k, other) for k, other in self.pending_replies if other is not line]
+            self.close_socket(line.sock)
 
-    def obey(self, line, one):
+    def run_command(self, line, one):
         do, name = one.get("do"), one.get("name")
         if name is not None and name not in self.core.slots:
             raise config.ConfigurationError(f"{name}: no such instance" + op.near(str(name), self.core.slots))
@@ -541,16 +563,16 @@
         elif do == "reload":
             self.reload(line)
         elif do == "upgrade":
-            self.change(
+            self.change_plan(
                 (one["python"], one["checkout"]) if one.get("python") else self.own_program, "upgrade", line
             )
         elif do in ("drain", "restart"):
-            self.tell(do, name)
+            self.step(do, name)
             line.send({"ok": True, "why": "begun"})
         elif do == "stop":
-            self.answers.append(("stop", line))
+            self.pending_replies.append(("stop", line))
             self.manager.notify_stopping()
-            self.tell("stop")
+            self.step("stop")
         else:
             raise config.ConfigurationError(f"{do}: no such command")
 
@@ -558,14 +580,14 @@
         self.manager.notify_reloading()
         try:
             pending = self.core.pending
-            self.change((pending[0] if pending else self.core.plan).program, "reload", line)
+            self.change_plan((pending[0] if pending else self.core.plan).program, "reload", line)
         except config.ConfigurationError as fault:
             log.error("reload", extra={"pairs": {"why": fault, "kept": "the old configuration"}})
             self.manager.notify_ready(self.summary())
             if line:
                 raise
 
-    def change(self, program, why, line):
+    def change_plan(self, program, why, line):
         if self.core.stopping:
             raise config.ConfigurationError("the fleet is stopping")
         plan = self.read_plan(program)
@@ -578,51 +600,51 @@
             raise op.OperatorFileError(
                 [f"{self.path}: fleet.{key}: only a new supervisor takes this over" for key in fixed]
             )
-        if self.follower and op.read(self.path)[3] != self.follower.section:
+        if self.store_follower and op.read(self.path)[3] != self.store_follower.section:
             raise op.OperatorFileError([f"{self.path}: configuration: only a new supervisor takes this over"])
-        self.begin(plan, why, line)
+        self.begin_rollout(plan, why, line)
 
-    def begin(self, plan, why, line):
+    def begin_rollout(self, plan, why, line):
         """`line`, if any, is told the outcome."""
-        self.bind(plan)
+        self.open_listeners(plan)
         if line:
-            self.answers.append((plan, line))
-        self.tell("replan", plan, why)
+            self.pending_replies.append((plan, line))
+        self.step("change_plan", plan, why)
 
-    def outcome(self, effect):
+    def rollout_ended(self, effect):
         # only now: a supervisor that dies in an upgrade has a successor that goes back
         self.program = effect.plan.program
-        self.keep()
+        self.save_state()
         self.manager.notify_ready(self.summary())
-        self.answer({"ok": effect.ok, "why": effect.why or "done"}, effect.target)
+        self.reply({"ok": effect.ok, "why": effect.why or "done"}, effect.target)
 
-    def answer(self, said, kind):
-        for k, line in self.answers:
+    def reply(self, said, kind):
+        for k, line in self.pending_replies:
             if k is kind:
                 line.send(said)
-        self.answers = [(k, line) for k, line in self.answers if k is not kind]
+        self.pending_replies = [(k, line) for k, line in self.pending_replies if k is not kind]
 
     def status(self):
         rows = []
         for slot in self.core.slots.values():
-            p = slot.holder or slot.next
-            seen = p.seen if p else {}
+            p = slot.active or slot.successor
+            reported = p.status if p else {}
             rows.append(
                 {
                     "instance": slot.name,
                     "address": "{}:{}".format(*slot.spec.address),
-                    "pid": seen.get("pid"),
+                    "pid": reported.get("pid"),
                     "state": self.core.state_of(slot),
                     "generation": p.generation if p else None,
-                    "since_s": round((self.core.now - p.since) / 1e6, 1) if p else None,
-                    "connections": seen.get("connections"),
-                    "calls": seen.get("calls"),
-                    "list": seen.get("list"),
-                    "version": seen.get("version"),
-                    "ended": seen.get("ended"),
-                    "bad": seen.get("bad"),
+                    "since_s": round((self.core.now - p.state_since) / 1e6, 1) if p else None,
+                    "connections": reported.get("connections"),
+                    "calls": reported.get("calls"),
+                    "list": reported.get("list"),
+                    "version": reported.get("version"),
+                    "ended": reported.get("ended"),
+                    "bad": reported.get("bad"),
                     "restarts": slot.restarts,
-                    "why": slot.why,
+                    "why": slot.last_failure,
                     "leaving": len(slot.leaving),
                 }
             )
@@ -632,19 +654,24 @@
             "pid": os.getpid(),
             "ready": self.core.ready(),
             "program": list(self.core.plan.program),
-            "configuration": self.follower.status() if self.follower else None,
-            "rollout": {"of": r.why, "to_do": len(r.todo), "under_way": len(r.doing), "going_back": r.back}
+            "configuration": self.store_follower.status() if self.store_follower else None,
+            "rollout": {
+                "of": r.why,
+                "to_do": len(r.todo),
+                "under_way": len(r.in_progress),
+                "going_back": r.rollback_reason,
+            }
             if r
             else None,
             "instances": rows,
         }
 
 
-def with_live(spec):
+def with_live_settings(spec):
     """The starting part with its whole configuration: programs of earlier releases read it there."""
     start, live = json.loads(spec.start), json.loads(spec.live)
-    start["config"] |= {key: live[key] for key in plans.LIVE if key in live}
-    return plans.canonical(start)
+    start["config"] |= {key: live[key] for key in plans.LIVE_KEYS if key in live}
+    return plans.canonical_json(start)
 
 
 def open_log(path):
@@ -672,7 +699,7 @@
     return found
 
 
-def end_process(pid, wait=5.0):
+def kill_and_wait(pid, wait=5.0):
     """SIGKILL, and wait until it is gone."""
     try:
         fd = os.pidfd_open(pid)
--- a/tests/configstore/test_shell_fleet.py
+++ b/tests/configstore/test_shell_fleet.py
@@ -15,7 +15,7 @@
 from cottonspread.configstore import messages as m
 from cottonspread.fleet import control
 from cottonspread.fleet import plan as plans
-from cottonspread.fleet.carrying import Carrying
+from cottonspread.fleet.store_follower import StoreFollower
 
 
 @pytest.fixture
@@ -121,9 +121,9 @@
         return config.read_node(text, {})
 
     def read_plan(self, program):
-        return plans.read(self.path, program, self.check, self.carrying.wanted)
+        return plans.read(self.path, program, self.check, self.store_follower.wanted_body)
 
-    def begin(self, plan, why, line):
+    def begin_rollout(self, plan, why, line):
         self.rollouts.append((plan, line))
 
 
@@ -134,13 +134,15 @@
         '[fleet]\nname = "f"\nconfig = "node.json"\ninstances = 1\nlisten = "127.0.0.1:9"\n'
     )
     supervisor, told = Supervisor(tmp_path), []
-    carrying = supervisor.carrying = Carrying(supervisor, op.read_fleet(str(supervisor.path))[3])
-    carrying.prepare()
+    store_follower = supervisor.store_follower = StoreFollower(
+        supervisor, op.read_fleet(str(supervisor.path))[3]
+    )
+    store_follower.prepare()
 
     def hand_over(version, stage, text):
         record = m.make_record(version, version, stage, 2**32, text)
-        carrying.hand_over(record, lambda ok, why="": told.append((version, ok, why)))
-        carrying.look()
+        store_follower.hand_over(record, lambda ok, why="": told.append((version, ok, why)))
+        store_follower.process_records()
         return record
 
     good = json.dumps(configuration("127.0.0.1:1", "second"))
@@ -148,19 +150,24 @@
     plan, line = supervisor.rollouts.pop()
     assert "second" in plan.specs["f-0"].live and plan.fleet.live_watch_s == 0.5 and not told
     line.send({"ok": True, "why": "done"})
-    assert told.pop() == (1, True, "done") and carrying.in_force == carrying.wanted == good
+    assert (
+        told.pop() == (1, True, "done") and store_follower.body_in_force == store_follower.wanted_body == good
+    )
 
     third = hand_over(2, m.Stage.EVERYWHERE, json.dumps(configuration("127.0.0.1:1", "third")))
     plan, line = supervisor.rollouts.pop()
-    assert plan.fleet.live_watch_s == 0 and carrying.wanted == third.body
+    assert plan.fleet.live_watch_s == 0 and store_follower.wanted_body == third.body
     line.send({"ok": False, "why": "f-0: refused"})
-    assert told.pop() == (2, False, "f-0: refused") and carrying.in_force == carrying.wanted == good
+    assert (
+        told.pop() == (2, False, "f-0: refused")
+        and store_follower.body_in_force == store_follower.wanted_body == good
+    )
 
     faulty = hand_over(3, m.Stage.EVERYWHERE, '{"settings": 3}')
-    assert not supervisor.rollouts and told.pop()[:2] == (3, False) and carrying.wanted == good
+    assert not supervisor.rollouts and told.pop()[:2] == (3, False) and store_follower.wanted_body == good
     with pytest.raises(config.ConfigurationError):
-        carrying.check(faulty)
-    carrying.check(third)
+        store_follower.check(faulty)
+    store_follower.check(third)
 
     supervisor.core.stopping = True
     hand_over(4, m.Stage.EVERYWHERE, good)
--- a/tests/fleet/test_core.py
+++ b/tests/fleet/test_core.py
@@ -12,7 +12,7 @@
 
 from cottonspread.config.operator import Fleet
 from cottonspread.fleet import core as c
-from cottonspread.fleet.plan import Plan, Spec
+from cottonspread.fleet.plan import InstanceSpec, Plan
 
 SECOND = 1_000_000
 
@@ -40,7 +40,7 @@
 def plan(count=3, start="a", live="x", **more):
     return Plan(
         fleet(instances=count, **more),
-        {f"f-{n}": Spec(f"f-{n}", ("127.0.0.1", 9 + n), start, live) for n in range(count)},
+        {f"f-{n}": InstanceSpec(f"f-{n}", ("127.0.0.1", 9 + n), start, live) for n in range(count)},
         ("python", ""),
     )
 
@@ -93,24 +93,24 @@
                 "refused": None,
             }
             self.started.append(key)
-        elif isinstance(e, c.Take):
+        elif isinstance(e, c.StartAccepting):
             assert all(p["state"] != "serving" for k, p in self.alive.items() if k[0] == e.name), (
                 f"two holders of {e.name}"
             )
             assert e.name not in self.doors, "the supervisor answers at the door of a holder"
             self.alive[key]["state"] = "serving" if not self.alive[key]["frozen"] else "prepared"
             self.alive[key]["taken"] = True
-        elif isinstance(e, c.Leave):
-            self.alive[key]["leave"] = e.handed
+        elif isinstance(e, c.StopAccepting):
+            self.alive[key]["leave"] = e.has_successor
         elif isinstance(e, c.Kill):
             self.alive[key]["killed"] = True
-        elif isinstance(e, c.Apply):
+        elif isinstance(e, c.ApplyLive):
             self.apply(key, e.spec)
-        elif isinstance(e, c.Door):
-            (self.doors.add if e.open else self.doors.discard)(e.name)
-        elif isinstance(e, c.Outcome):
+        elif isinstance(e, c.AnswerBusy):
+            (self.doors.add if e.enabled else self.doors.discard)(e.name)
+        elif isinstance(e, c.RolloutEnded):
             self.outcomes.append(e)
-        elif isinstance(e, c.Over):
+        elif isinstance(e, c.AllStopped):
             self.over = True
 
     def apply(self, key, spec):
@@ -122,7 +122,9 @@
     def status(self, key):
         p = self.alive[key]
         p["steps"], p["told"] = p["steps"] + 1, True
-        self.tell("told", *key, {k: p[k] for k in ("state", "steps", "ended", "bad", "live", "refused")})
+        self.tell(
+            "status_received", *key, {k: p[k] for k in ("state", "steps", "ended", "bad", "live", "refused")}
+        )
 
     def exit(self, key, how):
         del self.alive[key]
@@ -221,7 +223,7 @@
 
     @rule(p=st.sampled_from(PLANS))
     def reload(self, p):
-        self.world.tell("replan", p)
+        self.world.tell("change_plan", p)
 
     @rule(n=st.integers(0, 4), what=st.sampled_from(["drain", "restart"]))
     def by_hand(self, n, what):
@@ -239,7 +241,9 @@
         if self.world.ended:
             self.world.tell("exited", *sorted(self.world.ended)[n % len(self.world.ended)], "exit 0")
             self.world.tell(
-                "told", *sorted(self.world.ended)[n % len(self.world.ended)], {"state": "serving", "steps": 1}
+                "status_received",
+                *sorted(self.world.ended)[n % len(self.world.ended)],
+                {"state": "serving", "steps": 1},
             )
 
     @invariant()
@@ -255,12 +259,12 @@
         assert known == set(world.alive) or world.over, (
             "a process that nobody looks after, or one that is not there"
         )
-        if core.rollout and not core.rollout.back:
+        if core.rollout and not core.rollout.rollback_reason:
             r = core.rollout
             # Running processes that take a change over follow all together, once the first was watched.
-            alone = [s for s in r.doing if not (r.proved and s in r.live)]
+            alone = [s for s in r.in_progress if not (r.live_verified and s in r.live_slots)]
             assert len(alone) <= max(core.plan.fleet.at_once, 1) + sum(
-                1 for s in alone if s.name not in r.before.specs or not s.serving()
+                1 for s in alone if s.name not in r.previous_plan.specs or not s.serving()
             ), "more at once than allowed"
 
     def teardown(self):
@@ -273,7 +277,10 @@
         world.refusing.clear()
         world.settle(150, {"bad"}, step=0.5)
         if not core.stopping:
-            assert core.rollout is None and core.pending is None, ("a rollout without an end", core.table())
+            assert core.rollout is None and core.pending is None, (
+                "a rollout without an end",
+                core.describe_slots(),
+            )
             for name, slot in core.slots.items():
                 up = name in world.holders()
                 assert up == (not slot.drained and not slot.given_up), (name, core.state_of(slot))
@@ -349,17 +356,17 @@
     world.settle(3.5)
     assert ("f-0", 1) not in world.alive and ("f-2", 3) in world.alive
     world.settle(2)
-    assert world.holders()["f-0"] and world.core.slots["f-0"].why == "stuck: no step for 3 s"
+    assert world.holders()["f-0"] and world.core.slots["f-0"].last_failure == "stuck: no step for 3 s"
 
 
 def test_one_that_was_told_to_leave_and_ends_before_it_says_so_has_not_failed():
     world = up(count=1)
-    world.tell("replan", plan(1, start="b"))
+    world.tell("change_plan", plan(1, start="b"))
     world.advance(("f-0", 2))
     world.advance(("f-0", 2))
     assert world.alive["f-0", 1]["leave"] is True
     world.exit(("f-0", 1), "exit 0")
-    assert not world.core.slots["f-0"].why and world.holders()["f-0"]["spec"].start == "b"
+    assert not world.core.slots["f-0"].last_failure and world.holders()["f-0"]["spec"].start == "b"
 
 
 def test_one_that_freezes_while_it_leaves_is_ended():
@@ -398,7 +405,7 @@
 
 def test_a_rollout_whose_successor_does_not_get_ready_leaves_the_holder_in_place():
     world = up()
-    world.tell("replan", plan(start="bad"))
+    world.tell("change_plan", plan(start="bad"))
     world.settle(20, {"bad"})
     assert not world.outcomes[-1].ok and world.outcomes[-1].why == "f-0: exit 2"
     assert set(world.alive) == {("f-0", 1), ("f-1", 2), ("f-2", 3)}, "the old ones were touched"
@@ -406,7 +413,7 @@
 
 def test_a_rollout_that_brings_more_bad_ends_goes_back_by_itself():
     world = up(watch_s=5.0)
-    world.tell("replan", plan(start="b", watch_s=5.0), "upgrade")
+    world.tell("change_plan", plan(start="b", watch_s=5.0), "upgrade")
     for _ in range(400):
         world.now += SECOND // 10
         for key in list(world.alive):
@@ -424,7 +431,7 @@
     for n in range(600):
         world.now += SECOND // 10
         if n == 50:
-            world.tell("replan", plan(count, start="b", watch_s=5.0), "upgrade")
+            world.tell("change_plan", plan(count, start="b", watch_s=5.0), "upgrade")
         for key in list(world.alive):
             world.advance(key)
             if key in world.alive:
@@ -435,7 +442,7 @@
 
 def test_a_rollout_goes_one_by_one_and_a_good_one_changes_all():
     world = up(watch_s=1.0)
-    world.tell("replan", plan(start="b", watch_s=1.0))
+    world.tell("change_plan", plan(start="b", watch_s=1.0))
     most = 0
     while not world.outcomes:
         world.settle(0.25)
@@ -448,9 +455,9 @@
 
 def test_reload_during_reload_the_newest_wins_and_stop_during_reload_stops():
     world = up()
-    world.tell("replan", plan(start="b"))
-    world.tell("replan", plan(start="c"))
-    world.tell("replan", plan(start="d"))
+    world.tell("change_plan", plan(start="b"))
+    world.tell("change_plan", plan(start="c"))
+    world.tell("change_plan", plan(start="d"))
     world.settle(60)
     assert {p["spec"].start for p in world.holders().values()} == {"d"}
     assert not any(e.spec.start == "c" for e in world.effects if isinstance(e, c.Start))
@@ -459,7 +466,7 @@
         (True, "b"),
         (True, "d"),
     ], "each has an outcome"
-    world.tell("replan", plan(start="e"))
+    world.tell("change_plan", plan(start="e"))
     world.settle(0.5)
     world.tell("stop")
     world.settle(10)
@@ -472,7 +479,7 @@
     One was lost from the table, and the rollout never ended.
     """
     world = up(count=4)
-    world.tell("replan", plan(2, start="bad"))
+    world.tell("change_plan", plan(2, start="bad"))
     for _ in range(40):
         world.now += SECOND // 20
         for key in list(world.alive):
@@ -485,7 +492,7 @@
 
 def test_a_live_change_starts_nothing():
     world = up()
-    world.tell("replan", plan(live="y"))
+    world.tell("change_plan", plan(live="y"))
     world.settle(5)
     assert (
         len(world.started) == 3
@@ -523,8 +530,8 @@
             "live": spec.live_digest,
             "refused": None,
         }
-        world.core.adopted(f"f-{n}", 7 + n, spec, {"state": state, "steps": 5, "live": spec.live_digest})
-    world.tell("settle")
+        world.core.adopt(f"f-{n}", 7 + n, spec, {"state": state, "steps": 5, "live": spec.live_digest})
+    world.tell("finish_adoption")
     assert not [e for e in world.effects if isinstance(e, c.Start) and e.name != "f-2"][1:], "all at once"
     world.settle(40)
     assert len(world.holders()) == 3 and {p["spec"].start for p in world.holders().values()} == {"b"}
@@ -543,13 +550,13 @@
 
 
 def applied(world):
-    return [e.name for e in world.effects if isinstance(e, c.Apply)]
+    return [e.name for e in world.effects if isinstance(e, c.ApplyLive)]
 
 
 def test_a_live_change_is_watched_on_the_first_and_then_taken_over_by_all_the_others_together():
     world = up(count=8, watch_s=5.0, live_watch_s=1.0)
     began, before = world.now, set(world.alive)
-    world.tell("replan", plan(8, live="y", watch_s=5.0, live_watch_s=1.0))
+    world.tell("change_plan", plan(8, live="y", watch_s=5.0, live_watch_s=1.0))
     assert applied(world) == ["f-0"]
     world.settle(0.75)
     assert applied(world) == ["f-0"], "the first is still watched"
@@ -565,7 +572,7 @@
 def test_a_live_change_that_the_first_refuses_reaches_no_other():
     world = up(count=8)
     world.refusing.add("y")
-    world.tell("replan", plan(8, live="y"))
+    world.tell("change_plan", plan(8, live="y"))
     world.settle(5)
     assert not world.outcomes[-1].ok and world.outcomes[-1].why == "f-0: refused: as played"
     assert applied(world) == ["f-0"] and len(world.started) == 8
@@ -573,7 +580,7 @@
 
 def test_a_live_change_that_a_later_one_refuses_is_taken_back_from_all():
     world = up(count=3)
-    world.tell("replan", plan(live="y", watch_s=2.0))
+    world.tell("change_plan", plan(live="y", watch_s=2.0))
     world.settle(0.5)
     world.refusing.add("y")
     world.settle(5)
@@ -586,7 +593,7 @@
 def test_a_live_change_that_brings_more_bad_ends_goes_back():
     world = up(count=3)
     changed = plan(live="y", watch_s=5.0, live_watch_s=5.0)
-    world.tell("replan", changed)
+    world.tell("change_plan", changed)
     for _ in range(60):
         world.now += SECOND // 10
         for key in list(world.alive):
@@ -600,7 +607,7 @@
 def test_a_live_change_that_is_not_taken_over_in_time_goes_back_and_one_obeyed_late_is_set_right():
     world = up(count=2)
     world.alive["f-0", 1]["deaf"] = True
-    world.tell("replan", plan(2, live="y"))
+    world.tell("change_plan", plan(2, live="y"))
     world.settle(6)
     assert world.outcomes[-1].why == "f-0: not taken over after 5 s"
     world.alive["f-0", 1] |= {"live": plan(live="y").specs["f-0"].live_digest, "deaf": False}
@@ -610,7 +617,7 @@
 
 def test_a_way_back_that_is_refused_is_taken_by_a_successor():
     world = up(count=3)
-    world.tell("replan", plan(3, live="y", watch_s=5.0, live_watch_s=1.0))
+    world.tell("change_plan", plan(3, live="y", watch_s=5.0, live_watch_s=1.0))
     world.settle(1.5)
     assert applied(world) == ["f-0", "f-1", "f-2"] and not world.outcomes
     world.refusing.add("x")
@@ -627,6 +634,6 @@
     for p in world.alive.values():
         p["live"], p["deaf"] = p["spec"].live, True
     world.settle(1)
-    world.tell("replan", plan(2, live="y"))
+    world.tell("change_plan", plan(2, live="y"))
     world.settle(10)
     assert world.outcomes[-1].ok and len(world.started) == 4 and not applied(world)
