--- a/cottonspread/configstore/__init__.py
+++ b/cottonspread/configstore/__init__.py
@@ -1,6 +1,7 @@
-"""Configuration carried to all nodes by three replicas: pure cores, driven by (now, event) to effects.
+"""A replicated configuration store: three replicas distribute one configuration to all nodes.
 
-`messages` is what goes over the wire; `replica`, `follower` and `publisher` decide. None of them has a
-socket, file, clock, thread or chance of its own: the shells carry out effects and tell events. Times are
-whole microseconds of a monotonic clock of the shell's own; they are never compared between machines.
+`messages` defines the wire format; `replica`, `follower` and `publisher` are pure state machines that map
+(now, event) to effects. They use no socket, file, clock, thread or random source of their own: an I/O shell
+executes the effects and passes events in. Times are whole microseconds of the shell's own monotonic clock;
+they are never compared between machines.
 """
--- a/cottonspread/configstore/callers.py
+++ b/cottonspread/configstore/callers.py
@@ -1,7 +1,7 @@
-"""Calls to replicas in threads of their own, for replicas, followers and publishers.
+"""A thread pool for HTTP calls to replicas, used by replicas, followers and publishers.
 
-`net.http` is the one HTTP client of the project, bounded in size and time; a second one here would be
-another parser to keep. Nothing else of `net` is used.
+It uses `net.http`, the project's only HTTP client, which bounds sizes and times; a second client would mean
+another parser to maintain. Nothing else of `net` is used.
 """
 
 import queue
@@ -26,19 +26,19 @@
     m.ReadState: m.StateReply,
 }
 CONNECT_TIMEOUT_S = 1.0
-"""Seconds for a connection: one that a dropped packet costs its first try (a second) is tried anew."""
+"""Seconds to connect. TCP retries a lost SYN after a second; giving up then starts a new connection."""
 MAX_THREADS = 16
-"""A follower has three calls open, a publisher one for each replica, a replica one for each of the others."""
+"""A follower has up to three calls open, a publisher one per replica, a replica one per peer."""
 STACK_BYTES = 256 * 1024
 
 
 class CallError(Exception):
-    """A call that has no usable reply; it says why."""
+    """A call without a usable reply; the message gives the reason."""
 
 
 @dataclass(frozen=True, slots=True)
 class Job:
-    """A call to make. `done` is told the reply or the CallError, in the caller's thread."""
+    """A call to make. `done` is called with the reply or a CallError, in the pool's thread."""
 
     message: m.Message
     deadline: int
@@ -46,12 +46,12 @@
 
 
 def now() -> int:
-    """Microseconds of a clock that never goes back; it means nothing to another machine."""
+    """Returns microseconds of the monotonic clock; not comparable between machines."""
     return time.monotonic_ns() // 1000
 
 
 def parse_address(text: str) -> tuple[str, int]:
-    """HOST:PORT; ValueError."""
+    """Parses HOST:PORT. Raises ValueError."""
     host, _, port = text.rpartition(":")
     if not host or not port.isdigit() or not 0 < int(port) < 65536:
         raise ValueError(f"{text}: expected HOST:PORT")
@@ -59,14 +59,15 @@
 
 
 class Callers:
-    """Threads that make calls, each with a connection that it keeps to one replica."""
+    """A pool of threads that make calls; each keeps a connection to one replica."""
 
     def __init__(self):
+        """Starts no thread; threads are created as calls need them."""
         self._idle: dict[str, list[Caller]] = {}
         self._lock, self._all, self._stopped = threading.Lock(), [], False
 
     def call(self, replica: str, message: m.Message, deadline: int, done: Callable) -> None:
-        """`done` is told once: a reply, or a CallError."""
+        """Makes a call; `done` is called once with the reply or a CallError."""
         job = Job(message, deadline, done)
         with self._lock:
             idle = self._idle.setdefault(replica, [])
@@ -75,7 +76,7 @@
                 caller = Caller(replica, self._mark_idle)
                 self._all.append(caller)
         if caller is None:
-            done(CallError("too many calls at the same time"))
+            done(CallError("too many concurrent calls"))
         else:
             caller.jobs.put(job)
 
@@ -84,7 +85,7 @@
             self._idle[caller.replica].append(caller)
 
     def stop(self) -> None:
-        """Calls that are out end at once; no thread is waited for."""
+        """Aborts open calls; does not wait for the threads."""
         with self._lock:
             self._stopped, callers = True, list(self._all)
         for caller in callers:
@@ -93,9 +94,10 @@
 
 
 class Caller:
-    """One thread and its connection."""
+    """One thread of the pool and its connection."""
 
     def __init__(self, replica: str, mark_idle: Callable):
+        """Starts the thread; calls `mark_idle(self)` after each call."""
         self.replica, self._mark_idle = replica, mark_idle
         self.http, self.jobs = Http(parse_address(replica), CONNECT_TIMEOUT_S), queue.SimpleQueue()
         before = threading.stack_size(STACK_BYTES)
@@ -107,7 +109,7 @@
     def _run(self) -> None:
         while (job := self.jobs.get()) is not None:
             outcome = self._perform(job)
-            self._mark_idle(self)  # before it is told: what follows from it may be the next call
+            self._mark_idle(self)  # before done(), which may make the next call
             job.done(outcome)
         self.http.close()
 
@@ -115,7 +117,7 @@
         try:
             wait = (job.deadline - now()) / m.SECOND
             if wait <= 0:
-                return CallError("too late")
+                return CallError("deadline passed before the call was sent")
             return m.decode(self._send(job.message, wait), REPLIES[type(job.message)])
         except (OSError, ResponseError, m.MessageError) as fault:
             return CallError(str(fault) or type(fault).__name__)
--- a/cottonspread/configstore/calls.py
+++ b/cottonspread/configstore/calls.py
@@ -1,19 +1,20 @@
-"""A publisher's calls: one at a time to each replica, asked again after a failure."""
+"""A publisher's calls: one at a time to each replica, retried after a failure."""
 
 from dataclasses import dataclass
 
 from cottonspread.configstore.messages import MILLISECOND, SECOND
 
 CALL_TIMEOUT = 1 * SECOND
-"""A call between regions takes 80 ms and a write to disk some ten more; a second: it is dead or silent."""
+"""A call between regions takes 80 ms and a write to disk some ten more; after a second the replica is
+considered dead or silent."""
 RETRY_DELAY = 100 * MILLISECOND
 MAX_RETRY_DELAY = 1 * SECOND
-"""After failures in a row the pause doubles from the one to the other, half of it drawn."""
+"""After consecutive failures the delay doubles from `RETRY_DELAY` up to this, half of it random."""
 
 
 @dataclass(slots=True)
 class PlannedCall:
-    """What a replica is to be asked."""
+    """The next call to one replica."""
 
     message: object
     next_call_at: int
@@ -22,22 +23,23 @@
 
 
 class Calls:
-    """What is wanted of each replica now."""
+    """The next call to each replica."""
 
     def __init__(self, uniform):
+        """`uniform()`: seeded random numbers in [0, 1)."""
         self._planned: dict[str, PlannedCall] = {}
         self._uniform, self._call = uniform, 0
 
     def schedule(self, replica: str, message, next_call_at: int) -> None:
-        """Ask this from now on, and nothing else; a late reply to what was asked before counts no more."""
+        """Replaces the replica's next call; a late reply to the previous one is ignored."""
         self._planned[replica] = PlannedCall(message, next_call_at)
 
     def clear(self) -> None:
-        """Nothing is wanted any more."""
+        """Drops all planned calls."""
         self._planned = {}
 
     def due(self, now: int):
-        """What to ask now, each as (call, replica, message)."""
+        """Yields the calls to make now as (call, replica, message)."""
         for replica, planned in self._planned.items():
             if planned.call is None and planned.next_call_at <= now:
                 self._call += 1
@@ -45,14 +47,14 @@
                 yield self._call, replica, planned.message
 
     def replied(self, call: int) -> str | None:
-        """The replica that a reply comes from, of which nothing is wanted any more; None: a late one."""
+        """Returns the replica that replied and drops its planned call; None for a late reply."""
         replica = self._find(call)
         if replica is not None:
             del self._planned[replica]
         return replica
 
     def failed(self, now: int, call: int) -> None:
-        """The call has no reply; it is made again."""
+        """Schedules a retry of a failed call."""
         replica = self._find(call)
         if replica is None:
             return
@@ -68,7 +70,7 @@
         return None
 
     def next_call_at(self) -> int | None:
-        """When to ask next; None: all wait for replies."""
+        """Returns when the next call is due; None if all wait for replies."""
         return min(
             (planned.next_call_at for planned in self._planned.values() if planned.call is None), default=None
         )
--- a/cottonspread/configstore/client.py
+++ b/cottonspread/configstore/client.py
@@ -1,12 +1,12 @@
-"""A follower's shell: a thread around `follower.Follower`, its calls in threads of `callers`.
+"""The follower's I/O shell: a thread around `follower.Follower`, with calls in the threads of `callers`.
 
-The node gives two functions, both called in this shell's thread:
+The node supplies two functions, both called in this shell's thread:
 
-- `check(record)` reads the record whole and changes nothing; config.ConfigurationError where it cannot be
-  in force.
-- `apply(record, done)` puts it into force and calls `done(ok, why)` once, at any time, from any thread.
+- `check(record)` validates the complete record and changes nothing; it raises config.ConfigurationError if
+  the record cannot be applied.
+- `apply(record, done)` applies the record and calls `done(ok, why)` once, at any time, from any thread.
 
-What is in force is kept in one file of the state folder, for the next start.
+The record in force is saved in one file of the state folder, for the next start.
 """
 
 import logging
@@ -25,7 +25,7 @@
 log = logging.getLogger("cottonspread.configstore")
 
 MAX_WAIT_S = 1.0
-"""Seconds that the thread waits at most."""
+"""Maximum seconds that the thread waits for an event."""
 LOG_LEVELS = {
     core.NoticeKind.IN_FORCE: logging.INFO,
     core.NoticeKind.RECONNECTED: logging.INFO,
@@ -39,7 +39,7 @@
     """Follows the configuration for one node, from `start` until `stop`."""
 
     def __init__(self, node: str, replicas: tuple[str, ...], folder: str, check: Callable, apply: Callable):
-        """`replicas`: HOST:PORT each. Raises OSError where the folder cannot be made."""
+        """`replicas`: HOST:PORT each. Raises OSError if the folder cannot be created."""
         os.makedirs(folder, exist_ok=True)
         self.node = node
         self._path = os.path.join(folder, f"{node}.configuration.json")
@@ -61,25 +61,25 @@
 
     @property
     def saved(self) -> m.Record | None:
-        """What was in force when the process before this one ended, as far as the file tells."""
+        """The record in force when the previous process ended, as far as the file tells."""
         return self._saved
 
     def view(self) -> core.View:
-        """How it stood after the last event."""
+        """Returns the follower's status after the last event."""
         return self._view
 
     def start(self) -> None:
-        """Begins to follow."""
+        """Starts the follower's thread."""
         threading.Thread(target=self._run, daemon=True, name="configuration").start()
 
     def stop(self) -> None:
-        """Nothing is put into force any more; calls that are out end."""
+        """Stops applying records and aborts open calls."""
         self._stopped.set()
         self._callers.stop()
         self._inbox.put(core.Tick())
 
     def report_health(self, version: int, ok: bool, why: str = "") -> None:
-        """The node finds itself well or ill with this version."""
+        """Reports whether the node is healthy with this version."""
         self._inbox.put(core.HealthReported(version, ok, why[: m.MAX_WHY_LENGTH]))
 
     def _run(self) -> None:
@@ -87,7 +87,7 @@
         while not self._stopped.is_set():
             try:
                 self._step(event)
-            except Exception:  # our own: in plain sight, and the node follows on
+            except Exception:  # unexpected: logged, and the thread goes on
                 log.exception("fault", extra={"pairs": {"while": type(event).__name__}})
             event = self._next_event()
 
@@ -137,9 +137,9 @@
             self._check(record)
         except ConfigurationError as fault:
             return core.Checked(False, str(fault)[: m.MAX_WHY_LENGTH])
-        except Exception as fault:  # our own
+        except Exception as fault:  # unexpected
             log.exception("fault", extra={"pairs": {"while": "check"}})
-            return core.Checked(False, f"our own fault: {type(fault).__name__}: {fault}"[: m.MAX_WHY_LENGTH])
+            return core.Checked(False, f"internal error: {type(fault).__name__}: {fault}"[: m.MAX_WHY_LENGTH])
         return core.Checked(True)
 
     def _save(self, record: m.Record | None) -> core.Saved:
@@ -158,6 +158,6 @@
 
         try:
             self._apply(record, done)
-        except Exception as fault:  # our own
+        except Exception as fault:  # unexpected
             log.exception("fault", extra={"pairs": {"while": "apply"}})
-            done(False, f"our own fault: {type(fault).__name__}: {fault}")
+            done(False, f"internal error: {type(fault).__name__}: {fault}")
--- a/cottonspread/configstore/driver.py
+++ b/cottonspread/configstore/driver.py
@@ -1,4 +1,4 @@
-"""A publisher's shell: one run in the calling thread, its calls in threads of `callers`."""
+"""The publisher's I/O shell: one run in the calling thread, with calls in the threads of `callers`."""
 
 import os
 import queue
@@ -10,11 +10,11 @@
 from cottonspread.configstore.callers import CallError, Callers, now
 
 MAX_WAIT_S = 1.0
-"""Seconds that a run waits at most for something to happen."""
+"""Maximum seconds that a run waits for the next event."""
 
 
 def run(replicas: tuple[str, ...], command: core.Command, progress: Callable) -> core.Done:
-    """Carries the order out to its end. `progress(step)` is told each `Progress`."""
+    """Executes a command to its end; calls `progress` with each `Progress`."""
     publisher = core.Publisher(replicas, command, random.Random(os.urandom(8)).random)
     callers, inbox = Callers(), queue.SimpleQueue()
 
@@ -44,7 +44,7 @@
 
 
 def next_event(inbox: queue.SimpleQueue, wake_at: int) -> core.Event:
-    """What comes next, or a tick when it is time."""
+    """Returns the next event, or a tick at `wake_at`."""
     try:
         return inbox.get(timeout=max(0.0, min(MAX_WAIT_S, (wake_at - now()) / m.SECOND)))
     except queue.Empty:
@@ -52,7 +52,7 @@
 
 
 def read_states(replicas: tuple[str, ...], wait: float) -> dict:
-    """Each replica's state with all reports, or the CallError of its call, within `wait` seconds."""
+    """Returns each replica's state with all reports, or its CallError, within about `wait` seconds."""
     callers, inbox, outcomes = Callers(), queue.SimpleQueue(), {}
     deadline = now() + round(wait * m.SECOND)
     try:
--- a/cottonspread/configstore/follower.py
+++ b/cottonspread/configstore/follower.py
@@ -1,24 +1,23 @@
-"""A follower: a node's own view of the configuration; watches two replicas and puts what they tell into
-force.
-
-Seam for the shell:
-
-- `step(now, event)` gives the effects of one event, to be carried out in their order. One thread calls it.
-  The first event is `Started`, with the record of the saved file, or None and why there is none.
-- Each `SendWatch` is ended by exactly one `WatchReplied` or `WatchFailed`, at `deadline` at the latest; calls
-  of one follower are to different replicas, on connections that may be kept.
-- A record goes `Check` (read whole, nothing changed) -> `Checked`; `Save` (whole file, fsync, rename) ->
-  `Saved`; `Apply` (put into force) -> `Applied`. One record at a time; each step begins only after the
-  step before was told as ok. Saved stands before applied, so that after a crash the version in force is
-  never older than before it.
-- Each step is ended by exactly one event, `STEP_TIMEOUT` after its effect at the latest: what hangs is
-  told as ok=False, and what comes of it later is dropped by the shell.
-- A step that fails is told with ok=False and a `why`: the old record stays in force, the new one is
-  reported as refused and tried again after `RECHECK_DELAY` at the earliest or at a newer record. A failed
+"""A follower: watches two replicas on behalf of a node and applies the configuration they serve.
+
+Contract with the I/O shell:
+
+- `step(now, event)` returns the effects of one event, to be executed in order. One thread calls it. The first
+  event is `Started`, with the saved record, or None and the reason why there is none.
+- Each `SendWatch` is followed by exactly one `WatchReplied` or `WatchFailed`, no later than `deadline`; the
+  calls of one follower go to different replicas, on connections that may be kept open.
+- A record goes through `Check` (validate, change nothing) -> `Checked`; `Save` (complete file, fsync, rename)
+  -> `Saved`; `Apply` (bring into force) -> `Applied`. One record at a time; each step starts only after the
+  previous one succeeded. A record is saved before it is applied, so that after a crash the version in force
+  is never older than before the crash.
+- Each step is followed by exactly one event, no later than `STEP_TIMEOUT` after its effect: the shell reports
+  a hanging step with ok=False and discards its later result.
+- A failed step is reported with ok=False and a `why`: the old record stays in force, the new one is reported
+  as refused and tried again after `RECHECK_DELAY` at the earliest, or when a newer record arrives. A failed
   `Apply` is followed by a `Save` of the old record.
-- `Notice` is a line of the log and nothing else.
-- `HealthReported` may be told at any time by the node's own health check of the version in force.
-- `Tick` is told at `wake_at` or soon after.
+- `Notice` is a log line and has no other effect.
+- `HealthReported` may be passed in at any time by the node's own health check of the version in force.
+- `Tick` is passed in at `wake_at` or soon after.
 """
 
 from dataclasses import dataclass
@@ -28,23 +27,24 @@
 from cottonspread.configstore.watches import REPLY_GRACE, Watches
 
 CUT_OFF_AFTER = 20 * m.SECOND
-"""A node that heard of no replica with a majority for so long is cut off and says so: a watch of 10 s, its
-grace, a failure's pause and the age that a replica itself may tell, without a false alarm."""
+"""A node without contact to any replica that belongs to a majority for this long reports that it is cut off.
+It covers a watch of 10 s, its grace, the delay after a failure and the majority age that a replica may
+report, without a false alarm."""
 RECHECK_DELAY = 60 * m.SECOND
-"""A refused record is asked for again after so long: a check costs a node some milliseconds."""
+"""A refused record is requested again after this time: a check costs a node some milliseconds."""
 MAX_HOLD = 1 * m.SECOND
-"""A node asks again once the record that it was told is in force or refused, so that its next watch reports
-it; no later than this, for a check or a disk may hang."""
+"""A node sends its next watch once the received record is in force or refused, so that the watch reports the
+result; no later than this, because a check or a disk may hang."""
 STEP_TIMEOUT = 5 * m.SECOND
-"""The shell ends a check, save or apply that takes longer as failed: half of what a publisher waits for its
-canaries, so that one that hangs is refused and not merely silent."""
+"""The shell reports a check, save or apply that takes longer as failed: half of what a publisher waits for
+its canaries, so that a hanging step is reported as refused before the publisher stops waiting."""
 NEVER = 2**62
-"""A `wake_at` that nobody needs to meet."""
+"""The `wake_at` when no `Tick` is needed."""
 
 
 @dataclass(frozen=True, slots=True)
 class Started:
-    """The process begins; `saved` is what was in force, None: nothing, or unreadable (`why`)."""
+    """The process starts; `saved` is the record that was in force, None: none, or unreadable (`why`)."""
 
     saved: m.Record | None
     why: str = ""
@@ -52,7 +52,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WatchReplied:
-    """A watch was answered."""
+    """A replica replied to a watch."""
 
     call: int
     answer: m.WatchReply
@@ -60,7 +60,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WatchFailed:
-    """A watch was not answered, or by what cannot be read."""
+    """A watch got no reply or an invalid one."""
 
     call: int
     why: str
@@ -68,7 +68,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Checked:
-    """The end of `Check`."""
+    """Result of `Check`."""
 
     ok: bool
     why: str = ""
@@ -76,7 +76,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Saved:
-    """The end of `Save`."""
+    """Result of `Save`."""
 
     ok: bool
     why: str = ""
@@ -84,7 +84,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Applied:
-    """The end of `Apply`."""
+    """Result of `Apply`."""
 
     ok: bool
     why: str = ""
@@ -92,7 +92,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HealthReported:
-    """The node finds itself well, or ill, with the version in force."""
+    """The node's health check of the version in force passed or failed."""
 
     version: int
     ok: bool
@@ -109,7 +109,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SendWatch:
-    """Watch a replica."""
+    """Send a watch to a replica."""
 
     call: int
     replica: str
@@ -119,21 +119,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Check:
-    """Read this record whole, without changing anything."""
+    """Validate this record without changing anything."""
 
     record: m.Record
 
 
 @dataclass(frozen=True, slots=True)
 class Save:
-    """Keep this record for the next start. None: nothing is in force, remove the file."""
+    """Save this record for the next start. None: nothing is in force, remove the file."""
 
     record: m.Record | None
 
 
 @dataclass(frozen=True, slots=True)
 class Apply:
-    """Put this record into force."""
+    """Bring this record into force."""
 
     record: m.Record
 
@@ -150,7 +150,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Notice:
-    """A line of the log."""
+    """Write a log line."""
 
     kind: NoticeKind
     version: int
@@ -162,7 +162,7 @@
 
 @dataclass(frozen=True, slots=True)
 class View:
-    """What the node's own figures and status show."""
+    """The follower's status, for the node's metrics and status output."""
 
     version: int
     generation: int
@@ -171,11 +171,11 @@
     why: str
     cut_off: bool
     contact_age_us: int | None
-    """Since a replica with a majority was last heard; None: never."""
+    """Time since the last contact with a replica that belongs to a majority; None: never."""
 
 
 class _Phase(StrEnum):
-    """Where the record under way is."""
+    """Progress of the record being processed."""
 
     CHECKING = "checking"
     SAVING = "saving"
@@ -184,31 +184,31 @@
 
 
 class Follower:
-    """One node.
+    """The follower of one node.
 
-    `wake_at`: when `Tick` is wanted next.
+    `wake_at`: when the next `Tick` is due.
     """
 
     def __init__(self, node: str, replicas: tuple[str, ...], uniform):
-        """`uniform()`: at least 0, below 1, from a seed."""
+        """`uniform()`: seeded random numbers in [0, 1)."""
         self.node, self.wake_at = node, 0
         self._watches = Watches(node, replicas, uniform)
         self._in_force: m.Record | None = None
-        self._min_version = 0  # no version below was ever in force here
-        self._seen_generation = 0  # generation of the newest record that was looked at
+        self._min_version = 0  # no version below this was ever in force here
+        self._seen_generation = 0  # of the newest record that was processed
         self._refused: m.Record | None = None
         self._refused_why, self._failing, self._failing_why = "", 0, ""
         self._recheck_at: int | None = None
         self._current: m.Record | None = None
         self._phase: _Phase | None = None
-        self._restoring_saved = False  # the record under way is the saved one
-        self._queued: m.Record | None = None  # the newest that came meanwhile
+        self._restoring_saved = False  # the current record is the saved one
+        self._queued: m.Record | None = None  # the newest record received meanwhile
         self._last_contact: int | None = None
         self._started, self._was_cut_off, self._hold_until = 0, False, 0
         self._effects: list[Effect] = []
 
     def step(self, now: int, event: Event) -> list[Effect]:
-        """What follows from an event."""
+        """Returns the effects of an event."""
         self._effects = []
         match event:
             case Started():
@@ -228,7 +228,7 @@
         return self._effects
 
     def view(self, now: int) -> View:
-        """How it stands."""
+        """Returns the follower's status."""
         record = self._in_force
         return View(
             version=record.version if record else 0,
@@ -241,7 +241,7 @@
         )
 
     def is_cut_off(self, now: int) -> bool:
-        """No replica that is one of a majority was heard for `CUT_OFF_AFTER`."""
+        """Whether there was no contact to a replica with a majority for `CUT_OFF_AFTER`."""
         return now - (self._started if self._last_contact is None else self._last_contact) > CUT_OFF_AFTER
 
     # Start
@@ -280,14 +280,14 @@
             self._last_contact = now - age
 
     def _why_distrusted(self, answer: m.WatchReply, since: int) -> str:
-        """Why the answer is not to be trusted, or empty."""
+        """Returns why the answer cannot be trusted, or an empty string."""
         record = answer.record
         if record is None:
             return ""
         if not record.is_valid():
             return "damaged record"
         if record.generation <= since:
-            return "older than asked for"
+            return "older than requested"
         if not record.applies_to(self.node):
             return f"not for this node at stage {record.stage.name}"
         for known in (self._in_force, self._current, self._queued, self._refused):
@@ -306,7 +306,7 @@
 
     def _start_or_update(self, record: m.Record) -> None:
         if self._in_force is not None and record.version == self._in_force.version:
-            self._in_force = record  # at another stage
+            self._in_force = record  # the same version at another stage
         else:
             self._start_check(record)
 
@@ -355,7 +355,7 @@
         self._next()
 
     def _refuse(self, now: int, why: str) -> None:
-        self._refused, self._refused_why = self._current, (why or "no reason told")[: m.MAX_WHY_LENGTH]
+        self._refused, self._refused_why = self._current, (why or "no reason given")[: m.MAX_WHY_LENGTH]
         self._recheck_at = now + RECHECK_DELAY
         self._effects.append(Notice(NoticeKind.REFUSED, self._refused.version, self._refused_why))
         self._watches.report_soon()
@@ -367,8 +367,9 @@
             self._start_or_update(record)
 
     def _recheck(self, now: int) -> None:
-        """A refusal may have had a cause that is gone, such as a full disk: what is newer than the version in
-        force is asked for again, and told if it still stands.
+        """Requests records newer than the version in force again some time after a refusal.
+
+        The cause of the refusal may have passed, such as a full disk.
         """
         if self._recheck_at is None or self._recheck_at > now or self._current is not None:
             return
@@ -397,7 +398,7 @@
             self._effects.append(SendWatch(call, replica, request, now + timeout + REPLY_GRACE))
 
     def _is_holding(self, now: int) -> bool:
-        """The next watch waits a little, for it is to report what became of the record under way."""
+        """Whether the next watch is delayed so that it can report the result of the current record."""
         return self._current is not None and now < self._hold_until
 
     def _report(self, now: int) -> m.NodeReport:
--- a/cottonspread/configstore/majority.py
+++ b/cottonspread/configstore/majority.py
@@ -1,37 +1,37 @@
-"""What a publisher makes of the states that a majority of replicas told, and which nodes are canaries."""
+"""The combined state of a majority of replicas, as a publisher sees it, and the choice of canaries."""
 
 from dataclasses import dataclass
 
 from cottonspread.configstore import messages as m
 
 REPORT_MAX_AGE = 15 * m.SECOND
-"""A node whose report is older, and that has no watch open, is not chosen as a canary: it may be gone."""
+"""A node with an older report and no open watch is not chosen as a canary: it may have been removed."""
 CANARIES_PERCENT = 2
 MIN_CANARIES = 2
-"""Nodes that go first: 9 of 420. One alone could be ill for a reason of its own."""
+"""Minimum number of canaries (2 % of 420 nodes are 9). A single one could fail for an unrelated reason."""
 
 
 @dataclass(frozen=True, slots=True)
 class MajorityState:
-    """States of a majority, summed up."""
+    """The combined state of a majority."""
 
     highest: m.Position
-    """The highest that any of them accepted. Of two of one generation the later stage: where it is disputed
-    whether a version goes everywhere or is withdrawn, to withdraw it is harmless."""
+    """The highest position that any of them accepted. Of two with the same generation, the later stage: if
+    it is open whether a version is released everywhere or withdrawn, withdrawing it is harmless."""
     committed: m.Record | None
     good: m.Record | None
-    """The newest record at stage EVERYWHERE, committed or accepted: its canaries had it in force."""
+    """The newest record at stage EVERYWHERE, committed or accepted: its canaries had applied it."""
     nodes: tuple[str, ...]
-    """Nodes heard lately, by name."""
+    """Names of nodes with a recent report, sorted."""
 
     @property
     def committed_generation(self) -> int:
-        """0 for none."""
+        """Generation of the committed record; 0: none."""
         return self.committed.generation if self.committed else 0
 
 
 def summarize_replies(replies: list[m.StateReply]) -> MajorityState:
-    """What a majority's replies say together."""
+    """Combines the replies of a majority."""
     positions = [reply.accepted for reply in replies]
     highest = max(positions, key=lambda position: (position.generation, position.version, position.stage))
     records = [reply.accepted_record for reply in replies]
@@ -64,12 +64,12 @@
 
 
 def canary_threshold(nodes: tuple[str, ...], version: int) -> int:
-    """The `canary_below` that makes so many of these nodes canaries as the constants say; 0 without nodes."""
+    """Returns the `canary_below` that selects the configured number of these nodes; 0 without nodes."""
     count = max(MIN_CANARIES, -(-len(nodes) * CANARIES_PERCENT // 100))
     hashes = sorted(m.canary_hash(node, version) for node in nodes)[:count]
     return hashes[-1] + 1 if hashes else 0
 
 
 def canaries_of(nodes: tuple[str, ...], record: m.Record) -> tuple[str, ...]:
-    """Those of the nodes that are canaries for this record."""
+    """Returns those of the nodes that are canaries for this record."""
     return tuple(node for node in nodes if m.canary_hash(node, record.version) < record.canary_below)
--- a/cottonspread/configstore/messages.py
+++ b/cottonspread/configstore/messages.py
@@ -1,12 +1,12 @@
-"""What replicas, followers and publishers say to each other: frozen structs with their JSON form.
+"""Messages between replicas, followers and publishers: frozen structs and their JSON encoding.
 
-Every field is checked when it is read (`decode`), with a bound on each size. A *generation* counts every
-state that was ever proposed: a version at a stage. A *version* counts bodies. Both only grow, and of two
-committed records the one with the higher generation never has the lower version.
+`decode` validates every field and bounds each size. A *generation* numbers every proposed state, that is, a
+version at a stage. A *version* numbers bodies. Both only increase, and of two committed records the one with
+the higher generation never has the lower version.
 
-Ways (HTTP/1.1, JSON bodies):
+Endpoints (HTTP/1.1, JSON bodies):
 
-| way | asks | answers |
+| endpoint | client | reply |
 | --- | --- | --- |
 | `GET /api/configuration?...` (`WatchRequest` as query, see `to_query`) | follower | `WatchReply` |
 | `POST /api/configuration/accept` | publisher | `AcceptReply` |
@@ -26,15 +26,15 @@
 MILLISECOND = 1_000
 
 MAX_BODY_LENGTH = 256 * 1024
-"""Characters of a body: thirty times the largest operator's file met so far."""
+"""Characters of a body: thirty times the largest operator's file seen so far."""
 MAX_MESSAGE_BYTES = 4 * 1024 * 1024
-"""Bytes of a message: two bodies escaped as JSON, and the reports of `MAX_NODES` nodes."""
+"""Bytes of a message: enough for two JSON-escaped bodies and the reports of `MAX_NODES` nodes."""
 MAX_NAME_LENGTH = 128
 MAX_WHY_LENGTH = 200
 MAX_NODES = 2_000
-"""Nodes whose reports a replica keeps: nearly five times the fleet it is made for."""
+"""Nodes whose reports a replica keeps: nearly five times the fleet size it is designed for."""
 MAX_NUMBER = 2**53 - 1
-"""The largest number that every JSON reader keeps exactly."""
+"""The largest integer that every JSON parser represents exactly."""
 MAX_WATCH_MS = 60_000
 
 Number = Annotated[int, Meta(ge=0, le=MAX_NUMBER)]
@@ -47,11 +47,11 @@
 
 
 class MessageError(ValueError):
-    """A message that cannot be used; it says which field and why."""
+    """An invalid message; the text names the field and the reason."""
 
 
 class Stage(IntEnum):
-    """How far a committed version may go."""
+    """How far a committed version is rolled out."""
 
     CANARY = 1
     EVERYWHERE = 2
@@ -59,70 +59,73 @@
 
 
 class Message(msgspec.Struct, frozen=True):
-    """Base of all; unknown fields are passed over, so that old and new releases understand each other."""
+    """Base class; unknown fields are ignored, so that old and new releases understand each other."""
 
 
 class Position(Message, frozen=True, kw_only=True, omit_defaults=True):
-    """Which state a replica holds, without its body; the compare-and-set of `Accept` compares it."""
+    """Identifies a replica's state without its body; the compare-and-set of `Accept` compares it."""
 
     generation: Number = 0
     version: Number = 0
     stage: Stage = Stage.EVERYWHERE
     checksum: Annotated[str, Meta(pattern=r"\A([0-9a-f]{16})?\Z")] = field(default="", name="seal")
-    """Of the record: two proposals of one generation differ in it."""
+    """The record's checksum; it tells two proposals of one generation apart. JSON key: seal."""
 
 
 EMPTY_POSITION = Position()
-"""The position of a replica that holds nothing."""
+"""The position of a replica without any record."""
 
 
 class Record(Message, frozen=True, kw_only=True, omit_defaults=True):
-    """A version at a stage, whole."""
+    """A version at a stage, with its body."""
 
     generation: Annotated[int, Meta(ge=1, le=MAX_NUMBER)]
     version: Annotated[int, Meta(ge=1, le=MAX_NUMBER)]
     stage: Stage
     canary_below: Threshold
-    """A node whose `canary_hash` for this version lies below is a canary."""
+    """A node is a canary if its `canary_hash` for this version is below this threshold."""
     digest: Digest
-    """SHA-256 of the body in UTF-8."""
+    """SHA-256 of the UTF-8 body, in hexadecimal."""
     checksum: Checksum = field(name="seal")
-    """Checksum of all fields but the body, so that a damaged number is noticed like a damaged body."""
+    """Checksum of all fields but the body, so that a corrupt number is detected like a corrupt body.
+
+    JSON key: seal.
+    """
     body: Body
 
     @property
     def position(self) -> Position:
-        """The same without body."""
+        """The record's position, without the body."""
         return Position(
             generation=self.generation, version=self.version, stage=self.stage, checksum=self.checksum
         )
 
     def is_valid(self) -> bool:
-        """Digest and checksum fit what the record says."""
+        """Whether digest and checksum match the record's contents."""
         return self.digest == digest_of(self.body) and self.checksum == checksum_of(
             self.generation, self.version, self.stage, self.canary_below, self.digest
         )
 
     def applies_to(self, node: str) -> bool:
-        """The node may put it into force at this stage."""
+        """Whether the node may apply the record at this stage."""
         if self.stage == Stage.EVERYWHERE:
             return True
         return self.stage == Stage.CANARY and canary_hash(node, self.version) < self.canary_below
 
 
 def digest_of(body: str) -> str:
-    """SHA-256 of a body, in hexadecimal."""
+    """Returns the SHA-256 of a body, in hexadecimal."""
     return hashlib.sha256(body.encode("utf-8", "surrogatepass")).hexdigest()
 
 
 def checksum_of(generation: int, version: int, stage: int, canary_below: int, digest: str) -> str:
-    """Checksum of a record's head."""
+    """Returns the checksum of a record's fields other than the body."""
     head = f"{generation} {version} {int(stage)} {canary_below} {digest}"
     return hashlib.blake2b(head.encode(), digest_size=8).hexdigest()
 
 
 def make_record(generation: int, version: int, stage: Stage, canary_below: int, body: str) -> Record:
-    """A record with its digest and checksum."""
+    """Creates a record with its digest and checksum."""
     digest = digest_of(body)
     return Record(
         generation=generation,
@@ -136,58 +139,61 @@
 
 
 def canary_hash(node: str, version: int) -> int:
-    """Below 2 to the 32; other nodes for each version, so that it is not always the same that go first."""
+    """Returns a hash below 2**32 that ranks nodes differently for each version.
+
+    So the canaries are not the same nodes each time.
+    """
     return int.from_bytes(hashlib.sha256(f"{version}:{node}".encode()).digest()[:4], "big")
 
 
 class NodeReport(Message, frozen=True, kw_only=True, omit_defaults=True):
-    """What a node says of itself with each watch."""
+    """A node's own status, sent with each watch."""
 
     node: Name
     in_force: Number = 0
-    """Version in force; 0: none."""
+    """Version in force (applied and running); 0: none."""
     refused: Number = 0
-    """Version that the node last refused, or could not put into force; 0: none since its last change."""
+    """Version that the node last refused or failed to apply; 0: none since its last change."""
     failing: Number = 0
-    """Version in force with which the node finds itself ill (see `follower.HealthReported`); 0: none."""
+    """Version in force with which the node is unhealthy (see `follower.HealthReported`); 0: none."""
     why: Why = ""
-    """Of `refused` or `failing`."""
+    """Reason for `refused` or `failing`."""
     cut_off: bool = False
-    """The node had been cut off (see `follower.CUT_OFF_AFTER`) when it asked."""
+    """The node was cut off from the store (see `follower.CUT_OFF_AFTER`) when it sent the report."""
 
 
 class WatchRequest(Message, frozen=True, kw_only=True, omit_defaults=True):
-    """A follower's watch: answered at once where there is news for it, else at news or after `timeout_ms`."""
+    """A follower's long poll: answered once a newer record exists for it, or after `timeout_ms`."""
 
     since: Number
-    """Generation of the newest record that the follower has considered; 0: none."""
+    """Generation of the newest record that the follower has processed; 0: none."""
     timeout_ms: Annotated[int, Meta(ge=0, le=MAX_WATCH_MS)]
     report: NodeReport
 
 
 class WatchReply(Message, frozen=True, kw_only=True, omit_defaults=True):
-    """Answer to a watch, in the list protocol's shape."""
+    """Reply to a watch, with the same fields as the host list protocol."""
 
     generation: Number
-    """Of the record that this node would be given now."""
+    """Generation of the newest record for this node."""
     reset: bool = False
-    """True: `record` is the whole of it."""
+    """True: `record` is the complete state."""
     record: Record | None = None
     """None: nothing newer than `since`."""
     majority_age_us: Number | None = None
-    """How long ago the replica was last known to be one of a majority; None: not since its start."""
+    """Time since the replica last knew that it belongs to a majority; None: not since its start."""
     replica: Name
 
 
 class Accept(Message, frozen=True, kw_only=True, omit_defaults=True):
-    """Publisher: take this record as proposed, if the highest position that you ever accepted is `base`."""
+    """From a publisher: accept this proposed record if the highest position ever accepted is `base`."""
 
     base: Position
     record: Record
 
 
 class AcceptReply(Message, frozen=True, kw_only=True, omit_defaults=True):
-    """Whether it was taken, and the highest position accepted now."""
+    """Whether the record was accepted, and the highest position accepted now."""
 
     accepted: bool
     position: Position
@@ -195,13 +201,13 @@
 
 
 class Commit(Message, frozen=True, kw_only=True, omit_defaults=True):
-    """This record was accepted by a majority: serve it."""
+    """From a publisher: a majority accepted this record; commit and serve it."""
 
     record: Record
 
 
 class CommitReply(Message, frozen=True, kw_only=True, omit_defaults=True):
-    """True: this record or a newer one is committed here, durably."""
+    """Whether this record or a newer one is durably committed at the replica."""
 
     committed: bool
     generation: Number
@@ -209,18 +215,18 @@
 
 
 class ReadState(Message, frozen=True, kw_only=True, omit_defaults=True):
-    """Asks for a replica's state."""
+    """Request for a replica's state."""
 
     since: Number = 0
-    """Records accepted or committed up to this generation are left out."""
+    """Records accepted or committed up to this generation are omitted."""
     good_since: Number = 0
-    """`good` up to this generation is left out."""
+    """`good` up to this generation is omitted."""
     timeout_ms: Annotated[int, Meta(ge=0, le=MAX_WATCH_MS)] = 0
-    """Wait so long for something committed over these (the other replicas ask so); 0: answer now."""
+    """Long poll: wait this long for a commit newer than these (used by the other replicas); 0: reply now."""
     reports: bool = False
-    """With the nodes' reports."""
+    """Include the nodes' reports."""
     nodes: Annotated[list[Name], Meta(max_length=MAX_NODES)] = []
-    """Reports of these alone; empty: of all."""
+    """Only the reports of these nodes; empty: of all."""
 
 
 class ReceivedReport(Message, frozen=True, kw_only=True, omit_defaults=True):
@@ -228,9 +234,9 @@
 
     report: NodeReport
     age_us: Number
-    """Since it was heard."""
+    """Time since the report was received."""
     watching: bool
-    """The node has a watch open at this replica now."""
+    """Whether the node has a watch open at this replica now."""
 
 
 class StateReply(Message, frozen=True, kw_only=True, omit_defaults=True):
@@ -238,22 +244,22 @@
 
     replica: Name
     accepted: Position
-    """The highest ever accepted."""
+    """The highest position ever accepted."""
     accepted_record: Record | None = None
-    """With its body; None: none, or not over `since`."""
+    """The accepted record with its body; None: none, or not newer than `since`."""
     committed: Record | None = None
-    """None: none, or not over `since`."""
+    """None: none, or not newer than `since`."""
     committed_generation: Number = 0
     good: Record | None = None
-    """The newest committed EVERYWHERE; None: none, or not over `since`."""
+    """The newest record committed at stage EVERYWHERE; None: none, or not newer than `good_since`."""
     majority_age_us: Number | None = None
     reports: Annotated[list[ReceivedReport], Meta(max_length=MAX_NODES)] = []
     reports_dropped: Number = 0
-    """Reports of nodes beyond `MAX_NODES` that were not kept."""
+    """Reports discarded because `MAX_NODES` other nodes were already kept."""
 
 
 class ReplicaState(Message, frozen=True, kw_only=True, omit_defaults=True):
-    """What a replica must have on its disk before it acknowledges."""
+    """What a replica must have stored durably before it acknowledges a write."""
 
     accepted: Record | None = None
     committed: Record | None = None
@@ -261,14 +267,17 @@
 
 
 def encode(message: Message) -> bytes:
-    """Its JSON."""
+    """Encodes a message as JSON."""
     return msgspec.json.encode(message)
 
 
 def decode(data: bytes, kind: type):
-    """A message of that kind; MessageError where it is too long, no JSON, or a field is out of its bounds."""
+    """Decodes a message of type `kind`.
+
+    Raises MessageError if it is too long, not JSON, or a field is out of bounds.
+    """
     if len(data) > MAX_MESSAGE_BYTES:
-        raise MessageError(f"{kind.__name__}: {len(data)} bytes")
+        raise MessageError(f"{kind.__name__}: {len(data)} bytes exceed the limit")
     try:
         return msgspec.json.decode(data, type=kind)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as fault:
@@ -276,7 +285,7 @@
 
 
 def to_query(request: WatchRequest) -> str:
-    """A watch as the query of its URL; defaults are left out."""
+    """Returns a watch as a URL query; defaults are omitted."""
     pairs = {"since": request.since, "timeout_ms": request.timeout_ms}
     report = msgspec.to_builtins(request.report)
     pairs |= {key: int(value) if isinstance(value, bool) else value for key, value in report.items()}
@@ -288,9 +297,9 @@
 
 
 def from_query(query: str) -> WatchRequest:
-    """The watch that a query asks; MessageError where a field is faulty."""
+    """Parses a watch from a URL query. Raises MessageError if a field is invalid."""
     if len(query) > MAX_QUERY_LENGTH:
-        raise MessageError(f"query: {len(query)} characters")
+        raise MessageError(f"query: {len(query)} characters exceed the limit")
     try:
         pairs = dict(parse_qsl(query, keep_blank_values=True, strict_parsing=True, max_num_fields=32))
         nested = {key: pairs[key] for key in QUERY_FIELDS & pairs.keys()}
--- a/cottonspread/configstore/overview.py
+++ b/cottonspread/configstore/overview.py
@@ -1,4 +1,4 @@
-"""What staff are shown: the replicas' states summed up, and where each node stands. Pure."""
+"""The status shown to operators: a summary of the replicas' states and of all nodes. Pure functions."""
 
 from dataclasses import dataclass
 
@@ -6,12 +6,12 @@
 from cottonspread.configstore.majority import REPORT_MAX_AGE
 
 MAX_NAMES = 10
-"""Nodes named in each group; the rest is a number."""
+"""Nodes listed by name in each group; the rest is only counted."""
 
 
 @dataclass(frozen=True)
 class ReplicaStatus:
-    """One replica."""
+    """Status of one replica."""
 
     name: str
     up: bool
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True)
 class NodeStatus:
-    """One node that is not in force, and why."""
+    """A node that does not run the committed version, and why."""
 
     name: str
     version: int
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True)
 class Overview:
-    """All of it. Each node heard of is in exactly one of the five."""
+    """The complete status. Each known node is in exactly one of the five groups."""
 
     version: int
     stage: str
@@ -42,14 +42,14 @@
     replicas: list[ReplicaStatus]
     in_force: int
     waiting: list[NodeStatus]
-    """At stage CANARY: nodes whose turn has not come."""
+    """Nodes to which the committed record does not apply at its current stage."""
     behind: list[NodeStatus]
     refused: list[NodeStatus]
     not_heard: list[NodeStatus]
 
 
 def summarize(states: dict) -> Overview:
-    """`states`: by replica its StateReply, or the fault of its call."""
+    """Summarizes `states`: each replica's StateReply, or the error of its call."""
     replies = [state for state in states.values() if isinstance(state, m.StateReply)]
     committed = max(
         (reply.committed for reply in replies if reply.committed is not None),
@@ -72,7 +72,7 @@
 
 
 def newest_reports(replies: list[m.StateReply]) -> list[m.ReceivedReport]:
-    """The newest word of each node, by name; of an open watch it is of now."""
+    """Returns each node's newest report, by name; `watching` is set if any replica has its watch open."""
     newest = {}
     for reply in replies:
         for heard in reply.reports:
@@ -87,7 +87,7 @@
 
 
 def group_of(heard: m.ReceivedReport, committed: m.Record | None) -> str:
-    """Where a node stands."""
+    """Returns the name of the group that a node belongs to."""
     report = heard.report
     if not heard.watching and heard.age_us > REPORT_MAX_AGE or report.cut_off:
         return "not_heard"
@@ -101,7 +101,7 @@
 
 
 def replica_status(name: str, state) -> ReplicaStatus:
-    """One replica's part."""
+    """Returns the status of one replica from its reply or error."""
     if not isinstance(state, m.StateReply):
         return ReplicaStatus(name, up=False, why=str(state))
     committed = state.committed
@@ -116,7 +116,7 @@
 
 
 def format_overview(overview: Overview) -> list[str]:
-    """The same as text."""
+    """Formats the overview as lines of text."""
     stage = f" at stage {overview.stage}" if overview.stage else ""
     out = [
         f"version {overview.version}{stage}; "
@@ -137,13 +137,13 @@
 
 
 def node_text(node: NodeStatus) -> str:
-    """One node."""
+    """Formats the status of one node."""
     why = f": {node.why}" if node.why else ""
     return f"{node.name} version {node.version}, heard {node.age_us / m.SECOND:.1f} s ago{why}"
 
 
 def replica_text(one: ReplicaStatus) -> str:
-    """One replica."""
+    """Formats the status of one replica."""
     if not one.up:
         return f"replica {one.name}: does not answer: {one.why}"
     age = "never" if one.majority_age_us is None else f"{one.majority_age_us / m.SECOND:.1f} s ago"
--- a/cottonspread/configstore/peers.py
+++ b/cottonspread/configstore/peers.py
@@ -1,24 +1,24 @@
-"""When a replica asks the others, and how long ago it last was one of a majority."""
+"""When a replica calls its peers, and how long ago it last belonged to a majority."""
 
 from dataclasses import dataclass
 
 from cottonspread.configstore.messages import MILLISECOND, SECOND
 
 PEER_WATCH_TIMEOUT = 1 * SECOND
-"""A watch of another replica. It bounds the age that followers are told. Three machines ask each other six
-times a second in all, beside 84 watches a second of 420 nodes."""
+"""Timeout of a watch at a peer. It bounds the majority age reported to followers. Three replicas make six
+such calls per second in total, beside 84 watches per second from 420 nodes."""
 PEER_REPLY_GRACE = 1 * SECOND
-"""An answer may take so much longer, between regions, before the call is given up."""
+"""Extra time for a reply beyond the timeout, for latency between regions."""
 PEER_CALL_DELAY = 50 * MILLISECOND
-"""At least, between an answer and the next call: a peer that always has news costs 20 calls a second."""
+"""Delay between a reply and the next call: a peer that always has news costs 20 calls/s."""
 PEER_RETRY_DELAY = 250 * MILLISECOND
 MAX_PEER_RETRY_DELAY = 2 * SECOND
-"""After failures in a row the pause doubles from the one to the other, a quarter of it drawn."""
+"""After consecutive failures the delay doubles from `PEER_RETRY_DELAY` up to this, a quarter of it random."""
 
 
 @dataclass(slots=True)
 class Peer:
-    """One other replica."""
+    """State of the calls to one other replica."""
 
     name: str
     next_call_at: int = 0
@@ -28,15 +28,16 @@
 
 
 class Peers:
-    """The others."""
+    """The calls of one replica to its peers."""
 
     def __init__(self, names: tuple[str, ...], uniform):
+        """`names`: the other replicas. `uniform()`: seeded random numbers in [0, 1)."""
         self._peers = [Peer(name) for name in names]
         self._calls: dict[int, Peer] = {}
         self._uniform, self._call = uniform, 0
 
     def due(self, now: int):
-        """Whom to ask now, each as (call, name)."""
+        """Yields the calls to make now as (call, name)."""
         for peer in self._peers:
             if peer.call is None and peer.next_call_at <= now:
                 self._call += 1
@@ -45,7 +46,7 @@
                 yield self._call, peer.name
 
     def replied(self, now: int, call: int) -> bool:
-        """False: nobody waits for that call."""
+        """Records a reply; returns False if the call is not open."""
         peer = self._calls.pop(call, None)
         if peer is None:
             return False
@@ -54,7 +55,7 @@
         return True
 
     def failed(self, now: int, call: int) -> None:
-        """The call has no answer."""
+        """Records a failed call."""
         peer = self._calls.pop(call, None)
         if peer is None:
             return
@@ -64,7 +65,10 @@
         peer.next_call_at = now + pause * 3 // 4 + int(pause / 4 * self._uniform())
 
     def majority_age(self, now: int) -> int | None:
-        """Since so many others were last heard as make a majority with oneself; None: not yet."""
+        """Returns the time since enough peers last replied to form a majority with this replica.
+
+        None: not yet.
+        """
         needed = (len(self._peers) + 1) // 2
         if needed == 0:
             return 0
@@ -74,5 +78,5 @@
         return now - heard[needed - 1] if len(heard) >= needed else None
 
     def next_call_at(self) -> int | None:
-        """When somebody is to be asked next; None: all calls are under way."""
+        """Returns when the next call is due; None if all calls are open."""
         return min((peer.next_call_at for peer in self._peers if peer.call is None), default=None)
--- a/cottonspread/configstore/pending.py
+++ b/cottonspread/configstore/pending.py
@@ -1,4 +1,4 @@
-"""Requests that wait until a time, with the earliest at hand."""
+"""Pending requests with deadlines, in a heap ordered by deadline."""
 
 import heapq
 from dataclasses import dataclass
@@ -6,33 +6,35 @@
 from cottonspread.configstore import messages as m
 
 HEAP_SLACK = 64
-"""Entries of ended waits that are left in the heap before it is made anew."""
+"""Stale entries allowed in the heap before it is rebuilt."""
 
 
 @dataclass(slots=True)
 class PendingRequest:
-    """One request that waits."""
+    """One pending request."""
 
     message: m.WatchRequest | m.ReadState
     deadline: int
 
 
 class PendingRequests:
-    """Requests by number. What an end costs does not grow with how many wait."""
+    """Pending requests by number. The cost of removing one does not depend on how many are pending."""
 
     def __init__(self):
+        """Starts without requests."""
         self._requests: dict[int, PendingRequest] = {}
         self._heap: list[tuple[int, int]] = []
 
     def __len__(self) -> int:
+        """Number of pending requests."""
         return len(self._requests)
 
     def __iter__(self):
-        """The requests that wait, oldest first; may be ended on the way."""
+        """Iterates over the pending requests, oldest first; they may be removed meanwhile."""
         return iter(list(self._requests.items()))
 
     def add(self, request: int, message, deadline: int) -> None:
-        """A request waits from now on."""
+        """Adds a request with its deadline."""
         self._requests[request] = PendingRequest(message, deadline)
         heapq.heappush(self._heap, (deadline, request))
         if len(self._heap) > 2 * len(self._requests) + HEAP_SLACK:
@@ -40,11 +42,11 @@
             heapq.heapify(self._heap)
 
     def remove(self, request: int) -> PendingRequest | None:
-        """It waits no more; None: it did not."""
+        """Removes a request; returns None if it was not pending."""
         return self._requests.pop(request, None)
 
     def next_deadline(self) -> int | None:
-        """When the first of them ends; None: none waits."""
+        """Returns the earliest deadline; None if nothing is pending."""
         while self._heap:
             deadline, request = self._heap[0]
             wait = self._requests.get(request)
@@ -54,7 +56,7 @@
         return None
 
     def pop_expired(self, now: int):
-        """Those whose time has come, ended, each as (request, wait)."""
+        """Removes the requests whose deadline has passed and yields them as (request, wait)."""
         while (deadline := self.next_deadline()) is not None and deadline <= now:
             _, request = heapq.heappop(self._heap)
             yield request, self._requests.pop(request)
--- a/cottonspread/configstore/publisher.py
+++ b/cottonspread/configstore/publisher.py
@@ -1,13 +1,13 @@
-"""A publisher: one run of the staff's command that drives one change through its stages.
+"""A publisher: one run of the operator's command, which takes one change through its stages.
 
-Seam for the shell:
+Contract with the I/O shell:
 
-- `step(now, event)` gives the effects of one event, to be carried out in their order. The first event is
-  `Started`; the run is over with `Done`, after which further events give nothing.
-- Each `Call` is ended by exactly one `Replied` or `CallFailed`, at `deadline` at the latest.
-- Nothing is kept on the publisher's own disk: a publisher that dies leaves the stage as it is, and another
-  one with `Resume` or `Withdraw` reads all it needs from the replicas.
-- `Tick` is told at `wake_at` or soon after.
+- `step(now, event)` returns the effects of one event, to be executed in order. The first event is `Started`;
+  the run ends with `Done`, after which further events have no effect.
+- Each `Call` is followed by exactly one `Replied` or `CallFailed`, no later than `deadline`.
+- The publisher stores nothing on its own disk: if it dies, the stage stays as it is, and another publisher
+  with `Resume` or `Withdraw` reads all it needs from the replicas.
+- `Tick` is passed in at `wake_at` or soon after.
 """
 
 from dataclasses import dataclass
@@ -19,15 +19,15 @@
 from cottonspread.configstore.majority import MajorityState, canaries_of, canary_threshold, summarize_replies
 
 PHASE_TIMEOUT = 5 * m.SECOND
-"""Without a majority's replies for so long a run ends with NO_QUORUM; five calls to a replica fit into it."""
+"""Without replies from a majority for this long a run ends with NO_QUORUM; five calls to a replica fit in."""
 POLL_INTERVAL = 100 * m.MILLISECOND
-"""Between two looks at the canaries' reports."""
+"""Between two reads of the canaries' reports, and between two attempts of a refused commit."""
 MAX_ROUNDS = 8
-"""Proposals of one run that lost against another publisher's before it gives up."""
+"""Proposals of one run that may lose against another publisher's before the run gives up."""
 CONFLICT_BACKOFF = 200 * m.MILLISECOND
-"""Up to so much, drawn, and doubling with each lost round, so that one of two publishers gets through."""
+"""Upper bound of a random delay that doubles with each lost round, so that one of two publishers succeeds."""
 NEVER = 2**62
-"""A `wake_at` that nobody needs to meet."""
+"""The `wake_at` when no `Tick` is needed."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -41,12 +41,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Resume:
-    """Go on with the version that a dead publisher left at its stage."""
+    """Continue with the version that a dead publisher left at its stage."""
 
 
 @dataclass(frozen=True, slots=True)
 class Withdraw:
-    """Withdraw the version at stage CANARY and publish the body before it as a new version."""
+    """Withdraw the version at stage CANARY and publish the previous body as a new version."""
 
 
 Command = Publish | Resume | Withdraw
@@ -54,7 +54,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Started:
-    """The run begins."""
+    """The run starts."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -67,7 +67,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CallFailed:
-    """A replica could not be asked, or replied what cannot be read."""
+    """A call to a replica failed, or its reply was invalid."""
 
     call: int
     why: str
@@ -83,7 +83,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Call:
-    """Ask a replica."""
+    """Call a replica."""
 
     call: int
     replica: str
@@ -92,7 +92,7 @@
 
 
 class Step(StrEnum):
-    """How far a run is."""
+    """The current step of a run."""
 
     READING = "reading"
     PROPOSING = "proposing"
@@ -102,7 +102,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Progress:
-    """A line for staff."""
+    """A progress line for operators."""
 
     step: Step
     version: int
@@ -114,17 +114,17 @@
     """How a run ended."""
 
     IN_FORCE = "in-force"
-    """Committed EVERYWHERE by a majority."""
+    """Committed at stage EVERYWHERE by a majority."""
     WITHDRAWN = "withdrawn"
-    """Canaries refused or stayed silent; the body before it is committed EVERYWHERE as a new version."""
+    """Canaries refused it or stayed silent; the previous body is committed EVERYWHERE as a new version."""
     SUPERSEDED = "superseded"
     """Another publisher's change came first."""
     NO_QUORUM = "no-quorum"
-    """No majority of replicas answered in time; what was begun may be left and is resumed or superseded."""
+    """No majority of replicas replied in time; an unfinished change can be resumed or superseded."""
     NO_CANARIES = "no-canaries"
-    """No node has reported, so none could try it; nothing was changed."""
+    """No node has reported recently, so there are no canaries; nothing was changed."""
     UNDER_WAY = "under-way"
-    """Another version is at its canaries: wait for its publisher, or resume or withdraw it. Nothing was
+    """Another version is at stage CANARY: wait for its publisher, or resume or withdraw it. Nothing was
     changed."""
     NOTHING = "nothing"
     """Nothing to resume or withdraw."""
@@ -132,7 +132,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Done:
-    """The end."""
+    """The run has ended."""
 
     outcome: Outcome
     version: int
@@ -144,7 +144,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _NewVersion:
-    """The goal of a round: a body under a version that nobody has used."""
+    """The goal of a round: a body under a version number not used before."""
 
     body: str
     stage: m.Stage
@@ -152,20 +152,20 @@
 
 @dataclass(frozen=True, slots=True)
 class _ChangeStage:
-    """The goal of a round: the committed version at its next stage."""
+    """The goal of a round: the committed version at another stage."""
 
     record: m.Record
     stage: m.Stage
 
 
 class Publisher:
-    """One run.
+    """One run of a publisher.
 
-    `wake_at`: when `Tick` is wanted next. A round is: read a majority's states, propose, commit.
+    `wake_at`: when the next `Tick` is due. A round is: read a majority's states, propose, commit.
     """
 
     def __init__(self, replicas: tuple[str, ...], command: Command, uniform):
-        """`uniform()`: at least 0, below 1, from a seed."""
+        """`uniform()`: seeded random numbers in [0, 1)."""
         self.wake_at = 0
         self._replicas, self._command, self._uniform = replicas, command, uniform
         self._majority = len(replicas) // 2 + 1
@@ -185,7 +185,7 @@
         self._effects: list[Effect] = []
 
     def step(self, now: int, event: Event) -> list[Effect]:
-        """What follows from an event."""
+        """Returns the effects of an event."""
         self._effects = []
         if self._done:
             return self._effects
@@ -254,7 +254,7 @@
 
     def _finish(self, outcome: Outcome, why: str = "", version: int | None = None) -> None:
         if self._withdraw_reason is not None and outcome != Outcome.WITHDRAWN:
-            why = f"{why} (on the way back: {self._withdraw_reason})"
+            why = f"{why} (during the rollback: {self._withdraw_reason})"
         if version is None:
             version = self._record.version if self._record else 0
         self._calls.clear()
@@ -294,30 +294,30 @@
         committed = majority_state.committed
         if _is_at_canaries(majority_state):
             self._finish(
-                Outcome.UNDER_WAY, f"version {committed.version} is at its canaries", committed.version
+                Outcome.UNDER_WAY, f"version {committed.version} is at stage canary", committed.version
             )
         elif self._command.without_canaries:
             self._goal = _NewVersion(self._command.body, m.Stage.EVERYWHERE)
         elif not majority_state.nodes:
-            self._finish(Outcome.NO_CANARIES, "no node has reported lately")
+            self._finish(Outcome.NO_CANARIES, "no node has reported recently")
         else:
             self._goal = _NewVersion(self._command.body, m.Stage.CANARY)
 
     def _start_resume(self, now: int, majority_state: MajorityState) -> None:
         committed, highest = majority_state.committed, majority_state.highest
         if committed is None or committed.stage == m.Stage.EVERYWHERE or highest.version > committed.version:
-            self._finish(Outcome.NOTHING, "no committed version waits for its next stage")
+            self._finish(Outcome.NOTHING, "no committed version is waiting for its next stage")
         elif committed.stage == m.Stage.WITHDRAWN:
             self._resume_rollback(committed)
         elif highest.generation > committed.generation:
-            # What another publisher proposed may be chosen already, and is gone on with.
+            # Another publisher's proposal may already be accepted by a majority, so it is continued.
             self._goal = _ChangeStage(committed, highest.stage)
         else:
             self._record = committed
             self._begin_canaries(now, canaries_of(majority_state.nodes, committed))
 
     def _resume_rollback(self, committed: m.Record) -> None:
-        self._record, self._withdraw_reason = committed, "withdrawn before"
+        self._record, self._withdraw_reason = committed, "withdrawn earlier"
         if self._good is None or self._good.version >= committed.version:
             self._finish(Outcome.NOTHING, "no version before the withdrawn one is known")
         else:
@@ -326,13 +326,13 @@
     def _start_withdraw(self, majority_state: MajorityState) -> None:
         committed = majority_state.committed
         if not _is_at_canaries(majority_state):
-            self._finish(Outcome.NOTHING, "no version is at its canaries")
+            self._finish(Outcome.NOTHING, "no version is at stage canary")
             return
-        self._withdraw_reason = "withdrawn by order"
+        self._withdraw_reason = "withdrawn by command"
         self._goal = _ChangeStage(committed, m.Stage.WITHDRAWN)
 
     def _check_goal(self, now: int, majority_state: MajorityState) -> None:
-        """After a lost round: whether the goal still stands."""
+        """After a lost round: checks whether the goal is still valid."""
         match self._goal:
             case _NewVersion():
                 if majority_state.committed_generation > self._base_generation:
@@ -380,7 +380,7 @@
                 return m.make_record(generation, record.version, stage, record.canary_below, record.body)
 
     def _late_state_read(self, now: int, replica: str, reply: m.StateReply) -> None:
-        """A replica that was slow to tell its state may still accept, where the proposal comes after it."""
+        """Proposes to a replica whose state came late, if the proposal is newer than that state."""
         if self._comes_after(reply.accepted):
             self._calls.schedule(replica, m.Accept(base=reply.accepted, record=self._record), now)
         else:
@@ -453,7 +453,7 @@
         self._propose_next(now)
 
     def _propose_next(self, now: int) -> None:
-        """Straight on from this run's committed record, without reading: where it is still the highest."""
+        """Proposes on top of this run's committed record without reading; fails if it is not the highest."""
         position = self._record.position
         self._propose(now, position, (), dict.fromkeys(self._replicas, position))
 
@@ -494,7 +494,7 @@
 
 
 def _is_at_canaries(majority_state: MajorityState) -> bool:
-    """A committed version waits for the word of its canaries, and no later one was proposed."""
+    """Whether a committed version is at stage CANARY and no later version was proposed."""
     committed = majority_state.committed
     return (
         committed is not None
--- a/cottonspread/configstore/register.py
+++ b/cottonspread/configstore/register.py
@@ -1,11 +1,13 @@
-"""The register of one replica: what it accepted, what is committed, and which writes it takes.
+"""The register of one replica: the accepted and the committed record, and the rules for new writes.
 
-Of two proposals that a majority accepted each, some replica accepted both, one after the other, and it
-takes only a higher generation, no lower version or stage, and no other digest for a version. Hence what is
-committed has one record for each generation, one digest for each version, and versions that never go back.
+If two proposals were each accepted by a majority, at least one replica accepted both, one after the other.
+A replica accepts only a higher generation, never a lower version or stage, and never a second digest for a
+version. Hence committed records have one record per generation, one digest per version, and versions that
+never decrease.
 
-Besides, a proposal is a compare-and-set: its publisher names the highest position that this replica had
-when it was asked, and it is taken only if that is still so. So no publisher replaces what it has not seen.
+A proposal is also a compare-and-set: its publisher names the highest position that this replica reported,
+and the proposal is accepted only if that position is unchanged. So no publisher overwrites a state that it
+has not read.
 """
 
 import msgspec
@@ -14,21 +16,24 @@
 
 
 class RefusedError(Exception):
-    """The write is not taken; the message says why."""
+    """The write was refused; the message gives the reason."""
 
 
 def accepted_position(state: ReplicaState) -> Position:
-    """The highest position ever accepted."""
+    """Returns the highest position ever accepted."""
     return state.accepted.position if state.accepted else EMPTY_POSITION
 
 
 def generation_of(record: Record | None) -> int:
-    """0 for none."""
+    """Returns the record's generation; 0 for None."""
     return record.generation if record else 0
 
 
 def accept(state: ReplicaState, base: Position, record: Record) -> ReplicaState:
-    """The state with this proposal accepted; the same state where it already is. RefusedError."""
+    """Returns the state with this proposal accepted; the same object if it already was.
+
+    Raises RefusedError.
+    """
     if not record.is_valid():
         raise RefusedError("damaged record")
     highest = accepted_position(state)
@@ -50,8 +55,9 @@
 
 
 def commit(state: ReplicaState, record: Record) -> ReplicaState:
-    """The state with this record, which a majority accepted, committed; the same state where it, or a newer
-    one, already is. RefusedError.
+    """Returns the state with this record committed, which a majority accepted.
+
+    Returns the same object if this record or a newer one is already committed. Raises RefusedError.
     """
     if not record.is_valid():
         raise RefusedError("damaged record")
@@ -75,14 +81,14 @@
 
 
 def _accepted_after(state: ReplicaState, record: Record) -> Record:
-    """What is committed replaces an accepted proposal of no higher generation, which has lost."""
+    """A commit replaces an accepted proposal of the same or a lower generation, which has lost."""
     if generation_of(state.accepted) > record.generation:
         return state.accepted
     return record
 
 
 def catch_up(state: ReplicaState, committed: Record | None, good: Record | None) -> ReplicaState:
-    """The state after another replica told what is committed there. RefusedError."""
+    """Returns the state after taking over what another replica has committed. Raises RefusedError."""
     if committed is not None:
         state = commit(state, committed)
     if good is None or good.generation <= generation_of(state.good):
--- a/cottonspread/configstore/replica.py
+++ b/cottonspread/configstore/replica.py
@@ -1,22 +1,21 @@
-"""A replica: accepts what publishers propose, keeps what is committed, answers the watches of followers.
-
-Seam for the shell:
-
-- `step(now, event)` gives the effects of one event, to be carried out in their order. One thread calls it.
-- `Store` is durable (whole file written, fsync, rename, fsync of the folder) before `Stored(ok=True)` is
-  told. At most one is on its way. What depends on it is replied only as an effect of `Stored`, so the
-  shell has no order to keep besides that of the effects. While one is on its way further writes wait
-  inside, at most `MAX_QUEUED_WRITES`, others are turned away.
-- A `Store` that fails is told as `Stored(ok=False)`: the write is refused, and the replica goes on with
-  what it had. Whether the file is the old or the new one is then open, and harmless: what was not
-  acknowledged may be there after a restart.
-- Each `RequestReceived` is ended by exactly one `Reply` or `Reject` (503 with Retry-After), unless
-  `RequestAbandoned` is told.
-- Each `CallPeer` is ended by exactly one `PeerReplied` or `PeerFailed`, at `deadline` at the latest.
-- `Tick` is told at `wake_at` or soon after.
-- At its start the shell gives the state that it reads from disk. A state that cannot be read is not
-  replaced by an empty one: a replica that has forgotten what it accepted must not take part
-  (docs/notes/configstore.md).
+"""A replica: accepts publishers' proposals, stores committed records and answers followers' watches.
+
+Contract with the I/O shell:
+
+- `step(now, event)` returns the effects of one event, to be executed in order. One thread calls it.
+- A `Store` is durable (complete file written, fsync, rename, fsync of the folder) before the shell passes in
+  `Stored(ok=True)`. At most one is in progress. Replies that depend on it are effects of `Stored`, so the
+  shell needs no ordering beyond that of the effects. Meanwhile further writes are queued here, at most
+  `MAX_QUEUED_WRITES`; the rest are rejected.
+- A failed `Store` is reported as `Stored(ok=False)`: the write is refused, and the replica keeps its previous
+  state. The file may then hold the old or the new state. That is harmless: a write that was not acknowledged
+  may still be present after a restart.
+- Each `RequestReceived` is followed by exactly one `Reply` or `Reject` (503 with Retry-After), unless
+  `RequestAbandoned` comes first.
+- Each `CallPeer` is followed by exactly one `PeerReplied` or `PeerFailed`, no later than `deadline`.
+- `Tick` is passed in at `wake_at` or soon after.
+- At start the shell passes the state read from disk. An unreadable state is not replaced by an empty one: a
+  replica that has lost its accepted record must not take part (docs/notes/configstore.md).
 """
 
 from collections import deque
@@ -29,18 +28,18 @@
 from cottonspread.configstore.reports import Reports
 
 MAX_WATCHES = 2 * m.MAX_NODES
-"""Two watches of each node are usual; more nodes than that are turned away."""
+"""Each node normally has two watches; watches beyond this number are rejected."""
 MAX_READERS = 64
-"""The other replicas, staff and publishers."""
+"""Open state requests: from the other replicas, operators and publishers."""
 MAX_QUEUED_WRITES = 64
-"""Writes that wait for the one under way: many publishers and both other replicas."""
+"""Writes that wait for the one being stored: room for many publishers and both other replicas."""
 NEVER = 2**62
-"""A `wake_at` that nobody needs to meet."""
+"""The `wake_at` when no `Tick` is needed."""
 
 
 @dataclass(frozen=True, slots=True)
 class RequestReceived:
-    """A request came in whole and was decoded."""
+    """A complete request was received and decoded."""
 
     request: int
     message: m.WatchRequest | m.Accept | m.Commit | m.ReadState
@@ -48,14 +47,14 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestAbandoned:
-    """Who asked has closed; no reply is owed."""
+    """The client closed its connection; no reply is expected."""
 
     request: int
 
 
 @dataclass(frozen=True, slots=True)
 class Stored:
-    """The end of the `Store` with that token."""
+    """Result of the `Store` with this token."""
 
     token: int
     ok: bool
@@ -64,7 +63,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerReplied:
-    """Another replica's answer."""
+    """Another replica's reply."""
 
     call: int
     reply: m.StateReply
@@ -72,7 +71,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerFailed:
-    """Another replica could not be asked, or answered what cannot be read."""
+    """The call to another replica failed, or its reply was invalid."""
 
     call: int
     why: str
@@ -88,7 +87,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Store:
-    """Make this durable, then tell `Stored`."""
+    """Store this state durably, then pass in `Stored`."""
 
     token: int
     state: m.ReplicaState
@@ -96,7 +95,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Reply:
-    """Answer a request."""
+    """Reply to a request."""
 
     request: int
     message: m.WatchReply | m.AcceptReply | m.CommitReply | m.StateReply
@@ -104,7 +103,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Reject:
-    """Answer a request with 503."""
+    """Reply to a request with status 503."""
 
     request: int
     why: str
@@ -112,7 +111,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CallPeer:
-    """Ask another replica's state."""
+    """Request another replica's state."""
 
     call: int
     peer: str
@@ -125,7 +124,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Write:
-    """A change of the register that waits for its turn. `request`: None for what another replica told."""
+    """A queued change of the register. `request`: None if it comes from another replica's reply."""
 
     request: int | None
     message: m.Accept | m.Commit | m.StateReply
@@ -134,11 +133,11 @@
 class Replica:
     """One of the control machines.
 
-    `wake_at`: when `Tick` is wanted next. `state`: what is durable.
+    `wake_at`: when the next `Tick` is due. `state`: the durable state.
     """
 
     def __init__(self, name: str, peers: tuple[str, ...], state: m.ReplicaState, uniform):
-        """`peers`: the other replicas. `uniform()`: at least 0, below 1, from a seed."""
+        """`peers`: the other replicas. `uniform()`: seeded random numbers in [0, 1)."""
         self.name, self.state, self.wake_at = name, state, 0
         self.reports = Reports()
         self._peers = Peers(peers, uniform)
@@ -149,7 +148,7 @@
         self._effects: list[Effect] = []
 
     def step(self, now: int, event: Event) -> list[Effect]:
-        """What follows from an event."""
+        """Returns the effects of an event."""
         self._effects = []
         match event:
             case RequestReceived():
@@ -168,12 +167,15 @@
         return self._effects
 
     def majority_age(self, now: int) -> int | None:
-        """How long ago this replica last knew itself to be one of a majority; None: not since its start."""
+        """Returns the time since this replica last knew that it belongs to a majority.
+
+        None: not since its start.
+        """
         return self._peers.majority_age(now)
 
     @property
     def watches(self) -> int:
-        """Watches that wait."""
+        """Number of open watches."""
         return len(self._watches)
 
     # Requests
@@ -201,7 +203,7 @@
             self._watches.add(request, message, now + message.timeout_ms * m.MILLISECOND)
 
     def _record_for(self, node: str) -> m.Record | None:
-        """The newest committed record that the node may put into force."""
+        """Returns the newest committed record that the node may apply."""
         committed = self.state.committed
         if committed is not None and committed.applies_to(node):
             return committed
@@ -319,7 +321,7 @@
                 self._effects.append(Reply(write.request, reply))
 
     def _reply_to_waiting(self, now: int) -> None:
-        """Answers whoever waits for what the state has now."""
+        """Replies to the waiting requests for which the state now has news."""
         for request, wait in self._watches:
             if self._has_newer_record(wait.message):
                 self._watches.remove(request)
--- a/cottonspread/configstore/reports.py
+++ b/cottonspread/configstore/reports.py
@@ -1,27 +1,29 @@
-"""What nodes said of themselves to one replica, with bounds in number and age."""
+"""The newest report of each node at one replica, bounded in number and age."""
 
 from collections import OrderedDict
 
 from cottonspread.configstore.messages import MAX_NODES, SECOND, NodeReport, ReceivedReport
 
 REPORT_RETENTION = 600 * SECOND
-"""A node not heard for so long is dropped. A restart takes well under a minute, a region that is cut off some
-minutes: who lags is named over both."""
+"""A report older than this is dropped. A restart takes well under a minute, an isolated region some minutes:
+nodes that lag behind remain listed through both."""
 
 
 class Reports:
-    """The newest report of each node, the one heard longest ago first."""
+    """The newest report of each node, the oldest report first."""
 
     def __init__(self):
+        """Starts without reports."""
         self.dropped = 0
-        """Reports that were not kept since `MAX_NODES` other nodes were."""
+        """Reports discarded because `MAX_NODES` other nodes were already kept."""
         self._reports: OrderedDict[str, tuple[int, NodeReport]] = OrderedDict()
 
     def __len__(self) -> int:
+        """Number of nodes with a report."""
         return len(self._reports)
 
     def add(self, now: int, report: NodeReport) -> None:
-        """A node's report."""
+        """Stores a node's report."""
         self._drop_expired(now)
         if report.node not in self._reports and len(self._reports) >= MAX_NODES:
             self.dropped += 1
@@ -37,7 +39,7 @@
             del self._reports[node]
 
     def select(self, now: int, nodes: list[str], watching: set[str]) -> list[ReceivedReport]:
-        """Reports of these nodes, or of all where none is named."""
+        """Returns the reports of these nodes, or of all if `nodes` is empty."""
         self._drop_expired(now)
         named = nodes or list(self._reports)
         return [
--- a/cottonspread/configstore/server.py
+++ b/cottonspread/configstore/server.py
@@ -1,9 +1,9 @@
-"""A replica's shell: one thread and one loop around `replica.Replica`.
+"""The replica's I/O shell: a single-threaded event loop around `replica.Replica`.
 
-Listens on one TCP address for HTTP/1.1, one request at a time on a connection. Of a request's head only
-method, target, Content-Length and Connection are read; every size and time is bounded. Its storage is
+It serves HTTP/1.1 on one TCP address, one request at a time per connection. Of a request's head it reads only
+method, target, Content-Length, Transfer-Encoding and Connection; every size and time is bounded. The state is
 one file (see `storage`), written before anything that depends on it is acknowledged. Calls to the other
-replicas are made by threads of `callers`, which hand their outcomes to the loop.
+replicas run in the threads of `callers`, which pass their results to the loop.
 """
 
 import contextlib
@@ -24,45 +24,47 @@
 
 STATE_FILE = "replica.json"
 MAX_HEAD_BYTES = 8 * 1024
-"""Bytes of a request's head: twice the longest query and the usual headers."""
+"""Bytes of a request's head: twice the longest query, which leaves room for the usual headers."""
 MAX_BUFFERED_BYTES = 32 * 1024 * 1024
-"""Bytes of all requests that have come in part, together."""
+"""Bytes of all partially received requests together."""
 MAX_CONNECTIONS = core.MAX_WATCHES + core.MAX_READERS + core.MAX_QUEUED_WRITES
 REQUEST_TIMEOUT = 5 * m.SECOND
-"""For the rest of a request that has begun."""
+"""For the rest of a partially received request."""
 SEND_TIMEOUT = 10 * m.SECOND
-"""For a peer to take its reply."""
+"""For a client to read its reply."""
 IDLE_TIMEOUT = 60 * m.SECOND
-"""For the next request on a connection."""
+"""For the next request on an idle connection."""
 SWEEP_INTERVAL = 1 * m.SECOND
-"""Between two looks at these times."""
+"""Between two checks of these timeouts."""
 MAX_WAIT_S = 0.25
-"""Seconds that the loop waits at most."""
+"""Maximum seconds that the loop waits for events."""
 BACKLOG = 1024
 POST_MESSAGES = {path: kind for kind, path in POST_PATHS.items()}
 REASON_PHRASES = {200: "OK", 400: "Bad Request", 404: "Not Found", 503: "Service Unavailable"}
 
 
 class RequestError(ValueError):
-    """A request that cannot be served; `status` is HTTP's."""
+    """A request that cannot be served; `status` is the HTTP status."""
 
     def __init__(self, status: int, why: str):
+        """`why`: the text of the response."""
         super().__init__(why)
         self.status = status
 
 
 class Connection:
-    """One peer: what came of its request, what is to be sent, and the request that is being served."""
+    """A client connection: received bytes, unsent bytes and the request being served."""
 
     def __init__(self, sock: socket.socket, at: int):
+        """`at`: the time of the connection, in microseconds."""
         self.sock, self.data, self.unsent = sock, b"", b""
         self.request: int | None = None
         self.waiting_since = at
-        """When it last began to wait, for bytes or for its reply to be taken."""
+        """When it last began to wait for bytes or for its reply to be read."""
         self.closing = False
 
     def next_request(self):
-        """(method, target, body) of a request that is whole, or None. Raises RequestError."""
+        """Returns (method, target, body) of a complete request, or None. Raises RequestError."""
         head, end, rest = self.data.partition(b"\r\n\r\n")
         if not end:
             if len(self.data) > MAX_HEAD_BYTES:
@@ -80,22 +82,22 @@
         first, *lines = head.decode("latin-1").split("\r\n")
         words = first.split(" ")
         if len(words) != 3 or not words[2].startswith("HTTP/1."):
-            raise RequestError(400, "no request line")
+            raise RequestError(400, "invalid request line")
         headers = {}
         for line in lines:
             name, _, value = line.partition(":")
             headers[name.strip().lower()] = value.strip()
         size = headers.get("content-length", "0")
         if "transfer-encoding" in headers or not size.isascii() or not size.isdigit() or len(size) > 9:
-            raise RequestError(400, "the length cannot be read")
+            raise RequestError(400, "invalid Content-Length, or Transfer-Encoding, which is not supported")
         if int(size) > m.MAX_MESSAGE_BYTES:
-            raise RequestError(400, "the body is too long")
+            raise RequestError(400, f"the body is longer than {m.MAX_MESSAGE_BYTES} bytes")
         self.closing = words[2] == "HTTP/1.0" or headers.get("connection", "").lower() == "close"
         return words[0], words[1], int(size)
 
 
 def read_message(method: str, target: str, body: bytes):
-    """The message that a request carries. Raises RequestError."""
+    """Decodes the message of a request. Raises RequestError."""
     path, _, query = target.partition("?")
     try:
         if method == "GET" and path == WATCH_PATH:
@@ -104,20 +106,20 @@
             return m.decode(body, POST_MESSAGES[path])
     except m.MessageError as fault:
         raise RequestError(400, str(fault)) from fault
-    raise RequestError(404, f"{method} {path[:100]}: not known here")
+    raise RequestError(404, f"{method} {path[:100]}: no such endpoint")
 
 
 def read_state(path: str, new: bool) -> m.ReplicaState:
-    """What the replica kept; of a `new` one the empty state, which is kept from then on.
+    """Reads the replica's saved state; for a `new` replica, creates and saves an empty one.
 
-    One that has lost its file has forgotten what it accepted, and could accept something else in its place:
-    it must not take part as if it were new. Raises storage.StorageError, OSError.
+    A replica that has lost its file has lost its accepted record and could accept another one in its place,
+    so it must not start as if it were new. Raises storage.StorageError, OSError.
     """
     state = storage.read(path, m.ReplicaState)
     if state is None and not new:
-        raise storage.StorageError(f"{path}: not there; --new is for the first start of a replica alone")
+        raise storage.StorageError(f"{path}: not found; use --new only for the first start of a replica")
     if state is not None and new:
-        raise storage.StorageError(f"{path}: there already; --new is for the first start of a replica alone")
+        raise storage.StorageError(f"{path}: already exists; use --new only for the first start of a replica")
     if state is None:
         state = m.ReplicaState()
         storage.write(path, state)
@@ -125,9 +127,9 @@
 
 
 class Server:
-    """A replica that listens.
+    """A replica's server.
 
-    `run` serves until `stop`, which may be called from any thread or signal.
+    `run` serves until `stop`, which may be called from any thread or signal handler.
     """
 
     def __init__(
@@ -139,8 +141,9 @@
         new: bool = False,
         uniform=None,
     ):
-        """`name` and `peers`: HOST:PORT. `new`: the first start, see `read_state`. Raises
-        storage.StorageError, OSError.
+        """`name` and `peers`: HOST:PORT. `new`: the replica's first start, see `read_state`.
+
+        Raises storage.StorageError, OSError.
         """
         self._path = os.path.join(folder, STATE_FILE)
         os.makedirs(folder, exist_ok=True)
@@ -157,12 +160,12 @@
             sock.setblocking(False)
 
     def stop(self) -> None:
-        """The loop ends soon."""
+        """Asks the loop to end."""
         self._stopped = True
         self._wake_loop()
 
     def _wake_loop(self) -> None:
-        with contextlib.suppress(OSError):  # full: it is awake
+        with contextlib.suppress(OSError):  # the buffer is full, so the loop will wake anyway
             self._wake_writer.send(b"x")
 
     def run(self) -> None:
@@ -181,7 +184,7 @@
     def _run_once(self) -> None:
         wait = max(0.0, min(MAX_WAIT_S, (self.core.wake_at - now()) / m.SECOND))
         for key, mask in self._selector.select(wait):
-            if self._selector.get_map().get(key.fd) is key:  # not closed by what came before it
+            if self._selector.get_map().get(key.fd) is key:  # not closed by an earlier event of this round
                 self._call_guarded(key.data, mask)
         while not self._inbox.empty():
             self._step(self._inbox.get())
@@ -192,7 +195,7 @@
 
     @staticmethod
     def _call_guarded(what: Callable, mask: int) -> None:
-        """Our own faults: in plain sight, and the replica goes on."""
+        """Logs an unexpected exception and goes on serving."""
         try:
             what(mask)
         except Exception:
@@ -254,7 +257,7 @@
     def _accept(self, mask: int) -> None:
         try:
             sock = self._listener.accept()[0]
-        except OSError:  # gone again, or no descriptor is free
+        except OSError:  # the client closed again, or no descriptor is free
             return
         if len(self._connections) >= MAX_CONNECTIONS:
             sock.close()
@@ -278,7 +281,7 @@
             return
         except OSError:
             data = b""
-        # Who sends on while its request is served is out of step.
+        # A client that sends while its request is served violates the one-request-at-a-time rule.
         if not data or connection.request is not None or connection.unsent:
             self._drop(connection)
             return
@@ -356,7 +359,7 @@
             if connection.unsent:
                 wait = SEND_TIMEOUT
             elif connection.request is not None:
-                continue  # the core ends it in its time
+                continue  # the core ends it at its deadline
             else:
                 wait = REQUEST_TIMEOUT if connection.data else IDLE_TIMEOUT
             if self._last_sweep - connection.waiting_since > wait:
--- a/cottonspread/configstore/storage.py
+++ b/cottonspread/configstore/storage.py
@@ -1,8 +1,8 @@
-"""Files of the configuration store: a message with its checksum, whole or not there, durable once written.
+"""Files of the configuration store: a message with a checksum, replaced atomically and durably.
 
-A file is two lines: the SHA-256 of the second, and the message as JSON. One that does not fit is refused
-and left where it is: a replica that has forgotten what it accepted must not take part, and what is to be
-done about it is for staff to say.
+A file has two lines: the SHA-256 of the second line, and the message as JSON. A file whose checksum does not
+match is refused and left in place: a replica that has lost its accepted record must not take part, and an
+operator has to decide how to repair it.
 """
 
 import hashlib
@@ -15,17 +15,17 @@
 
 
 class StorageError(ValueError):
-    """A file that is there and cannot be used; the message names it and says why."""
+    """An unusable file; the message names the file and the reason."""
 
 
 def write(path: str, message: messages.Message) -> None:
-    """Durable when it returns. Raises OSError; the file is the old one or the new one then."""
+    """Writes a message durably. Raises OSError; the file is then the old or the new one."""
     text = messages.encode(message).decode()
     write_whole(path, f"{checksum(text)}\n{text}\n", sync_folder=True)
 
 
 def remove(path: str) -> None:
-    """Durable when it returns; no file there is as good. Raises OSError."""
+    """Removes a file durably; a missing file is no error. Raises OSError."""
     try:
         os.unlink(path)
     except FileNotFoundError:
@@ -34,7 +34,7 @@
 
 
 def read(path: str, kind: type):
-    """The message, or None where there is no file. Raises StorageError."""
+    """Reads a message of type `kind`; returns None if there is no file. Raises StorageError."""
     try:
         with open(path, encoding="utf-8") as file:
             text = file.read(MAX_FILE_LENGTH + 1)
@@ -45,7 +45,7 @@
     recorded, _, body = text.partition("\n")
     body = body.removesuffix("\n")
     if len(text) > MAX_FILE_LENGTH or recorded != checksum(body):
-        raise StorageError(f"{path}: damaged: its checksum does not fit")
+        raise StorageError(f"{path}: damaged: the checksum does not match")
     try:
         return messages.decode(body.encode(), kind)
     except messages.MessageError as fault:
@@ -53,5 +53,5 @@
 
 
 def checksum(text: str) -> str:
-    """SHA-256, in hexadecimal."""
+    """Returns the SHA-256 of a text, in hexadecimal."""
     return hashlib.sha256(text.encode()).hexdigest()
--- a/cottonspread/configstore/watches.py
+++ b/cottonspread/configstore/watches.py
@@ -1,7 +1,8 @@
-"""Which replicas a follower watches, and when it asks.
+"""Which replicas a follower watches, and when it sends each watch.
 
-Two watches are open at two replicas, so that one that is dead or silent delays no change. The order of the
-replicas comes from the node's name, which spreads the nodes; what is third is the spare of both.
+Two watches are open at two different replicas, so that one dead or silent replica delays no change. Each
+node orders the replicas by a hash of its own name, which spreads the load; the third replica is the spare
+for both watches.
 """
 
 import hashlib
@@ -11,28 +12,29 @@
 
 WATCH_COUNT = 2
 WATCH_TIMEOUT = 10 * SECOND
-"""A watch without news. Two of some 500 bytes in 10 s are 100 bytes a second of the 6,000 that a node's whole
-control has; shorter ones would tell sooner only that a silent replica is silent, which delays no change."""
+"""Timeout of a watch without news. Two watches of some 500 bytes per 10 s use 100 of the 6,000 bytes per
+second that a node has for all control traffic. A shorter timeout would only detect a silent replica sooner,
+which delays no change."""
 WATCH_JITTER = 0.2
-"""So much of it is drawn, or all nodes would ask in the same moment ever after a change."""
+"""Random share of the timeout; without it all nodes would call in step after a change."""
 PROBE_TIMEOUT = 1 * SECOND
-"""The first watch at a replica, and each after a failure: soon answered or given up, so that a node that was
-cut off knows early that it is back, and does not hold on to a replica that swallows its calls."""
+"""Timeout of the first watch at a replica and of each after a failure. It is short so that a reconnected
+node notices early, and so that a node leaves a replica that never replies."""
 REPLY_GRACE = 2 * SECOND
-"""An answer may take so much longer, over regions and a busy replica, before the watch is given up."""
+"""Extra time for a reply beyond the timeout, for latency between regions and a busy replica."""
 MIN_CALL_INTERVAL = 50 * MILLISECOND
-"""Between two asks of a watch at least: a replica that always answers at once costs 20 calls a second."""
+"""Minimum time between two calls of a watch: a replica that always replies at once costs 20 calls/s."""
 RETRY_DELAY = 250 * MILLISECOND
 MAX_RETRY_DELAY = 4 * SECOND
-"""After failures in a row the pause doubles from the one to the other, half of it drawn: 420 nodes come to
-a replica that returns within 4 s, 105 a second."""
+"""After consecutive failures the delay doubles from `RETRY_DELAY` up to this, half of it random: 420 nodes
+reconnect to a restarted replica within 4 s, 105 per second."""
 MAX_SPARE_REPLIES = 6
-"""Answers of the spare after which a watch tries its own replica again: a minute, when nothing happens."""
+"""Replies from the spare after which a watch retries its preferred replica: a minute without changes."""
 
 
 @dataclass(slots=True)
 class Watch:
-    """One of the two."""
+    """State of one of the two watches."""
 
     preferred: str
     replica: str
@@ -42,19 +44,20 @@
     since: int = 0
     failures: int = 0
     has_replied: bool = False
-    """The replica answered the watch before."""
+    """The replica replied to the previous watch."""
     spare_replies: int = 0
 
 
 def replica_order(node: str, replicas: tuple[str, ...]) -> list[str]:
-    """The replicas in the order in which this node prefers them."""
+    """Returns the replicas in this node's order of preference."""
     return sorted(replicas, key=lambda name: hashlib.sha256(f"{node} {name}".encode()).digest())
 
 
 class Watches:
-    """The calls of one follower."""
+    """The watch calls of one follower."""
 
     def __init__(self, node: str, replicas: tuple[str, ...], uniform):
+        """`uniform()`: seeded random numbers in [0, 1)."""
         self._order = replica_order(node, replicas)
         self._watches = [Watch(name, name) for name in self._order[:WATCH_COUNT]]
         self._calls: dict[int, Watch] = {}
@@ -62,11 +65,11 @@
         self._report_due, self._report_call = False, None
 
     def report_soon(self) -> None:
-        """There is something to report: with a watch that is about to ask, or else with a call of its own."""
+        """Requests a report soon: with the next due watch, or with a separate call if both are open."""
         self._report_due = True
 
     def due(self, now: int, since: int):
-        """Whom to ask now, each as (call, replica, timeout). `since` is remembered for `since_of`."""
+        """Yields the calls to make now as (call, replica, timeout); keeps `since` for `since_of`."""
         for watch in self._watches:
             if watch.call is None and watch.next_call_at <= now:
                 watch.call = self._new_call(watch)
@@ -90,12 +93,12 @@
         return (WATCH_TIMEOUT - drawn) // MILLISECOND * MILLISECOND
 
     def since_of(self, call: int) -> int:
-        """What the call asked from; 0 for one that is not under way, or only reports."""
+        """Returns the call's `since`; 0 if it is not open or only carries a report."""
         watch = self._calls.get(call)
         return watch.since if watch else 0
 
     def replied(self, now: int, call: int) -> bool:
-        """False: nobody waits for that call."""
+        """Records a reply; returns False if the call is not open."""
         if call == self._report_call:
             self._report_call = None
             return True
@@ -115,7 +118,7 @@
             watch.replica, watch.spare_replies, watch.has_replied = watch.preferred, 0, False
 
     def failed(self, now: int, call: int) -> bool:
-        """The call has no answer, or one that is not to be trusted. False: nobody waits for that call."""
+        """Records a missing or untrustworthy reply; returns False if the call is not open."""
         if call == self._report_call:
             self._report_call = None
             return True
@@ -130,7 +133,7 @@
         return True
 
     def _fail_over(self, watch: Watch) -> None:
-        """To the next replica in order that the other watch is not at."""
+        """Switches to the next replica in order that the other watch does not use."""
         start = self._order.index(watch.replica) + 1
         for step in range(len(self._order)):
             name = self._order[(start + step) % len(self._order)]
@@ -142,5 +145,5 @@
         return all(watch.replica != name for watch in self._watches)
 
     def next_call_at(self) -> int | None:
-        """When the next of them asks; None: all wait for answers."""
+        """Returns when the next watch is due; None if all wait for replies."""
         return min((watch.next_call_at for watch in self._watches if watch.call is None), default=None)
--- a/tests/configstore/test_shell_server.py
+++ b/tests/configstore/test_shell_server.py
@@ -83,16 +83,20 @@
 @pytest.mark.parametrize(
     "data, status, said",
     [
-        (b"nonsense\r\n\r\n", 400, b"no request line"),
+        (b"nonsense\r\n\r\n", 400, b"invalid request line"),
         (b"GET " + b"x" * 10_000, 400, b"head is too long"),
-        (b"GET / HTTP/1.1\r\n\r\n", 404, b"not known"),
+        (b"GET / HTTP/1.1\r\n\r\n", 404, b"no such endpoint"),
         (b"GET /api/configuration?since=x HTTP/1.1\r\n\r\n", 400, b"query"),
         (post("accept", b"{}"), 400, b"Accept"),
         (post("accept", b"\xff\xfe"), 400, b"Accept"),
-        (post("nothing", b"{}"), 404, b"not known"),
-        (post("accept", b"", "Transfer-Encoding: chunked\r\n"), 400, b"length"),
-        (b"POST /api/configuration/state HTTP/1.1\r\nContent-Length: -1\r\n\r\n", 400, b"length"),
-        (b"POST /api/configuration/state HTTP/1.1\r\nContent-Length: 5000000\r\n\r\n", 400, b"too long"),
+        (post("nothing", b"{}"), 404, b"no such endpoint"),
+        (post("accept", b"", "Transfer-Encoding: chunked\r\n"), 400, b"Content-Length"),
+        (b"POST /api/configuration/state HTTP/1.1\r\nContent-Length: -1\r\n\r\n", 400, b"Content-Length"),
+        (
+            b"POST /api/configuration/state HTTP/1.1\r\nContent-Length: 5000000\r\n\r\n",
+            400,
+            b"body is longer than 4194304 bytes",
+        ),
     ],
 )
 def test_a_request_that_cannot_be_served_is_told_why_and_the_replica_goes_on(running, data, status, said):
@@ -239,9 +243,9 @@
 def test_a_replica_that_has_lost_its_file_does_not_take_part(tmp_path):
     """It began with nothing, as a new one, and could accept a second body for a version it had accepted."""
     path = str(tmp_path / server.STATE_FILE)
-    with pytest.raises(storage.StorageError, match="not there"):
+    with pytest.raises(storage.StorageError, match="not found"):
         server.read_state(path, new=False)
     assert server.read_state(path, new=True) == m.ReplicaState()
     assert server.read_state(path, new=False) == m.ReplicaState()
-    with pytest.raises(storage.StorageError, match="there already"):
+    with pytest.raises(storage.StorageError, match="already exists"):
         server.read_state(path, new=True)
--- a/tests/configstore/test_shell_store.py
+++ b/tests/configstore/test_shell_store.py
@@ -96,7 +96,7 @@
     store.start(2)
     assert store.replicas[2].wait(shells.WAIT) == 2
     log = (store.folder / "r2.log").read_text()
-    assert "replica.json: damaged: its checksum does not fit" in log and "Traceback" not in log
+    assert "replica.json: damaged: the checksum does not match" in log and "Traceback" not in log
     assert file.read_bytes() == damaged, "left for staff to look at"
     code, said = store.publish(capsys, shells.configuration(Step=2))
     assert code == 0 and "version 2" in said
@@ -132,7 +132,7 @@
     kept.parent.mkdir(exist_ok=True)
     kept.write_text("0" * 64 + "\n{}\n")
     node.start()
-    assert "event=saved-configuration" in node.log() and "checksum does not fit" in node.log()
+    assert "event=saved-configuration" in node.log() and "checksum does not match" in node.log()
     assert node.knows("chat") and not node.knows("other")
 
 
