--- a/cottonspread/fleet/__init__.py
+++ b/cottonspread/fleet/__init__.py
@@ -1,3 +1,4 @@
-"""Many instances on one machine as one daemon: `core` decides, `supervisor` carries
-out, `plan` says what each instance is.
+"""Many instances on one machine under one supervisor process.
+
+`core` makes the decisions, `supervisor` executes them, `plan` defines what each instance is.
 """
--- a/cottonspread/fleet/core.py
+++ b/cottonspread/fleet/core.py
@@ -1,26 +1,28 @@
-"""The supervisor's decisions: (state, time, event) to effects. No socket, process, file or clock of its own.
+"""The supervisor's decisions as a pure state machine: (state, time, event) to effects.
 
-Of each name at most one process takes connections, the holder. A successor is started beside it, prepares
-itself (it knows a list, its PING is answered) without taking any, and takes over only once the holder has
-said that it left, or is gone; what comes in between waits in the listening socket, which the supervisor
-keeps. So a change needs no moment without a holder that is ready, and a successor that never gets ready costs
-nothing: the old one was not touched.
+It has no socket, process, file or clock of its own. At most one process per instance name accepts
+connections, the active one. A successor is started beside it and prepares itself (it has a host list, its
+PING is answered) without accepting connections. It takes over only once the active process has reported that
+it stopped accepting, or has ended; connections that arrive in between wait in the listening socket, which the
+supervisor keeps open. So a process that is ready to serve exists throughout a change, and a successor that
+never becomes ready has no effect: the old process was not touched.
 
-Every event leads to `consider`, which looks at what is and what is wanted and takes the next step: a lost or
-doubled event does no harm. Times are whole microseconds of a clock that never jumps (monotonic).
+Every event leads to `reconcile`, which compares the actual with the desired state and takes the next step, so
+a lost or duplicate event does no harm. Times are whole microseconds of a monotonic clock.
 """
 
 from collections import deque
 from dataclasses import dataclass, field, replace
 
 SECOND = 1_000_000
-# for "I have left": it takes connections until then, so only one that is stuck is ended
+# For the report "leaving". The process accepts connections until then, so only a stuck one is killed.
 LEAVE_TIMEOUT = 5 * SECOND
-STALL_THRESHOLD = SECOND  # the supervisor itself stood still for so long: nobody is blamed for silence in it
+# If the supervisor itself was stopped for this long, the silence does not count against the processes.
+STALL_THRESHOLD = SECOND
 
-# What a process says of itself; waiting: for a list with a server on it
+# States that a process reports; waiting: for a host list with a server on it
 STARTING, WAITING, PREPARED, SERVING, LEAVING = "starting", "waiting", "prepared", "serving", "leaving"
-# What the table shows of a name besides
+# Further states of an instance in the status table
 DRAINED, BACKOFF, GIVEN_UP, STOPPED = "drained", "back-off", "given-up", "stopped"
 
 
@@ -29,6 +31,8 @@
 
 @dataclass(frozen=True)
 class Start:
+    """Start a process."""
+
     name: str
     generation: int
     spec: object
@@ -36,7 +40,7 @@
 
 @dataclass(frozen=True)
 class StartAccepting:
-    """Take connections from now on."""
+    """Tell the process to accept connections from now on."""
 
     name: str
     generation: int
@@ -44,9 +48,9 @@
 
 @dataclass(frozen=True)
 class StopAccepting:
-    """Take no more; then stop: open calls answered, standing ones moved.
+    """Tell the process to accept no more connections, answer open calls, move its clients and stop.
 
-    `handed`: a successor takes the new ones, else the door.
+    `has_successor`: a successor accepts new connections; otherwise the supervisor answers them with BUSY.
     """
 
     name: str
@@ -56,13 +60,15 @@
 
 @dataclass(frozen=True)
 class Kill:
+    """Kill the process."""
+
     name: str
     generation: int
 
 
 @dataclass(frozen=True)
 class ApplyLive:
-    """Take over the live part."""
+    """Tell the process to apply the live part of the spec."""
 
     name: str
     generation: int
@@ -71,8 +77,9 @@
 
 @dataclass(frozen=True)
 class AnswerBusy:
-    """Whether the supervisor itself answers BUSY at this address, for there
-    is no holder and none is about to be.
+    """Whether the supervisor itself answers BUSY at the instance's address.
+
+    It does so while no process is active and none is about to be.
     """
 
     name: str
@@ -81,13 +88,15 @@
 
 @dataclass(frozen=True)
 class CloseListener:
-    """The name is no more: its socket is closed."""
+    """Close the listening socket of a name that was removed."""
 
     name: str
 
 
 @dataclass(frozen=True)
 class LogEvent:
+    """Write a log line."""
+
     event: str
     pairs: dict
     level: str = "info"
@@ -95,44 +104,46 @@
 
 @dataclass(frozen=True)
 class RolloutEnded:
-    """A rollout has ended, or never begun."""
+    """A rollout has ended, or was dropped before it began."""
 
     ok: bool
     why: str
-    target: object  # the plan that was asked for
-    plan: object  # what is in force now
+    target: object  # the requested plan
+    plan: object  # the plan in force now
 
 
 @dataclass(frozen=True)
 class AllStopped:
-    """All have stopped."""
+    """All processes have stopped."""
 
 
 @dataclass(eq=False)
 class Process:
+    """A process of an instance."""
+
     name: str
     generation: int
     spec: object
     started_at: int
-    start_timeout_from: int = 0  # its time to get ready runs from here
+    start_timeout_from: int = 0  # its start timeout counts from here
     state: str = STARTING
     state_since: int = 0
     take_sent_at: int = 0
     leave_sent_at: int = 0
     killed_at: int = 0
     steps: int = -1
-    last_progress_at: int = 0  # when the steps were last seen to grow
-    status: dict = field(default_factory=dict)  # the last status, as told
-    baseline_counts: tuple = ()  # (ended, badly) when it began to be watched
+    last_progress_at: int = 0  # when its step counter last changed
+    status: dict = field(default_factory=dict)  # the last status that it reported
+    baseline_counts: tuple = ()  # (ended, bad) calls when its observation began
     kill_reason: str = ""
-    requested_spec: object = None  # the spec whose live part was last asked for
-    requested_at: int = 0  # when that was
-    accepts_live: bool = True  # False: it did not take a live part over; a successor has to
+    requested_spec: object = None  # the spec whose live part it was last told to apply
+    requested_at: int = 0
+    accepts_live: bool = True  # False: it did not apply a live part, so a successor is needed
 
 
 @dataclass(eq=False)
 class Slot:
-    """A name."""
+    """The state of one instance name."""
 
     name: str
     spec: object
@@ -140,43 +151,50 @@
     successor: Process = None
     leaving: list = field(default_factory=list)
     drained: bool = False
-    removed: bool = False  # not in the plan any more
-    restart_requested: bool = False  # a restart was asked for
-    failure_times: deque = field(default_factory=deque)  # when, in the window
+    removed: bool = False  # no longer in the plan
+    restart_requested: bool = False
+    failure_times: deque = field(default_factory=deque)  # within the last `restarts_in_s`
     consecutive_failures: int = 0
     restart_not_before: int = 0
     given_up: bool = False
     restarts: int = 0
-    down_since: int = 0  # when its holder ended unasked
-    last_failure: str = ""  # the last end that was not asked for
+    down_since: int = 0  # when its active process ended unexpectedly
+    last_failure: str = ""  # how a process last ended unexpectedly
     answering_busy: bool = False
 
     def processes(self):
+        """Returns all processes of this name."""
         return [p for p in (self.active, self.successor) if p] + self.leaving
 
     def reset_failures(self):
-        """What it failed at before does not count any more."""
+        """Resets the restart backoff and the given-up state."""
         self.given_up, self.consecutive_failures, self.restart_not_before = False, 0, 0
 
     def serving(self):
+        """Whether the active process serves and was not told to stop."""
         return self.active is not None and self.active.state == SERVING and not self.active.leave_sent_at
 
 
 @dataclass(eq=False)
 class Rollout:
+    """A change from one plan to another."""
+
     plan: object
-    previous_plan: object  # the plan to go back to
+    previous_plan: object  # the plan to roll back to
     why: str  # "reload", "upgrade", "restart NAME"
     todo: deque
-    in_progress: dict = field(default_factory=dict)  # slot: when its change was ready; 0: it is not yet
-    live_slots: set = field(default_factory=set)  # slots whose running process takes the change over
-    live_verified: bool = False  # one of those has been watched to its end
-    rollback_reason: str = ""  # going back, and why
-    baseline_bad_share: float = 0.0  # the share of calls that ended badly before it
+    in_progress: dict = field(default_factory=dict)  # slot: when its change took effect; 0: not yet
+    live_slots: set = field(default_factory=set)  # slots whose running process applies the change
+    live_verified: bool = False  # one of those was observed for the whole watch time
+    rollback_reason: str = ""  # non-empty: the rollout is being rolled back
+    baseline_bad_share: float = 0.0  # the share of calls that ended badly before the rollout
 
 
 class Core:
+    """The supervisor's state machine."""
+
     def __init__(self, now, plan):
+        """`now`: microseconds; `plan`: the first plan."""
         self.now, self.plan, self.effects = now, plan, []
         self.slots = {name: Slot(name, spec) for name, spec in plan.specs.items()}
         self.generation, self.rollout, self.pending, self.stopping, self.stop_now, self.all_stopped = (
@@ -188,12 +206,12 @@
             False,
         )
 
-    # What is told
+    # Events
 
     def step(self, now, what, *args):
-        """`what` is the name of one of the methods below; the effects, in their order."""
+        """Handles an event and returns its effects in order; `what` names one of the methods below."""
         gap, self.now = now - self.now, max(now, self.now)
-        if gap > STALL_THRESHOLD:  # we stood still ourselves: whatever was said lies unread
+        if gap > STALL_THRESHOLD:  # the supervisor itself was stopped, and reports are still unread
             for p in self.processes():
                 p.last_progress_at, p.start_timeout_from = (
                     p.last_progress_at + gap,
@@ -207,19 +225,21 @@
         return effects
 
     def processes(self):
+        """Returns all processes of all names."""
         return [p for slot in self.slots.values() for p in slot.processes()]
 
     def find(self, name, generation):
+        """Returns the slot of a name and its process of that generation; None for what does not exist."""
         slot = self.slots.get(name)
         return slot, next((p for p in slot.processes() if p.generation == generation), None) if slot else None
 
     def tick(self):
-        pass
+        """Time has passed."""
 
     def adopt(self, name, generation, spec, status):
-        """A process that an earlier supervisor began, found before anything is started.
+        """Adopts a process of an earlier supervisor, before any process is started.
 
-        No step: first all of them, then `settle`.
+        Not an event of `step`: call it for each process, then step `finish_adoption`.
         """
         self.generation = max(self.generation, generation)
         slot = self.slots.get(name)
@@ -233,7 +253,7 @@
             last_progress_at=self.now,
             status=status,
         )
-        if slot is None:  # not in the plan any more
+        if slot is None:  # no longer in the plan
             slot = self.slots[name] = Slot(name, spec, removed=True)
         if p.state == SERVING and slot.active is None:
             slot.active = p
@@ -241,14 +261,14 @@
         elif p.state == LEAVING:
             slot.leaving.append(p)
             p.leave_sent_at = self.now
-        else:  # half prepared, or a second one: not worth finding out
+        else:  # not serving yet, or a second process of the name
             slot.leaving.append(p)
-            self.kill(p, "adopted half-way")
+            self.kill(p, "not serving when adopted")
 
     def finish_adoption(self):
-        """All are adopted.
+        """Ends the adoption.
 
-        What differs from the plan is changed as by a reload, and goes back if that fails.
+        Processes that differ from the plan are changed as by a reload, which rolls back if it fails.
         """
         active_specs = {s.name: s.active.spec for s in self.slots.values() if s.active}
         previous_plan = replace(
@@ -261,14 +281,16 @@
             self.begin_rollout(plan, "adopted")
 
     def status_received(self, name, generation, status):
-        """A process tells of itself: {"state", "steps", "ended", "bad", ...}."""
+        """A process reported its status: {"state", "steps", "ended", "bad", ...}."""
         slot, p = self.find(name, generation)
         if p is None:
             return
         if status["steps"] != p.steps:
             p.steps, p.last_progress_at = status["steps"], self.now
         p.status = status
-        if status.get("live") == p.spec.live:  # its whole text: a program that takes over less than ours
+        if (
+            status.get("live") == p.spec.live
+        ):  # the full text, not its digest: a program of an earlier release
             p.accepts_live = False
         refused = status.get("refused")
         if refused and p.requested_spec and refused["live"] == p.requested_spec.live_digest:
@@ -288,7 +310,7 @@
                 p.leave_sent_at = p.leave_sent_at or self.now
 
     def exited(self, name, generation, how):
-        """A process is gone. `how` says by what: "exit 0", "signal 9"."""
+        """A process has ended. `how`: "exit 0", "signal 9"."""
         slot, p = self.find(name, generation)
         if p is None:
             return
@@ -297,46 +319,53 @@
             self.log_event("left", p, how=how)
             return
         slot.active, slot.successor = (None if x is p else x for x in (slot.active, slot.successor))
-        if p.leave_sent_at and not p.kill_reason:  # it said "leave" and was gone before it could say so
+        if (
+            p.leave_sent_at and not p.kill_reason
+        ):  # it was told to leave and ended before it reported "leaving"
             self.log_event("left", p, how=how)
             return
         self.process_failed(slot, p, p.kill_reason or how)
 
     def not_started(self, name, generation, why):
-        """There is no process at all."""
+        """A process could not be started."""
         self.exited(name, generation, f"not started: {why}")
 
     def change_plan(self, plan, why="reload"):
-        """A new plan, whole and checked. One at a time: the newest of those that come meanwhile is next."""
+        """Starts a rollout to a new, validated plan.
+
+        One rollout at a time: of the plans that arrive meanwhile only the newest is kept.
+        """
         if self.stopping:
             return
         if self.rollout:
-            self.drop_pending("a later one came")
+            self.drop_pending("superseded by a later plan")
             self.pending = plan, why
             self.effects.append(LogEvent("pending", {"why": why, "behind": self.rollout.why}))
             return
         self.begin_rollout(plan, why)
 
     def stop(self):
-        """Once: all stop in the node's own way. Twice: at once."""
+        """First call: all processes stop gracefully. Second call: they are killed."""
         self.stop_now, self.stopping = self.stopping, True
         self.drop_pending("stopped")
         if self.rollout:
             self.end_rollout(False, "stopped")
         if self.stop_now:
             for p in self.processes():
-                self.kill(p, "hurried")
+                self.kill(p, "second stop command")
 
     def drop_pending(self, why):
+        """Drops the pending plan, if any."""
         if self.pending:
             self.effects.append(RolloutEnded(False, why, self.pending[0], self.plan))
             self.pending = None
 
     def drain(self, name):
+        """Stops an instance gracefully and keeps it down."""
         self.slots[name].drained = True
 
     def restart(self, name):
-        """Back from a drain or after being given up, else a successor."""
+        """Restarts an instance that was drained or given up; otherwise replaces it by a successor."""
         slot = self.slots[name]
         slot.restart_requested = slot.active is not None and not slot.drained
         slot.drained = False
@@ -346,6 +375,7 @@
     # Rollouts
 
     def begin_rollout(self, plan, why):
+        """Starts a rollout to a plan."""
         previous_plan, self.plan = self.plan, plan
         self.rollout = Rollout(
             plan,
@@ -357,9 +387,7 @@
         self.queue_changes(plan)
 
     def queue_changes(self, plan):
-        """Every name that is to be different goes on the list; new ones start, old ones
-        stop, outside of it.
-        """
+        """Queues every name whose spec changes; added names start and removed ones stop outside the queue."""
         todo = self.rollout.todo
         todo.clear()
         for name, spec in plan.specs.items():
@@ -368,7 +396,7 @@
                 slot, is_added = Slot(name, spec), True
                 self.slots[name] = slot
             elif slot.removed:
-                # on its way out: from now on it is not, or it would be gone before its turn comes
+                # It is being removed; without this it would be gone before its turn comes.
                 slot.removed, is_added = False, True
             if slot in self.rollout.in_progress:
                 slot.spec = spec
@@ -381,6 +409,7 @@
                 slot.removed = True
 
     def begin_change(self, slot, spec):
+        """Starts the change of one name to a spec."""
         slot.spec = spec
         slot.reset_failures()
         self.rollout.in_progress[slot] = 0
@@ -391,12 +420,15 @@
 
     @staticmethod
     def can_apply_live(slot, spec):
-        """Whether the process that holds the name takes this spec over as it runs."""
+        """Whether the active process can apply this spec without a restart."""
         p = slot.active
         return slot.serving() and p.accepts_live and p.spec.start == spec.start and not slot.restart_requested
 
     def live_not_applied(self, slot, p, why):
-        """A live part was not taken over. On the way back, or outside of a rollout, a successor takes it."""
+        """A process did not apply a live part.
+
+        The rollout is rolled back. During a rollback, or without a rollout, a successor is started instead.
+        """
         p.requested_spec, r = None, self.rollout
         self.log_event("not-applied", p, why=why, level="error")
         if r and not r.rollback_reason and slot in r.in_progress:
@@ -405,18 +437,20 @@
             p.accepts_live = False
 
     def roll_back(self, why):
+        """Rolls the current rollout back to the previous plan."""
         r = self.rollout
         r.rollback_reason, self.plan = why, r.previous_plan
         self.effects.append(LogEvent("going-back", {"from": r.why, "why": why}, "error"))
         for slot in r.in_progress:
             if slot.successor:
-                self.kill(slot.successor, "going back")
-        # Those that were under way are turned round at once.
+                self.kill(slot.successor, "rolled back")
+        # Changes in progress are reverted at once.
         r.in_progress = {slot: 0 for slot in r.in_progress if slot.name in r.previous_plan.specs}
         r.live_slots.clear()
         self.queue_changes(r.previous_plan)
 
     def end_rollout(self, ok, why):
+        """Ends the current rollout and starts the pending one, if any."""
         r, self.rollout = self.rollout, None
         self.effects += [
             LogEvent("rollout", {"of": r.why, "ok": ok, "why": why or "done"}, "info" if ok else "error"),
@@ -428,8 +462,9 @@
             self.begin_rollout(plan, why)
 
     def advance_rollout(self):
-        """The next steps of a rollout: at most `at_once` under way, and
-        none while as many others are not there.
+        """Takes the next steps of a rollout.
+
+        At most `at_once` names are being changed or otherwise unavailable at a time.
         """
         r = self.rollout
         for slot, ready in list(r.in_progress.items()):
@@ -450,8 +485,8 @@
                 if self.now - (ready or self.now) >= self.watch_time(slot) and not slot.leaving:
                     del r.in_progress[slot]
                     r.live_verified = r.live_verified or slot in r.live_slots
-        # Those given up come back by nobody's waiting; to wait for them would
-        # stop the very reload that mends them.
+        # Names that were given up do not come back by themselves; waiting for them would block the very
+        # reload that repairs them.
         away = [
             s
             for s in self.slots.values()
@@ -464,11 +499,11 @@
             self.end_rollout(not r.rollback_reason, r.rollback_reason)
 
     def may_change(self, slot, away):
-        """Whether the next one's turn has come.
+        """Whether the next queued name may be changed now.
 
-        A successor costs its name a moment, and at most `at_once` have that. What running processes take
-        over costs none: once it has been watched on the first of them, all the others follow together, and
-        on the way back at once.
+        A switch to a successor makes a name briefly unavailable, so at most `at_once` names do it at a time.
+        A live change causes no unavailability: once the first process was observed with it, all others follow
+        together; during a rollback they follow at once.
         """
         r = self.rollout
         follows = r.live_verified or r.rollback_reason
@@ -478,13 +513,14 @@
         return counted + away < max(self.plan.fleet.at_once, 1)
 
     def watch_time(self, slot):
-        """How long a changed instance is watched, in microseconds."""
+        """Returns how long a changed instance is observed, in microseconds."""
         fleet, r = self.plan.fleet, self.rollout
         if r.rollback_reason:
             return 0
         return (min(fleet.watch_s, fleet.live_watch_s) if slot in r.live_slots else fleet.watch_s) * SECOND
 
     def is_changed(self, slot):
+        """Whether the active process runs the slot's spec."""
         p = slot.active
         return (
             slot.serving()
@@ -493,7 +529,7 @@
         )
 
     def regression(self, p):
-        """Whether calls end badly more often than in those not yet changed."""
+        """Returns a text if calls end badly more often than in unchanged processes, else an empty string."""
         fleet = self.plan.fleet
         ended, bad = (
             p.status.get(k, 0) - was
@@ -501,8 +537,8 @@
         )
         if ended < fleet.worse_of:
             return ""
-        # Those not yet changed meet the same trouble now; of the last ones there are none left,
-        # so what was usual before counts too.
+        # Unchanged processes are exposed to the same conditions now. Late in the rollout none are left, so
+        # the share before the rollout counts too.
         was = max(
             self.rollout.baseline_bad_share,
             self.bad_share(
@@ -518,13 +554,14 @@
 
     @staticmethod
     def bad_share(processes):
-        """The share of their calls that ended badly."""
+        """Returns the share of the processes' calls that ended badly."""
         ended, bad = (sum(p.status.get(k, 0) for p in processes) for k in ("ended", "bad"))
         return bad / ended if ended else 0.0
 
-    # What is and what is wanted
+    # Actual and desired state
 
     def reconcile_all(self):
+        """Advances the rollout and reconciles every name."""
         if self.rollout:
             self.advance_rollout()
         for slot in list(self.slots.values()):
@@ -534,6 +571,7 @@
             self.effects.append(AllStopped())
 
     def reconcile(self, slot):
+        """Takes the next step of one name towards its desired state."""
         fleet = self.plan.fleet
         for p in slot.processes():
             self.check_timeouts(slot, p, fleet)
@@ -541,7 +579,7 @@
             self.wind_down(slot, fleet)
         else:
             self.keep_running(slot)
-        # The supervisor answers where nobody does and nobody is about to.
+        # The supervisor answers BUSY while no process does and none is about to.
         answer_busy = (
             not slot.active
             and not (slot.successor and slot.successor.take_sent_at)
@@ -560,12 +598,13 @@
             self.set_answering_busy(slot, answer_busy)
 
     def set_answering_busy(self, slot, enabled):
+        """Switches the supervisor's BUSY answers for a name on or off."""
         if enabled != slot.answering_busy:
             slot.answering_busy = enabled
             self.effects.append(AnswerBusy(slot.name, enabled))
 
     def check_timeouts(self, slot, p, fleet):
-        """Whether it is in time with what it is to do."""
+        """Kills a process that did not start, leave or stop in time."""
         if p.killed_at:
             return
         if p in slot.leaving:
@@ -575,8 +614,8 @@
             if self.now - p.leave_sent_at > LEAVE_TIMEOUT:
                 self.kill(p, "did not leave")
         elif p is slot.successor:
-            # Without a list nobody can begin, and to start it anew brings none; in a
-            # rollout the holder goes on meanwhile.
+            # No process can serve without a host list, and a restart would not provide one. During a rollout
+            # the active process serves on, so the timeout applies.
             if (
                 p.state == WAITING
                 and slot.active is None
@@ -590,19 +629,20 @@
             self.check_active(slot, p, fleet)
 
     def check_active(self, slot, p, fleet):
-        """Whether it makes steps, and takes over in time what it was asked to."""
+        """Checks that the active process makes progress and applies a live part in time."""
         if self.now - p.last_progress_at > fleet.stuck_s * SECOND:
             self.kill(p, f"stuck: no step for {fleet.stuck_s:g} s")
         elif p.requested_spec and self.now - p.requested_at > fleet.start_s * SECOND:
-            self.live_not_applied(slot, p, f"not taken over after {fleet.start_s:g} s")
+            self.live_not_applied(slot, p, f"not applied after {fleet.start_s:g} s")
 
     def keep_running(self, slot):
+        """Starts, replaces or reconfigures the process of a name as needed."""
         old, new, spec = slot.active, slot.successor, slot.spec
         if new is not None and not new.killed_at:
             self.promote_successor(slot)
             return
         if new is not None or old is not None and old.killed_at and not old.leave_sent_at:
-            return  # one goes, then the next comes
+            return  # the old process has to end before the next is started
         if old is None or not old.leave_sent_at and not self.can_become(old, slot):
             if self.now >= slot.restart_not_before and not slot.given_up:
                 self.start(slot)
@@ -622,27 +662,30 @@
             old.spec, old.requested_spec = old.requested_spec, None
 
     def promote_successor(self, slot):
-        """A successor that is prepared takes over once the holder has left, and one of another plan goes."""
+        """Lets a prepared successor take over once the active process has left.
+
+        A successor of an outdated plan is killed.
+        """
         old, new = slot.active, slot.successor
         if new.spec != slot.spec:
-            self.kill(new, "another plan")
+            self.kill(new, "plan changed")
         elif new.state == PREPARED and not new.take_sent_at:
             if old is not None and not old.leave_sent_at:
                 old.leave_sent_at = self.now
                 self.effects.append(StopAccepting(slot.name, old.generation, True))
             elif old is None:
                 new.take_sent_at = self.now
-                self.set_answering_busy(slot, False)  # before the other takes
+                self.set_answering_busy(slot, False)  # before the successor accepts
                 self.effects.append(StartAccepting(slot.name, new.generation))
 
     @staticmethod
     def has_drifted(p):
-        """Whether it runs under something else than is known of it: an order given up was obeyed late."""
+        """Whether its live part differs from its known spec: an abandoned ApplyLive took effect late."""
         return p.requested_spec is None and p.status.get("live", p.spec.live_digest) != p.spec.live_digest
 
     @staticmethod
     def can_become(p, slot):
-        """Whether this process can become what its slot is to be."""
+        """Whether this process can reach the slot's spec without a restart."""
         spec = slot.spec
         return (
             not slot.restart_requested
@@ -651,7 +694,10 @@
         )
 
     def start(self, slot):
-        # Forty interpreters that start at once are none of them ready in time.
+        """Starts a successor, at most `start_at_once` at a time.
+
+        With forty interpreters starting at once none is ready in time.
+        """
         if (
             sum(s.successor is not None and s.successor.state == STARTING for s in self.slots.values())
             >= self.plan.fleet.start_at_once
@@ -666,8 +712,9 @@
         self.effects.append(Start(slot.name, self.generation, slot.spec))
 
     def wind_down(self, slot, fleet):
+        """Stops the processes of a name that is not to run."""
         if slot.successor is not None and not slot.successor.killed_at:
-            self.kill(slot.successor, "not wanted any more")
+            self.kill(slot.successor, "no longer needed")
         old = slot.active
         busy = sum(1 for s in self.slots.values() if s.leaving or s.active and s.active.leave_sent_at)
         if (
@@ -686,18 +733,19 @@
             self.effects.append(CloseListener(slot.name))
 
     def kill(self, p, why):
+        """Kills a process, once."""
         if not p.killed_at:
             p.killed_at, p.kill_reason = self.now, why
             self.log_event("kill", p, why=why, level="warning")
             self.effects.append(Kill(p.name, p.generation))
 
     def process_failed(self, slot, p, how):
-        """One has ended that was not to end: again, but ever later, and not for ever."""
+        """Handles an unexpected end: restarts with a growing delay, up to a limit."""
         if (
             self.stopping
             or slot.removed
             or slot.drained
-            or how in ("another plan", "going back", "not wanted any more")
+            or how in ("plan changed", "rolled back", "no longer needed")
         ):
             return
         fleet, r = self.plan.fleet, self.rollout
@@ -720,11 +768,11 @@
                     "error",
                 )
             )
-            # going back already, or it was the old one: the rollout does not wait for it
+            # It is being rolled back, or the old process failed: the rollout does not wait for it.
             if r and slot in r.in_progress:
                 del r.in_progress[slot]
             return
-        # The first comes at once: most ends are single ones.
+        # The first restart is immediate: most failures are isolated.
         wait = (
             fleet.backoff_s * 2 ** min(slot.consecutive_failures - 1, 20) if slot.consecutive_failures else 0
         )
@@ -732,11 +780,13 @@
         slot.restart_not_before = self.now + round(min(wait, fleet.backoff_most_s) * SECOND)
 
     def log_event(self, event, p, level="info", **pairs):
+        """Adds a log line about a process."""
         self.effects.append(LogEvent(event, {"instance": p.name, "generation": p.generation, **pairs}, level))
 
-    # What is shown
+    # Status
 
     def state_of(self, slot):
+        """Returns the state of a name for the status table."""
         p = slot.active or slot.successor
         if p:
             return p.state if not p.leave_sent_at else LEAVING
@@ -753,10 +803,11 @@
         )
 
     def ready(self):
+        """Whether all names that should serve do so."""
         return all(s.serving() for s in self.slots.values() if not s.drained and not s.removed)
 
     def describe_slots(self):
-        """Each name with what it waits for; for our own eyes."""
+        """Returns the state of each name, for debugging."""
         r = self.rollout
         return [
             (
@@ -764,9 +815,9 @@
                 self.state_of(s),
                 s.spec.start,
                 [(p.generation, p.state, p.spec.start, p.leave_sent_at, p.killed_at) for p in s.processes()],
-                "gone" * s.removed,
-                "doing" * bool(r and s in r.in_progress),
-                "todo" * bool(r and s in r.todo),
+                "removed" * s.removed,
+                "in progress" * bool(r and s in r.in_progress),
+                "queued" * bool(r and s in r.todo),
             )
             for s in self.slots.values()
         ]
