--- a/cottonspread/fleet/core.py
+++ b/cottonspread/fleet/core.py
@@ -487,18 +487,18 @@
                     r.live_verified = r.live_verified or slot in r.live_slots
         # Names that were given up do not come back by themselves; waiting for them would block the very
         # reload that repairs them.
-        away = [
+        unavailable = [
             s
             for s in self.slots.values()
             if not (s.serving() or s.drained or s.removed or s.given_up or s in r.in_progress)
         ]
-        while r.todo and self.may_change(r.todo[0], len(away)):
+        while r.todo and self.may_change(r.todo[0], len(unavailable)):
             slot = r.todo.popleft()
             self.begin_change(slot, self.plan.specs[slot.name])
         if not r.todo and not r.in_progress:
             self.end_rollout(not r.rollback_reason, r.rollback_reason)
 
-    def may_change(self, slot, away):
+    def may_change(self, slot, unavailable):
         """Whether the next queued name may be changed now.
 
         A switch to a successor makes a name briefly unavailable, so at most `at_once` names do it at a time.
@@ -510,7 +510,7 @@
         if follows and self.can_apply_live(slot, self.plan.specs[slot.name]):
             return True
         counted = sum(1 for other in r.in_progress if not (follows and other in r.live_slots))
-        return counted + away < max(self.plan.fleet.at_once, 1)
+        return counted + unavailable < max(self.plan.fleet.at_once, 1)
 
     def watch_time(self, slot):
         """Returns how long a changed instance is observed, in microseconds."""
