--- a/cottonspread/fleet/control.py
+++ b/cottonspread/fleet/control.py
@@ -1,5 +1,6 @@
-"""What the processes of a fleet say to each other: JSON lines on stream sockets in the
-state folder; locks and pid files there.
+"""Communication between the processes of a fleet.
+
+JSON lines on Unix stream sockets in the state folder, and lock files there.
 """
 
 import contextlib
@@ -10,27 +11,31 @@
 import resource
 import socket
 
-MAX_SOCKET_PATH = 100  # of a socket: the kernel takes 107 bytes
-MAX_BUFFERED_BYTES = 1 << 20  # bytes that a peer may leave unread
+MAX_SOCKET_PATH = 100  # bytes of a socket's path: the kernel allows 107
+MAX_BUFFERED_BYTES = 1 << 20  # of unread or unsent data
 
 
 def digest(text):
-    """A short name of a text: a status sent twice a second carries it instead of kilobytes of settings."""
+    """Returns a short hash of a text.
+
+    A status, sent twice a second, carries it instead of kilobytes of settings.
+    """
     return hashlib.sha256(text.encode()).hexdigest()[:16]
 
 
 class JsonConnection:
-    """One end of a connection that carries JSON lines, never waiting.
+    """One end of a non-blocking connection that carries JSON lines.
 
-    False from `receive` and `send`: it is over.
+    If `receive` or `send` returns False, the connection is closed or broken.
     """
 
     def __init__(self, sock):
+        """`sock`: a connected stream socket; it is made non-blocking."""
         sock.setblocking(False)
         self.sock, self.partial_line, self.unsent = sock, b"", b""
 
     def receive(self):
-        """What has come, as objects, and whether the connection still stands."""
+        """Returns the received objects and whether the connection is still open."""
         message, stands = [], True
         try:
             while True:
@@ -51,10 +56,12 @@
         return message, stands and len(self.partial_line) < MAX_BUFFERED_BYTES
 
     def send(self, message):
+        """Sends an object; returns whether the connection is still open."""
         self.unsent += json.dumps(message, default=str).encode() + b"\n"
         return self.flush()
 
     def flush(self):
+        """Sends buffered bytes; returns whether the connection is still open."""
         try:
             while self.unsent:
                 self.unsent = self.unsent[self.sock.send(self.unsent) :]
@@ -66,7 +73,7 @@
 
 
 def connect(path, wait=1.0):
-    """A blocking connection to a control socket. Raises OSError."""
+    """Returns a blocking connection to a control socket. Raises OSError."""
     sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
     try:
         sock.settimeout(wait)
@@ -78,15 +85,15 @@
 
 
 def unlink(path):
-    """Whoever ends removes its own socket too, perhaps just now."""
+    """Removes a socket file, which its owner may be removing at the same time."""
     with contextlib.suppress(FileNotFoundError):
         os.unlink(path)
 
 
 def listen(path):
-    """A control socket at this path; what an earlier process left there is removed.
+    """Listens on a control socket at this path; removes what an earlier process left there.
 
-    Only its owner may connect.
+    Only the owner of the file may connect.
     """
     sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
     unlink(path)
@@ -100,23 +107,24 @@
 
 
 def raise_descriptor_limit(need):
-    """This process's limit on descriptors goes up to `need`, if it may; the limit that it cannot pass."""
+    """Raises this process's soft limit on descriptors to `need` if allowed; returns the hard limit."""
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     resource.setrlimit(resource.RLIMIT_NOFILE, (min(hard, max(soft, need)), hard))
     return hard
 
 
 class Lock:
-    """A file that one process holds at a time.
+    """A file lock that one process holds at a time.
 
-    The kernel lets go of it when the holder is gone, however it ended.
+    The kernel releases it when the holder ends, however it ended.
     """
 
     def __init__(self, path):
+        """Opens the lock file, creating it if necessary."""
         self.file = os.open(path, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
 
     def acquire(self):
-        """False: another process has it."""
+        """Acquires the lock without waiting; returns False if another process holds it."""
         try:
             fcntl.flock(self.file, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except BlockingIOError:
@@ -124,13 +132,14 @@
         try:
             os.ftruncate(self.file, 0)
             os.pwrite(self.file, b"%d\n" % os.getpid(), 0)
-        except OSError:  # a full disk: the lock holds all the same
+        except OSError:  # the disk is full, but the lock is held
             pass
         return True
 
     def holder_pid(self):
-        """The pid that the last holder wrote; it says nothing unless the lock is taken."""
+        """Returns the pid that the last holder wrote; meaningful only while the lock is held."""
         return os.pread(self.file, 32, 0).decode(errors="replace").strip() or "unknown"
 
     def release(self):
+        """Releases the lock."""
         fcntl.flock(self.file, fcntl.LOCK_UN)
--- a/cottonspread/fleet/core.py
+++ b/cottonspread/fleet/core.py
@@ -263,7 +263,7 @@
             p.leave_sent_at = self.now
         else:  # not serving yet, or a second process of the name
             slot.leaving.append(p)
-            self.kill(p, "not serving when adopted")
+            self.kill(p, "not the serving process when adopted")
 
     def finish_adoption(self):
         """Ends the adoption.
--- a/cottonspread/fleet/plan.py
+++ b/cottonspread/fleet/plan.py
@@ -1,9 +1,9 @@
-"""What each instance of a fleet is, derived from the operator's file and the platform's
-JSON. Reads two files, starts nothing.
+"""The plan of a fleet: the configuration of each instance, derived from two files.
 
-A fleet's plan is read whole, checked whole, and then handed on as text: a file that changes or vanishes
-between check and use changes nothing. What a plan says of an instance is in two parts: what needs a new
-process, and what a running one takes over.
+The files are the operator's file and the platform's JSON. The plan is read and checked completely, and then
+passed on as text, so a file that changes or vanishes between check and use has no effect. The configuration
+of an instance has two parts: `start`, which needs a new process to change, and `live`, which a running one
+can apply.
 """
 
 import errno
@@ -23,17 +23,17 @@
     "discovery",
     "settings",
     "load_lines",
-)  # keys of the platform's JSON that a running instance takes over
+)  # keys of the platform's JSON that a running instance can apply
 FIXED_SETTINGS = (
     "Me",
     "MembershipMode",
     "Weights",
-)  # of the settings: a running node keeps what it started with
+)  # settings that a running node keeps as at its start
 
 
 @dataclass(frozen=True)
 class InstanceSpec:
-    """One instance: `start` and `live` are JSON with sorted keys, so equal texts are equal meaning."""
+    """One instance: `start` and `live` are JSON with sorted keys, so equal texts have equal meaning."""
 
     name: str
     address: tuple
@@ -42,23 +42,26 @@
 
     @functools.cached_property
     def live_digest(self):
-        """What an instance calls the live part in its status, in place of its whole text."""
+        """The digest by which an instance identifies its live part in its status."""
         return control.digest(self.live)
 
 
 @dataclass(frozen=True)
 class Plan:
+    """The specs of all instances and the program that they run."""
+
     fleet: op.Fleet
     specs: dict  # by name, in the order of their numbers
-    program: tuple  # (python, folder put first on its path)
+    program: tuple  # (Python interpreter, folder put first on its path)
 
 
 def canonical_json(value):
+    """Returns JSON with sorted keys."""
     return json.dumps(value, sort_keys=True)
 
 
 def offset_address(address, port=0, octet=0):
-    """HOST:PORT some steps on."""
+    """Returns HOST:PORT with the port and the host's last octet increased by the given amounts."""
     host, _, number = address.rpartition(":")
     if octet:
         host = op.host_on(host, octet)
@@ -66,21 +69,22 @@
 
 
 def resolve_path(path, other):
+    """Returns `other` relative to the folder of the file `path`."""
     return os.path.join(os.path.dirname(os.path.abspath(path)), other)
 
 
 def folders(path, fleet):
-    """(for state, for logs)."""
+    """Returns (state folder, log folder)."""
     state = resolve_path(path, fleet.state)
     return state, resolve_path(path, fleet.logs) if fleet.logs else os.path.join(state, "log")
 
 
 def read(path, program, check=lambda text: config.read_node(text, {}), store_text=None):
-    """The plan that the files give now.
+    """Reads the current plan from the files.
 
-    Raises config.ConfigurationError, naming file and key. `check(text)` reads an instance's JSON: the parts
-    of config.read_node, or config.ConfigurationError. `carried`: what the configuration store told, which
-    stands for the template but for the keys that are this machine's own.
+    Raises config.ConfigurationError, naming file and key. `check(text)` validates an instance's JSON: it
+    returns the parts of config.read_node or raises config.ConfigurationError. `store_text`: the body from the
+    configuration store; it replaces the template except for the keys that belong to this machine.
     """
     log, instance, fleet, section = op.read_fleet(path)
     template = resolve_path(path, fleet.config)
@@ -111,7 +115,8 @@
                 "Balancers": fleet.nodes or fleet.first + fleet.instances,
             },
         }
-        # the supervisor's socket serves instead, and a successor runs beside each instance
+        # The supervisor's socket replaces it; and a successor, which runs beside its predecessor, could not
+        # bind the same address.
         own.pop("operator", None)
         try:
             own["discovery"] = (
@@ -137,7 +142,10 @@
 
 
 def listen_on(address):
-    """A listening socket, or OSError. Without SO_REUSEPORT: a second one on this address is told at once."""
+    """Returns a listening socket or raises OSError.
+
+    SO_REUSEPORT is not set, so a second socket on this address fails at once.
+    """
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     try:
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -151,7 +159,7 @@
 
 
 def bind_all(specs):
-    """Listening sockets by address; every address that is taken is named at once."""
+    """Returns listening sockets by address; the error lists every address that is in use."""
     taken, faults = {}, []
     for spec in specs:
         try:
--- a/cottonspread/fleet/store_follower.py
+++ b/cottonspread/fleet/store_follower.py
@@ -1,8 +1,8 @@
-"""A fleet's part in the configuration store: what is carried there stands for the platform's JSON file.
+"""The supervisor's connection to the configuration store, whose body replaces the platform's JSON file.
 
-The follower's thread hands over what is to be put into force; the supervisor's loop takes it up and rolls
-it out like a reload. In force is what a rollout ended well with. At the store's stage EVERYWHERE other
-machines have had the version in force for a while, so no instance is watched for it once more.
+The follower's thread hands over records to apply; the supervisor's loop takes them and rolls them out like a
+reload. A record is in force once its rollout has succeeded. At the store's stage EVERYWHERE other machines
+have already run the version for a while, so the instances are not observed again.
 """
 
 import contextlib
@@ -16,24 +16,26 @@
 from cottonspread.fleet import plan as plans
 
 MAX_CANARY_WATCH_S = 0.5
-"""How long a canary watches a live change at most, twice: the store's own wait for canaries comes on top."""
+"""Upper bound in seconds for observing a live change on a canary, which happens twice: the store's own wait
+for canaries comes on top."""
 
 
 class StoreFollower:
-    """Between the follower and the supervisor."""
+    """Passes records from the follower's thread to the supervisor's loop."""
 
     def __init__(self, supervisor, section):
+        """`section`: the [configuration] section of the operator's file."""
         self.supervisor, self.section, self.client = supervisor, section, None
         self.body_in_force, self.wanted_body = None, None
-        """The carried text that the fleet runs under, and the one of the rollout under way or ended last."""
+        """The body that the fleet runs, and the body of the current or last rollout."""
         self.handed_over = queue.SimpleQueue()
 
     def prepare(self):
-        """What was in force before this supervisor counts from its first plan on.
+        """Creates the client and takes the saved body into account from the first plan on.
 
         Raises config.ConfigurationError.
         """
-        from cottonspread.configstore.client import Client  # what a fleet without the section does not load
+        from cottonspread.configstore.client import Client  # not loaded without the section
 
         folder = plans.resolve_path(self.supervisor.path, self.section.state)
         name = self.section.node or self.supervisor.fleet.name
@@ -46,29 +48,32 @@
         if self.client.saved:
             with contextlib.suppress(
                 config.ConfigurationError
-            ):  # else the file is what there is; the follower tells
+            ):  # otherwise the file is used, and the follower reports the refusal
                 self.check(self.client.saved)
                 self.body_in_force = self.wanted_body = self.client.saved.body
 
     def start(self):
-        """Begins to follow."""
+        """Starts the follower."""
         self.client.start()
 
     def stop(self):
-        """Follows no more."""
+        """Stops the follower."""
         self.client.stop()
 
     def check(self, record):
-        """In the follower's thread: whether a plan can be made of it. Raises config.ConfigurationError."""
+        """Called in the follower's thread: checks that the record gives a valid plan.
+
+        Raises config.ConfigurationError.
+        """
         supervisor = self.supervisor
         plans.read(supervisor.path, supervisor.program, supervisor.check, record.body)
 
     def hand_over(self, record, done):
-        """In the follower's thread."""
+        """Called in the follower's thread: queues a record to apply."""
         self.handed_over.put((record, done))
 
     def process_records(self):
-        """In the supervisor's loop: what was handed over is rolled out."""
+        """Called in the supervisor's loop: rolls out the queued records."""
         while not self.handed_over.empty():
             record, done = self.handed_over.get()
             try:
@@ -78,7 +83,7 @@
                 done(False, str(fault))
 
     def roll_out(self, record, done):
-        """Like a reload, with its outcome told to the store."""
+        """Starts a rollout as for a reload; its outcome goes to the follower."""
         supervisor = self.supervisor
         if supervisor.core.stopping:
             raise config.ConfigurationError("the fleet is stopping")
@@ -90,23 +95,24 @@
         supervisor.begin_rollout(plan, "configuration", OutcomeReporter(self, record, done))
 
     def status(self):
-        """For staff."""
+        """Returns the follower's status, for operators."""
         return msgspec.to_builtins(self.client.view()) if self.client else None
 
 
 def with_live_watch(plan, seconds):
-    """The plan with another watch of live changes."""
+    """Returns the plan with another observation time for live changes."""
     return dataclasses.replace(plan, fleet=msgspec.structs.replace(plan.fleet, live_watch_s=seconds))
 
 
 class OutcomeReporter:
-    """Takes a rollout's outcome in the place of a line to staff."""
+    """Receives a rollout's outcome like a command connection and reports it to the follower."""
 
     def __init__(self, store_follower, record, done):
+        """`done(ok, why)`: the follower's callback for this record."""
         self.store_follower, self.record, self.done = store_follower, record, done
 
     def send(self, outcome):
-        """`said`: {"ok", "why"}."""
+        """`outcome`: {"ok", "why"}."""
         store_follower, body = self.store_follower, self.record.body
         if outcome["ok"]:
             store_follower.body_in_force = body
--- a/cottonspread/fleet/supervisor.py
+++ b/cottonspread/fleet/supervisor.py
@@ -1,9 +1,8 @@
-"""Carries out what the core decides: processes, sockets, files, signals.
+"""The supervisor's I/O shell: executes the core's effects on processes, sockets, files and signals.
 
-One thread, one loop; it decides nothing about instances.
-
-Why one loop and no threads: nothing here is on a client's path except the door, which sends one line, and a
-supervisor with one thread has no order of events that its tests do not have.
+It is a single-threaded event loop and makes no decisions about instances. It needs no threads because nothing
+here is in the path of client traffic except the BUSY answers, which are one line each; and with a single
+thread no order of events occurs that the tests of the core do not cover.
 """
 
 import contextlib
@@ -39,24 +38,32 @@
 log = logging.getLogger("cottonspread.fleet")
 
 POLL_INTERVAL = 0.05
-BUSY_CLIENT_TIMEOUT = 1.0  # what a client gets to send its first line, and then to close, at the door
+BUSY_CLIENT_TIMEOUT = 1.0  # seconds for a client to send its first line, and then to close
 MAX_BUSY_CLIENTS = 64
 STATUS_INTERVAL = 5.0
 
 
 def now():
+    """Returns microseconds of the monotonic clock."""
     return time.monotonic_ns() // 1000
 
 
 class BusyClient:
-    """A client at the door: its first line is read, for closing on unread bytes would eat the BUSY."""
+    """A client that the supervisor answers with BUSY.
+
+    Its first line is read, because closing a socket with unread bytes would discard the answer.
+    """
 
     def __init__(self, sock):
+        """`sock`: the accepted connection."""
         self.sock, self.data, self.answered = sock, b"", False
 
 
 class Supervisor:
+    """Runs the instances of a fleet."""
+
     def __init__(self, path, program, check):
+        """`path`: the operator's file. `program` and `check`: see `plan.read`."""
         self.path, self.own_program, self.check = os.path.abspath(path), tuple(program), check
         self.logging, _, self.fleet, section = op.read_fleet(self.path)
         self.store_follower = store_follower.StoreFollower(self, section) if section else None
@@ -64,7 +71,7 @@
         self.manager, self.selector, self.timers = notify.ServiceManager(), selectors.DefaultSelector(), []
         self.listeners, self.busy_listeners, self.busy_clients = {}, {}, {}  # by address; by name; by socket
         self.children, self.pidfds, self.channels = {}, {}, {}  # by (name, generation)
-        self.unconnected = {}  # control sockets not yet there
+        self.unconnected = {}  # paths of control sockets that do not accept connections yet
         self.pending_replies, self.was_ready, self.done, self.started_at = [], False, False, time.monotonic()
         self.handlers = {
             Start: self.start_instance,
@@ -83,10 +90,10 @@
             AllStopped: self.all_stopped,
         }
 
-    # The start
+    # Start
 
     def prepare(self):
-        """Everything that can be in the way is found before anything is started."""
+        """Checks all preconditions before anything is started, and adopts running instances."""
         try:
             os.makedirs(self.folder, exist_ok=True)
             os.makedirs(self.logs, exist_ok=True)
@@ -96,7 +103,7 @@
         if len(longest) > control.MAX_SOCKET_PATH:
             raise op.OperatorFileError(
                 [
-                    f"{self.path}: fleet.state: {self.folder}: too long a path for sockets: "
+                    f"{self.path}: fleet.state: {self.folder}: the path is too long for sockets: "
                     f"{len(longest)} bytes with their names, {control.LONGEST_PATH} are possible"
                 ]
             )
@@ -104,7 +111,7 @@
         if not self.lock.acquire():
             raise op.OperatorFileError(
                 [
-                    f"{self.path}: fleet.state: {self.folder}: a supervisor runs there already, "
+                    f"{self.path}: fleet.state: {self.folder}: another supervisor is running there, "
                     f"pid {self.lock.holder_pid()}"
                 ]
             )
@@ -127,17 +134,18 @@
         self.step("finish_adoption")
 
     def read_plan(self, program):
-        """The plan of files and carried configuration now."""
+        """Reads the current plan from the files and the store's body."""
         store_text = self.store_follower.wanted_body if self.store_follower else None
         return plans.read(self.path, program, self.check, store_text)
 
     def open_listeners(self, plan):
-        """The addresses that are not held yet."""
+        """Opens listening sockets for addresses that have none yet."""
         self.listeners |= plans.bind_all(s for s in plan.specs.values() if s.address not in self.listeners)
 
     def raise_descriptor_limit(self, instances):
-        """Each instance costs a listener, a control socket and a pidfd, twice while it is
-        changed; its process has its own limit.
+        """Makes room for a listener, a control socket and a pidfd per instance, twice while it is changed.
+
+        An instance's process has its own limit.
         """
         need = 5 * instances + MAX_BUSY_CLIENTS + 32
         hard = control.raise_descriptor_limit(need)
@@ -150,6 +158,7 @@
             )
 
     def load_state(self):
+        """Reads fleet.json; returns an empty dict if it is missing or unreadable."""
         try:
             with open(os.path.join(self.folder, "fleet.json"), encoding="utf-8") as file:
                 return json.load(file)
@@ -160,6 +169,7 @@
             return {}
 
     def save_state(self):
+        """Writes fleet.json."""
         try:
             write_whole(
                 os.path.join(self.folder, "fleet.json"),
@@ -169,9 +179,9 @@
             log.error("state", extra={"pairs": {"why": fault}})
 
     def find_instances(self):
-        """Those that an earlier supervisor left: asked who they are.
+        """Finds instances of an earlier supervisor and reads their identity and status.
 
-        One that does not answer is ended; what is stale goes.
+        An instance that does not answer is killed; stale socket files are removed.
         """
         found = []
         running = instances_running()
@@ -213,7 +223,7 @@
         return found
 
     def attach(self, name, generation, sock):
-        """A control connection that stands, and the process behind it."""
+        """Registers a connected instance: its control connection and its process."""
         line = control.JsonConnection(sock)
         self.channels[name, generation] = line
         self.selector.register(
@@ -222,9 +232,10 @@
         if (name, generation) in self.pidfds and (name, generation) not in self.children:
             self.watch_process(name, generation)
 
-    # The loop
+    # The event loop
 
     def run(self):
+        """Runs until all instances have stopped; returns the exit code."""
         wake, ring = socket.socketpair()
         for sock in (wake, ring):
             sock.setblocking(False)
@@ -256,6 +267,7 @@
         return 0
 
     def start_timers(self):
+        """Starts the periodic tasks."""
         self.call_later(0, self.send_status)
         if self.manager.watchdog_interval:
             self.call_later(0, self.send_watchdog)
@@ -264,41 +276,48 @@
             self.call_later(0, self.poll_store)
 
     def poll_store(self):
+        """Rolls out what the configuration store delivered."""
         self.call_later(POLL_INTERVAL, self.poll_store)
         self.store_follower.process_records()
 
     def poll_sockets(self, wait):
+        """Handles events of sockets and processes, waiting at most `wait` seconds."""
         for key, _ in self.selector.select(wait):
-            if self.selector.get_map().get(key.fd) is not key:  # closed by what came before it in this round
+            if self.selector.get_map().get(key.fd) is not key:  # closed by an earlier event of this round
                 continue
             self.call_guarded(key.data)
 
     def call_guarded(self, what, *args):
-        """Our own faults: in plain sight, and the fleet goes on."""
+        """Logs an unexpected exception and goes on."""
         try:
             what(*args)
         except Exception:
             log.exception("fault", extra={"pairs": {"while": getattr(what, "__qualname__", "event")}})
 
     def call_later(self, after, what):
+        """Calls `what` after so many seconds."""
         heapq.heappush(self.timers, (time.monotonic() + after, id(what), what))
 
     def send_watchdog(self):
+        """Sends the watchdog's keep-alive periodically."""
         self.manager.notify_watchdog()
         self.call_later(self.manager.watchdog_interval, self.send_watchdog)
 
     def send_status(self):
+        """Sends the status line to the service manager periodically."""
         self.call_later(STATUS_INTERVAL, self.send_status)
         self.manager.send(f"STATUS={self.summary()}")
 
     def summary(self):
+        """Returns the status line."""
         slots = self.core.slots.values()
         return f"{sum(s.serving() for s in slots)} of {len(slots)} instances serve"
 
     def step(self, what, *args):
+        """Passes an event to the core and executes its effects."""
         effects = self.core.step(now(), what, *args)
         if any(isinstance(effect, Start) for effect in effects):
-            self.save_state()  # the generations, once for all that start now
+            self.save_state()  # the generation counter, once for all that start now
         for effect in effects:
             self.execute(effect)
         if not self.was_ready and self.core.ready():
@@ -310,21 +329,26 @@
             self.manager.notify_ready(self.summary())
 
     def execute(self, effect):
+        """Executes one effect."""
         self.handlers[type(effect)](effect)
 
     def set_answering_busy(self, effect):
+        """Starts or stops answering BUSY for a name."""
         self.stop_answering_busy(effect.name)
         if effect.enabled:
             self.start_answering_busy(effect.name)
 
     def close_listener(self, effect):
+        """Closes the listening socket of a removed name."""
         self.stop_answering_busy(effect.name)
         self.close_unused_listeners()
 
     def log_event(self, effect):
+        """Writes a log line."""
         log.log(logging.getLevelName(effect.level.upper()), effect.event, extra={"pairs": effect.pairs})
 
     def all_stopped(self, effect):
+        """Ends the loop."""
         log.info("stopped")
         self.reply({"ok": True, "why": "stopped"}, "stop")
         self.done = True
@@ -332,8 +356,10 @@
     # Processes
 
     def start_instance(self, effect):
-        """-P: the folder that we happen to run in is not searched, or it would shadow the
-        program asked for.
+        """Starts a process of an instance.
+
+        `python -P` keeps the working directory off the module path, where it could shadow the requested
+        program.
         """
         name, generation, spec = effect.name, effect.generation, effect.spec
         path = os.path.join(self.folder, f"{name}.{generation}.sock")
@@ -370,15 +396,16 @@
             if child is not None:
                 child.kill()
                 if (name, generation) in self.pidfds:
-                    return  # its end will be noticed
+                    return  # its exit will be noticed
                 child.wait()
                 del self.children[name, generation]
-            # not inside of a step of the core
+            # Deferred, because this runs inside a step of the core.
             self.call_later(0, lambda: self.step("not_started", name, generation, why))
             return
         self.unconnected[name, generation] = path
 
     def connect_instances(self):
+        """Connects to the control sockets of new processes."""
         for (name, generation), path in list(self.unconnected.items()):
             try:
                 sock = control.connect(path)
@@ -388,10 +415,12 @@
             self.attach(name, generation, sock)
 
     def watch_process(self, name, generation):
+        """Registers for the exit of a process."""
         fd = self.pidfds[name, generation]
         self.selector.register(fd, selectors.EVENT_READ, lambda: self.process_exited(name, generation))
 
     def process_exited(self, name, generation):
+        """Cleans up after a process and tells the core."""
         fd = self.pidfds.pop((name, generation))
         self.selector.unregister(fd)
         os.close(fd)
@@ -406,12 +435,14 @@
             self.close_unused_listeners()
 
     def kill_process(self, name, generation):
+        """Sends SIGKILL to a process."""
         fd = self.pidfds.get((name, generation))
         if fd is not None:
             with contextlib.suppress(ProcessLookupError):
                 signal.pidfd_send_signal(fd, signal.SIGKILL)
 
     def receive_status(self, name, generation, line):
+        """Passes status reports of an instance to the core."""
         said, stands = line.receive()
         if not stands:
             self.close_channel(name, generation)
@@ -420,21 +451,24 @@
                 self.step("status_received", name, generation, one["status"])
 
     def close_channel(self, name, generation):
+        """Closes the control connection to an instance, if any."""
         line = self.channels.pop((name, generation), None)
         if line:
             self.close_socket(line.sock)
 
     def close_socket(self, sock):
+        """Unregisters and closes a socket."""
         self.selector.unregister(sock)
         sock.close()
 
     def send_to_instance(self, effect, said):
+        """Sends a message to an instance, if it is connected."""
         line = self.channels.get((effect.name, effect.generation))
         if line:
             line.send(said)
 
     def close_unused_listeners(self):
-        """Addresses that nobody wants any more."""
+        """Closes the listening sockets of addresses that are no longer used."""
         wanted = {s.spec.address for s in self.core.slots.values()} | {
             p.spec.address for p in self.core.processes()
         }
@@ -442,28 +476,33 @@
         for address in self.listeners.keys() - wanted:
             self.listeners.pop(address).close()
 
-    # The door
+    # BUSY answers
 
     def start_answering_busy(self, name):
+        """Accepts connections for a name and answers them with BUSY."""
         sock = self.listeners.get(self.core.slots[name].spec.address)
         if sock and sock not in self.busy_listeners.values():
             self.busy_listeners[name] = sock
             self.selector.register(sock, selectors.EVENT_READ, lambda: self.accept_busy_client(sock))
 
     def stop_answering_busy(self, name):
+        """Stops accepting connections for a name."""
         sock = self.busy_listeners.pop(name, None)
         if sock:
             self.selector.unregister(sock)
 
     def accept_busy_client(self, listener, at_once=False):
-        """Whether there was one."""
+        """Accepts a connection and answers BUSY once its first line is read; returns whether there was one.
+
+        `at_once`: answer without waiting for the line.
+        """
         try:
             sock = listener.accept()[0]
         except OSError:
             return False
         sock.setblocking(False)
         client = BusyClient(sock)
-        if at_once:  # its line is here, or it comes too late
+        if at_once:  # a line that is not here yet comes too late
             with contextlib.suppress(OSError):
                 client.data = sock.recv(4096)
             self.answer_busy(client)
@@ -474,15 +513,15 @@
         self.call_later(BUSY_CLIENT_TIMEOUT, lambda: self.busy_client_timed_out(client))
         if len(self.busy_clients) > MAX_BUSY_CLIENTS:
             oldest = next(iter(self.busy_clients.values()))
-            self.read_busy_client(oldest)  # its line, if it is here
+            self.read_busy_client(oldest)  # its line, if it has arrived
             self.answer_busy(oldest)
             self.close_busy_client(oldest)
         return True
 
     def close_listeners(self):
-        """The end of all addresses.
+        """Closes all listening sockets.
 
-        Who is in the queue of one when it closes gets a reset, so nobody is left in it.
+        A client in a listener's queue would get a reset when it closes, so the queues are emptied first.
         """
         for name in list(self.busy_listeners):
             self.stop_answering_busy(name)
@@ -497,6 +536,7 @@
             sock.close()
 
     def read_busy_client(self, client):
+        """Reads from a client and answers once its first line is complete."""
         try:
             data = client.sock.recv(4096)
         except BlockingIOError:
@@ -510,6 +550,7 @@
             self.answer_busy(client)
 
     def answer_busy(self, client):
+        """Answers a client, once: ERR to PING, otherwise BUSY."""
         if client.answered:
             return
         client.answered = True
@@ -520,6 +561,7 @@
             self.close_busy_client(client)
 
     def busy_client_timed_out(self, client):
+        """Answers a client that sent no line in time, and closes one that was answered before."""
         if client.sock in self.busy_clients:
             late = client.answered
             self.answer_busy(client)
@@ -528,12 +570,14 @@
             )
 
     def close_busy_client(self, client):
+        """Closes the connection of a client, once."""
         if self.busy_clients.pop(client.sock, None):
             self.close_socket(client.sock)
 
     # Commands
 
     def accept_command_connection(self):
+        """Accepts a connection for operators' commands."""
         try:
             line = control.JsonConnection(self.control.accept()[0])
         except OSError:
@@ -541,20 +585,22 @@
         self.selector.register(line.sock, selectors.EVENT_READ, lambda: self.run_commands(line))
 
     def run_commands(self, line):
+        """Runs the commands that a connection received."""
         said, stands = line.receive()
         for one in said:
             try:
                 self.run_command(line, one)
             except config.ConfigurationError as fault:
                 line.send({"ok": False, "why": str(fault)})
-            except Exception as fault:  # our own: told, and the fleet goes on
+            except Exception as fault:  # unexpected: reported, and the supervisor goes on
                 log.exception("fault", extra={"pairs": {"while": one.get("do")}})
-                line.send({"ok": False, "why": f"our own fault: {type(fault).__name__}: {fault}"})
+                line.send({"ok": False, "why": f"internal error: {type(fault).__name__}: {fault}"})
         if not stands or not line.flush():
             self.pending_replies = [(k, other) for k, other in self.pending_replies if other is not line]
             self.close_socket(line.sock)
 
     def run_command(self, line, one):
+        """Runs one command; raises config.ConfigurationError if it is invalid."""
         do, name = one.get("do"), one.get("name")
         if name is not None and name not in self.core.slots:
             raise config.ConfigurationError(f"{name}: no such instance" + op.near(str(name), self.core.slots))
@@ -577,6 +623,7 @@
             raise config.ConfigurationError(f"{do}: no such command")
 
     def reload(self, line):
+        """Reads the files again and rolls out what changed. `line`: the command's connection, or None."""
         self.manager.notify_reloading()
         try:
             pending = self.core.pending
@@ -588,6 +635,7 @@
                 raise
 
     def change_plan(self, program, why, line):
+        """Reads a new plan for a program and starts its rollout."""
         if self.core.stopping:
             raise config.ConfigurationError("the fleet is stopping")
         plan = self.read_plan(program)
@@ -598,33 +646,41 @@
         ]
         if fixed:
             raise op.OperatorFileError(
-                [f"{self.path}: fleet.{key}: only a new supervisor takes this over" for key in fixed]
+                [
+                    f"{self.path}: fleet.{key}: a change of this key needs a restart of the supervisor"
+                    for key in fixed
+                ]
             )
         if self.store_follower and op.read(self.path)[3] != self.store_follower.section:
-            raise op.OperatorFileError([f"{self.path}: configuration: only a new supervisor takes this over"])
+            raise op.OperatorFileError(
+                [f"{self.path}: configuration: a change of this section needs a restart of the supervisor"]
+            )
         self.begin_rollout(plan, why, line)
 
     def begin_rollout(self, plan, why, line):
-        """`line`, if any, is told the outcome."""
+        """Starts a rollout; its outcome is sent to `line`, if any."""
         self.open_listeners(plan)
         if line:
             self.pending_replies.append((plan, line))
         self.step("change_plan", plan, why)
 
     def rollout_ended(self, effect):
-        # only now: a supervisor that dies in an upgrade has a successor that goes back
+        """Saves the program in force and sends the outcome to whoever waits for it."""
+        # The program is saved only now: after a crash during an upgrade the next supervisor rolls it back.
         self.program = effect.plan.program
         self.save_state()
         self.manager.notify_ready(self.summary())
         self.reply({"ok": effect.ok, "why": effect.why or "done"}, effect.target)
 
     def reply(self, said, kind):
+        """Sends a reply to the connections that wait for `kind`: a plan's rollout or "stop"."""
         for k, line in self.pending_replies:
             if k is kind:
                 line.send(said)
         self.pending_replies = [(k, line) for k, line in self.pending_replies if k is not kind]
 
     def status(self):
+        """Returns the fleet's status as a dict for JSON."""
         rows = []
         for slot in self.core.slots.values():
             p = slot.active or slot.successor
@@ -668,14 +724,14 @@
 
 
 def with_live_settings(spec):
-    """The starting part with its whole configuration: programs of earlier releases read it there."""
+    """Returns the start part with the complete configuration, where programs of earlier releases read it."""
     start, live = json.loads(spec.start), json.loads(spec.live)
     start["config"] |= {key: live[key] for key in plans.LIVE_KEYS if key in live}
     return plans.canonical_json(start)
 
 
 def open_log(path):
-    """The instance's log; where it cannot be opened the instance runs all the same."""
+    """Opens an instance's log file, or /dev/null if that fails, so that the instance runs anyway."""
     try:
         return open(path, "ab")
     except OSError as fault:
@@ -684,8 +740,9 @@
 
 
 def instances_running():
-    """pid by control socket of every instance on this machine, by their command lines: a
-    pid in a file may be anybody's by now.
+    """Returns the pid by control socket of every instance on this machine.
+
+    They are found by their command lines, because a pid in a file may belong to another process by now.
     """
     found = {}
     for pid in filter(str.isdigit, os.listdir("/proc")):
@@ -700,7 +757,7 @@
 
 
 def kill_and_wait(pid, wait=5.0):
-    """SIGKILL, and wait until it is gone."""
+    """Sends SIGKILL to a process and waits until it has ended, at most `wait` seconds."""
     try:
         fd = os.pidfd_open(pid)
     except OSError:
--- a/tests/configstore/test_shell_fleet.py
+++ b/tests/configstore/test_shell_fleet.py
@@ -179,7 +179,10 @@
     store.operator("fleet", fleet.keys, node="another")
     words = [sys.executable, "-m", "cottonspread", "fleet", "reload", "--operator", str(fleet.toml)]
     done = subprocess.run(words, cwd=shells.ROOT, capture_output=True, text=True, timeout=60)
-    assert done.returncode == 1 and "configuration: only a new supervisor takes this over" in done.stderr
+    assert (
+        done.returncode == 1
+        and "configuration: a change of this section needs a restart of the supervisor" in done.stderr
+    )
 
 
 WITHOUT = """
--- a/tests/fleet/test_fleet.py
+++ b/tests/fleet/test_fleet.py
@@ -364,7 +364,7 @@
     first = one.run()
     one.up()
     second = one.command("run")
-    assert second.returncode == 2 and f"a supervisor runs there already, pid {first.pid}" in second.stderr
+    assert second.returncode == 2 and f"another supervisor is running there, pid {first.pid}" in second.stderr
     other = fleet(2, listen=f"127.0.0.1:{one.port}")
     third = other.command("run")
     assert (
@@ -399,7 +399,11 @@
         (b"\xff\xfe", good[1], "decode"),
         (good[0].replace("chat", ""), good[1], "Name: '' is not a text"),
         (good[0], good[1] + "at_onec = 3\n", "the nearest known one is at_once"),
-        (good[0], good[1].replace('"s"', '"t"'), "fleet.state: only a new supervisor"),
+        (
+            good[0],
+            good[1].replace('"s"', '"t"'),
+            "fleet.state: a change of this key needs a restart of the supervisor",
+        ),
         (good[0], None, "No such file"),
     ):
         spoil(template, operators)
