--- a/cottonspread/fleet/supervisor.py
+++ b/cottonspread/fleet/supervisor.py
@@ -104,7 +104,7 @@
             raise op.OperatorFileError(
                 [
                     f"{self.path}: fleet.state: {self.folder}: the path is too long for sockets: "
-                    f"{len(longest)} bytes with their names, {control.LONGEST_PATH} are possible"
+                    f"{len(longest)} bytes with their names; the limit is {control.MAX_SOCKET_PATH}"
                 ]
             )
         self.lock = control.Lock(os.path.join(self.folder, "fleet.pid"))
