--- a/cottonspread/configstore/callers.py
+++ b/cottonspread/configstore/callers.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 
 from cottonspread.configstore import messages as m
-from cottonspread.net.http import Http, ResponseError
+from cottonspread.net.http import HttpClient, ResponseError
 
 WATCH_PATH = "/api/configuration"
 POST_PATHS = {
@@ -89,7 +89,7 @@
         with self._lock:
             self._stopped, callers = True, list(self._all)
         for caller in callers:
-            caller.http.give_up()
+            caller.http.abort()
             caller.jobs.put(None)
 
 
@@ -99,7 +99,7 @@
     def __init__(self, replica: str, mark_idle: Callable):
         """Starts the thread; calls `mark_idle(self)` after each call."""
         self.replica, self._mark_idle = replica, mark_idle
-        self.http, self.jobs = Http(parse_address(replica), CONNECT_TIMEOUT_S), queue.SimpleQueue()
+        self.http, self.jobs = HttpClient(parse_address(replica), CONNECT_TIMEOUT_S), queue.SimpleQueue()
         before = threading.stack_size(STACK_BYTES)
         try:
             threading.Thread(target=self._run, daemon=True).start()
--- a/cottonspread/fleet/plan.py
+++ b/cottonspread/fleet/plan.py
@@ -64,7 +64,7 @@
     """Returns HOST:PORT with the port and the host's last octet increased by the given amounts."""
     host, _, number = address.rpartition(":")
     if octet:
-        host = op.host_on(host, octet)
+        host = op.offset_address(host, octet)
     return f"{host}:{int(number) + port}"
 
 
@@ -95,7 +95,7 @@
         raise op.OperatorFileError([f"{path}: fleet.config: {template}: {fault}"]) from fault
     whole = config.parse(text, template)
     if store_text is not None and isinstance(whole, dict):
-        whole = config.with_own(
+        whole = config.with_local_keys(
             config.parse(store_text, "configuration"), whole, section.own if section else ()
         )
     if not isinstance(whole, dict) or not isinstance(whole.get("settings"), dict):
--- a/cottonspread/fleet/supervisor.py
+++ b/cottonspread/fleet/supervisor.py
@@ -33,7 +33,7 @@
     StartAccepting,
     StopAccepting,
 )
-from cottonspread.lists.saved import write_whole
+from cottonspread.lists.saved import write_atomically
 
 log = logging.getLogger("cottonspread.fleet")
 
@@ -171,7 +171,7 @@
     def save_state(self):
         """Writes fleet.json."""
         try:
-            write_whole(
+            write_atomically(
                 os.path.join(self.folder, "fleet.json"),
                 json.dumps({"program": list(self.program), "generation": self.core.generation}),
             )
@@ -603,7 +603,9 @@
         """Runs one command; raises config.ConfigurationError if it is invalid."""
         do, name = one.get("do"), one.get("name")
         if name is not None and name not in self.core.slots:
-            raise config.ConfigurationError(f"{name}: no such instance" + op.near(str(name), self.core.slots))
+            raise config.ConfigurationError(
+                f"{name}: no such instance" + op.suggestion(str(name), self.core.slots)
+            )
         if do == "status":
             line.send({"ok": True, "status": self.status()})
         elif do == "reload":
--- a/cottonspread/lab/soak/loop.py
+++ b/cottonspread/lab/soak/loop.py
@@ -1,4 +1,4 @@
-"""One thread's sockets and timers, and how late it was itself."""
+"""A single-threaded event loop for sockets and timers that measures how late its timers fire."""
 
 import heapq
 import itertools
@@ -7,93 +7,96 @@
 import struct
 import time
 
-SO_TIMESTAMPNS, STAMP = 35, struct.Struct("qq")
+SO_TIMESTAMPNS, TIMESPEC = 35, struct.Struct("qq")
 
 
 class Loop:
-    """Callbacks for sockets that are ready and for times that have come."""
+    """Runs callbacks for ready sockets and for timers that are due."""
 
     def __init__(self):
-        self.selector, self.timers, self.numbers = selectors.DefaultSelector(), [], itertools.count()
-        self.late = 0.0  # seconds, the most that a timer was late
+        self.selector, self.timers, self.sequence = selectors.DefaultSelector(), [], itertools.count()
+        self.max_delay = 0.0  # the largest delay of a timer, in seconds
 
-    def at(self, when, what, *args):
-        """`what(*args)` at that time."""
-        heapq.heappush(self.timers, (when, next(self.numbers), what, args))
+    def at(self, when, callback, *args):
+        """Schedules `callback(*args)` at Unix time `when`, in seconds."""
+        heapq.heappush(self.timers, (when, next(self.sequence), callback, args))
 
     def run(self, until):
-        """Until that time."""
+        """Runs the loop until Unix time `until`, in seconds."""
         while (now := time.time()) < until:
             while self.timers and self.timers[0][0] <= now:
-                when, _, what, args = heapq.heappop(self.timers)
-                self.late = max(self.late, now - when)
-                what(*args)
+                when, _, callback, args = heapq.heappop(self.timers)
+                self.max_delay = max(self.max_delay, now - when)
+                callback(*args)
                 now = time.time()
             following = min(until, self.timers[0][0]) if self.timers else until
             for key, _ in self.selector.select(max(0.0, following - time.time())):
                 key.data()
 
-    def watch(self, sock, events, what):
-        """`what()` whenever the socket is ready; again with other events."""
+    def watch(self, sock, events, callback):
+        """Calls `callback()` whenever the socket is ready; a second call for a socket replaces the first."""
         if sock.fileno() in self.selector.get_map():
-            self.selector.modify(sock, events, what)
+            self.selector.modify(sock, events, callback)
         else:
-            self.selector.register(sock, events, what)
+            self.selector.register(sock, events, callback)
 
-    def forget(self, sock):
-        """Closes it."""
+    def close_socket(self, sock):
+        """Unregisters and closes a socket; does nothing if it is closed already."""
         if sock.fileno() >= 0:
             if sock.fileno() in self.selector.get_map():
                 self.selector.unregister(sock)
             sock.close()
 
 
-class Line:
-    """A connection that is read line by line: `heard(line, at)`, then `ended("end" or "reset", at)` once."""
+class LineConnection:
+    """A connection that is read line by line.
 
-    def __init__(self, loop, sock, heard, ended, stays=False):
-        """`stays`: not closed from here once the other side has ended its sending."""
-        self.loop, self.sock, self.heard, self.ended, self.rest = loop, sock, heard, ended, b""
-        self.stays = stays
+    Calls `on_line(line, at)` for each line, then `on_end("end" or "reset", at)` once.
+    """
+
+    def __init__(self, loop, sock, on_line, on_end, keep_open=False):
+        """`keep_open`: leaves this side open after the peer has closed its sending side."""
+        self.loop, self.sock, self.on_line, self.on_end, self.partial = loop, sock, on_line, on_end, b""
+        self.keep_open = keep_open
         sock.setblocking(False)
         sock.setsockopt(socket.SOL_SOCKET, SO_TIMESTAMPNS, 1)
         loop.watch(sock, selectors.EVENT_READ, self.read)
 
     def read(self):
-        """What has come."""
+        """Reads what is available; lines get the kernel's receive time where it is known."""
         try:
             data, stamps, _, _ = self.sock.recvmsg(65536, 64)
         except BlockingIOError:
             return
         except OSError:
-            self.over("reset")
+            self.finish("reset")
             return
-        at = next((STAMP.unpack(value) for _, kind, value in stamps if kind == SO_TIMESTAMPNS), None)
+        at = next((TIMESPEC.unpack(value) for _, kind, value in stamps if kind == SO_TIMESTAMPNS), None)
         at = at[0] + at[1] / 1e9 if at else time.time()
-        whole, _, self.rest = (self.rest + data).rpartition(b"\n")
+        whole, _, self.partial = (self.partial + data).rpartition(b"\n")
         for line in whole.split(b"\n") if whole else ():
             if self.sock.fileno() >= 0:
-                self.heard(line.rstrip(b"\r"), at)
+                self.on_line(line.rstrip(b"\r"), at)
         if not data:
-            self.over("end")
+            self.finish("end")
 
-    def over(self, how):
-        """Nothing more comes."""
-        if self.stays and how == "end":
+    def finish(self, how):
+        """Handles the end of the incoming data."""
+        if self.keep_open and how == "end":
             self.loop.selector.unregister(self.sock)
         else:
-            self.loop.forget(self.sock)
-        self.ended(how, time.time())
+            self.loop.close_socket(self.sock)
+        self.on_end(how, time.time())
 
-    def say(self, line):
-        """One line; whether it went out whole."""
+    def send_line(self, line):
+        """Sends one line and returns whether all of it was written."""
         try:
             return self.sock.send(line + b"\r\n") == len(line) + 2
         except OSError:
             return False
 
     def close(self, reset=False):
-        """From here."""
+        """Closes the connection from this side, with a TCP reset if `reset`."""
         if reset and self.sock.fileno() >= 0:
             self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
-        self.loop.forget(self.sock)
+        self.loop.close_socket(self.sock)
--- a/cottonspread/lists/saved.py
+++ b/cottonspread/lists/saved.py
@@ -1,5 +1,6 @@
-"""The last list that a node was told, in a file: what its successor begins
-with, draining servers marked as such.
+"""The last server list received from discovery, saved to a file: the next process starts with it.
+
+Draining servers are saved as draining.
 """
 
 import contextlib
@@ -10,28 +11,28 @@
 log = logging.getLogger("cottonspread.lists")
 
 
-def write_whole(path, text, sync_folder=False):
-    """The file is the old one or the new one, never half of it.
+def write_atomically(path, text, durable=False):
+    """Replaces the file atomically: a reader sees the old text or the new one, never a part.
 
-    `sync_folder`: after a power cut it is the new one, too. Raises OSError; nothing is left behind then.
+    `durable`: the new text also survives a power failure. On OSError the temporary file is removed.
     """
-    beside = f"{path}.{os.getpid()}.new"
+    temporary = f"{path}.{os.getpid()}.new"
     try:
-        with open(beside, "w", encoding="utf-8") as file:
+        with open(temporary, "w", encoding="utf-8") as file:
             file.write(text)
             file.flush()
             os.fsync(file.fileno())
-        os.replace(beside, path)
-        if sync_folder:
-            sync(os.path.dirname(os.path.abspath(path)))
+        os.replace(temporary, path)
+        if durable:
+            sync_folder(os.path.dirname(os.path.abspath(path)))
     except OSError:
         with contextlib.suppress(OSError):
-            os.unlink(beside)
+            os.unlink(temporary)
         raise
 
 
-def sync(folder):
-    """What was renamed and removed in the folder is so after a power cut. Raises OSError."""
+def sync_folder(folder):
+    """Makes renames and removals in the folder durable. Raises OSError."""
     opened = os.open(folder, os.O_RDONLY | os.O_DIRECTORY)
     try:
         os.fsync(opened)
@@ -39,48 +40,46 @@
         os.close(opened)
 
 
-class Saved:
-    """Keeps what discovery tells, as its JSON. A disk that takes nothing
-    costs a log line, and the node goes on.
-    """
+class SavedList:
+    """Saves the list from discovery as JSON. A file that cannot be written costs one log line."""
 
-    def __init__(self, path, weights_move=False):
-        """`weights_move`: news of weights alone is not written."""
-        self.path, self.known, self.failing, self.weights_move = path, {}, False, weights_move
+    def __init__(self, path, dynamic_weights=False):
+        """`dynamic_weights`: changes of weights alone are not saved."""
+        self.path, self.entries, self.failing, self.dynamic_weights = path, {}, False, dynamic_weights
 
-    def told(self, version, instances, whole):
-        """An answer of discovery, as its JSON; `whole`: it is the whole list, and no change."""
-        # Weights that move came each second, and each word was a write and an fsync. What was saved first,
-        # which is nearer to the sizes, stays.
+    def update(self, version, instances, full):
+        """Saves a list as discovery sent it; `full`: the whole list, not changes to the last one."""
+        # Live weights change every second, and each change would cost a write and an fsync. The weights
+        # saved first stay: they are closer to the servers' sizes.
         if (
-            self.weights_move
-            and not whole
+            self.dynamic_weights
+            and not full
             and all(
-                one | {"weight": 0} == self.known.get(str(one["instanceId"]), {}) | {"weight": 0}
+                one | {"weight": 0} == self.entries.get(str(one["instanceId"]), {}) | {"weight": 0}
                 for one in instances
             )
         ):
             return
-        if whole:
-            self.known = {}
+        if full:
+            self.entries = {}
         for one in instances:
-            self.known[str(one["instanceId"])] = one
+            self.entries[str(one["instanceId"])] = one
             if one["lifecycle"] == "Gone":
-                del self.known[str(one["instanceId"])]
+                del self.entries[str(one["instanceId"])]
         try:
-            write_whole(
+            write_atomically(
                 self.path,
-                json.dumps({"generation": version, "reset": True, "instances": list(self.known.values())}),
+                json.dumps({"generation": version, "reset": True, "instances": list(self.entries.values())}),
             )
             self.failing = False
         except OSError as fault:
-            if not self.failing:  # once, not at each list
+            if not self.failing:  # logged once, not for each list
                 log.error("list-not-saved", extra={"pairs": {"file": self.path, "why": fault}})
             self.failing = True
 
 
 def read(path):
-    """The saved list as JSON, or None: none there, or not readable, which is no reason not to start."""
+    """The saved list as parsed JSON, or None if it is missing or unreadable: a node also starts without."""
     try:
         with open(path, encoding="utf-8") as file:
             said = json.load(file)
--- a/cottonspread/net/pool.py
+++ b/cottonspread/net/pool.py
@@ -1,22 +1,25 @@
-"""Buffers of one size, used again."""
+"""A pool of read buffers of one size."""
 
 from collections import deque
 
-SIZE = 4096 + 2  # the longest line with its CRLF
+BUFFER_SIZE = 4096 + 2  # the longest line of the protocol and its CRLF
 
 
-class Pool:
-    """Lends buffers; keeps at most `spare` of those given back."""
+class BufferPool:
+    """Hands out buffers and keeps at most `spare` released ones for reuse."""
 
     def __init__(self, spare=64):
-        self.free, self.spare, self.made = deque(maxlen=spare), spare, 0
+        """`spare`: how many free buffers are kept."""
+        self.free, self.spare, self.allocated = deque(maxlen=spare), spare, 0
 
-    def take(self):
+    def acquire(self):
+        """A free buffer, or a new one."""
         try:
             return self.free.pop()
         except IndexError:
-            self.made += 1
-            return bytearray(SIZE)
+            self.allocated += 1
+            return bytearray(BUFFER_SIZE)
 
-    def give(self, buffer):
-        self.free.append(buffer)  # beyond `spare` the oldest falls out and is freed
+    def release(self, buffer):
+        """Returns a buffer to the pool."""
+        self.free.append(buffer)  # when `spare` are free the oldest is dropped
--- a/cottonspread/net/reducer.py
+++ b/cottonspread/net/reducer.py
@@ -15,9 +15,9 @@
 
 from cottonspread import interface as io
 from cottonspread.front import handover
-from cottonspread.front.figures import Figures
+from cottonspread.front.counters import Counters
 from cottonspread.front.lateness import Lateness
-from cottonspread.front.reports import probed
+from cottonspread.front.reports import probe_ended
 from cottonspread.interface import Ending
 from cottonspread.net import events as ev
 from cottonspread.net import lines
@@ -42,7 +42,7 @@
 SILENT = 9 * SECOND // 2
 STANDING_WAIT = 40 * SECOND  # for a connection that was open before the start
 PROBE_WAIT = SECOND // 4  # a host that takes longer to tell its load is no place for a new call
-NOT_LISTED = io.Entry(None, state=io.State.GONE)
+NOT_LISTED = io.Entry(None, state=io.HostState.GONE)
 PROBES_PART = 4  # one part in so many of all ends, at most, is probes: each has a thread and a descriptor
 
 
@@ -77,7 +77,7 @@
     began: int  # when it was accepted
     opening: lines.Opening = None
     type: io.TrafficType = None  # the one it opened under, whatever the settings become
-    most_legs: int = 1  # as they were then
+    max_legs: int = 1  # as they were then
     guard: int = 0
     legs: list = field(default_factory=list)
     answered: bool = False  # the final answer is given, or the client is gone
@@ -122,7 +122,7 @@
         self.busy_conns, self.busy_hosts = Busy(connection_is_busy, number), Busy(host_is_busy, number)
         self.asking = set()  # hosts with a probe under way whose end the module waits for
         self.probes = 0
-        self.figures = Figures(())
+        self.counters = Counters(())
         self.listed, self.departure = False, Departure(self)
         # a successor takes standing connections; the one on its way there
         self.heir, self.passing = False, None
@@ -153,7 +153,7 @@
         self.after(LISTEN, self.listen)
         for action in self.module.actions():
             self.do(action)
-        if not begin.listing.ask:
+        if not begin.server_list.polled:
             self.out.append(ev.FollowList())
 
     def tune(self, begin):
@@ -161,7 +161,7 @@
         self.longest_wait = LONGEST_WAIT * max(t.guard_time for t in begin.types)
         targets = [t.message_target for t in begin.types if t.message_target]
         self.slow_from = min(targets, default=SECOND) // 3
-        self.figures.know(t.name for t in begin.types)
+        self.counters.add_types(t.name for t in begin.types)
 
     @property
     def stopping(self):
@@ -182,7 +182,7 @@
         """Everything that `event` and the passing of time ask for. `at`: when it happened; 0: now."""
         self.now = max(now, self.now)
         self.happened = min(at or self.now, self.now)
-        self.own.measured(self.now, self.now - min(self.happened, self.due()))
+        self.own.record(self.now, self.now - min(self.happened, self.due()))
         self.tell_module()  # what a fault left over
         while self.timers and self.timers[0][0] <= self.now:
             what, args = heapq.heappop(self.timers)[2:]
@@ -232,7 +232,7 @@
     def do(self, action):
         match action:
             case io.Send():
-                self.send(action.call, action.host, action.until, action.by)
+                self.send(action.call, action.host, action.deadline, action.send_by)
             case io.Reject():
                 self.answer(action.call, lines.busy(action.retry_after), "rejected")
             case io.Release():
@@ -243,7 +243,7 @@
                 self.move(action.call, "moved")
             case io.Timer():
                 self.after(action.after, self.tell, io.TimerFired(action.token))
-            case io.Follow():
+            case io.Subscribe():
                 self.out.append(ev.FollowList())
             case io.Probe():
                 self.probe(action.host)
@@ -321,10 +321,10 @@
         if opening.id in self.by_id or opening.id in self.ended_ids:
             self.turn_out(conn, "id-in-use")
             return
-        conn.opening, conn.type, conn.most_legs = (
+        conn.opening, conn.type, conn.max_legs = (
             opening,
             self.begin.types[opening.type],
-            self.begin.legs.most_legs,
+            self.begin.legs.max_legs,
         )
         self.unopened.pop(conn, None)
         self.by_id[opening.id] = conn
@@ -333,7 +333,7 @@
         # with the answer is not the call's.
         lain = self.now - self.happened
         conn.guard = self.happened + wait
-        left = max(0, wait - lain - min(self.own.most(self.now), (wait - lain) // 4))
+        left = max(0, wait - lain - min(self.own.recent_max(self.now), (wait - lain) // 4))
         # Two descriptors for every call, and some left to answer with: at the edge a call is turned away.
         turned = self.departure.turns_away(conn)
         if turned or self.ends + 1 > self.most_ends:
@@ -346,7 +346,7 @@
         self.read(conn.client)  # to notice when it leaves
         self.at(conn.guard + self.begin.tick, self.overdue, conn)
         self.tell(
-            io.Arrived(
+            io.CallArrived(
                 conn,
                 opening.type,
                 left,
@@ -362,7 +362,7 @@
             self.open_leg(Leg(conn, len(conn.legs), host, conn.guard), STANDING_WAIT // 4)
 
     def retry_after(self):
-        return self.begin.legs.longest_retry_after // 2 if self.begin.legs.may_retry_after else 0
+        return self.begin.legs.max_retry_after // 2 if self.begin.legs.may_retry_after else 0
 
     def client_lines(self, conn, data):
         if not conn.up:  # see `first_line`
@@ -387,7 +387,7 @@
             return
         conn.answered, conn.reason = True, conn.reason or reason
         if not conn.up:
-            self.tell(io.Expired(conn))
+            self.tell(io.CallExpired(conn))
         for leg in conn.legs:
             self.end_leg(leg, Ending.CANCELLED)
 
@@ -403,7 +403,7 @@
         conn.answered = True
         if conn.type and not conn.counted:
             conn.counted = True
-            self.figures.answered("busy" if line.startswith(b"BUSY") else "failure", conn.type.name)
+            self.counters.count_answer("busy" if line.startswith(b"BUSY") else "failure", conn.type.name)
         self.closed_id(conn)
         if line and not conn.client.writing:
             self.write(conn.client, line)
@@ -419,18 +419,18 @@
             or conn.up
             or self.departure.hurries()
             or until <= self.now
-            or leg.number >= conn.most_legs
+            or leg.number >= conn.max_legs
             or out
-            and not self.begin.legs.two_at_once
+            and not self.begin.legs.parallel_legs
         ):
             conn.legs.append(leg)
-            self.end_leg(leg, Ending.MOOT)
+            self.end_leg(leg, Ending.NOT_SENT)
             return
         if leg.host.address is None:  # listed nowhere any more
             conn.legs.append(leg)
             self.end_leg(leg, Ending.CONNECT_FAILED)
             return
-        self.open_leg(leg, min(self.hearing.connect_wait, until - self.now))
+        self.open_leg(leg, min(self.hearing.connect_timeout, until - self.now))
 
     def open_leg(self, leg, wait):
         conn, host, until, leg.address = leg.conn, leg.host, leg.until, leg.host.address
@@ -448,7 +448,7 @@
         """
         if leg.up or leg.ended:
             return
-        late, last = self.own.most(self.now), leg.conn.guard - 2 * self.begin.tick
+        late, last = self.own.recent_max(self.now), leg.conn.guard - 2 * self.begin.tick
         if not waited and late and leg.until + late <= last:
             self.at(leg.until + late, self.time_out, leg, True)
         elif not waited and late and self.now < last:
@@ -491,7 +491,12 @@
         if leg.conn.opening.held_by is not None:  # it stands there already
             return ""
         entry, server = self.entries.get(leg.host.name), self.servers.get(leg.host.name)
-        if entry is None or entry.state is not io.State.UP or server is None or server.address != leg.address:
+        if (
+            entry is None
+            or entry.state is not io.HostState.UP
+            or server is None
+            or server.address != leg.address
+        ):
             return "host-drains"
         return "too-late" if leg.by and self.now >= leg.by else ""
 
@@ -501,7 +506,7 @@
         """
         if not leg.ended:
             self.out.append(ev.Say("not-sent", {"host": leg.host.name, "why": why}))
-        self.end_leg(leg, Ending.CONNECT_FAILED if why == "host-drains" else Ending.MOOT)
+        self.end_leg(leg, Ending.CONNECT_FAILED if why == "host-drains" else Ending.NOT_SENT)
 
     def end_leg(self, leg, ending, broken=False):
         """What comes late from an ended leg is dropped."""
@@ -510,7 +515,7 @@
         # A leg that was given up before its line went to the workers cannot have run: a call that must not
         # run twice was answered as failed, though it had never been sent.
         if not leg.begun and leg.conn.opening.held_by is None:
-            ending = {Ending.TIMEOUT: Ending.CONNECT_FAILED, Ending.CANCELLED: Ending.MOOT}.get(
+            ending = {Ending.TIMEOUT: Ending.CONNECT_FAILED, Ending.CANCELLED: Ending.NOT_SENT}.get(
                 ending, ending
             )
         leg.ended = True
@@ -549,7 +554,7 @@
         conn = leg.conn
         if ending is None:
             leg.up = conn.up = conn.counted = True
-            self.figures.answered("success", conn.type.name)
+            self.counters.count_answer("success", conn.type.name)
             # Its host may have been called gone meanwhile, and taken back: watched under
             # another's name it would be silent unheard.
             leg.host = self.server(leg.host.name)
@@ -558,7 +563,7 @@
             if self.heir:
                 self.busy.append(conn)
             if conn.opening.held_by is None:
-                self.tell(io.Accepted(conn, leg.number, 0))
+                self.tell(io.LegAccepted(conn, leg.number, 0))
             self.pass_on(leg, data, len(first) + 1)
         elif ending is Ending.OK:  # it ran, and to its end
             conn.answered = True
@@ -588,20 +593,20 @@
     def load_line(self, leg, value):
         notes = leg.host.notes
         self.busy_hosts.note(leg.host)  # what is made of it may change as time passes
-        if self.hearing.delays and self.hearing.words:
+        if self.hearing.sends_delay and self.hearing.load_may_be_delay:
             # Where the settings say that loads are not told, such a line can only be the other note: taken
             # for a connection's load, with which each begins elsewhere, no jam was seen at all.
             delay = (
                 notes.delay(
                     self.now, leg.heard, value, notes.waited(self.now, leg.host.waiting.all())[0], self.usual
                 )
-                if self.hearing.loads
+                if self.hearing.sends_load
                 else notes.take(self.now, round(value * 1000))
             )
             self.tell_loads(leg.host, notes.mistaken)
             notes.mistaken.clear()
             if delay:
-                self.tell(io.DelayTold(leg.conn, delay))
+                self.tell(io.DelayReported(leg.conn, delay))
             if delay is not None:
                 return
         self.tell_load(leg, value)
@@ -609,8 +614,8 @@
     def tell_load(self, leg, value):
         leg.heard.load = value
         self.usual += (value - self.usual) / 50 if self.usual else value
-        if self.hearing.loads:
-            self.tell(io.LoadTold(leg.conn, value))
+        if self.hearing.sends_load:
+            self.tell(io.LoadReported(leg.conn, value))
 
     def tell_loads(self, host, loads):
         for heard, load in loads:
@@ -623,7 +628,7 @@
         `back`: when it was here.
         """
         notes = leg.host.notes
-        if sent is None or not self.hearing.delays:
+        if sent is None or not self.hearing.sends_delay:
             return
         notes.answered = max(notes.answered, sent)
         delay = max(0, back - sent)
@@ -640,19 +645,19 @@
 
     def tell_delay(self, leg, delay, over):
         leg.host.notes.told_at, leg.host.notes.over = self.now, over
-        self.tell(io.DelayTold(leg.conn, delay))
+        self.tell(io.DelayReported(leg.conn, delay))
 
     def listen(self):
         """A host that echoes nothing tells by that alone what its messages take, at least."""
         self.after(LISTEN, self.listen)
-        late = self.own.most(self.now)  # an echo may have lain here so long
+        late = self.own.recent_max(self.now)  # an echo may have lain here so long
         for host in [host for host in self.busy_hosts.all() if host.legs]:
             # A client that takes nothing keeps its host from being read, which is no silence of the host's.
             heard = [leg for leg in host.waiting.all() if not leg.conn.client.writing]
             waited, leg = host.notes.waited(self.now, heard)
             waited = max(0, waited - late)
             loads = host.notes.lapsed(self.now)
-            claim = host.notes.confirmed(self.now, waited) if self.hearing.delays else None
+            claim = host.notes.confirmed(self.now, waited) if self.hearing.sends_delay else None
             if claim:  # what was taken for a load was none
                 loads.append(claim[1:])
             self.tell_loads(host, loads)
@@ -660,7 +665,7 @@
                 self.tell_delay(leg, claim[0], True)
             # The first word on a silence, then one at half a second, by which the module knows a hang, and
             # then one a second.
-            elif self.hearing.delays and waited >= 3 * self.slow_from:
+            elif self.hearing.sends_delay and waited >= 3 * self.slow_from:
                 told = host.notes.told_at - (self.now - waited)  # how long it was silent at the last word
                 if self.now - host.notes.told_at >= SECOND or 0 <= told < HANG <= waited:
                     self.tell_delay(leg, waited, True)
@@ -677,13 +682,13 @@
         """
         host = self.server(name)
         if host.address is None:
-            self.tell(io.Probed(name, Ending.CONNECT_FAILED))
+            self.tell(io.ProbeEnded(name, Ending.CONNECT_FAILED))
         elif (
             self.probes * PROBES_PART >= self.most_ends
             or self.ends + 2 > self.most_ends
             or self.departure.hurries()
         ):
-            self.tell(io.Probed(name, Ending.FULL))
+            self.tell(io.ProbeEnded(name, Ending.FULL))
         else:
             self.asking.add(name)
             self.probes += 1
@@ -696,8 +701,8 @@
         if e.host in self.asking:
             self.asking.discard(e.host)
             # A node that was late itself may have left the answer lying: no word on the host.
-            late = e.ending is Ending.TIMEOUT and self.own.most(self.now)
-            self.tell(probed(e.host, Ending.FULL if late else e.ending, e.waited, e.report))
+            late = e.ending is Ending.TIMEOUT and self.own.recent_max(self.now)
+            self.tell(probe_ended(e.host, Ending.FULL if late else e.ending, e.waited, e.report))
 
     # Ends and moves
 
@@ -781,8 +786,8 @@
         first = e.ok and not end.client and not end.leg.written
         if first:  # also if the leg has ended meanwhile: its host has the line
             end.leg.written = True
-            self.figures.backend_calls += 1
-        if end.client and conn.up and self.now - end.writing - self.own.most(self.now) > self.slow_from:
+            self.counters.backend_calls += 1
+        if end.client and conn.up and self.now - end.writing - self.own.recent_max(self.now) > self.slow_from:
             conn.legs[-1].heard.waiting.clear()  # echoes were late for want of a reader
         elif not end.client and end.leg.up and e.at:
             end.leg.heard.written(end.writing, e.at)
@@ -892,7 +897,7 @@
     def sweep(self):
         """What waits too long, looked at four times a second."""
         self.after(SWEEP, self.sweep)
-        late = self.own.most(self.now)
+        late = self.own.recent_max(self.now)
         for conn in self.busy_conns.all():
             self.sweep_end(conn.client)
             if (
@@ -904,7 +909,7 @@
             for leg in conn.legs:
                 if leg.end is not None:
                     self.sweep_end(leg.end)
-        self.figures.hosts_down = self.module.membership.avoided(self.now)
+        self.counters.hosts_down = self.module.membership.count_unavailable(self.now)
         if self.departure.stopping:
             self.pass_to_successor(self.busy)
             self.departure.stop_when_done()
@@ -912,7 +917,7 @@
     def sweep_end(self, end):
         if end.freed:
             return
-        if end.writing and self.now - end.writing - self.own.most(self.now) > STUCK and not end.closing:
+        if end.writing and self.now - end.writing - self.own.recent_max(self.now) > STUCK and not end.closing:
             self.out.append(ev.Say("stuck", {"client": end.client}, "warning"))
             if end.client:
                 self.client_over(end.conn, "stuck")
@@ -934,15 +939,17 @@
     def heard(self, e):
         for name, address in e.addresses.items():
             self.server(name).address = address
-        self.listed = self.listed or any(entry.state is io.State.UP for entry in e.listed.entries)
+        self.listed = self.listed or any(entry.state is io.HostState.UP for entry in e.listed.entries)
         self.tell(e.listed)
         # Weights that move come each second; what is said of the list is who came, left or began anew.
         new = [
-            entry for entry in e.listed.entries if not entry.like(self.entries.get(entry.host, NOT_LISTED))
+            entry
+            for entry in e.listed.entries
+            if not entry.equals_except_weight(self.entries.get(entry.host, NOT_LISTED))
         ]
         self.entries.update((entry.host, entry) for entry in new)
-        gone = {entry.host for entry in e.listed.entries if entry.state is io.State.GONE}
-        if e.listed.news is not io.News.CHANGES:
+        gone = {entry.host for entry in e.listed.entries if entry.state is io.HostState.GONE}
+        if e.listed.kind is not io.ListUpdateKind.CHANGES:
             gone |= self.servers.keys() - e.addresses.keys()
         for name in gone:
             self.entries.pop(name, None)
@@ -951,13 +958,13 @@
                 server.address = None
                 if not server.legs:
                     del self.servers[name]
-        self.figures.hosts_listed = len(self.entries)
-        if new or gone or e.listed.news is not io.News.CHANGES:
+        self.counters.hosts_listed = len(self.entries)
+        if new or gone or e.listed.kind is not io.ListUpdateKind.CHANGES:
             self.out.append(
                 ev.Say(
                     "list",
                     {
-                        "news": e.listed.news.name.lower(),
+                        "news": e.listed.kind.name.lower(),
                         "version": e.listed.version,
                         "entries": len(e.listed.entries),
                     },
@@ -965,8 +972,8 @@
             )
 
     def list_failed(self, e):
-        if self.begin.listing.ask:  # the others are not told, and keep the last list
-            self.tell(io.Listed(io.News.FAILED, took=e.took))
+        if self.begin.server_list.polled:  # the others are not told, and keep the last list
+            self.tell(io.ListUpdate(io.ListUpdateKind.FAILED, took=e.took))
 
     # Other settings, and the next process
 
@@ -980,11 +987,11 @@
         self.tune(e.begin)
         for host in self.servers.values():
             host.notes.slow_from = self.slow_from
-        self.figures.reconfig_ok += 1
-        self.tell(io.Retuned(e.begin))
+        self.counters.reconfig_ok += 1
+        self.tell(io.Reconfigured(e.begin))
 
     def not_retuned(self, e):
-        self.figures.reconfig_failed += 1
+        self.counters.reconfig_failed += 1
 
     def inherit(self, e):
         self.ended_ids.update(dict.fromkeys(e.handed.ids))
@@ -997,7 +1004,7 @@
         free = max(0, self.most_ends - self.ends)
         self.most_ends -= free // 2
         e.give(
-            handover.taken(
+            handover.snapshot(
                 self.module,
                 self.now,
                 room=free // 2,
@@ -1027,7 +1034,7 @@
                 ev.Pass(
                     conn,
                     *ends,
-                    handover.Standing(
+                    handover.OpenConnection(
                         opening.id,
                         conn.type.name,
                         leg.host.name,
@@ -1106,7 +1113,7 @@
         self.ended_ids.pop(one.id, None)  # the predecessor told it with the others that were open
         self.by_id[one.id] = conn
         self.ends += 2
-        self.tell(io.Arrived(conn, number, 0, one.key, one.group, one.tenant, one.load, held_by=one.host))
+        self.tell(io.CallArrived(conn, number, 0, one.key, one.group, one.tenant, one.load, held_by=one.host))
         if one.load:
             self.tell_load(leg, one.load)
         for end in (e.client, e.host):
--- a/tests/scale/test_module_work.py
+++ b/tests/scale/test_module_work.py
@@ -19,14 +19,14 @@
     """So many connections more, each of a group of its own, all on one server."""
     for _ in range(count):
         call = node.next_call()
-        node.handle(io.Arrived(call, 0, GUARD, None, f"held-{call}", held_by=host))
-        node.handle(io.LoadTold(call, LOAD))
+        node.handle(io.CallArrived(call, 0, GUARD, None, f"held-{call}", held_by=host))
+        node.handle(io.LoadReported(call, LOAD))
 
 
 def settled(node):
     """The node after its groups' parts of all calls have become small, and a look at all servers."""
     for n in range(600):
-        node.handle(io.Arrived(f"warm-{n}", 0, 0, None, f"warm-{n}"))
+        node.handle(io.CallArrived(f"warm-{n}", 0, 0, None, f"warm-{n}"))
     node.look()
     return node
 
@@ -58,7 +58,7 @@
 
 def test_a_group_s_order_is_made_in_one_pass_and_made_once():
     node = settled(ModuleNode(1000, 500, 200))
-    orders = node.balancer.rotation.ranked
+    orders = node.balancer.rotation.group_orders
     before = orders.passes
     for _ in range(5):
         node.arrive("some group")
@@ -107,7 +107,7 @@
     def work(connections):
         node = ModuleNode(connections, 40, 40)
         node.look()
-        node.handle(io.LoadTold(next(iter(node.standing)), 2 * LOAD))
+        node.handle(io.LoadReported(next(iter(node.standing)), 2 * LOAD))
         return lines_run(node.look)
 
     few, many = work(40), work(400)
@@ -134,7 +134,7 @@
         node = ModuleNode(400, 200, 400)
         node.now += 10 * SECOND
         started = [entry(n, started=node.now - SECOND) for n in range(fresh)]
-        node.list(io.News.CHANGES, started)
+        node.list(io.ListUpdateKind.CHANGES, started)
         node.look()
         group = "group-150"  # it has a record: the call goes there at once
         node.whole_call(group)
@@ -146,14 +146,14 @@
 
 def test_no_record_of_a_connection_that_stands_is_dropped_for_their_number(monkeypatch):
     """50,000 were kept at most, and a node holds 76,190 connections."""
-    monkeypatch.setattr(Records, "MOST", 20)
+    monkeypatch.setattr(Records, "MAX_IDLE_KEYS", 20)
     node = ModuleNode(60, 4, 60)
     node.whole_call("group-0")
     assert {f"group-{n}" for n in range(60)} <= set(node.balancer.records.entries)
 
 
 def test_records_are_bounded_by_the_connections_held(monkeypatch):
-    monkeypatch.setattr(Records, "MOST", 20)
+    monkeypatch.setattr(Records, "MAX_IDLE_KEYS", 20)
     node = ModuleNode(60, 4, 60)
     for n in range(100):
         node.whole_call(f"passing-{n}")
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -20,10 +20,10 @@
 from cottonspread.lists import saved
 from cottonspread.net import discovery, lines, logfmt, workers
 from cottonspread.net import events as ev
-from cottonspread.net.http import Http, ResponseError
+from cottonspread.net.http import HttpClient, ResponseError
 from cottonspread.net.node import Node, grow_table
 from cottonspread.net.notes import Heard, Notes
-from cottonspread.net.pool import SIZE, Pool
+from cottonspread.net.pool import BUFFER_SIZE, BufferPool
 from cottonspread.net.workers import WIDE, Workers, start_thread
 
 EXAMPLES = Path(__file__).parent.parent / "examples"
@@ -41,29 +41,31 @@
 
 def test_lines_come_whole_and_idle_connections_hold_no_buffer():
     ours, theirs = pair()
-    pool = Pool()
+    pool = BufferPool()
     gatherer = lines.Gatherer(ours, pool, 1)
     theirs.sendall(b"one\r\ntwo\r\nthr")
     assert gatherer.lines() == b"one\r\ntwo\r\n" and gatherer.filled == 3
     theirs.sendall(b"ee\r\n")
-    assert gatherer.lines() == b"three\r\n" and gatherer.buffer is None and pool.made == 1 == len(pool.free)
+    assert (
+        gatherer.lines() == b"three\r\n" and gatherer.buffer is None and pool.allocated == 1 == len(pool.free)
+    )
     theirs.close()
     assert gatherer.lines() == b""
 
 
-@pytest.mark.parametrize("sent, reason", [(b"x" * SIZE, "long-line"), (b"half", "half-line")])
+@pytest.mark.parametrize("sent, reason", [(b"x" * BUFFER_SIZE, "long-line"), (b"half", "half-line")])
 def test_a_line_too_long_or_cut_off_is_told_by_its_reason(sent, reason):
     ours, theirs = pair()
     theirs.sendall(sent)
     theirs.shutdown(socket.SHUT_WR)
     with pytest.raises(lines.LineError, match=reason):
-        lines.Gatherer(ours, Pool(), 1).lines()
+        lines.Gatherer(ours, BufferPool(), 1).lines()
 
 
 def test_the_longest_line_passes():
     ours, theirs = pair()
-    theirs.sendall(b"x" * (SIZE - 2) + b"\r\n")
-    assert len(lines.Gatherer(ours, Pool(), 1).lines()) == SIZE
+    theirs.sendall(b"x" * (BUFFER_SIZE - 2) + b"\r\n")
+    assert len(lines.Gatherer(ours, BufferPool(), 1).lines()) == BUFFER_SIZE
 
 
 def test_the_first_line_goes_on_unchanged_but_for_d():
@@ -194,7 +196,7 @@
 
 def probe(address, wait=WAIT):
     told = queue.Queue()
-    Workers(Pool(), told.put, lambda: 0).carry_out(ev.Ask("s-1", address, round(wait * 1_000_000)))
+    Workers(BufferPool(), told.put, lambda: 0).carry_out(ev.Ask("s-1", address, round(wait * 1_000_000)))
     return told.get(timeout=WAIT)
 
 
@@ -220,11 +222,11 @@
     one = {"instanceId": "s-1", "lifecycle": "Ready", "weight": 3.0}
     for moving, kept in ((True, 3.0), (False, 0.2)):
         path = tmp_path / f"{moving}.json"
-        keeper = saved.Saved(str(path), moving)
-        keeper.told(1, [one], True)
-        keeper.told(2, [one | {"weight": 0.2}], False)
+        keeper = saved.SavedList(str(path), moving)
+        keeper.update(1, [one], True)
+        keeper.update(2, [one | {"weight": 0.2}], False)
         assert saved.read(str(path))["instances"][0]["weight"] == kept
-        keeper.told(3, [one | {"weight": 0.2, "lifecycle": "Terminating"}], False)
+        keeper.update(3, [one | {"weight": 0.2, "lifecycle": "Terminating"}], False)
         assert saved.read(str(path))["instances"][0]["lifecycle"] == "Terminating"
 
 
@@ -259,7 +261,7 @@
     chunked = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2;x=y\r\nde\r\n0\r\n\r\n"
     to_the_end = b"HTTP/1.0 200 OK\r\n\r\nabcde"
     for answer in (chunked, to_the_end, ok(b"abcde"), b"HTTP/1.1 100 Continue\r\n\r\n" + ok(b"abcde")):
-        assert Http(Answers(answer).address, 1).get("/", WAIT) == b"abcde"
+        assert HttpClient(Answers(answer).address, 1).get("/", WAIT) == b"abcde"
 
 
 @pytest.mark.parametrize(
@@ -275,13 +277,13 @@
 )
 def test_no_answer_is_made_of_a_bad_one(answer):
     with pytest.raises((ResponseError, OSError)):
-        Http(Answers(answer).address, 1).get("/", WAIT)
+        HttpClient(Answers(answer).address, 1).get("/", WAIT)
 
 
 def test_a_call_that_hangs_is_given_up():
     listener = socket.create_server(("127.0.0.1", 0))
     with pytest.raises(TimeoutError):
-        Http(listener.getsockname(), 1).get("/", 0.05)
+        HttpClient(listener.getsockname(), 1).get("/", 0.05)
 
 
 def listing(version, reset=True, state="Ready"):
@@ -352,11 +354,11 @@
     assert now["a"].started == 9000 and now["b"] == first["b"] and "c" not in now
     assert unread.keys() == {"b", "c"} and addresses.keys() == {"a", "b"}
     if "lifecycle" not in bad:  # that nothing may go there any more is heard all the same
-        for word, state in (("Terminating", io.State.DRAINING), ("Gone", io.State.GONE)):
+        for word, state in (("Terminating", io.HostState.DRAINING), ("Gone", io.HostState.GONE)):
             now, addresses, unread = read(
                 instance("a"), instance("b", **bad | {"lifecycle": word}), before=before
             )
-            assert now["b"].state is state and ("b" in addresses) is (state is io.State.DRAINING)
+            assert now["b"].state is state and ("b" in addresses) is (state is io.HostState.DRAINING)
 
 
 def test_a_list_with_a_doubled_id_takes_the_later_word_and_one_without_servers_is_a_list():
@@ -367,12 +369,15 @@
         "instances": [instance("a"), instance("a", lifecycle="Terminating"), instance("b"), 7, {"weight": 1}],
     }
     version, listed, addresses, unread = discovery.read_list(said, names)
-    assert [(e.host, e.state) for e in listed.entries] == [("a", io.State.DRAINING), ("b", io.State.UP)]
+    assert [(e.host, e.state) for e in listed.entries] == [
+        ("a", io.HostState.DRAINING),
+        ("b", io.HostState.UP),
+    ]
     assert unread.keys() == {"a again", "None"} and addresses["a"] == addresses["b"] == ("10.1.0.18", 8080)
     long = "b" * 100  # named whole, or what is kept on disk would not know it
     assert discovery.read_list(said | {"instances": [instance(long, weight="x")]}, names)[3].keys() == {long}
     assert discovery.read_list(said | {"instances": []}, names)[1:] == (
-        io.Listed(io.News.FULL, 3, ()),
+        io.ListUpdate(io.ListUpdateKind.FULL, 3, ()),
         {},
         {},
     )
@@ -397,7 +402,7 @@
         answers.address, names, lambda e: heard.put(e) if isinstance(e, ev.Heard) else failed.append(e), 0
     )
     monkeypatch.setattr(discovery.time, "sleep", lambda _: None)
-    one.wanted.set()
+    one.enabled.set()
     start_thread(one.run, stack=WIDE)  # with less, JSON nested deep ended the whole process
     told = [heard.get(timeout=WAIT) for _ in range(4)]
     one.stop()
@@ -405,8 +410,8 @@
     assert told[0].listed.entries[0] == io.Entry("s-1", 0, -1, 1.0, 0, 7000) and told[0].addresses == {
         "s-1": ("10.1.0.18", 8080)
     }
-    assert told[1].listed.entries[0].state is io.State.DRAINING
-    assert told[3].listed.entries[0].state is io.State.GONE and not told[3].addresses
+    assert told[1].listed.entries[0].state is io.HostState.DRAINING
+    assert told[3].listed.entries[0].state is io.HostState.GONE and not told[3].addresses
 
 
 @pytest.mark.parametrize("known, first", ((True, "/api/targets?since=41&"), (False, "/api/targets")))
@@ -419,8 +424,10 @@
     )
     get = one.http.get
     monkeypatch.setattr(one.http, "get", lambda path, wait: paths.append(path) or get(path, wait))
-    one.turn()
-    assert heard.get(timeout=WAIT).listed.news is (io.News.CHANGES if known else io.News.FULL)
+    one.poll()
+    assert heard.get(timeout=WAIT).listed.kind is (
+        io.ListUpdateKind.CHANGES if known else io.ListUpdateKind.FULL
+    )
     assert len(paths) == 1 and paths[0].startswith(first) and (known or paths[0] == first)
 
 
@@ -435,10 +442,10 @@
         lambda e: heard.put(e) if isinstance(e, ev.Heard) else failed.append(e),
         0,
     )
-    one.wanted.set()
+    one.enabled.set()
     start_thread(one.run, stack=WIDE)
     assert heard.get(timeout=WAIT).listed.version == 41
-    one.follow(second.address)
+    one.change_address(second.address)
     assert [heard.get(timeout=WAIT).listed.version for _ in range(2)] == [7, 8] and not failed
     one.stop()
 
@@ -476,13 +483,13 @@
 )
 def test_a_node_probes_and_takes_weights_for_loads_only_where_its_settings_say_so(settings, probed, moving):
     begin = config.read_begin(WITH_TYPE | settings, 1)
-    assert (begin.loads_probed, begin.weights_move) == (probed, moving)
+    assert (begin.probes_report_load, begin.dynamic_weights) == (probed, moving)
 
 
 def test_the_nines_reach_the_module_and_an_unknown_part_of_the_goal_is_skipped():
-    assert config.read_begin(WITH_TYPE, 1).nines == io.Nines(0, 3)
+    assert config.read_begin(WITH_TYPE, 1).availability == io.AvailabilityGoal(0, 3)
     begin = config.read_begin(WITH_TYPE | {"Goal": {"NinesPart": 0.2, "NinesFull": 2, "Odd": "x"}}, 1)
-    assert begin.nines == io.Nines(0.2, 2)
+    assert begin.availability == io.AvailabilityGoal(0.2, 2)
 
 
 def test_check_says_which_shape_the_settings_have(tmp_path, capsys):
@@ -611,9 +618,9 @@
 def service(monkeypatch, toy):
     """A node, with the example's toy servers and discovery."""
     servers = toy.Toy(2)
-    place, room, names, hearing, begin, known = config.read_node(NODE, {})
-    place = config.Place("n1", ("127.0.0.1", 0), discovery_of(servers))
-    node = Node(place, room, names, hearing, begin, known)
+    endpoints, resource_limits, names, host_protocol, begin, known = config.read_node(NODE, {})
+    endpoints = config.Endpoints("n1", ("127.0.0.1", 0), discovery_of(servers))
+    node = Node(endpoints, resource_limits, names, host_protocol, begin, known)
     listed = threading.Event()
     heard = node.reducer.heard
 
