--- a/cottonspread/fleet/plan.py
+++ b/cottonspread/fleet/plan.py
@@ -79,11 +79,11 @@
     return state, resolve_path(path, fleet.logs) if fleet.logs else os.path.join(state, "log")
 
 
-def read(path, program, check=lambda text: config.read_node(text, {}), store_text=None):
+def read(path, program, check=lambda text: config.read_node(text, {}), published=None):
     """Reads the current plan from the files.
 
     Raises config.ConfigurationError, naming file and key. `check(text)` validates an instance's JSON: it
-    returns the parts of config.read_node or raises config.ConfigurationError. `store_text`: the body from the
+    returns the parts of config.read_node or raises config.ConfigurationError. `published`: the body from the
     configuration store; it replaces the template except for the keys that belong to this machine.
     """
     log, instance, fleet, section = op.read_fleet(path)
@@ -94,9 +94,9 @@
     except (OSError, UnicodeDecodeError) as fault:
         raise op.OperatorFileError([f"{path}: fleet.config: {template}: {fault}"]) from fault
     whole = config.parse(text, template)
-    if store_text is not None and isinstance(whole, dict):
+    if published is not None and isinstance(whole, dict):
         whole = config.with_local_keys(
-            config.parse(store_text, "configuration"), whole, section.own if section else ()
+            config.parse(published, "configuration"), whole, section.own if section else ()
         )
     if not isinstance(whole, dict) or not isinstance(whole.get("settings"), dict):
         raise op.OperatorFileError([f"{template}: settings: expected an object"])
--- a/cottonspread/fleet/supervisor.py
+++ b/cottonspread/fleet/supervisor.py
@@ -135,8 +135,8 @@
 
     def read_plan(self, program):
         """Reads the current plan from the files and the store's body."""
-        store_text = self.store_follower.wanted_body if self.store_follower else None
-        return plans.read(self.path, program, self.check, store_text)
+        published = self.store_follower.wanted_body if self.store_follower else None
+        return plans.read(self.path, program, self.check, published)
 
     def open_listeners(self, plan):
         """Opens listening sockets for addresses that have none yet."""
