--- a/cottonspread/cli/instance.py
+++ b/cottonspread/cli/instance.py
@@ -1,10 +1,10 @@
 """`instance`: one node of a fleet as a process of its own.
 
-Started by the supervisor alone, which tells it on standard input, one JSON line, what it
-is; it answers on its control socket.
+Only the supervisor starts it. It reads its configuration from standard input, as one JSON line, and talks to
+the supervisor over its control socket.
 
-It prepares itself (threads, a list, a PING answered) before it takes any connection. When no supervisor has
-been connected for `orphan_s`, it stops itself: nothing serves unseen for ever.
+It gets ready (threads started, a server list known, a PING answered) before it accepts connections. When no
+supervisor has been connected for `orphan_s` it stops itself, so that no instance runs unsupervised for ever.
 """
 
 import json
@@ -26,12 +26,15 @@
 
 log = logging.getLogger("cottonspread.instance")
 
-STATUS_INTERVAL = 0.5  # seconds between two signs of life
-POLL_INTERVAL = 0.05  # while it prepares itself
+STATUS_INTERVAL = 0.5  # seconds between two status messages
+POLL_INTERVAL = 0.05  # seconds, while the instance starts or stops
 
 
 class Instance:
+    """The node of this process, its state and its control socket."""
+
     def __init__(self, start_message):
+        """`start_message`: from the supervisor, see `fleet/`."""
         self.start_message, self.name, self.generation = (
             start_message,
             start_message["name"],
@@ -49,11 +52,12 @@
         self.node = Node(*parts, keep=self.initial_list.on_list)
 
     def read(self, live):
-        """The parts of the node's configuration."""
+        """Reads the node's configuration; `live`: the settings that can change while the instance runs."""
         own = {key: value for key, value in live.items() if key != "level"}
         return list(config.read_node(json.dumps(self.start["config"] | own), {}))
 
     def run(self):
+        """Starts the node and serves the control socket until the node has ended; returns the exit code."""
         self.selector = selectors.DefaultSelector()
         self.control = control.listening(self.start_message["socket"])
         self.control.setblocking(False)
@@ -78,6 +82,7 @@
         return 0
 
     def poll(self):
+        """Does what is due by time: state changes, the check for a supervisor, status messages."""
         now = time.monotonic()
         if self.state == "waiting" and self.initial_list.ready(self.node):
             self.set_state("prepared")
@@ -92,11 +97,13 @@
             self.send_status()
 
     def set_state(self, state):
+        """Changes the state, logs it and tells the supervisor."""
         self.state = state
         log.info("state", extra={"pairs": {"state": state}})
         self.send_status()
 
     def send_status(self):
+        """Sends the status on all control connections."""
         self.status_sent_at = time.monotonic()
         status = {
             "state": self.state,
@@ -111,6 +118,7 @@
                 self.close_connection(connection)
 
     def accept_connection(self):
+        """Accepts a control connection and introduces the instance on it."""
         connection = control.Line(self.control.accept()[0])
         self.selector.register(connection.sock, selectors.EVENT_READ, connection)
         self.connections.append(connection)
@@ -126,12 +134,14 @@
         self.send_status()
 
     def close_connection(self, connection):
+        """Closes a control connection."""
         if connection in self.connections:
             self.connections.remove(connection)
             self.selector.unregister(connection.sock)
             connection.sock.close()
 
     def handle_messages(self, connection):
+        """Reads and executes the supervisor's commands."""
         if connection not in self.connections:
             return
         messages, is_open = connection.read()
@@ -152,8 +162,10 @@
             self.close_connection(connection)
 
     def try_start_accepting(self, now):
-        """The name is held by one process at a time, whatever supervisors think: the
-        kernel keeps the lock.
+        """Starts accepting connections once this process holds the lock on the instance's name.
+
+        The kernel grants the lock to one process at a time, whatever supervisors assume. Without it by the
+        deadline the process exits.
         """
         if self.lock.take():
             self.accept_deadline = 0.0
@@ -164,13 +176,14 @@
             os._exit(1)
 
     def leave(self, handed):
+        """Stops accepting connections and shuts down; `handed`: a successor has the listening socket."""
         self.accept_deadline = 0.0
         self.node.leave(handed)
         self.lock.drop()
         self.set_state("leaving")
 
     def apply(self, live):
-        """Takes over another live part, all of it in one event of the reducer, or none of it."""
+        """Applies changed live settings: all of them in one event of the reducer, or none."""
         values = json.loads(live)
         try:
             parts = self.read(values)
@@ -189,6 +202,7 @@
 
 
 def instance(given):
+    """Runs an instance; returns its exit code."""
     start_message = json.loads(sys.stdin.readline())
     start = json.loads(start_message["start"])
     write_out = logfmt.start(
@@ -207,6 +221,7 @@
 
 
 def add(commands):
-    command = commands.add_parser("instance")  # not for hands
-    command.add_argument("--socket", required=True, help="its control socket; also what it is known by")
+    """Adds the sub-command to the parser, without help: only the supervisor uses it."""
+    command = commands.add_parser("instance")
+    command.add_argument("--socket", required=True, help="its control socket, which also identifies it")
     command.set_defaults(run=instance)
--- a/cottonspread/cli/lab.py
+++ b/cottonspread/cli/lab.py
@@ -1,15 +1,16 @@
-"""`lab ...`: stand-in hosts, lists and clients, experiments.
+"""`lab ...`: the test lab, with emulated hosts, server lists and clients, and its experiments.
 
-Its libraries are loaded only once it is asked for.
+Its libraries are imported only when one of its commands runs.
 """
 
 import sys
 
 
 def add(commands):
-    lab = commands.add_parser("lab", help="stand-in hosts, lists and clients; experiments").add_subparsers(
-        dest="lab", required=True
-    )
+    """Adds the sub-commands to the parser."""
+    lab = commands.add_parser(
+        "lab", help="emulated hosts, server lists and clients; experiments"
+    ).add_subparsers(dest="lab", required=True)
 
     def command(name, what, run, *arguments):
         one = lab.add_parser(name, help=what)
@@ -32,13 +33,13 @@
     ):
         command(
             name,
-            what + ": says `ready`, then follows `begin T` on standard input",
+            what + ": prints `ready`, then waits for `begin T` on standard input",
             start_process(name),
             *process_arguments,
         )
     command(
         "plan",
-        "write the plan of an experiment and say what it needs",
+        "write the plan of an experiment and print what it needs",
         plan,
         file,
         argument("--out", required=True, help="the file to write"),
@@ -46,38 +47,40 @@
     )
     command(
         "run",
-        "play an experiment",
+        "run an experiment",
         run,
         file,
         argument("--out", required=True, help="the folder for its results"),
-        argument("--seconds", type=float, help="in the place of the file's"),
-        argument("--repeats", type=int, help="in the place of the file's"),
+        argument("--seconds", type=float, help="override the file's value"),
+        argument("--repeats", type=int, help="override the file's value"),
         argument("--quiet", action="store_true"),
         argument(
-            "--again", type=int, default=2, help="how often a play with a late generator is played anew"
+            "--again", type=int, default=2, help="how often a run whose load generator was late is repeated"
         ),
     )
-    command("compare", "two plays or folders of plays, pair by pair", compare, argument("a"), argument("b"))
-    command("report", "report.html of a folder's plays", report, argument("folder"))
-    command("audit", "the ledger of one play's folder, printed anew", audit, argument("folder"))
-    command("trace", "export a play's connections as a trace", trace, argument("folder"), argument("file"))
+    command(
+        "compare", "compare two runs or folders of runs, pair by pair", compare, argument("a"), argument("b")
+    )
+    command("report", "write report.html for a folder's runs", report, argument("folder"))
+    command("audit", "audit the records of one run's folder again", audit, argument("folder"))
+    command("trace", "export a run's connections as a trace", trace, argument("folder"), argument("file"))
     command(
         "scale",
-        "hollow fleets and other scale runs: counts and times by size, faults at size",
+        "simulated fleets and other scale runs: counts and times by size, faults at scale",
         scale,
-        argument("--small", action="store_true", help="sizes that are played in some seconds"),
-        argument("--nodes", type=int, help="in the place of each run's own"),
-        argument("--servers", type=int, help="in the place of each run's own"),
+        argument("--small", action="store_true", help="sizes that run in a few seconds"),
+        argument("--nodes", type=int, help="override the number of each run"),
+        argument("--servers", type=int, help="override the number of each run"),
         argument("--seed", type=int, default=1),
-        argument("--only", nargs="+", default=[], metavar="NAME", help="these runs alone"),
+        argument("--only", nargs="+", default=[], metavar="NAME", help="only these runs"),
         argument("--out", help="the folder for results; default: benchmarks/scale/results"),
         argument(
-            "--alone", action="store_true", help="say in the results that no other load is on the machine"
+            "--alone", action="store_true", help="record in the results that the machine has no other load"
         ),
     )
     command(
         "selfcheck",
-        "the generator against a server of known delay, timed by that server",
+        "run the load generator against a server of known delay, timed by that server",
         selfcheck,
         argument("--rate", type=float, default=1000.0),
         argument("--seconds", type=float, default=5.0),
@@ -85,18 +88,19 @@
     )
     command(
         "acceptor",
-        "a stand-in that takes and answers every call itself, to try the generator alone",
+        "an emulated node that answers every call itself, to test the load generator alone",
         acceptor,
     )
     command(
         "standin",
-        "a stand-in node for the lab's own tests",
+        "an emulated node for the lab's own tests",
         standin,
-        argument("--sabotage", default="none", help="which rule it breaks"),
+        argument("--sabotage", default="none", help="the rule that it breaks"),
     )
 
 
 def report_errors(run, given):
+    """Runs a command; prints expected errors and missing libraries, with exit code 2."""
     try:
         from cottonspread.lab import limits, plan, trace
         from cottonspread.lab import run as runner
@@ -114,6 +118,8 @@
 
 
 def start_process(name):
+    """The function that runs the process of this name."""
+
     def start(given):
         from cottonspread.lab import hosts, limits, listing, load
 
@@ -126,6 +132,7 @@
 
 
 def plan(given):
+    """Writes the plan of an experiment and prints what it needs."""
     import msgspec
 
     from cottonspread.lab import limits
@@ -137,7 +144,7 @@
     with open(given.out, "wb") as file:
         file.write(msgspec.json.encode(one))
     print(
-        f"{len(schedule.at)} first calls, {limits.most_standing(schedule)} standing at most, "
+        f"{len(schedule.at)} first calls, at most {limits.most_standing(schedule)} established at a time, "
         f"schedule sha256 {schedule.digest()}"
     )
     for line in limits.check(one, schedule):
@@ -146,18 +153,21 @@
 
 
 def run(given):
+    """Runs an experiment."""
     from cottonspread.lab import experiment
 
     return experiment.run(given.file, given.out, given.seconds, given.repeats, given.quiet, given.again)
 
 
 def compare(given):
+    """Compares two runs or folders of runs."""
     from cottonspread.lab import experiment
 
     return experiment.compare(given.a, given.b)
 
 
 def report(given):
+    """Writes report.html for a folder's runs."""
     from cottonspread.lab import report as reports
 
     print(reports.write(given.folder))
@@ -165,6 +175,7 @@
 
 
 def audit(given):
+    """Audits the records of one run again; exit code 1 if it finds violations."""
     from cottonspread.lab import ledger, results
 
     told = results.audited(given.folder)[2]
@@ -173,6 +184,7 @@
 
 
 def trace(given):
+    """Exports a run's connections as a trace."""
     from cottonspread.lab import record
     from cottonspread.lab import trace as traces
 
@@ -183,6 +195,7 @@
 
 
 def scale(given):
+    """Runs the scale measurements."""
     from pathlib import Path
 
     from cottonspread.lab.scale import command, results
@@ -199,12 +212,14 @@
 
 
 def selfcheck(given):
+    """Checks the load generator against a server of known delay."""
     from cottonspread.lab import selfcheck as check
 
     return check.main(given.rate, given.seconds, given.delay_ms)
 
 
 def acceptor(given):
+    """Runs the emulated node that answers every call itself."""
     import json
     import os
 
@@ -216,9 +231,10 @@
 
 
 def standin(given):
+    """Runs the emulated node for the lab's own tests."""
     from cottonspread.lab import standin as one
 
     if given.sabotage not in one.SABOTAGES:
-        print("cottonspread: lab: standin: one of " + ", ".join(one.SABOTAGES), file=sys.stderr)
+        print("cottonspread: lab: standin: --sabotage: one of " + ", ".join(one.SABOTAGES), file=sys.stderr)
         return 2
     return one.main(given.sabotage)
--- a/cottonspread/cli/node.py
+++ b/cottonspread/cli/node.py
@@ -1,4 +1,4 @@
-"""`serve`, `check` and `version`: one node."""
+"""`serve`, `check` and `version`: runs one node, checks its configuration, prints the version."""
 
 import contextlib
 import errno
@@ -20,6 +20,7 @@
 
 
 def read_file(path):
+    """The text of the configuration file; raises config.ConfigurationError."""
     try:
         with open(path, encoding="utf-8") as file:
             return file.read()
@@ -28,10 +29,12 @@
 
 
 def read(path):
+    """Reads the configuration from a file and the environment; see `config.read_node`."""
     return read_text(read_file(path), os.environ)
 
 
 def read_text(text, environment=None):
+    """Reads the configuration from the text of a file and also validates its list of servers."""
     parts = config.read_node(text, environment or {})
     try:
         discovery.read_list(parts[-1], parts[2])
@@ -41,29 +44,31 @@
 
 
 def read_operator_file(path):
-    """The operator's sections, or their defaults without a file: (log or None, whole)."""
+    """The sections of the operator's file, as `op.read` returns them; None without a file."""
     if not path:
         return None
-    # needs msgspec, which a node without such a file need not have
+    # imported here because it needs msgspec, which a node without such a file need not have
     from cottonspread.config import operator as op
 
     return op.read(path)
 
 
 def serve(path, operator_path=None):
+    """Runs one node in the foreground; returns the exit code."""
+
     def stop_node(node, active):
         takeover.stop(node, active) if takeover else node.stop()
 
-    requests = queue.SimpleQueue()  # by signals, which may come while one is being dealt with
+    requests = queue.SimpleQueue()  # functions that signal handlers, threads and the follower have run here
     signal.signal(signal.SIGHUP, lambda *_: requests.put(reload))
-    # from the first moment: one that came during the start killed it
+    # installed before anything else: a signal during the start killed the process
     for number in (signal.SIGTERM, signal.SIGINT):
         signal.signal(number, lambda *_: requests.put(stop_node))
     sections = read_operator_file(operator_path)
     active = ActiveConfiguration(path, sections[3].own if sections and sections[3] else ())
     listener = None
     if os.environ.get("PROXY_INHERITED_FD"):
-        from cottonspread.cli import takeover as takeovers  # what a node that owns its listener need not load
+        from cottonspread.cli import takeover as takeovers  # not needed by a node that owns its listener
 
         listener = takeovers.inherited_listener(os.environ)
     takeover = follower = None
@@ -99,7 +104,7 @@
 
 
 def run_node(node, active, takeover, requests):
-    """Until the node has ended: does what is asked, and tells the service manager."""
+    """Until the node has ended: runs the requests, handles takeovers and notifies the service manager."""
     manager, manager_state = notify.Manager(), False
     while not node.join(0):
         if takeover:
@@ -111,23 +116,23 @@
 
 
 class ActiveConfiguration:
-    """The configuration that the node runs under: `values` as it is in force, `parts` as the node started
-    with them.
+    """The configuration in force: `values`, the current JSON; `parts`, as read when the node started.
 
-    `published`: the text that the configuration store told, which then stands for the file but for its
-    keys `local_keys`.
+    `published`: the text from the configuration store, if any. It replaces the file, except for the keys
+    `local_keys`.
     """
 
     def __init__(self, path, local_keys=()):
+        """Reads the file; raises config.ConfigurationError."""
         self.path, self.local_keys, self.published = path, local_keys, None
         self.values, self.parts = self.read()
 
     def read(self):
-        """(values, parts) of what is to be in force now."""
+        """Reads the file again: (values, parts)."""
         return self.read_with(self.published)
 
     def read_with(self, published):
-        """As `read`, were this published; raises config.ConfigurationError where no node can run under it."""
+        """As `read`, with this text published. Raises config.ConfigurationError if the result is invalid."""
         text = read_file(self.path)
         if published is not None:
             body = config.parse(published, "configuration")
@@ -137,14 +142,14 @@
         return config.parse(text, "configuration"), read_text(text, os.environ)
 
     def start_with(self, published):
-        """Before the node is there."""
+        """Sets the published text before the node is created."""
         self.values, self.parts = self.read_with(published)
         self.published = published
 
 
 def make_follower(section, operator_path, active, requests):
-    """The follower of the configuration store, not yet started; it hands `requests` what is to be done."""
-    from cottonspread.configstore.client import Client  # what a node without the section does not load
+    """The client of the configuration store, not yet started; it puts changes into `requests`."""
+    from cottonspread.configstore.client import Client  # not needed by a node without the section
 
     def check(record):
         values, _ = active.read_with(record.body)
@@ -162,13 +167,13 @@
     if follower.saved:
         try:
             active.start_with(follower.saved.body)
-        except config.ConfigurationError as fault:  # the file is what there is; the follower tells why
+        except config.ConfigurationError as fault:  # start with the file; the follower reports the reason
             log.error("saved-configuration", extra={"pairs": {"why": fault, "kept": "the file"}})
     return follower
 
 
 def apply_published(node, active, published):
-    """Puts what the configuration store told into force, as SIGHUP does with a file: (ok, why)."""
+    """Puts a text from the configuration store into force, as SIGHUP does with a file: (ok, why not)."""
     before, active.published = active.published, published
     why = reload(node, active)
     if why:
@@ -177,8 +182,10 @@
 
 
 def notify_manager(manager, node, manager_state):
-    """To the service manager: ready once a list is known and a PING answered;
-    alive as long as the reducer makes steps.
+    """Tells the service manager that the node is ready, once a list is known and a PING was answered, and
+    that it is alive, as long as the reducer makes steps.
+
+    `manager_state`: what the last call returned.
     """
     steps, ready, at = manager_state or (-1, False, 0.0)
     now, status = time.monotonic(), node.status()
@@ -194,9 +201,9 @@
 
 
 def reload(node, active):
-    """SIGHUP: the file is read whole and checked whole, then taken over in one event.
+    """SIGHUP: reads and validates the whole file, then applies it in one event.
 
-    Whatever stands in it, the node goes on. Why nothing was taken over, or empty.
+    An invalid file changes nothing. Returns why it was rejected, or "".
     """
     try:
         values, parts = active.read()
@@ -205,12 +212,12 @@
         node.hasten(ev.NotRetuned())
         log.error("reload", extra={"pairs": {"why": fault, "kept": "the old configuration"}})
         return str(fault)
-    except Exception as fault:  # our own
+    except Exception as fault:  # a bug of ours
         node.hasten(ev.NotRetuned())
         log.exception("fault", extra={"pairs": {"while": "reload"}})
-        return f"our own fault: {type(fault).__name__}: {fault}"
+        return f"internal error: {type(fault).__name__}: {fault}"
     endpoints, resource_limits, _, _, begin, _ = parts
-    # what cannot change while it runs is as it was then
+    # what cannot change while the node runs still has the values of the start
     old_endpoints, old_limits, _, _, old_begin, _ = active.parts
     node.retune(*parts[:-1])
     kept = [
@@ -240,6 +247,7 @@
 
 
 def check(path, operator_path=None):
+    """Reads the configuration and prints what a node, or a fleet, would do with it."""
     sections = read_operator_file(operator_path)
     if sections and sections[2] and not path:
         from cottonspread.fleet import plan
@@ -257,25 +265,26 @@
         + (
             "operators at {}:{}".format(*endpoints.operator)
             if endpoints.operator
-            else "no address for operators"
+            else "no operators' address"
         )
     )
     print(
-        f"{len(names.types)} traffic types, node {begin.me} of {begin.nodes or 'an untold number'}, "
-        f"{len(known['instances'])} servers known, "
-        f"room for {most_ends(resource_limits, endpoints.operator)} connections"
+        f"{len(names.types)} traffic types, node {begin.me} of {begin.nodes or 'an unknown number'}, "
+        f"{len(known['instances'])} servers in the initial list, "
+        f"at most {most_ends(resource_limits, endpoints.operator)} connections"
     )
     print(
-        f"weights listed {'move with load' if begin.weights_move else 'are sizes'}, "
-        f"hosts' load {'told to probes' if begin.loads_probed else 'not asked for'}"
+        f"weights in the list {'change with load' if begin.weights_move else 'are fixed sizes'}, "
+        f"host load {'requested by probes' if begin.loads_probed else 'not requested'}"
     )
     return 0
 
 
 def add(commands):
+    """Adds the sub-commands to the parser."""
     for name, what, run in (
         ("serve", "run one node in the foreground", serve),
-        ("check", "read the configuration and say what a node would do with it", check),
+        ("check", "read the configuration and print what a node would do with it", check),
     ):
         command = commands.add_parser(name, help=what)
         command.add_argument(
@@ -293,11 +302,13 @@
 
 
 def require_path(path):
+    """The path; raises config.ConfigurationError if it is empty."""
     if not path:
-        raise config.ConfigurationError("configuration: no file named: give --config or set PROXY_CONFIG")
+        raise config.ConfigurationError("configuration: no file given: use --config or set PROXY_CONFIG")
     return path
 
 
 def version(given):
+    """Prints the version."""
     print(f"cottonspread {__version__}")
     return 0
--- a/cottonspread/cli/takeover.py
+++ b/cottonspread/cli/takeover.py
@@ -1,10 +1,11 @@
-"""A node whose listening socket the platform holds: the process takes over from one that serves
-already, and hands over to the next.
-
-The files are in the folder that both share (TMPDIR). A successor that could serve writes WANTED with a mark
-of its own; whoever serves answers with HANDED, which bears the mark; then the successor takes connections.
-Without an answer within a second it starts from nothing: a predecessor that hangs must not keep its successor
-from serving. At its end the predecessor passes on, by the socket HEIR, the connections that stand.
+"""Process takeover for a node whose listening socket the platform holds: a new process takes over from the
+one that serves, and later hands over to the next.
+
+The processes exchange files in a shared folder (TMPDIR). A successor that is ready to serve writes a request
+file (`.wanted`) with a token of its own. The serving process writes a reply file (`.handed`) with the same
+token and its state, and the successor starts accepting connections. Without a reply within a second it starts
+without that state, because a hanging predecessor must not keep it from serving. When the predecessor stops,
+it passes its established connections to the successor through a Unix socket (`.heir`).
 """
 
 import contextlib
@@ -24,8 +25,8 @@
 
 log = logging.getLogger("cottonspread.succession")
 
-LIST_TIMEOUT = 2.0  # see `InitialList`
-ANSWER_TIMEOUT = 1.0
+LIST_TIMEOUT = 2.0  # seconds, see `InitialList`
+ANSWER_TIMEOUT = 1.0  # seconds
 
 
 def inherited_listener(environment):
@@ -42,13 +43,13 @@
         raise ConfigurationError(f"PROXY_INHERITED_FD: {word!r}: {fault}") from fault
     if not listens:
         listener.detach()  # it is not ours to close
-        raise ConfigurationError(f"PROXY_INHERITED_FD: {word!r} is no listening socket")
+        raise ConfigurationError(f"PROXY_INHERITED_FD: {word!r} is not a listening socket")
     return listener
 
 
 @contextlib.contextmanager
 def short_socket_path(path):
-    """A name for this path that fits into the address of a socket."""
+    """A path to the same file that is short enough for a Unix socket address."""
     if len(os.fsencode(path)) <= control.LONGEST_PATH:
         yield path
         return
@@ -60,8 +61,17 @@
 
 
 class Takeover:
+    """One process's part in takeovers: first as the successor, then as the predecessor.
+
+    `state`: "waiting" until it is ready to serve, "asking" until the reply or its timeout, then "serving".
+    """
+
     def __init__(self, parts, folder=None):
-        folder = folder or tempfile.gettempdir()  # TMPDIR, where it is set
+        """`parts`: of the node's configuration; the list of servers in them is replaced by a newer saved one.
+
+        `folder`: the shared folder; None: TMPDIR.
+        """
+        folder = folder or tempfile.gettempdir()
         base = os.path.join(folder, "cottonspread-" + quote(parts[0].name, safe=""))
         self.request_path, self.reply_path, self.token = (
             base + ".wanted",
@@ -74,7 +84,7 @@
         self.requested_at, self.has_lock, self.state = 0.0, False, "waiting"
 
     def poll(self, node):
-        """Some ten times a second and more often before it serves."""
+        """Takes the next step, if any. Called about ten times a second, and more often before it serves."""
         if node.reducer.stopping:
             return
         now = time.monotonic()
@@ -94,7 +104,7 @@
                     log.warning("hand-over", extra={"pairs": {"why": "no answer", "kept": "none"}})
                 self.start_serving(node, answer)
         else:
-            if not self.has_lock and self.lock.take():  # the predecessor has ended
+            if not self.has_lock and self.lock.take():  # the predecessor has exited
                 self.has_lock = True
                 node.limit(None)
                 if self.transfer_listener:
@@ -103,6 +113,7 @@
             self.answer_request(node)
 
     def start_serving(self, node, handed):
+        """Starts accepting connections, with the predecessor's state if there is any."""
         self.state = "serving"
         if handed:
             node.inherit(handed)
@@ -110,9 +121,9 @@
         log.info("takes", extra={"pairs": {"handed": bool(handed), "alone": self.has_lock}})
 
     def listen_for_connections(self, node):
-        """Standing ones of the predecessor, which comes with them when it ends.
+        """Listens for the predecessor, which passes its established connections on when it stops.
 
-        Without, they are moved as at any end.
+        If that fails, the predecessor moves them to other nodes, as without a successor.
         """
         try:
             with short_socket_path(self.transfer_path) as path:
@@ -123,11 +134,12 @@
         workers.start_thread(self.receive_connections, self.transfer_listener, node, stack=workers.WIDE)
 
     def receive_connections(self, listener, node):
+        """The thread that receives established connections, until the listener is shut down."""
         token = self.token.encode() + b"\n"
         while True:
             try:
                 sock, _ = listener.accept()
-            except OSError:  # nobody comes any more
+            except OSError:  # shut down
                 break
             with sock:
                 try:
@@ -140,8 +152,8 @@
         listener.close()
 
     def stop(self, node, force):
-        """SIGTERM. What lies in the queue of the listener is the next process's,
-        and so are the connections that stand.
+        """SIGTERM: stops the node. Connections not yet accepted are left to the successor, and established
+        ones are passed to it.
         """
         sock = None
         if self.successor_token:
@@ -150,30 +162,31 @@
                     sock = control.connect(path, ANSWER_TIMEOUT)
                 sock.sendall(self.successor_token.encode() + b"\n")
                 sock.settimeout(None)
-            except OSError as fault:  # it has ended, or is of a version that takes none
+            except OSError as fault:  # it has exited, or its version does not accept them
                 log.warning("hand-over", extra={"pairs": {"why": fault}})
                 sock = None
         node.leave(True, sock)
 
     def read_reply(self):
+        """The predecessor's state, or None while there is no valid reply with this process's token."""
         try:
             with open(self.reply_path, encoding="utf-8") as file:
                 return handover.unpack(file.read(), self.token)
         except FileNotFoundError:
             return None
-        except (OSError, ValueError, RecursionError) as fault:  # of an earlier one, perhaps: once, and on
+        except (OSError, ValueError, RecursionError) as fault:  # perhaps left by an earlier process
             log.warning("hand-over", extra={"pairs": {"why": fault, "kept": "none"}})
             self.remove_file(self.reply_path)
             return None
 
     def answer_request(self, node):
-        """Whatever stands in WANTED, the answer is for nobody but who wrote it."""
+        """Answers a request file, if there is one. Its token makes the reply valid only for its writer."""
         try:
             with open(self.request_path, encoding="utf-8", errors="replace") as file:
                 token = file.read(100)
         except OSError:
             return
-        if token == self.token:  # its own, which nobody answered
+        if token == self.token:  # this process's own request, which nobody answered
             self.remove_file(self.request_path)
             return
         handed = node.hand_over()
@@ -189,6 +202,7 @@
             )
 
     def write_file(self, path, text):
+        """Writes a file; failure is logged."""
         try:
             saved.write_atomically(path, text)
         except OSError as fault:
@@ -196,5 +210,6 @@
 
     @staticmethod
     def remove_file(path):
+        """Removes a file, if it is there."""
         with contextlib.suppress(OSError):
             os.unlink(path)
--- a/cottonspread/drill/__init__.py
+++ b/cottonspread/drill/__init__.py
@@ -1,1 +1,3 @@
-"""The bench's front: its wire on standard input and output, many nodes in one process."""
+"""The adapter for the external simulator: its line protocol on standard input and output, with many nodes in
+one process.
+"""
--- a/cottonspread/drill/batches.py
+++ b/cottonspread/drill/batches.py
@@ -1,4 +1,4 @@
-"""Reads batches, keeps the nodes apart, writes the replies. No decisions here."""
+"""Reads batches of messages from the simulator, passes them to their nodes and writes the replies."""
 
 import sys
 import traceback
@@ -10,24 +10,28 @@
 
 
 class FramingError(Exception):
-    pass
+    """The input does not consist of well-formed batches."""
 
 
 def exception_line(text):
+    """The message that reports an error to the simulator."""
     return "exception\tMessage=" + " ".join(text.split())
 
 
 class BatchProcessor:
+    """The nodes of this process, by number."""
+
     def __init__(self, report_error):
+        """`report_error(text)` is called for each line that cannot be processed."""
         self.nodes = {}
         self.report_error = report_error
 
     def process(self, clock, lines):
-        """The reply to one batch, as lines."""
+        """Processes one batch and returns the lines of the reply."""
         try:
             now, serial = ms_to_us(clock["Now"]), clock["serial"]
         except (KeyError, ValueError) as error:
-            raise FramingError(f"clock line without a readable time or number: {error!r}") from error
+            raise FramingError(f"clock line without a valid time or serial: {error!r}") from error
         replies, node, last_node, at = [], None, None, 0
         while at < len(lines):
             line, first = lines[at], at
@@ -52,6 +56,7 @@
         return replies + [f"end\tserial={serial}"]
 
     def handle(self, now, node, name, fields, entries):
+        """Passes one message to its node and returns the lines of its actions."""
         if name == "killed":
             self.nodes.pop(node, None)
             return []
@@ -69,13 +74,13 @@
             raise codec.DecodeError(f"{name}: no traffic type {event.type}")
         try:
             return [codec.write(a) for a in self.nodes[node].handle(now, event)]
-        except Exception as error:  # a fault in the decisions ends the day, in plain sight
+        except Exception as error:  # a bug in the policy: report it, which ends the simulation
             self.report_error(traceback.format_exc())
             return [exception_line(f"{type(error).__name__}: {error}")]
 
 
 def serve(source, sink, report_error):
-    """Answers every batch of `source`; returns the exit code."""
+    """Answers every batch from `source` on `sink`; returns the exit code, 2 after a framing error."""
     processor, clock, lines = BatchProcessor(report_error), None, []
     try:
         for raw_line in source:
@@ -98,12 +103,13 @@
         if clock is not None:
             raise FramingError("input ends inside a batch")
     except (FramingError, codec.DecodeError) as error:
-        report_error(f"broken framing: {error}")
+        report_error(f"invalid framing: {error}")
         return 2
     return 0
 
 
 def main():
+    """Serves standard input; returns the exit code."""
     sys.stdin.reconfigure(encoding="utf-8", errors="replace")
     sys.stdout.reconfigure(encoding="utf-8")
     return serve(sys.stdin, sys.stdout, lambda text: print(text, file=sys.stderr, flush=True))
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -490,10 +490,10 @@
 def test_check_says_which_shape_the_settings_have(tmp_path, capsys):
     file = tmp_path / "node.json"
     for settings, said in (
-        ({}, "are sizes, hosts' load not asked for"),
+        ({}, "are fixed sizes, host load not requested"),
         (
             {"Weights": "live", "Limits": {"Probes": True}, "LoadReport": {"How": "probe", "Names": ["x0"]}},
-            "move with load, hosts' load told to probes",
+            "change with load, host load requested by probes",
         ),
     ):
         file.write_text(json.dumps(json.loads(NODE) | {"settings": WITH_TYPE | settings}))
