--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -37,14 +37,14 @@
     return entries
 
 
-def is_whole(config):
+def is_full_run(config):
     """Whether the run is of the whole suite, so that every listed test has to be there."""
     return config.args_source is not config.ArgsSource.ARGS and not config.option.keyword
 
 
-def missing(config, found):
-    if gone := config.known_red.keys() - found:
-        raise pytest.UsageError(f"{FILE}: no such test: {', '.join(sorted(gone))}")
+def check_all_found(config, found):
+    if missing := config.known_red.keys() - found:
+        raise pytest.UsageError(f"{FILE}: no such test: {', '.join(sorted(missing))}")
 
 
 def pytest_configure(config):
@@ -62,16 +62,16 @@
                 pytest.mark.xfail(reason=f"known red: {entry.seen} (issue {entry.issue})", strict=True)
             )
     # A worker of pytest-xdist is given the tests by name: whether they are all is known to its controller.
-    if not hasattr(config, "workerinput") and is_whole(config):
-        missing(config, found)
+    if not hasattr(config, "workerinput") and is_full_run(config):
+        check_all_found(config, found)
 
 
 @pytest.hookimpl(optionalhook=True)
 def pytest_xdist_node_collection_finished(node, ids):
     """In the controller: what one worker has collected, without what -m leaves out; a group follows an @."""
-    if is_whole(node.config) and not node.config.option.markexpr:
+    if is_full_run(node.config) and not node.config.option.markexpr:
         names = {name for id in ids for name in (id, id.rpartition("@")[0])}
-        missing(node.config, names & node.config.known_red.keys())
+        check_all_found(node.config, names & node.config.known_red.keys())
 
 
 def pytest_terminal_summary(terminalreporter, config):
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -33,7 +33,7 @@
 
 
 @IN_EACH_WAY
-def test_a_listed_test_that_fails_is_run_and_named_and_lets_the_run_pass(tmp_path, workers):
+def test_a_listed_test_that_fails_is_run_and_reported_and_the_run_passes(tmp_path, workers):
     code, said = run(tmp_path, RED, workers)
     assert code == 0 and "1 passed, 1 xfailed" in said
     assert "known red: test_one.py::test_red: counts wrongly (issue 7; pytest test_one.py, seed 3)" in said
@@ -54,6 +54,6 @@
         (RED.replace("7", "7 | more"), TESTS, FORM),
     ],
 )
-def test_all_else_fails_the_run(tmp_path, listed, tests, said, workers):
+def test_everything_else_fails_the_run(tmp_path, listed, tests, said, workers):
     code, out = run(tmp_path, listed, workers, tests)
     assert code != 0 and said in out, out
