--- a/benchmarks/crossings/mutants.py
+++ b/benchmarks/crossings/mutants.py
@@ -120,7 +120,7 @@
     (
         "the closer at the door",
         "net/node.py",
-        "        self.closer.take(sock)\n",
+        "        self.closer.add(sock)\n",
         "        sock.close()\n",
         [f"{CLOSING}::test_a_client_turned_away_at_the_door_may_send_its_line_just_then"],
     ),
@@ -171,7 +171,7 @@
     (
         "the listener's queue at the end",
         "net/admission.py",
-        'self.gate.turn_away(self.listener.accept()[0], "stopping")',
+        'self.handler.refuse(self.listener.accept()[0], "stopping")',
         "break",
         [f"{SHUTDOWN}::test_a_connection_in_the_listeners_queue_at_the_end_is_turned_away"],
     ),
@@ -290,14 +290,14 @@
     (
         "the bound on clients that wait for their first line",
         "net/admission.py",
-        "for one in self.waiting.take_beyond(self.gate.most_waiting()):",
+        "for one in self.pending.remove_excess(self.handler.max_pending()):",
         "for one in ():",
         [f"{FLOODS}::test_idle_clients_that_fill_the_descriptors_keep_nobody_out"],
     ),
     (
         "who waits for a first line is no connection of the reducer's",
         "net/admission.py",
-        "if first and not is_whole(first) and not ready & (select.EPOLLRDHUP | select.EPOLLHUP):",
+        "if first and not is_complete(first) and not ready & (select.EPOLLRDHUP | select.EPOLLHUP):",
         "if False:",
         [f"{FLOODS}::test_a_crowd_that_says_nothing_takes_no_step_of_the_reducer"],
     ),
--- a/cottonspread/net/closing.py
+++ b/cottonspread/net/closing.py
@@ -12,85 +12,86 @@
 import time
 from collections import OrderedDict
 
-WAIT = 1.0  # seconds that the other side gets to end
-LOOK = 0.05  # seconds between two looks into the queue while there is anything to read
-QUEUED = 8  # sockets that may wait to be looked at whatever else is held
-ONCE = 64 * 1024  # bytes taken from one socket at a look: who sends at full speed keeps nobody waiting
+TIMEOUT = 1.0  # seconds that the other side gets to end
+CHECK_INTERVAL = 0.05  # seconds between two looks into the queue while there is anything to read
+MIN_QUEUE_LIMIT = 8  # sockets that may wait to be looked at whatever else is held
+MAX_DISCARD_PER_CHECK = 64 * 1024  # bytes: who sends at full speed keeps nobody waiting
 
 
 class Closer:
     """Reads sockets to their end and closes them."""
 
-    def __init__(self, most):
-        """`most()`: how many may wait here now; beyond it the one that has waited longest
+    def __init__(self, limit):
+        """`limit()`: how many may wait here now; beyond it the one that has waited longest
         is closed at once.
         """
-        self.most, self.coming, self.held = most, queue.SimpleQueue(), OrderedDict()  # socket: until when
-        self.next_look = 0.0
+        # `open_sockets`: socket: until when
+        self.limit, self.incoming, self.open_sockets = limit, queue.SimpleQueue(), OrderedDict()
+        self.next_check = 0.0
 
-    def take(self, sock):
+    def add(self, sock):
         """From any thread: its last line is out, and it is this one's now. Whoever has waited longest to be
         looked at is closed at once where as many wait as may."""
-        if self.coming.qsize() >= max(QUEUED, self.most()):
+        if self.incoming.qsize() >= max(MIN_QUEUE_LIMIT, self.limit()):
             with contextlib.suppress(queue.Empty):
-                oldest = self.coming.get_nowait()
+                oldest = self.incoming.get_nowait()
                 if oldest is None:  # told to stop: whoever comes later is not looked at
-                    self.coming.put(None)
+                    self.incoming.put(None)
                     oldest = sock
-                self.shut(oldest)
+                self.close_socket(oldest)
                 if oldest is sock:
                     return
-        self.coming.put(sock)
+        self.incoming.put(sock)
 
     def stop(self):
         """No more are taken; those that are here are closed."""
-        self.coming.put(None)
+        self.incoming.put(None)
 
     def run(self):
         """The thread, until `stop`."""
-        while self.turn():
+        while self.step():
             pass
 
-    def turn(self):
+    def step(self):
         """Takes in one, or waits for the next look. False once it was told to stop; then nothing is left."""
         with contextlib.suppress(queue.Empty):
-            sock = self.coming.get(timeout=LOOK) if self.held else self.coming.get()
+            sock = self.incoming.get(timeout=CHECK_INTERVAL) if self.open_sockets else self.incoming.get()
             if sock is None:
-                for one in list(self.held):
+                for one in list(self.open_sockets):
                     self.close(one)
                 return False
             sock.setblocking(False)
-            self.held[sock] = time.monotonic() + WAIT
-        if self.coming.empty() or time.monotonic() >= self.next_look:
-            self.look()
-        while len(self.held) > max(1, self.most()):
-            self.close(next(iter(self.held)))
+            self.open_sockets[sock] = time.monotonic() + TIMEOUT
+        if self.incoming.empty() or time.monotonic() >= self.next_check:
+            self.check()
+        while len(self.open_sockets) > max(1, self.limit()):
+            self.close(next(iter(self.open_sockets)))
         return True
 
-    def look(self):
+    def check(self):
         """Closes those that have ended, and those whose time is over."""
-        self.next_look = time.monotonic() + LOOK
+        self.next_check = time.monotonic() + CHECK_INTERVAL
         poll, by_number = select.poll(), {}
-        for sock in self.held:
+        for sock in self.open_sockets:
             by_number[sock.fileno()] = sock
             poll.register(sock, select.POLLIN)
         for number, _ in poll.poll(0):
-            if self.read_away(by_number[number]):
+            if self.discard_input(by_number[number]):
                 self.close(by_number[number])
         now = time.monotonic()
-        while self.held and next(iter(self.held.values())) <= now:
-            self.close(next(iter(self.held)))
+        while self.open_sockets and next(iter(self.open_sockets.values())) <= now:
+            self.close(next(iter(self.open_sockets)))
 
     @staticmethod
-    def read_away(sock):
+    def discard_input(sock):
         """Drops what is here, a bounded part of it; whether the other side has ended or broken."""
-        taken = 0
+        discarded = 0
         try:
-            while taken < ONCE:
+            while discarded < MAX_DISCARD_PER_CHECK:
                 got = len(sock.recv(8192, socket.MSG_DONTWAIT))
                 if not got:
                     return True
-                taken += got
+                discarded += got
         except BlockingIOError:
             pass
         except OSError:
@@ -99,10 +100,10 @@
 
     def close(self, sock):
         """Its time, or its room, is over."""
-        del self.held[sock]
-        self.shut(sock)
+        del self.open_sockets[sock]
+        self.close_socket(sock)
 
-    def shut(self, sock):
+    def close_socket(self, sock):
         """Closes over nothing that is here already."""
-        self.read_away(sock)
+        self.discard_input(sock)
         sock.close()
--- a/cottonspread/net/node.py
+++ b/cottonspread/net/node.py
@@ -119,14 +119,14 @@
         self.reducer = Reducer(self.clock.now(), begin, names, host_protocol, self.most)
         self.discovery.start_with(listed, addresses, unread, trusted=begin.listing.ask or keep is not None)
         self.listener, self.shared, self.steps, self.ended = None, False, 0, Counter()
-        self.closer = Closer(self.most_closing)
+        self.closer = Closer(self.max_closing)
         self.admission, self.finished = None, False
         self.admin, self.urgent = None, queue.SimpleQueue()  # `urgent`: events that no full queue may hold up
         self.giver = None  # passes standing connections on
 
-    def most_closing(self):
+    def max_closing(self):
         """How many that were turned away may be read to their end at a time."""
-        waiting = len(self.admission.waiting) if self.admission else 0
+        waiting = len(self.admission.pending) if self.admission else 0
         return max(SPARE_ENDS // 4, self.most - len(self.workers.live) - waiting)
 
     def post(self, event):
@@ -351,8 +351,8 @@
             self.admission.end()  # who accepts may wait for room in the reducer's queue
             until = time.monotonic() + LAST_ACCEPTS
             while not self.admission.ended.wait(LAST_ACCEPTS / 20) and time.monotonic() < until:
-                self.turn_away_unknown()
-        self.turn_away_unknown()
+                self.refuse_unknown()
+        self.refuse_unknown()
         self.hold_up_nobody()
         self.workers.carry_out(ev.Quit())
         self.closer.stop()
@@ -364,7 +364,7 @@
             self.events.maxsize = sys.maxsize
             self.events.not_full.notify_all()
 
-    def turn_away_unknown(self):
+    def refuse_unknown(self):
         """After the last step: who was accepted and is not known to the reducer."""
         while True:
             try:
@@ -377,29 +377,29 @@
 
     # What `admission.Admission` asks of its gate
 
-    def most_waiting(self):
+    def max_pending(self):
         """How many clients may wait for their first line now: no more than a part, and none where calls need
         the descriptors."""
         return min(self.most // WAITING_PART, self.most + SPARE_ENDS // 4 - len(self.workers.live))
 
-    def ending(self):
+    def stopping(self):
         """Whether the node was asked to end."""
         return bool(self.reducer.stopping)
 
-    def let_in(self, client, first):
+    def admit(self, client, first):
         """A client has said its first line."""
-        if not self.admits(first):
-            self.turn_away(client.sock, "node-late")
+        if not self.may_admit(first):
+            self.refuse(client.sock, "node-late")
             return
         end = ev.End(True)
         # What has come and is not yet in the reducer's count: hundreds at once would pass the limit.
         room = len(self.workers.live) < self.most + SPARE_ENDS // 4
         if not room or not self.workers.begin(end, client.sock):
-            self.turn_away(client.sock, "no-room-at-all", 0)
+            self.refuse(client.sock, "no-room-at-all", 0)
             return
-        self.post(ev.Came(end, client.since))
+        self.post(ev.Came(end, client.accepted_at))
 
-    def admits(self, first):
+    def may_admit(self, first):
         """Whether there is time for it. The door is for calls: a front that asks whether the node serves is
         told so however late the node is."""
         if first.startswith(lines.PING):
@@ -408,7 +408,7 @@
             admitted = self.door.admits(self.clock.now())
         return admitted and not self.events.full()  # whoever accepts waits for nobody
 
-    def turn_away(self, sock, reason, retry_after=None):
+    def refuse(self, sock, reason, retry_after=None):
         """No room or no time for its call. Of its first line only the type is read, for the figures.
         `retry_after`: microseconds; None: as the settings say."""
         after = self.reducer.retry_after() if retry_after is None else retry_after
@@ -419,6 +419,6 @@
             pass
         with contextlib.suppress(OSError):  # it has not come yet
             self.reducer.figures.turned_away(lines.type_named(sock.recv(4096, socket.MSG_DONTWAIT)))
-        self.closer.take(sock)
+        self.closer.add(sock)
         self.ended[reason] += 1
         log.info("closed", extra={"pairs": {"reason": reason}})
--- a/tests/crossings/test_attempts.py
+++ b/tests/crossings/test_attempts.py
@@ -241,13 +241,13 @@
 
 def test_a_client_killed_right_behind_its_accept_leaves_nothing_behind(hosts, agent, monkeypatch):
     """Its reset, or its line and then the reset, is here before the node looks at the connection at all."""
-    gate, accepted = Gate(), Admission.accepted
+    gate, accepted = Gate(), Admission.on_accepted
 
     def held(admission, sock):
         gate.wait()
         accepted(admission, sock)
 
-    monkeypatch.setattr(Admission, "accepted", held)
+    monkeypatch.setattr(Admission, "on_accepted", held)
     with running(agent) as node:
         listed(node)
         many = [client(node) if n % 2 else client(node, opening(n)) for n in range(20)]
--- a/tests/crossings/test_closing.py
+++ b/tests/crossings/test_closing.py
@@ -45,7 +45,7 @@
         listed(node)
         told_the_end(client(node), b"BUSY")
         told_the_end(client(node, opening(1)), b"BUSY")
-        until(lambda: not node.closer.held, "kept")
+        until(lambda: not node.closer.open_sockets, "kept")
         assert node.ended["node-late"] == 1 and node.ended["no-first-line"] == 1
 
 
@@ -57,13 +57,13 @@
     monkeypatch.setattr(admission, "FIRST_WAIT", 100_000)
 
     def before(node):
-        turn_away = node.turn_away
+        refuse = node.refuse
 
         def held(*told):
             gate.wait()  # it is decided, and the word and the end wait
-            turn_away(*told)
+            refuse(*told)
 
-        node.turn_away = held
+        node.refuse = held
 
     with running(agent, before) as node:
         listed(node)
@@ -150,20 +150,20 @@
 
 
 def test_the_closer_keeps_no_more_than_it_may_and_nobody_for_good(monkeypatch):
-    monkeypatch.setattr(closing, "WAIT", 0.05)
+    monkeypatch.setattr(closing, "TIMEOUT", 0.05)
     one = closing.Closer(lambda: 3)
     pairs = [socket.socketpair() for _ in range(8)]
     for ours, _ in pairs:
         ours.shutdown(socket.SHUT_WR)
-        one.take(ours)
+        one.add(ours)
     for _ in pairs:
-        one.turn()
-    assert len(one.held) == 3 and [ours.fileno() < 0 for ours, _ in pairs] == [True] * 5 + [False] * 3
+        one.step()
+    assert len(one.open_sockets) == 3 and [ours.fileno() < 0 for ours, _ in pairs] == [True] * 5 + [False] * 3
     for _, theirs in pairs[5:]:
         theirs.sendall(b"x" * 100)  # they stay and speak
-    until(lambda: one.turn() and not one.held, "kept for good")
+    until(lambda: one.step() and not one.open_sockets, "kept for good")
     one.stop()
-    assert not one.turn()
+    assert not one.step()
 
 
 def test_a_second_answer_that_comes_late_meets_a_closed_attempt(hosts, agent):
--- a/tests/crossings/test_pieces.py
+++ b/tests/crossings/test_pieces.py
@@ -37,7 +37,7 @@
 
     def held():
         gatherers = [worker.gatherer for worker in list(node.workers.live)]
-        lies = [waiting.sock for waiting in list(node.admission.waiting.clients.values())]
+        lies = [waiting.sock for waiting in list(node.admission.pending.clients.values())]
         return any(g and g.buffer is not None and bytes(g.buffer[: g.filled]) == data for g in gatherers) or (
             any(peeked(sock) == data for sock in lies)
         )
--- a/tests/crossings/test_shutdown.py
+++ b/tests/crossings/test_shutdown.py
@@ -108,7 +108,7 @@
         listed(node)
         one = client(node)
         one.sock.sendall(said)
-        until(lambda: node.admission.waiting, "not there")
+        until(lambda: node.admission.pending, "not there")
         node.stop()
         assert one.hear().startswith(b"BUSY") and one.hear() == b""
         one.say(opening(1))  # the moment of the close: not sent on, and no reset
