--- a/cottonspread/net/admission.py
+++ b/cottonspread/net/admission.py
@@ -1,10 +1,9 @@
-"""Clients on their way from the listener's queue to the reducer: whoever has said a whole first line is let
-in, whoever has not waits outside.
+"""Accepts clients and admits them to the reducer once they have sent a whole first line.
 
-One thread accepts and looks what has come. It waits for no client and for no room. A client that says
-nothing, or half a line, costs a descriptor and a place in `PendingClients`, neither a thread nor a step of
-the reducer: so no crowd of them keeps a client with a whole line in the listener's queue past its deadline. What
-comes is only peeked at, and whoever reads the connection later finds all of it.
+One thread accepts connections and polls those without a whole line. It never blocks on a client or on a full
+queue. A client that sends nothing, or half a line, costs one descriptor and one entry in `PendingClients`,
+but no thread and no step of the reducer. So many such clients cannot hold a client with a whole line in the
+listener's queue past its deadline. Input is only peeked at; the connection's reader gets all of it later.
 """
 
 import contextlib
@@ -24,21 +23,21 @@
 
 log = logging.getLogger("cottonspread.node")
 
-CHECK_INTERVAL = 0.1  # seconds between two looks whether somebody has waited too long
-ACCEPT_BATCH = 64  # then those that wait are looked at again
-DESCRIPTOR_RETRY_DELAY = 0.05  # seconds until some are given back
+CHECK_INTERVAL = 0.1  # seconds between two checks for clients past their timeout
+ACCEPT_BATCH = 64  # connections accepted before pending clients are polled again
+DESCRIPTOR_RETRY_DELAY = 0.05  # seconds to wait for free descriptors after a failed accept
 
 
 @dataclass(eq=False)
 class PendingClient:
-    """A client that has not said a whole line."""
+    """A client that has not sent a whole line."""
 
     sock: socket.socket
-    accepted_at: int  # when it was accepted, in microseconds of the node's clock
+    accepted_at: int  # microseconds of the node's clock
 
 
 class PendingClients:
-    """Clients without a whole first line, the one that has waited longest first. It touches no socket."""
+    """Clients without a whole first line, oldest first. Does not touch their sockets."""
 
     def __init__(self):
         self.clients = OrderedDict()  # by descriptor
@@ -47,56 +46,56 @@
         return len(self.clients)
 
     def add(self, number, client):
-        """A client has come; `number`: its descriptor."""
+        """Adds a client; `number`: its descriptor."""
         self.clients[number] = client
 
     def remove(self, number):
-        """Takes out the client with that descriptor; None if there is none."""
+        """Removes and returns the client with this descriptor, or None."""
         return self.clients.pop(number, None)
 
     def remove_oldest(self):
-        """Takes out the one that has waited longest."""
+        """Removes and returns the oldest client."""
         return self.clients.popitem(last=False)[1]
 
     def remove_overdue(self, now, timeout):
-        """Takes out, one by one, those that have waited longer than `timeout` microseconds."""
+        """Removes and yields the clients that have waited longer than `timeout` microseconds."""
         while self.clients and now - next(iter(self.clients.values())).accepted_at > timeout:
             yield self.remove_oldest()
 
     def remove_excess(self, limit):
-        """Takes out, one by one, those that have waited longest until `limit` are left."""
+        """Removes and yields the oldest clients until `limit` are left."""
         while len(self.clients) > max(0, limit):
             yield self.remove_oldest()
 
 
 class AdmissionHandler(Protocol):
-    """What the node decides about clients. Called by the accepting thread, which must not wait."""
+    """What the node decides about clients. Called by the accepting thread, so it must not block."""
 
     def max_pending(self):
-        """How many clients may wait now."""
+        """How many clients may be pending now."""
 
     def stopping(self):
-        """Whether the node was asked to end."""
+        """Whether the node was asked to stop."""
 
     def admit(self, client, first):
-        """The client has said `first`, a whole line or what can be none; its socket is the node's now."""
+        """Takes over a client that has sent `first`: a whole line, or input that cannot become one."""
 
     def refuse(self, sock, reason, retry_after=None):
-        """The socket is answered BUSY and given back; `reason`: the code in the log."""
+        """Answers BUSY and closes the socket; `reason`: the code for the log."""
 
 
 def is_complete(data):
-    """Whether these first bytes are a whole line, or too many for one."""
+    """Whether the data contain a whole line, or are too long for one."""
     return b"\n" in data or len(data) >= pool.BUFFER_SIZE
 
 
 class Admission:
-    """The accepting thread of one listener. `stop_accepting` and `end` may be called from any thread."""
+    """The accepting thread of a listener. `stop_accepting` and `end` may be called from any thread."""
 
     READY = select.EPOLLIN | select.EPOLLRDHUP | select.EPOLLET
 
     def __init__(self, listener, shared, clock, handler):
-        """`shared`: others take from the listener too, so that what is in its queue at the end is theirs."""
+        """`shared`: other processes accept from the listener too and get what is left in its queue."""
         self.listener, self.shared, self.clock, self.handler = listener, shared, clock, handler
         self.pending = PendingClients()
         self.poll = select.epoll()
@@ -108,25 +107,25 @@
         )  # as asked by the two calls below
 
     def start(self):
-        """From now on connections are accepted."""
-        # Another process may take the connection that this one was woken for.
+        """Starts accepting connections."""
+        # Another process may accept the connection that woke this one up.
         self.listener.setblocking(False)
         workers.start_thread(self.run, stack=workers.WIDE)
 
     def stop_accepting(self):
-        """Returns once nothing more is taken from the listener; who waits already may still speak."""
+        """Returns once nothing more is accepted; pending clients may still send their line."""
         self.stop_requested = True
         self.wake_up()
         self.accepting_stopped.wait()
 
     def end(self):
-        """Everybody who is here is turned away, and then `ended` is set."""
+        """Has the thread refuse all pending clients, then set `ended`."""
         self.end_requested = True
         self.wake_up()
 
     def wake_up(self):
-        """Wakes the thread."""
-        with contextlib.suppress(OSError):  # it has ended
+        """Wakes the thread from its poll."""
+        with contextlib.suppress(OSError):  # the thread has ended
             self.wake.send(b"x", socket.MSG_DONTWAIT)
 
     def run(self):
@@ -140,7 +139,7 @@
             self.close()
 
     def poll_once(self):
-        """One look at all that is ready."""
+        """Polls once and handles everything that is ready."""
         accepts = False
         for number, ready in self.poll.poll(CHECK_INTERVAL):
             if number == self.woken.fileno():
@@ -157,21 +156,21 @@
         self.refuse_overdue()
 
     def accept(self):
-        """Those in the listener's queue, some at a time."""
+        """Accepts a batch of connections from the listener's queue."""
         try:
             for _ in range(ACCEPT_BATCH):
                 self.on_accepted(self.listener.accept()[0])
-        except BlockingIOError:  # nobody is left there
+        except BlockingIOError:  # the queue is empty
             pass
         except OSError as fault:
             log.warning("accept", extra={"pairs": {"why": errno.errorcode.get(fault.errno, str(fault))}})
             time.sleep(DESCRIPTOR_RETRY_DELAY)
 
     def on_accepted(self, sock):
-        """A client has come; often its line is there already."""
+        """Handles a new connection, whose line has often arrived already."""
         try:
             workers.prepare(sock)
-        except OSError:  # gone already
+        except OSError:  # the client has disconnected already
             sock.close()
             return
         client = PendingClient(sock, self.clock())
@@ -182,18 +181,18 @@
                 self.refuse(one, "no-first-line")
 
     def on_readable(self, number, ready):
-        """Something has come from a client that waits."""
+        """Handles input from a pending client."""
         client = self.pending.clients.get(number)
         if client is not None and self.handle_first_line(client, ready):
             self.pending.remove(number)
 
     def handle_first_line(self, client, ready):
-        """Whether the client has said a whole line, or will say none, and so is the node's from now on."""
+        """Admits the client if it has sent a whole line or can no longer send one; returns whether it did."""
         try:
             first = client.sock.recv(pool.BUFFER_SIZE, socket.MSG_PEEK | socket.MSG_DONTWAIT)
         except BlockingIOError:
             return False
-        except OSError:  # broken: whoever reads there next hears of it
+        except OSError:  # a connection error: its reader will get it
             first = b""
         if first and not is_complete(first) and not ready & (select.EPOLLRDHUP | select.EPOLLHUP):
             return False
@@ -203,23 +202,24 @@
         return True
 
     def refuse_overdue(self):
-        """Those that have waited too long."""
+        """Refuses clients that have waited too long."""
         timeout = COMING if self.handler.stopping() else FIRST_WAIT
         for client in self.pending.remove_overdue(self.clock(), timeout):
             self.refuse(client, "no-first-line")
 
     def refuse(self, client, reason):
-        """A client that waited."""
+        """Refuses a pending client."""
         self.poll.unregister(client.sock)
         self.handler.refuse(client.sock, reason)
 
     def close(self):
-        """Those in the listener's queue too: closed over them it would reset connections on which a whole
-        first line may lie."""
+        """Refuses all clients, also those in the listener's queue: closing the listener would reset them,
+        although their first line may have arrived.
+        """
         for client in self.pending.remove_excess(0):
             self.refuse(client, "stopping")
         if not self.shared and not self.accepting_stopped.is_set():
-            with contextlib.suppress(OSError):  # nobody is left
+            with contextlib.suppress(OSError):  # the queue is empty
                 while True:
                     self.handler.refuse(self.listener.accept()[0], "stopping")
         self.accepting_stopped.set()
--- a/cottonspread/net/closing.py
+++ b/cottonspread/net/closing.py
@@ -1,8 +1,8 @@
-"""Sockets that were turned away at the door, on their way to a clean close: one thread for all of them.
+"""Lingering close for clients that were refused on accept: one thread closes all their sockets.
 
-A close over bytes that nobody read is a reset, and a reset takes the last line with it. A client's
-first line may come just after it was turned away, so each is read to its end, for a moment at most,
-before its descriptor is given back.
+Closing a socket with unread input sends a reset, and the client may then lose the last line sent to it. A
+client's first line may arrive just after it was refused. So input is read and discarded until the client
+closes, for a limited time, before the socket is closed.
 """
 
 import contextlib
@@ -12,30 +12,29 @@
 import time
 from collections import OrderedDict
 
-TIMEOUT = 1.0  # seconds that the other side gets to end
-CHECK_INTERVAL = 0.05  # seconds between two looks into the queue while there is anything to read
-MIN_QUEUE_LIMIT = 8  # sockets that may wait to be looked at whatever else is held
-MAX_DISCARD_PER_CHECK = 64 * 1024  # bytes: who sends at full speed keeps nobody waiting
+TIMEOUT = 1.0  # seconds that a client gets to close its side
+CHECK_INTERVAL = 0.05  # seconds between two checks of the open sockets
+MIN_QUEUE_LIMIT = 8  # sockets that may always be queued, whatever the limit
+MAX_DISCARD_PER_CHECK = 64 * 1024  # bytes per socket, so that a flooding client does not delay the others
 
 
 class Closer:
-    """Reads sockets to their end and closes them."""
+    """Discards the input of sockets until the other side has closed, then closes them."""
 
     def __init__(self, limit):
-        """`limit()`: how many may wait here now; beyond it the one that has waited longest
-        is closed at once.
-        """
-        # `open_sockets`: socket: until when
+        """`limit()`: how many sockets may be open here now; beyond it the oldest is closed at once."""
+        # `open_sockets`: socket: its deadline, oldest first
         self.limit, self.incoming, self.open_sockets = limit, queue.SimpleQueue(), OrderedDict()
         self.next_check = 0.0
 
     def add(self, sock):
-        """From any thread: its last line is out, and it is this one's now. Whoever has waited longest to be
-        looked at is closed at once where as many wait as may."""
+        """Takes ownership of a socket whose last line has been sent. When the queue is full, its oldest socket
+        is closed at once. Called from any thread.
+        """
         if self.incoming.qsize() >= max(MIN_QUEUE_LIMIT, self.limit()):
             with contextlib.suppress(queue.Empty):
                 oldest = self.incoming.get_nowait()
-                if oldest is None:  # told to stop: whoever comes later is not looked at
+                if oldest is None:  # `stop` was called: later sockets are closed at once
                     self.incoming.put(None)
                     oldest = sock
                 self.close_socket(oldest)
@@ -44,7 +43,7 @@
         self.incoming.put(sock)
 
     def stop(self):
-        """No more are taken; those that are here are closed."""
+        """Ends the thread and closes all open sockets."""
         self.incoming.put(None)
 
     def run(self):
@@ -53,7 +52,7 @@
             pass
 
     def step(self):
-        """Takes in one, or waits for the next look. False once it was told to stop; then nothing is left."""
+        """Takes one socket from the queue or waits for the next check. Returns False after `stop`."""
         with contextlib.suppress(queue.Empty):
             sock = self.incoming.get(timeout=CHECK_INTERVAL) if self.open_sockets else self.incoming.get()
             if sock is None:
@@ -69,7 +68,7 @@
         return True
 
     def check(self):
-        """Closes those that have ended, and those whose time is over."""
+        """Closes sockets whose other side has closed or whose deadline has passed."""
         self.next_check = time.monotonic() + CHECK_INTERVAL
         poll, by_number = select.poll(), {}
         for sock in self.open_sockets:
@@ -84,7 +83,7 @@
 
     @staticmethod
     def discard_input(sock):
-        """Drops what is here, a bounded part of it; whether the other side has ended or broken."""
+        """Discards a limited amount of input; returns whether the other side has closed or reset."""
         discarded = 0
         try:
             while discarded < MAX_DISCARD_PER_CHECK:
@@ -99,11 +98,11 @@
         return False
 
     def close(self, sock):
-        """Its time, or its room, is over."""
+        """Closes an open socket."""
         del self.open_sockets[sock]
         self.close_socket(sock)
 
     def close_socket(self, sock):
-        """Closes over nothing that is here already."""
+        """Closes a socket after discarding the input that has already arrived."""
         self.discard_input(sock)
         sock.close()
