--- a/benchmarks/crossings/mutants.py
+++ b/benchmarks/crossings/mutants.py
@@ -39,8 +39,8 @@
     (
         "the look at the host before the first byte",
         "net/reducer.py",
-        "if entry is None or entry.state is not io.State.UP or server is None "
-        "or server.address != leg.address:",
+        "if (\n            entry is None\n            or entry.state is not io.HostState.UP\n"
+        "            or server is None\n            or server.address != leg.address\n        ):",
         "if False:",
         [
             f"{ATTEMPTS}::test_nothing_is_sent_to_a_host_that_was_told_to_drain_while_the_connection_came_up",
@@ -51,14 +51,14 @@
     (
         "the address in that look",
         "net/reducer.py",
-        "server is None or server.address != leg.address:",
-        "server is None:",
+        "            or server is None\n            or server.address != leg.address\n",
+        "            or server is None\n",
         [f"{SCENARIO}[late_connect]"],
     ),
     (
         "the window for repeats in that look",
         POLICY,
-        "result = yield io.Send(call.id, host.name, until, remembered_until(call))",
+        "result = yield io.Send(call.id, host.name, until, deduplicated_until(call))",
         "result = yield io.Send(call.id, host.name, until)",
         [
             f"{ATTEMPTS}::test_a_marked_call_is_not_sent_again_once_its_repeats_are_forgotten",
@@ -265,8 +265,8 @@
     (
         "the bound on waits for an asked list",
         POLICY,
-        "most = max(SECOND, min(self.settings.ask_every, self.LONGEST_WAY - took))",
-        "most = max(SECOND, self.settings.ask_every)",
+        "most = max(SECOND, min(self.settings.poll_interval, self.MAX_POLL_GAP - took))",
+        "most = max(SECOND, self.settings.poll_interval)",
         [
             "tests/test_many_nodes.py::test_nodes_turned_away_by_an_overbooked_list_ask_as_seldom_as_the_terms_let_them"
         ],
@@ -274,8 +274,8 @@
     (
         "a number of nodes that is not told",
         POLICY,
-        "    UNTOLD = 256 ",
-        "    UNTOLD = 1 ",
+        "    DEFAULT_NODES = 256 ",
+        "    DEFAULT_NODES = 1 ",
         [
             "tests/test_many_nodes.py::test_what_all_processes_send_a_cold_server_stays_within_its_budget_and_chance"
         ],
--- a/cottonspread/cli/initial_list.py
+++ b/cottonspread/cli/initial_list.py
@@ -28,7 +28,7 @@
 
         `timeout`: seconds to wait for a list from discovery before the node serves with the initial one.
         """
-        self.saved = saved.SavedList(path, parts[4].weights_move) if path else None
+        self.saved = saved.SavedList(path, parts[4].dynamic_weights) if path else None
         self.timeout, self.received, self.started_at = timeout, False, time.monotonic()
         if path:
             parts[-1] = newer_list(saved.read(path), parts)
--- a/cottonspread/cli/instance.py
+++ b/cottonspread/cli/instance.py
@@ -59,7 +59,7 @@
     def run(self):
         """Starts the node and serves the control socket until the node has ended; returns the exit code."""
         self.selector = selectors.DefaultSelector()
-        self.control = control.listening(self.start_message["socket"])
+        self.control = control.listen(self.start_message["socket"])
         self.control.setblocking(False)
         self.selector.register(self.control, selectors.EVENT_READ, None)
         signal.signal(signal.SIGINT, signal.SIG_IGN)
@@ -107,22 +107,22 @@
         self.status_sent_at = time.monotonic()
         status = {
             "state": self.state,
-            "live": control.mark(self.live),
+            "live": control.digest(self.live),
             "refused": self.refused,
             "pid": os.getpid(),
             "version": __version__,
             **self.node.status(),
         }
         for connection in list(self.connections):
-            if not connection.say({"status": status}):
+            if not connection.send({"status": status}):
                 self.close_connection(connection)
 
     def accept_connection(self):
         """Accepts a control connection and introduces the instance on it."""
-        connection = control.Line(self.control.accept()[0])
+        connection = control.JsonConnection(self.control.accept()[0])
         self.selector.register(connection.sock, selectors.EVENT_READ, connection)
         self.connections.append(connection)
-        connection.say(
+        connection.send(
             {
                 "hello": self.name,
                 "generation": self.generation,
@@ -144,7 +144,7 @@
         """Reads and executes the supervisor's commands."""
         if connection not in self.connections:
             return
-        messages, is_open = connection.read()
+        messages, is_open = connection.receive()
         for message in messages:
             do = message.get("do")
             if do == "take" and self.state == "prepared":
@@ -167,19 +167,19 @@
         The kernel grants the lock to one process at a time, whatever supervisors assume. Without it by the
         deadline the process exits.
         """
-        if self.lock.take():
+        if self.lock.acquire():
             self.accept_deadline = 0.0
             self.node.take()
             self.set_state("serving")
         elif now > self.accept_deadline:
-            log.error("held", extra={"pairs": {"by": self.lock.holder()}})
+            log.error("held", extra={"pairs": {"by": self.lock.holder_pid()}})
             os._exit(1)
 
     def leave(self, handed):
         """Stops accepting connections and shuts down; `handed`: a successor has the listening socket."""
         self.accept_deadline = 0.0
         self.node.leave(handed)
-        self.lock.drop()
+        self.lock.release()
         self.set_state("leaving")
 
     def apply(self, live):
@@ -188,7 +188,7 @@
         try:
             parts = self.read(values)
         except config.ConfigurationError as fault:
-            self.refused = {"live": control.mark(live), "why": str(fault)}
+            self.refused = {"live": control.digest(live), "why": str(fault)}
             self.node.hasten(ev.NotRetuned())
             log.error("reload", extra={"pairs": {"why": fault, "kept": "the old configuration"}})
             self.send_status()
@@ -197,7 +197,7 @@
         self.node.retune(*parts[:-1])
         self.live, self.refused = live, None
         changed = {key: values[key] for key in ("discovery", "level")}
-        log.info("reload", extra={"pairs": changed | {"live": control.mark(live)}})
+        log.info("reload", extra={"pairs": changed | {"live": control.digest(live)}})
         self.send_status()
 
 
--- a/cottonspread/cli/node.py
+++ b/cottonspread/cli/node.py
@@ -105,7 +105,7 @@
 
 def run_node(node, active, takeover, requests):
     """Until the node has ended: runs the requests, handles takeovers and notifies the service manager."""
-    manager, manager_state = notify.Manager(), False
+    manager, manager_state = notify.ServiceManager(), False
     while not node.join(0):
         if takeover:
             takeover.poll(node)
@@ -190,12 +190,12 @@
     steps, ready, at = manager_state or (-1, False, 0.0)
     now, status = time.monotonic(), node.status()
     if not ready and status["listed"] and node.ping():
-        ready = manager.ready("serving")
+        ready = manager.notify_ready("serving")
     if node.reducer.stopping and ready != "stopping":
-        manager.stopping()
+        manager.notify_stopping()
         ready = "stopping"
-    if manager.every and now - at >= manager.every and status["steps"] != steps:
-        manager.alive()
+    if manager.watchdog_interval and now - at >= manager.watchdog_interval and status["steps"] != steps:
+        manager.notify_watchdog()
         return status["steps"], ready, now
     return steps, ready, at
 
@@ -227,8 +227,8 @@
             ("listen", endpoints.listen == old_endpoints.listen),
             ("operator", endpoints.operator == old_endpoints.operator),
             ("limits", resource_limits == old_limits),
-            ("settings.MembershipMode", begin.listing.ask == old_begin.listing.ask),
-            ("settings.Weights", begin.weights_move == old_begin.weights_move),
+            ("settings.MembershipMode", begin.server_list.polled == old_begin.server_list.polled),
+            ("settings.Weights", begin.dynamic_weights == old_begin.dynamic_weights),
         )
         if not same
     ]
@@ -269,13 +269,13 @@
         )
     )
     print(
-        f"{len(names.types)} traffic types, node {begin.me} of {begin.nodes or 'an unknown number'}, "
+        f"{len(names.types)} traffic types, node {begin.node_number} of {begin.nodes or 'an unknown number'}, "
         f"{len(known['instances'])} servers in the initial list, "
         f"at most {most_ends(resource_limits, endpoints.operator)} connections"
     )
     print(
-        f"weights in the list {'change with load' if begin.weights_move else 'are fixed sizes'}, "
-        f"host load {'requested by probes' if begin.loads_probed else 'not requested'}"
+        f"weights in the list {'change with load' if begin.dynamic_weights else 'are fixed sizes'}, "
+        f"host load {'requested by probes' if begin.probes_report_load else 'not requested'}"
     )
     return 0
 
--- a/cottonspread/cli/takeover.py
+++ b/cottonspread/cli/takeover.py
@@ -50,7 +50,7 @@
 @contextlib.contextmanager
 def short_socket_path(path):
     """A path to the same file that is short enough for a Unix socket address."""
-    if len(os.fsencode(path)) <= control.LONGEST_PATH:
+    if len(os.fsencode(path)) <= control.MAX_SOCKET_PATH:
         yield path
         return
     folder = os.open(os.path.dirname(path), os.O_PATH | os.O_DIRECTORY)
@@ -90,7 +90,7 @@
         now = time.monotonic()
         if self.state == "waiting":
             if self.initial_list.ready(node):
-                self.has_lock = self.lock.take()
+                self.has_lock = self.lock.acquire()
                 if self.has_lock:
                     self.start_serving(node, None)
                 else:
@@ -104,7 +104,7 @@
                     log.warning("hand-over", extra={"pairs": {"why": "no answer", "kept": "none"}})
                 self.start_serving(node, answer)
         else:
-            if not self.has_lock and self.lock.take():  # the predecessor has exited
+            if not self.has_lock and self.lock.acquire():  # the predecessor has exited
                 self.has_lock = True
                 node.limit(None)
                 if self.transfer_listener:
@@ -127,7 +127,7 @@
         """
         try:
             with short_socket_path(self.transfer_path) as path:
-                self.transfer_listener = control.listening(path)
+                self.transfer_listener = control.listen(path)
         except OSError as fault:
             log.warning("hand-over", extra={"pairs": {"file": self.transfer_path, "why": fault}})
             return
--- a/cottonspread/config/platform.py
+++ b/cottonspread/config/platform.py
@@ -197,7 +197,7 @@
         )
         for n, t in enumerate(c.objects("Orgs"))
     )
-    return i.Begin(
+    return i.NodeConfig(
         seed,
         c.integer("Me", 0),
         c.integer("Balancers", least=1) if "Balancers" in c.values else 0,
@@ -218,7 +218,7 @@
             rules.number("TipMultiple", 1),
             rules.duration_us("OverloadFor", 0),
         ),
-        i.ListRules(
+        i.ServerListRules(
             c.choice("MembershipMode", "push", POLLED),
             rules.duration_us("AskEvery", 0),
             rules.duration_us("DrainGrace", 0),
@@ -229,7 +229,7 @@
         kind.flag("Groups"),
         probes and how == "probe" and "x0" in told,
         c.choice("Weights", "nominal", WEIGHTS_MOVE),
-        i.Nines(goal.number("NinesPart", 0), goal.positive_number("NinesFull", 3)),
+        i.AvailabilityGoal(goal.number("NinesPart", 0), goal.positive_number("NinesFull", 3)),
     )
 
 
@@ -280,8 +280,10 @@
 
 
 def read_node(text, environment):
-    """Reads a node's configuration: (Endpoints, ResourceLimits, Names, HostProtocol, Begin, initial list of
-    servers as parsed JSON).
+    """Reads a node's configuration.
+
+    Returns (Endpoints, ResourceLimits, Names, HostProtocol, NodeConfig, initial list of servers as parsed
+    JSON).
     """
     root = ObjectReader(parse(text, "configuration"), "")
     endpoints = Endpoints(
--- a/cottonspread/lab/scale/configuration_fleet.py
+++ b/cottonspread/lab/scale/configuration_fleet.py
@@ -37,7 +37,7 @@
     def __init__(self, fleet: "Fleet", name: str, place: Place):
         super().__init__(name, place)
         self.fleet, self.world = fleet, fleet.world
-        self.chance = self.world.draws(name).part
+        self.chance = self.world.random_stream(name).random
         self.core, self._wakes_at, self._ticks_at = None, FAR, (0, 0)
 
     def tell(self, event) -> None:
@@ -123,12 +123,12 @@
         peers = tuple(name for name in self.fleet.replica_names if name != self.name)
         self.core = re.Replica(self.name, peers, m.decode(self.disk, m.ReplicaState), self.chance)
         self.calls, self._busy_until = {}, self.world.now
-        self.world.note("start", self.name)
+        self.world.add_trace_line("start", self.name)
         self.tell(re.Tick())
 
     def stop(self, silently=False) -> None:
         """Its process ends, or its machine."""
-        self.world.note("stop", self.name, silently)
+        self.world.add_trace_line("stop", self.name, silently)
         calls, self.calls = self.calls, {}
         self.end_process(silently)
         if not silently:
@@ -155,14 +155,14 @@
             return
         self._number += 1
         self.calls[self._number] = call
-        self.tell(re.Asked(self._number, message))
+        self.tell(re.RequestReceived(self._number, message))
 
     def gone(self, call):
         """A caller has left."""
         for number, one in list(self.calls.items()):
             if one is call:
                 del self.calls[number]
-                self.tell(re.Gone(number))
+                self.tell(re.RequestAbandoned(number))
 
     def carry_out(self, effect):
         """One effect of the core."""
@@ -171,9 +171,9 @@
                 self.world.after(self._store_span(), self._stored, self.epoch, token, m.encode(state))
             case re.Reply(request=number, message=message):
                 self._work(self._reply, self.calls.pop(number, None), message)
-            case re.TurnAway(request=number):
+            case re.Reject(request=number):
                 self._work(self._reply, self.calls.pop(number, None), None)
-            case re.AskPeer():
+            case re.CallPeer():
                 self._ask_peer(effect)
 
     def _store_span(self):
@@ -185,14 +185,14 @@
             return
         self.disk = data
         state = m.decode(data, m.ReplicaState)
-        self.world.note("stored", self.name, state.accepted and state.accepted.seal)
+        self.world.add_trace_line("stored", self.name, state.accepted and state.accepted.checksum)
         self.fleet.promises.stored(self.name, state)
         self.tell(re.Stored(token, True))
 
     def _reply(self, call, message):
         if call is None:
             return
-        if self.lies is not None and isinstance(message, m.Answer):
+        if self.lies is not None and isinstance(message, m.WatchReply):
             call.reply(self.lies(message))
         else:
             call.reply(to_response(message))
@@ -202,7 +202,7 @@
             if reply is None:
                 self.tell(re.PeerFailed(effect.call, why))
             else:
-                self.tell(re.PeerAnswered(effect.call, reply))
+                self.tell(re.PeerReplied(effect.call, reply))
 
         peer = self.fleet.replicas[effect.peer]
         self.call(peer, effect.message, effect.deadline, m.StateReply, then)
@@ -229,7 +229,7 @@
                 saved = m.decode(self.disk, m.Record)
             except m.MessageError as fault:
                 why = str(fault)
-        if saved is None or not saved.is_sound():
+        if saved is None or not saved.is_valid():
             self.fleet.promises.node_begins(self.name)
         self.tell(fo.Started(saved, why))
 
@@ -242,7 +242,7 @@
         """One effect of the core."""
         shape = self.fleet.shape
         match effect:
-            case fo.Ask():
+            case fo.SendWatch():
                 self._ask(effect)
             case fo.Check(record=record):
                 self._check(record)
@@ -252,23 +252,23 @@
             case fo.Apply(record=record):
                 span = shape.apply + int(shape.apply * self.chance())
                 self.world.after(span, self._applied, self.epoch, record)
-            case fo.Notice(what=what, version=version):
-                self.world.note("notice", self.name, what, version)
+            case fo.Notice(kind=what, version=version):
+                self.world.add_trace_line("notice", self.name, what, version)
 
     def _ask(self, effect):
         def then(answer, why):
             if answer is None:
-                self.tell(fo.Failed(effect.call, why))
+                self.tell(fo.WatchFailed(effect.call, why))
             else:
-                self.tell(fo.Answered(effect.call, answer))
+                self.tell(fo.WatchReplied(effect.call, answer))
 
         replica = self.fleet.replicas[effect.replica]
-        self.call(replica, effect.request, effect.deadline, m.Answer, then)
+        self.call(replica, effect.request, effect.deadline, m.WatchReply, then)
 
     def _check(self, record):
         self.fleet.promises.checked(self.name, record)
         if record.body.startswith("hangs"):
-            self.world.after(fo.STEP_AT_MOST, self._told, self.epoch, fo.Checked(False, "check hangs"))
+            self.world.after(fo.STEP_TIMEOUT, self._told, self.epoch, fo.Checked(False, "check hangs"))
             return
         ok = not record.body.startswith("refused") and not self.refuses_all
         self.later(self.fleet.shape.check, fo.Checked(ok, "" if ok else "refused by its check"))
@@ -283,11 +283,11 @@
             return
         ok = not record.body.startswith("unfit")
         if ok:
-            self.world.note("in force", self.name, record.version)
+            self.world.add_trace_line("in force", self.name, record.version)
             self.fleet.promises.applied(self.name, record)
         self.tell(fo.Applied(ok, "" if ok else "does not start"))
         if record.body.startswith("ill"):
-            self.later(200_000, fo.Judged(record.version, False, "many errors"))
+            self.later(200_000, fo.HealthReported(record.version, False, "many errors"))
 
 
 class PublisherHost(CoreHost):
@@ -312,14 +312,14 @@
             case pu.Call():
                 self._call(effect)
             case pu.Progress(step=step, version=version, stage=stage):
-                self.world.note("publisher", self.name, step, version, stage)
+                self.world.add_trace_line("publisher", self.name, step, version, stage)
                 if step == pu.Step.COMMITTING and stage != m.Stage.WITHDRAWN:
                     self.fleet.promises.change_begins(version, self.began, list(self.fleet.nodes))
                 if step == self.dies_at:
                     self.end_process()
             case pu.Done():
                 self.done, self.ended = effect, self.world.now
-                self.world.note("done", self.name, effect.outcome, effect.version)
+                self.world.add_trace_line("done", self.name, effect.outcome, effect.version)
                 if self.then is not None:
                     self.then(self)
 
@@ -435,14 +435,14 @@
 
 def corrupt(fleet: Fleet, name: str):
     """A replica that now and then tells damaged, older or other answers; for `ReplicaHost.lies`."""
-    draws, told = fleet.world.draws("lies", name), []
+    draws, told = fleet.world.random_stream("lies", name), []
 
-    def change(answer: m.Answer) -> bytes:
+    def change(answer: m.WatchReply) -> bytes:
         if answer.record is not None:
             told.append(answer)
-        way = draws.below(5)
+        way = draws.randbelow(5)
         if way == 0 and told:
-            return to_response(draws.one_of(told))
+            return to_response(draws.choice(told))
         if way == 1:
             return _flip(to_response(answer), draws)
         if way == 2 and answer.record is not None:
@@ -457,17 +457,17 @@
 def _flip(data: bytes, draws) -> bytes:
     changed = bytearray(data)
     start = changed.index(b"\r\n\r\n") + 4
-    at = start + draws.below(len(changed) - start)
-    changed[at] ^= 1 << draws.below(7)
+    at = start + draws.randbelow(len(changed) - start)
+    changed[at] ^= 1 << draws.randbelow(7)
     return bytes(changed)
 
 
-def _renumbered(answer: m.Answer, draws) -> m.Answer:
-    record = msgspec.structs.replace(answer.record, version=answer.record.version + 1 + draws.below(3))
+def _renumbered(answer: m.WatchReply, draws) -> m.WatchReply:
+    record = msgspec.structs.replace(answer.record, version=answer.record.version + 1 + draws.randbelow(3))
     return msgspec.structs.replace(answer, record=record)
 
 
-def _other_digest(answer: m.Answer) -> m.Answer:
+def _other_digest(answer: m.WatchReply) -> m.WatchReply:
     """What the node has in force already, under a later generation, with another body."""
     old = answer.record
     other = m.make_record(old.generation + 1, old.version, old.stage, old.canary_below, "another body")
--- a/cottonspread/lists/saved.py
+++ b/cottonspread/lists/saved.py
@@ -43,16 +43,16 @@
 class SavedList:
     """Saves the list from discovery as JSON. A file that cannot be written costs one log line."""
 
-    def __init__(self, path, weights_move=False):
-        """`weights_move`: changes of weights alone are not saved."""
-        self.path, self.entries, self.failing, self.weights_move = path, {}, False, weights_move
+    def __init__(self, path, dynamic_weights=False):
+        """`dynamic_weights`: changes of weights alone are not saved."""
+        self.path, self.entries, self.failing, self.dynamic_weights = path, {}, False, dynamic_weights
 
     def update(self, version, instances, full):
         """Saves a list as discovery sent it; `full`: the whole list, not changes to the last one."""
         # Live weights change every second, and each change would cost a write and an fsync. The weights
         # saved first stay: they are closer to the servers' sizes.
         if (
-            self.weights_move
+            self.dynamic_weights
             and not full
             and all(
                 one | {"weight": 0} == self.entries.get(str(one["instanceId"]), {}) | {"weight": 0}
--- a/cottonspread/net/discovery.py
+++ b/cottonspread/net/discovery.py
@@ -11,7 +11,11 @@
 
 log = logging.getLogger("cottonspread.discovery")
 
-STATE_OF_LIFECYCLE = {"Ready": io.State.UP, "Terminating": io.State.DRAINING, "Gone": io.State.GONE}
+STATE_OF_LIFECYCLE = {
+    "Ready": io.HostState.UP,
+    "Terminating": io.HostState.DRAINING,
+    "Gone": io.HostState.GONE,
+}
 
 
 class ListError(ValueError):
@@ -22,7 +26,7 @@
     """One server of the list, as JSON: (entry, address as (host, port) or None if it is gone)."""
     host, _, port = str(one.get("hostPort")).rpartition(":")
     address = None
-    if state is not io.State.GONE:  # a server that is gone needs no address
+    if state is not io.HostState.GONE:  # a server that is gone needs no address
         if not host or not 0 < int(port) < 65536:
             raise ValueError(f"hostPort: {one.get('hostPort')!r}")
         address = host, int(port)
@@ -45,7 +49,9 @@
 
 
 def read_list(said, names, news=None, before=None):
-    """Reads a response as JSON: (version, Listed, addresses by server, {server: why its entry is invalid}).
+    """Reads a response as JSON.
+
+    Returns (version, ListUpdate, addresses by server, {server: why its entry is invalid}).
 
     An invalid entry does not invalidate the list. Its server keeps the entry and address that it had in
     `before` ({server: (entry, address)}), but a readable change to draining or gone is applied, because no
@@ -53,7 +59,7 @@
     """
     try:
         version, instances = int(said["generation"]), said["instances"]
-        news = news or (io.News.FULL if said["reset"] else io.News.CHANGES)
+        news = news or (io.ListUpdateKind.FULL if said["reset"] else io.ListUpdateKind.CHANGES)
         if not isinstance(instances, list):
             raise TypeError("instances: not a list")
     except UNREADABLE as fault:
@@ -76,9 +82,9 @@
             entry = entry._replace(state=state or entry.state)
         entries[name] = entry
         addresses.pop(name, None)
-        if entry.state is not io.State.GONE:
+        if entry.state is not io.HostState.GONE:
             addresses[name] = address
-    return version, io.Listed(news, version, tuple(entries.values())), addresses, unread
+    return version, io.ListUpdate(news, version, tuple(entries.values())), addresses, unread
 
 
 class Discovery:
@@ -210,7 +216,7 @@
         except (ValueError, RecursionError) as fault:
             raise ListError(f"invalid JSON: {fault}") from fault
         version, listed, addresses, unread = read_list(said, self.names, before=self.last_entries)
-        full = listed.news is io.News.FULL
+        full = listed.kind is io.ListUpdateKind.FULL
         if version < self.version:
             # A stale response must not bring back servers that are gone. Only a discovery service that has
             # restarted its version count repeats a lower version.
@@ -239,10 +245,10 @@
         """Remembers the entries. Invalid entries are logged only when they differ from the last ones, because
         each full list repeats them.
         """
-        self.last_entries = self.last_entries if listed.news is io.News.CHANGES else {}
+        self.last_entries = self.last_entries if listed.kind is io.ListUpdateKind.CHANGES else {}
         for entry in listed.entries:
             self.last_entries[entry.host] = entry, addresses.get(entry.host)
-            if entry.state is io.State.GONE:
+            if entry.state is io.HostState.GONE:
                 del self.last_entries[entry.host]
         if unread and unread != self.unread:
             name, why = next(iter(unread.items()))
--- a/cottonspread/net/node.py
+++ b/cottonspread/net/node.py
@@ -13,8 +13,8 @@
 from collections import Counter
 from dataclasses import replace
 
-from cottonspread.front.lateness import Door
-from cottonspread.interface import News
+from cottonspread.front.lateness import AdmissionLimiter
+from cottonspread.interface import ListUpdateKind
 from cottonspread.net import admin, discovery, lines, passing, workers
 from cottonspread.net import events as ev
 from cottonspread.net.admission import Admission
@@ -64,7 +64,7 @@
 
 
 def door_target(begin):
-    """How long first lines may lie here: see `Door`."""
+    """How long first lines may lie here: see `AdmissionLimiter`."""
     return min(t.setup_target for t in begin.types) // 4
 
 
@@ -72,12 +72,16 @@
     """Whether a known list is watched at once: a process that `follows`
     another waits for a list told to itself.
     """
-    return begin.listing.ask and not follows and bool(listed.entries)
+    return begin.server_list.polled and not follows and bool(listed.entries)
 
 
 def changeable(begin, was):
     """Settings that a node which runs takes over: what cannot change then stays as it was, in all parts."""
-    return replace(begin, listing=replace(begin.listing, ask=was.listing.ask), weights_move=was.weights_move)
+    return replace(
+        begin,
+        server_list=replace(begin.server_list, polled=was.server_list.polled),
+        dynamic_weights=was.dynamic_weights,
+    )
 
 
 def grow_table(sockets):
@@ -105,19 +109,21 @@
         self.workers = workers.Workers(
             BufferPool(), self.post, self.clock.now, lambda: (self.done.set(), ended())
         )
-        self.lock, self.door = threading.Lock(), Door(door_target(begin))
-        version, listed, addresses, unread = discovery.read_list(known, names, News.SAVED)
+        self.lock, self.door = threading.Lock(), AdmissionLimiter(door_target(begin))
+        version, listed, addresses, unread = discovery.read_list(known, names, ListUpdateKind.SAVED)
         self.discovery = discovery.Discovery(
             endpoints.discovery,
             names,
             self.post,
             version,
-            begin.listing.ask,
+            begin.server_list.polled,
             keep,
             may_watch(begin, listed, keep is not None),
         )
         self.reducer = Reducer(self.clock.now(), begin, names, host_protocol, self.most)
-        self.discovery.start_with(listed, addresses, unread, trusted=begin.listing.ask or keep is not None)
+        self.discovery.start_with(
+            listed, addresses, unread, trusted=begin.server_list.polled or keep is not None
+        )
         self.listener, self.shared, self.steps, self.ended = None, False, 0, Counter()
         self.closer = Closer(self.max_closing)
         self.admission, self.finished = None, False
@@ -167,7 +173,7 @@
         if word == "health":
             return b"200 yes\n" if self.serves() else b"400 no\n"
         if word == "counters":
-            return b"200 the figures\n%sEOF\n" % self.reducer.figures.text(len(self.reducer.by_id)).encode()
+            return b"200 the figures\n%sEOF\n" % self.reducer.counters.text(len(self.reducer.by_id)).encode()
         if word not in ("quiesce", "resume"):
             return b"400 known calls: health, counters, quiesce, resume\n"
         if self.reducer.stopping:
@@ -305,7 +311,7 @@
             at = getattr(event, "at", 0) or at or now
             if isinstance(event, ev.Got) and event.end.client and event.end.conn.opening is None:
                 with self.lock:
-                    self.door.lain(now, now - at)
+                    self.door.record_wait(now, now - at)
             for effect in self.step(event, at):
                 self.carry_out(effect)
 
@@ -418,7 +424,9 @@
         except OSError:
             pass
         with contextlib.suppress(OSError):  # it has not come yet
-            self.reducer.figures.turned_away(lines.type_named(sock.recv(4096, socket.MSG_DONTWAIT)))
+            self.reducer.counters.count_refused_on_accept(
+                lines.type_named(sock.recv(4096, socket.MSG_DONTWAIT))
+            )
         self.closer.add(sock)
         self.ended[reason] += 1
         log.info("closed", extra={"pairs": {"reason": reason}})
--- a/tests/configstore/drivers.py
+++ b/tests/configstore/drivers.py
@@ -54,9 +54,9 @@
                     self.finish_store()
             case re.Reply():
                 self.replies[effect.request] = effect.message
-            case re.TurnAway():
+            case re.Reject():
                 self.turned_away[effect.request] = effect.why
-            case re.AskPeer():
+            case re.CallPeer():
                 self.peer_calls.append(effect)
 
     def finish_store(self):
@@ -68,7 +68,7 @@
     def ask(self, message):
         """The number of the request."""
         self.number += 1
-        self.tell(re.Asked(self.number, message))
+        self.tell(re.RequestReceived(self.number, message))
         return self.number
 
     def reply(self, message):
@@ -96,8 +96,8 @@
 class FollowerDriver:
     """A follower whose checks, saves and applies wait for the test."""
 
-    def __init__(self, node="n1", replicas=REPLICAS, saved=None, chance=half):
-        self.core, self.now = fo.Follower(node, replicas, chance), 0
+    def __init__(self, node="n1", replicas=REPLICAS, saved=None, uniform=half):
+        self.core, self.now = fo.Follower(node, replicas, uniform), 0
         self.asks, self.work, self.notices = {}, [], []
         self.in_force, self.file = None, saved
         self.tell(fo.Started(saved))
@@ -105,7 +105,7 @@
     def tell(self, event):
         for effect in self.core.step(self.now, event):
             match effect:
-                case fo.Ask():
+                case fo.SendWatch():
                     self.asks[effect.call] = effect
                 case fo.Notice():
                     self.notices.append(effect)
@@ -140,9 +140,9 @@
         ask = self.asks.pop(call)
         generation = generation if generation is not None else new.generation if new else ask.request.since
         self.tell(
-            fo.Answered(
+            fo.WatchReplied(
                 call,
-                m.Answer(
+                m.WatchReply(
                     generation=generation,
                     reset=new is not None,
                     record=new,
@@ -155,7 +155,7 @@
     def fail(self, call=None):
         call = call or next(iter(self.asks))
         del self.asks[call]
-        self.tell(fo.Failed(call, "refused"))
+        self.tell(fo.WatchFailed(call, "refused"))
 
     def pass_time(self, span):
         until = self.now + span
@@ -189,7 +189,7 @@
                 self.replicas[name].watch(node, since=2**40, timeout_ms=0, **self.said.get(node, {}))
 
     def canaries(self, record):
-        return [node for node in self.nodes if record.reaches(node)]
+        return [node for node in self.nodes if record.applies_to(node)]
 
     def committed(self, name="r1"):
         return self.replicas[name].disk.committed
@@ -198,7 +198,7 @@
         """Every replica has accepted and committed these."""
         for one in records:
             for replica in self.replicas.values():
-                base = replica.disk.accepted.position if replica.disk.accepted else m.NOWHERE
+                base = replica.disk.accepted.position if replica.disk.accepted else m.EMPTY_POSITION
                 assert replica.reply(m.Accept(base=base, record=one)).accepted
                 assert replica.reply(m.Commit(record=one)).committed
 
@@ -211,8 +211,8 @@
 class PublisherDriver:
     """A publisher before a cluster."""
 
-    def __init__(self, cluster, order, chance=half):
-        self.cluster, self.core = cluster, pu.Publisher(REPLICAS, order, chance)
+    def __init__(self, cluster, order, uniform=half):
+        self.cluster, self.core = cluster, pu.Publisher(REPLICAS, order, uniform)
         self.calls, self.progress, self.done = [], [], None
         self.tell(pu.Started())
 
--- a/tests/crossings/test_list.py
+++ b/tests/crossings/test_list.py
@@ -57,7 +57,7 @@
     one = discovery.Discovery
     longest_call = max(one.WATCH_TIMEOUT_MS / 1000 + one.WATCH_MARGIN, one.FULL_LIST_TIMEOUT)
     pushed = longest_call + one.MAX_RETRY_DELAY + one.CONNECT_TIMEOUT
-    asked = 4.5 + one.CONNECT_TIMEOUT  # from the begin of a call that failed: Membership.LONGEST_WAY
+    asked = 4.5 + one.CONNECT_TIMEOUT  # from the begin of a call that failed: Membership.MAX_POLL_GAP
     assert max(pushed, asked) <= 5.0
     assert longest_call < 4.5
 
@@ -399,7 +399,9 @@
             agent.scripted.put(no_news)
         agent.scripted.put(falls_silent)
         agent.change(hosts[1], "Ready")
-        node.seen.wait(ev.Heard, lambda e: any(one.state is io.State.DRAINING for one in e.listed.entries))
+        node.seen.wait(
+            ev.Heard, lambda e: any(one.state is io.HostState.DRAINING for one in e.listed.entries)
+        )
         assert len(silences) == 1
         one = client(node, opening(1))
         peer = hosts[1].take()
