--- a/cottonspread/net/closing.py
+++ b/cottonspread/net/closing.py
@@ -28,8 +28,9 @@
         self.next_check = 0.0
 
     def add(self, sock):
-        """Takes ownership of a socket whose last line has been sent. When the queue is full, its oldest socket
-        is closed at once. Called from any thread.
+        """Takes ownership of a socket whose last line has been sent. Called from any thread.
+
+        When the queue is full, its oldest socket is closed at once.
         """
         if self.incoming.qsize() >= max(MIN_QUEUE_LIMIT, self.limit()):
             with contextlib.suppress(queue.Empty):
