--- a/cottonspread/net/closing.py
+++ b/cottonspread/net/closing.py
@@ -1,8 +1,8 @@
-"""Sockets that were turned away at the door, on their way to a clean close: one thread for all of them.
+"""Lingering close for clients that were refused on accept: one thread closes all their sockets.
 
-A close over bytes that nobody read is a reset, and a reset takes the last line with it. A client's
-first line may come just after it was turned away, so each is read to its end, for a moment at most,
-before its descriptor is given back.
+Closing a socket with unread input sends a reset, and the client may then lose the last line sent to it. A
+client's first line may arrive just after it was refused. So input is read and discarded until the client
+closes, for a limited time, before the socket is closed.
 """
 
 import contextlib
@@ -12,85 +12,86 @@
 import time
 from collections import OrderedDict
 
-WAIT = 1.0  # seconds that the other side gets to end
-LOOK = 0.05  # seconds between two looks into the queue while there is anything to read
-QUEUED = 8  # sockets that may wait to be looked at whatever else is held
-ONCE = 64 * 1024  # bytes taken from one socket at a look: who sends at full speed keeps nobody waiting
+TIMEOUT = 1.0  # seconds that a client gets to close its side
+CHECK_INTERVAL = 0.05  # seconds between two checks of the open sockets
+MIN_QUEUE_LIMIT = 8  # sockets that may always be queued, whatever the limit
+MAX_DISCARD_PER_CHECK = 64 * 1024  # bytes per socket, so that a flooding client does not delay the others
 
 
 class Closer:
-    """Reads sockets to their end and closes them."""
+    """Discards the input of sockets until the other side has closed, then closes them."""
 
-    def __init__(self, most):
-        """`most()`: how many may wait here now; beyond it the one that has waited longest
-        is closed at once.
-        """
-        self.most, self.coming, self.held = most, queue.SimpleQueue(), OrderedDict()  # socket: until when
-        self.next_look = 0.0
+    def __init__(self, limit):
+        """`limit()`: how many sockets may be open here now; beyond it the oldest is closed at once."""
+        # `open_sockets`: socket: its deadline, oldest first
+        self.limit, self.incoming, self.open_sockets = limit, queue.SimpleQueue(), OrderedDict()
+        self.next_check = 0.0
+
+    def add(self, sock):
+        """Takes ownership of a socket whose last line has been sent. Called from any thread.
 
-    def take(self, sock):
-        """From any thread: its last line is out, and it is this one's now. Whoever has waited longest to be
-        looked at is closed at once where as many wait as may."""
-        if self.coming.qsize() >= max(QUEUED, self.most()):
+        When the queue is full, its oldest socket is closed at once.
+        """
+        if self.incoming.qsize() >= max(MIN_QUEUE_LIMIT, self.limit()):
             with contextlib.suppress(queue.Empty):
-                oldest = self.coming.get_nowait()
-                if oldest is None:  # told to stop: whoever comes later is not looked at
-                    self.coming.put(None)
+                oldest = self.incoming.get_nowait()
+                if oldest is None:  # `stop` was called: later sockets are closed at once
+                    self.incoming.put(None)
                     oldest = sock
-                self.shut(oldest)
+                self.close_socket(oldest)
                 if oldest is sock:
                     return
-        self.coming.put(sock)
+        self.incoming.put(sock)
 
     def stop(self):
-        """No more are taken; those that are here are closed."""
-        self.coming.put(None)
+        """Ends the thread and closes all open sockets."""
+        self.incoming.put(None)
 
     def run(self):
         """The thread, until `stop`."""
-        while self.turn():
+        while self.step():
             pass
 
-    def turn(self):
-        """Takes in one, or waits for the next look. False once it was told to stop; then nothing is left."""
+    def step(self):
+        """Takes one socket from the queue or waits for the next check. Returns False after `stop`."""
         with contextlib.suppress(queue.Empty):
-            sock = self.coming.get(timeout=LOOK) if self.held else self.coming.get()
+            sock = self.incoming.get(timeout=CHECK_INTERVAL) if self.open_sockets else self.incoming.get()
             if sock is None:
-                for one in list(self.held):
+                for one in list(self.open_sockets):
                     self.close(one)
                 return False
             sock.setblocking(False)
-            self.held[sock] = time.monotonic() + WAIT
-        if self.coming.empty() or time.monotonic() >= self.next_look:
-            self.look()
-        while len(self.held) > max(1, self.most()):
-            self.close(next(iter(self.held)))
+            self.open_sockets[sock] = time.monotonic() + TIMEOUT
+        if self.incoming.empty() or time.monotonic() >= self.next_check:
+            self.check()
+        while len(self.open_sockets) > max(1, self.limit()):
+            self.close(next(iter(self.open_sockets)))
         return True
 
-    def look(self):
-        """Closes those that have ended, and those whose time is over."""
-        self.next_look = time.monotonic() + LOOK
+    def check(self):
+        """Closes sockets whose other side has closed or whose deadline has passed."""
+        self.next_check = time.monotonic() + CHECK_INTERVAL
         poll, by_number = select.poll(), {}
-        for sock in self.held:
+        for sock in self.open_sockets:
             by_number[sock.fileno()] = sock
             poll.register(sock, select.POLLIN)
         for number, _ in poll.poll(0):
-            if self.read_away(by_number[number]):
+            if self.discard_input(by_number[number]):
                 self.close(by_number[number])
         now = time.monotonic()
-        while self.held and next(iter(self.held.values())) <= now:
-            self.close(next(iter(self.held)))
+        while self.open_sockets and next(iter(self.open_sockets.values())) <= now:
+            self.close(next(iter(self.open_sockets)))
 
     @staticmethod
-    def read_away(sock):
-        """Drops what is here, a bounded part of it; whether the other side has ended or broken."""
-        taken = 0
+    def discard_input(sock):
+        """Discards a limited amount of input; returns whether the other side has closed or reset."""
+        discarded = 0
         try:
-            while taken < ONCE:
+            while discarded < MAX_DISCARD_PER_CHECK:
                 got = len(sock.recv(8192, socket.MSG_DONTWAIT))
                 if not got:
                     return True
-                taken += got
+                discarded += got
         except BlockingIOError:
             pass
         except OSError:
@@ -98,11 +99,11 @@
         return False
 
     def close(self, sock):
-        """Its time, or its room, is over."""
-        del self.held[sock]
-        self.shut(sock)
+        """Closes an open socket."""
+        del self.open_sockets[sock]
+        self.close_socket(sock)
 
-    def shut(self, sock):
-        """Closes over nothing that is here already."""
-        self.read_away(sock)
+    def close_socket(self, sock):
+        """Closes a socket after discarding the input that has already arrived."""
+        self.discard_input(sock)
         sock.close()
