--- a/cottonspread/cli/node.py
+++ b/cottonspread/cli/node.py
@@ -271,7 +271,8 @@
         )
     )
     print(
-        f"{len(names.types)} traffic types, node {begin.node_number} of {begin.nodes or 'an unknown number'}, "
+        f"{len(names.types)} traffic types, "
+        f"node {begin.node_number} of {begin.nodes or 'an unknown number'}, "
         f"{len(known['instances'])} servers in the initial list, "
         f"at most {most_ends(resource_limits, endpoints.operator)} connections"
     )
