--- a/benchmarks/crossings/mutants.py
+++ b/benchmarks/crossings/mutants.py
@@ -268,7 +268,7 @@
         "most = max(SECOND, min(self.settings.poll_interval, self.MAX_POLL_GAP - took))",
         "most = max(SECOND, self.settings.poll_interval)",
         [
-            "tests/test_many_nodes.py::test_nodes_turned_away_by_an_overbooked_list_ask_as_seldom_as_the_terms_let_them"
+            "tests/test_many_nodes.py::test_nodes_refused_by_an_overloaded_list_poll_as_seldom_as_the_deadline_allows"
         ],
     ),
     (
@@ -277,7 +277,7 @@
         "    DEFAULT_NODES = 256 ",
         "    DEFAULT_NODES = 1 ",
         [
-            "tests/test_many_nodes.py::test_what_all_processes_send_a_cold_server_stays_within_its_budget_and_chance"
+            "tests/test_many_nodes.py::test_what_all_processes_send_a_cold_server_stays_within_its_budget_and_a_margin"
         ],
     ),
     (
--- a/tests/test_idle.py
+++ b/tests/test_idle.py
@@ -55,7 +55,7 @@
     assert worst[0] < IDLE, worst
 
 
-def test_a_cold_server_is_no_last_resort():
+def test_a_cold_server_gets_no_calls_beyond_its_budget():
     """A cold server has one budget for all nodes: calls beyond it are rejected, however many come."""
     node = Balancer(0, begin({"nodes": 100, "seed": 5}, (traffic_type("t", {}),)))
     node.handle(0, io.ListUpdate(io.ListUpdateKind.FULL, 1, (entry("a:started=1"),)))
--- a/tests/test_idle_widely.py
+++ b/tests/test_idle_widely.py
@@ -195,7 +195,7 @@
     assert max(in_each_tenth.values()) <= 200 // 4, in_each_tenth.most_common(3)
 
 
-def test_no_server_that_drains_or_is_gone_is_tried_when_all_rest():
+def test_no_server_that_drains_or_is_gone_is_tried_when_all_are_ejected():
     play = Failing((Ending.CONNECT_FAILED,), 6, 12, False, 20)
     play.run(SECOND, 20 * SECOND)
     left = (entry("s0:state=draining"), entry("s1:state=gone"), entry("s2:state=draining"))
@@ -205,7 +205,7 @@
     assert play.tried == {"s3", "s4", "s5"}
 
 
-def test_no_cold_server_is_tried_beyond_its_budget_when_all_rest():
+def test_no_cold_server_is_tried_beyond_its_budget_when_all_are_ejected():
     """Cold servers among those that refuse: this node sends them no more than it draws for them."""
     play = Failing((Ending.CONNECT_FAILED,), 4, 12, False, 200)
     play.run(SECOND, 20 * SECOND)
--- a/tests/test_lateness.py
+++ b/tests/test_lateness.py
@@ -5,7 +5,7 @@
 from cottonspread.front.lateness import SECOND, AdmissionLimiter, Lateness
 
 
-def test_lateness_is_the_most_of_the_last_half_to_whole_second_and_the_ordinary_is_none():
+def test_lateness_is_the_maximum_of_the_last_half_to_whole_second_and_negligible_ones_are_0():
     one = Lateness()
     one.record(0, 5_000)
     assert one.recent_max(10) == 0
@@ -53,12 +53,12 @@
     assert len(late) > 0.75 * 600 * 14, "calls are refused that the node could handle"
 
 
-def test_without_the_door_the_same_queue_would_grow_without_end():
+def test_without_the_limit_the_same_queue_would_grow_without_end():
     _, done, _ = played(steady(1200, 20), service_rate=600, target=10**12)
     assert done[-1][1] > 9 * SECOND
 
 
-def test_after_a_pause_of_the_node_itself_all_that_lay_there_is_let_in():
+def test_after_a_pause_of_the_node_itself_all_waiting_calls_are_admitted():
     refused, done, _ = played(steady(300, 10), service_rate=600, pause=(2 * SECOND, 4 * SECOND))
     assert not refused and len(done) > 2900
 
--- a/tests/test_many_nodes.py
+++ b/tests/test_many_nodes.py
@@ -73,7 +73,7 @@
 
 
 @pytest.mark.parametrize("took", (0, 3 * SECOND))
-def test_nodes_turned_away_by_an_overbooked_list_ask_as_seldom_as_the_terms_let_them(took):
+def test_nodes_refused_by_an_overloaded_list_poll_as_seldom_as_the_deadline_allows(took):
     """A change counts as known to the nodes 6 s after the list could be reached, whatever failed before.
 
     So at most 4.5 s pass from the start of a failed poll to the next one, and in the long run no node polls
@@ -99,7 +99,7 @@
     assert max(later) <= 20, later
 
 
-def test_all_nodes_together_use_the_cold_budget_and_do_not_pass_it():
+def test_all_nodes_together_use_the_cold_budget_and_do_not_exceed_it():
     """Guards against an unused budget: with six in ten servers replaced, the new ones got a call or two
     each in ten seconds, while nodes rejected calls.
     """
@@ -168,7 +168,7 @@
         assert placed == zones[n % 4] if n % 4 in zones else placed in few
 
 
-def test_another_time_for_asking_binds_from_the_reload_on():
+def test_another_poll_interval_applies_from_the_reload_on():
     """Guards against a poll delay that stays with the settings of the start."""
     site, types = {"list": "ask"}, (traffic_type("t", {}),)
     node = Balancer(0, begin(site, types))
@@ -243,7 +243,7 @@
 
 @pytest.mark.parametrize("unequal, restarts", ((False, False), (True, False), (False, True), (True, True)))
 @pytest.mark.parametrize("count, known", ((20, 20), (30, 30), (200, 200), (20, 0), (30, 0), (200, 0)))
-def test_what_all_processes_send_a_cold_server_stays_within_its_budget_and_chance(
+def test_what_all_processes_send_a_cold_server_stays_within_its_budget_and_a_margin(
     count, known, unequal, restarts
 ):
     """Holds also where nodes get unequal shares of the calls, where processes restart during the warm-up, and
--- a/tests/test_readings.py
+++ b/tests/test_readings.py
@@ -18,7 +18,7 @@
     return Host(name, io.Entry(name))
 
 
-def test_a_silent_probe_is_no_word_on_how_full_the_fleet_is(readings):
+def test_an_unanswered_probe_says_nothing_of_how_full_the_fleet_is(readings):
     """Guards against unanswered probes that count as full servers: six servers out of reach made a node find
     the whole fleet busy and save on the cost of groups, so that it rejected calls beside idle servers.
     """
@@ -30,7 +30,7 @@
     assert readings.fleet_busy()
 
 
-def test_a_silent_server_counts_as_full_while_the_reading_lives(readings):
+def test_a_server_that_does_not_answer_counts_as_full_while_its_result_is_current(readings):
     one = host()
     readings.record(one, io.ProbeEnded("a", io.Ending.TIMEOUT, 120_000), SECOND)
     assert readings.is_full(one, 2 * SECOND) and not readings.is_full(one, SECOND + Readings.MAX_AGE + 1)
