--- a/cottonspread/interface.py
+++ b/cottonspread/interface.py
@@ -230,7 +230,7 @@
     """A message delay was measured or reported on a connection."""
 
     call: object
-    delay: int  # what a message takes at the call's host now
+    delay: int  # microseconds that a message takes at the call's host now
 
 
 @dataclass(frozen=True)
