--- a/cottonspread/fleet/control.py
+++ b/cottonspread/fleet/control.py
@@ -36,24 +36,24 @@
 
     def receive(self):
         """Returns the received objects and whether the connection is still open."""
-        message, stands = [], True
+        messages, is_open = [], True
         try:
             while True:
                 data = self.sock.recv(65536)
                 if not data:
-                    stands = False
+                    is_open = False
                     break
                 self.partial_line += data
         except BlockingIOError:
             pass
         except OSError:
-            stands = False
-        *whole, self.partial_line = self.partial_line.split(b"\n")
+            is_open = False
+        *complete_lines, self.partial_line = self.partial_line.split(b"\n")
         try:
-            message = [one for one in map(json.loads, whole) if isinstance(one, dict)]
+            messages = [one for one in map(json.loads, complete_lines) if isinstance(one, dict)]
         except ValueError:
-            stands = False
-        return message, stands and len(self.partial_line) < MAX_BUFFERED_BYTES
+            is_open = False
+        return messages, is_open and len(self.partial_line) < MAX_BUFFERED_BYTES
 
     def send(self, message):
         """Sends an object; returns whether the connection is still open."""
@@ -108,9 +108,9 @@
 
 def raise_descriptor_limit(need):
     """Raises this process's soft limit on descriptors to `need` if allowed; returns the hard limit."""
-    soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
-    resource.setrlimit(resource.RLIMIT_NOFILE, (min(hard, max(soft, need)), hard))
-    return hard
+    soft, hard_limit = resource.getrlimit(resource.RLIMIT_NOFILE)
+    resource.setrlimit(resource.RLIMIT_NOFILE, (min(hard_limit, max(soft, need)), hard_limit))
+    return hard_limit
 
 
 class Lock:
--- a/cottonspread/fleet/core.py
+++ b/cottonspread/fleet/core.py
@@ -208,8 +208,8 @@
 
     # Events
 
-    def step(self, now, what, *args):
-        """Handles an event and returns its effects in order; `what` names one of the methods below."""
+    def step(self, now, event, *args):
+        """Handles an event and returns its effects in order; `event` names one of the methods below."""
         gap, self.now = now - self.now, max(now, self.now)
         if gap > STALL_THRESHOLD:  # the supervisor itself was stopped, and reports are still unread
             for p in self.processes():
@@ -219,7 +219,7 @@
                 )
                 p.leave_sent_at += gap if p.leave_sent_at else 0
                 p.requested_at += gap
-        getattr(self, what)(*args)
+        getattr(self, event)(*args)
         self.reconcile_all()
         effects, self.effects = self.effects, []
         return effects
--- a/cottonspread/fleet/plan.py
+++ b/cottonspread/fleet/plan.py
@@ -87,57 +87,59 @@
     configuration store; it replaces the template except for the keys that belong to this machine.
     """
     log, instance, fleet, section = op.read_fleet(path)
-    template = resolve_path(path, fleet.config)
+    template_path = resolve_path(path, fleet.config)
     try:
-        with open(template, encoding="utf-8") as file:
+        with open(template_path, encoding="utf-8") as file:
             text = file.read()
     except (OSError, UnicodeDecodeError) as fault:
-        raise op.OperatorFileError([f"{path}: fleet.config: {template}: {fault}"]) from fault
-    whole = config.parse(text, template)
-    if published is not None and isinstance(whole, dict):
-        whole = config.with_local_keys(
-            config.parse(published, "configuration"), whole, section.own if section else ()
+        raise op.OperatorFileError([f"{path}: fleet.config: {template_path}: {fault}"]) from fault
+    template_config = config.parse(text, template_path)
+    if published is not None and isinstance(template_config, dict):
+        template_config = config.with_local_keys(
+            config.parse(published, "configuration"), template_config, section.own if section else ()
         )
-    if not isinstance(whole, dict) or not isinstance(whole.get("settings"), dict):
-        raise op.OperatorFileError([f"{template}: settings: expected an object"])
-    if not isinstance(whole.get("discovery"), str):
-        raise op.OperatorFileError([f"{template}: discovery: expected HOST:PORT"])
+    if not isinstance(template_config, dict) or not isinstance(template_config.get("settings"), dict):
+        raise op.OperatorFileError([f"{template_path}: settings: expected an object"])
+    if not isinstance(template_config.get("discovery"), str):
+        raise op.OperatorFileError([f"{template_path}: discovery: expected HOST:PORT"])
     specs = {}
     for n in range(fleet.instances):
         name = f"{fleet.name}-{n}"
-        own = {
-            **whole,
+        instance_config = {
+            **template_config,
             "name": name,
             "listen": offset_address(fleet.listen, fleet.port_step * n, fleet.host_step * n),
             "settings": {
-                **whole["settings"],
+                **template_config["settings"],
                 "Me": fleet.first + n,
                 "Balancers": fleet.nodes or fleet.first + fleet.instances,
             },
         }
         # The supervisor's socket replaces it; and a successor, which runs beside its predecessor, could not
         # bind the same address.
-        own.pop("operator", None)
+        instance_config.pop("operator", None)
         try:
-            own["discovery"] = (
-                offset_address(whole["discovery"], fleet.discovery_step * n)
+            instance_config["discovery"] = (
+                offset_address(template_config["discovery"], fleet.discovery_step * n)
                 if fleet.discovery_step
-                else whole["discovery"]
+                else template_config["discovery"]
             )
-            if "seed" in whole:
-                own["seed"] = "%x" % (int(whole["seed"], 16) + n)
-            place = check(canonical_json(own))[0]
+            if "seed" in template_config:
+                instance_config["seed"] = "%x" % (int(template_config["seed"], 16) + n)
+            endpoints = check(canonical_json(instance_config))[0]
         except (config.ConfigurationError, ValueError, TypeError) as fault:
-            raise op.OperatorFileError([f"{template}: {fault} (instance {name})"]) from fault
-        live = {key: own.pop(key) for key in LIVE_KEYS if key in own} | {"level": log.level}
+            raise op.OperatorFileError([f"{template_path}: {fault} (instance {name})"]) from fault
+        live = {key: instance_config.pop(key) for key in LIVE_KEYS if key in instance_config} | {
+            "level": log.level
+        }
         start = {
-            "config": own,
+            "config": instance_config,
             "fixed": {key: live["settings"].get(key) for key in FIXED_SETTINGS},
             "format": log.format,
             "instance": msgspec.to_builtins(instance),
             "program": list(program),
         }
-        specs[name] = InstanceSpec(name, place.listen, canonical_json(start), canonical_json(live))
+        specs[name] = InstanceSpec(name, endpoints.listen, canonical_json(start), canonical_json(live))
     return Plan(fleet, specs, tuple(program))
 
 
@@ -160,15 +162,15 @@
 
 def bind_all(specs):
     """Returns listening sockets by address; the error lists every address that is in use."""
-    taken, faults = {}, []
+    listeners, faults = {}, []
     for spec in specs:
         try:
-            taken[spec.address] = listen_on(spec.address)
+            listeners[spec.address] = listen_on(spec.address)
         except OSError as fault:
             why = "address in use" if fault.errno == errno.EADDRINUSE else fault.strerror or str(fault)
             faults.append(f"fleet.listen: {spec.address[0]}:{spec.address[1]} for {spec.name}: {why}")
     if faults:
-        for sock in taken.values():
+        for sock in listeners.values():
             sock.close()
         raise op.OperatorFileError(faults)
-    return taken
+    return listeners
--- a/cottonspread/fleet/supervisor.py
+++ b/cottonspread/fleet/supervisor.py
@@ -148,12 +148,12 @@
         An instance's process has its own limit.
         """
         need = 5 * instances + MAX_BUSY_CLIENTS + 32
-        hard = control.raise_descriptor_limit(need)
-        if hard < need:
+        hard_limit = control.raise_descriptor_limit(need)
+        if hard_limit < need:
             raise op.OperatorFileError(
                 [
                     f"{self.path}: fleet.instances: {instances} need {need} descriptors; "
-                    f"the limit is {hard} (ulimit -n)"
+                    f"the limit is {hard_limit} (ulimit -n)"
                 ]
             )
 
@@ -195,12 +195,12 @@
                 continue
             try:
                 sock = control.connect(path)
-                line, said, until = control.JsonConnection(sock), [], time.monotonic() + 1
-                while len(said) < 2 and time.monotonic() < until:
-                    said += line.receive()[0]
+                connection, messages, deadline = control.JsonConnection(sock), [], time.monotonic() + 1
+                while len(messages) < 2 and time.monotonic() < deadline:
+                    messages += connection.receive()[0]
                     time.sleep(0.005)
-                hello, status = said[0], said[1]["status"]
-                line.send({"do": "socket"})
+                hello, status = messages[0], messages[1]["status"]
+                connection.send({"do": "socket"})
                 sock.settimeout(1.0)
                 _, fds, _, _ = socket.recv_fds(sock, 1, 1)
                 listener = socket.socket(fileno=fds[0])
@@ -224,10 +224,10 @@
 
     def attach(self, name, generation, sock):
         """Registers a connected instance: its control connection and its process."""
-        line = control.JsonConnection(sock)
-        self.channels[name, generation] = line
+        connection = control.JsonConnection(sock)
+        self.channels[name, generation] = connection
         self.selector.register(
-            sock, selectors.EVENT_READ, lambda: self.receive_status(name, generation, line)
+            sock, selectors.EVENT_READ, lambda: self.receive_status(name, generation, connection)
         )
         if (name, generation) in self.pidfds and (name, generation) not in self.children:
             self.watch_process(name, generation)
@@ -236,22 +236,22 @@
 
     def run(self):
         """Runs until all instances have stopped; returns the exit code."""
-        wake, ring = socket.socketpair()
-        for sock in (wake, ring):
+        wake_reader, wake_writer = socket.socketpair()
+        for sock in (wake_reader, wake_writer):
             sock.setblocking(False)
-        signal.set_wakeup_fd(ring.fileno(), warn_on_full_buffer=False)
+        signal.set_wakeup_fd(wake_writer.fileno(), warn_on_full_buffer=False)
         signals = []
-        for number in (signal.SIGTERM, signal.SIGINT, signal.SIGHUP):
-            signal.signal(number, lambda n, _: signals.append(n))
-        self.selector.register(wake, selectors.EVENT_READ, lambda: wake.recv(4096))
+        for signum in (signal.SIGTERM, signal.SIGINT, signal.SIGHUP):
+            signal.signal(signum, lambda n, _: signals.append(n))
+        self.selector.register(wake_reader, selectors.EVENT_READ, lambda: wake_reader.recv(4096))
         self.step("tick")
         self.start_timers()
         while not self.done:
-            left = max(0.0, self.timers[0][0] - time.monotonic()) if self.timers else POLL_INTERVAL
-            self.poll_sockets(min(POLL_INTERVAL, left))
+            remaining = max(0.0, self.timers[0][0] - time.monotonic()) if self.timers else POLL_INTERVAL
+            self.poll_sockets(min(POLL_INTERVAL, remaining))
             while signals:
-                number = signals.pop(0)
-                if number == signal.SIGHUP:
+                signum = signals.pop(0)
+                if signum == signal.SIGHUP:
                     self.call_guarded(self.reload, None)
                 else:
                     self.manager.notify_stopping()
@@ -287,16 +287,16 @@
                 continue
             self.call_guarded(key.data)
 
-    def call_guarded(self, what, *args):
+    def call_guarded(self, callback, *args):
         """Logs an unexpected exception and goes on."""
         try:
-            what(*args)
+            callback(*args)
         except Exception:
-            log.exception("fault", extra={"pairs": {"while": getattr(what, "__qualname__", "event")}})
+            log.exception("fault", extra={"pairs": {"while": getattr(callback, "__qualname__", "event")}})
 
-    def call_later(self, after, what):
-        """Calls `what` after so many seconds."""
-        heapq.heappush(self.timers, (time.monotonic() + after, id(what), what))
+    def call_later(self, delay, callback):
+        """Calls `callback` after `delay` seconds."""
+        heapq.heappush(self.timers, (time.monotonic() + delay, id(callback), callback))
 
     def send_watchdog(self):
         """Sends the watchdog's keep-alive periodically."""
@@ -313,9 +313,9 @@
         slots = self.core.slots.values()
         return f"{sum(s.serving() for s in slots)} of {len(slots)} instances serve"
 
-    def step(self, what, *args):
+    def step(self, event, *args):
         """Passes an event to the core and executes its effects."""
-        effects = self.core.step(now(), what, *args)
+        effects = self.core.step(now(), event, *args)
         if any(isinstance(effect, Start) for effect in effects):
             self.save_state()  # the generation counter, once for all that start now
         for effect in effects:
@@ -365,7 +365,7 @@
         path = os.path.join(self.folder, f"{name}.{generation}.sock")
         python, checkout = json.loads(spec.start)["program"]
         listener = self.listeners[spec.address]
-        told = {
+        start_message = {
             "name": name,
             "generation": generation,
             "start": with_live_settings(spec),
@@ -376,12 +376,12 @@
             "listener": listener.fileno(),
         }
         try:
-            with open_log(os.path.join(self.logs, f"{name}.log")) as out:
+            with open_log(os.path.join(self.logs, f"{name}.log")) as log_file:
                 child = subprocess.Popen(
                     [python, "-P", "-m", "cottonspread", "instance", "--socket", path],
                     stdin=subprocess.PIPE,
-                    stdout=out,
-                    stderr=out,
+                    stdout=log_file,
+                    stderr=log_file,
                     pass_fds=[listener.fileno()],
                     start_new_session=True,
                     env={**os.environ, "PYTHONPATH": checkout} if checkout else None,
@@ -390,7 +390,7 @@
             self.pidfds[name, generation] = os.pidfd_open(child.pid)
             self.watch_process(name, generation)
             with child.stdin:
-                child.stdin.write(json.dumps(told).encode() + b"\n")
+                child.stdin.write(json.dumps(start_message).encode() + b"\n")
         except OSError as fault:
             child, why = self.children.get((name, generation)), str(fault)
             if child is not None:
@@ -441,31 +441,31 @@
             with contextlib.suppress(ProcessLookupError):
                 signal.pidfd_send_signal(fd, signal.SIGKILL)
 
-    def receive_status(self, name, generation, line):
+    def receive_status(self, name, generation, connection):
         """Passes status reports of an instance to the core."""
-        said, stands = line.receive()
-        if not stands:
+        messages, is_open = connection.receive()
+        if not is_open:
             self.close_channel(name, generation)
-        for one in said:
-            if isinstance(one.get("status"), dict):
-                self.step("status_received", name, generation, one["status"])
+        for message in messages:
+            if isinstance(message.get("status"), dict):
+                self.step("status_received", name, generation, message["status"])
 
     def close_channel(self, name, generation):
         """Closes the control connection to an instance, if any."""
-        line = self.channels.pop((name, generation), None)
-        if line:
-            self.close_socket(line.sock)
+        connection = self.channels.pop((name, generation), None)
+        if connection:
+            self.close_socket(connection.sock)
 
     def close_socket(self, sock):
         """Unregisters and closes a socket."""
         self.selector.unregister(sock)
         sock.close()
 
-    def send_to_instance(self, effect, said):
+    def send_to_instance(self, effect, message):
         """Sends a message to an instance, if it is connected."""
-        line = self.channels.get((effect.name, effect.generation))
-        if line:
-            line.send(said)
+        connection = self.channels.get((effect.name, effect.generation))
+        if connection:
+            connection.send(message)
 
     def close_unused_listeners(self):
         """Closes the listening sockets of addresses that are no longer used."""
@@ -527,8 +527,8 @@
             self.stop_answering_busy(name)
         for sock in list(self.listeners.values()):
             self.accept_busy_client(sock)
-        until = time.monotonic() + BUSY_CLIENT_TIMEOUT
-        while self.busy_clients and time.monotonic() < until:
+        deadline = time.monotonic() + BUSY_CLIENT_TIMEOUT
+        while self.busy_clients and time.monotonic() < deadline:
             self.poll_sockets(POLL_INTERVAL)
         for sock in self.listeners.values():
             while self.accept_busy_client(sock, at_once=True):
@@ -563,9 +563,9 @@
     def busy_client_timed_out(self, client):
         """Answers a client that sent no line in time, and closes one that was answered before."""
         if client.sock in self.busy_clients:
-            late = client.answered
+            was_answered = client.answered
             self.answer_busy(client)
-            self.close_busy_client(client) if late else self.call_later(
+            self.close_busy_client(client) if was_answered else self.call_later(
                 BUSY_CLIENT_TIMEOUT, lambda: self.close_busy_client(client)
             )
 
@@ -579,64 +579,68 @@
     def accept_command_connection(self):
         """Accepts a connection for operators' commands."""
         try:
-            line = control.JsonConnection(self.control.accept()[0])
+            connection = control.JsonConnection(self.control.accept()[0])
         except OSError:
             return
-        self.selector.register(line.sock, selectors.EVENT_READ, lambda: self.run_commands(line))
+        self.selector.register(connection.sock, selectors.EVENT_READ, lambda: self.run_commands(connection))
 
-    def run_commands(self, line):
+    def run_commands(self, connection):
         """Runs the commands that a connection received."""
-        said, stands = line.receive()
-        for one in said:
+        messages, is_open = connection.receive()
+        for message in messages:
             try:
-                self.run_command(line, one)
+                self.run_command(connection, message)
             except config.ConfigurationError as fault:
-                line.send({"ok": False, "why": str(fault)})
+                connection.send({"ok": False, "why": str(fault)})
             except Exception as fault:  # unexpected: reported, and the supervisor goes on
-                log.exception("fault", extra={"pairs": {"while": one.get("do")}})
-                line.send({"ok": False, "why": f"internal error: {type(fault).__name__}: {fault}"})
-        if not stands or not line.flush():
-            self.pending_replies = [(k, other) for k, other in self.pending_replies if other is not line]
-            self.close_socket(line.sock)
-
-    def run_command(self, line, one):
+                log.exception("fault", extra={"pairs": {"while": message.get("do")}})
+                connection.send({"ok": False, "why": f"internal error: {type(fault).__name__}: {fault}"})
+        if not is_open or not connection.flush():
+            self.pending_replies = [
+                (k, other) for k, other in self.pending_replies if other is not connection
+            ]
+            self.close_socket(connection.sock)
+
+    def run_command(self, connection, message):
         """Runs one command; raises config.ConfigurationError if it is invalid."""
-        do, name = one.get("do"), one.get("name")
+        command, name = message.get("do"), message.get("name")
         if name is not None and name not in self.core.slots:
             raise config.ConfigurationError(
                 f"{name}: no such instance" + op.suggestion(str(name), self.core.slots)
             )
-        if do == "status":
-            line.send({"ok": True, "status": self.status()})
-        elif do == "reload":
-            self.reload(line)
-        elif do == "upgrade":
+        if command == "status":
+            connection.send({"ok": True, "status": self.status()})
+        elif command == "reload":
+            self.reload(connection)
+        elif command == "upgrade":
             self.change_plan(
-                (one["python"], one["checkout"]) if one.get("python") else self.own_program, "upgrade", line
+                (message["python"], message["checkout"]) if message.get("python") else self.own_program,
+                "upgrade",
+                connection,
             )
-        elif do in ("drain", "restart"):
-            self.step(do, name)
-            line.send({"ok": True, "why": "begun"})
-        elif do == "stop":
-            self.pending_replies.append(("stop", line))
+        elif command in ("drain", "restart"):
+            self.step(command, name)
+            connection.send({"ok": True, "why": "begun"})
+        elif command == "stop":
+            self.pending_replies.append(("stop", connection))
             self.manager.notify_stopping()
             self.step("stop")
         else:
-            raise config.ConfigurationError(f"{do}: no such command")
+            raise config.ConfigurationError(f"{command}: no such command")
 
-    def reload(self, line):
-        """Reads the files again and rolls out what changed. `line`: the command's connection, or None."""
+    def reload(self, connection):
+        """Reads the files again and rolls out what changed. `connection`: the command's, or None."""
         self.manager.notify_reloading()
         try:
             pending = self.core.pending
-            self.change_plan((pending[0] if pending else self.core.plan).program, "reload", line)
+            self.change_plan((pending[0] if pending else self.core.plan).program, "reload", connection)
         except config.ConfigurationError as fault:
             log.error("reload", extra={"pairs": {"why": fault, "kept": "the old configuration"}})
             self.manager.notify_ready(self.summary())
-            if line:
+            if connection:
                 raise
 
-    def change_plan(self, program, why, line):
+    def change_plan(self, program, why, connection):
         """Reads a new plan for a program and starts its rollout."""
         if self.core.stopping:
             raise config.ConfigurationError("the fleet is stopping")
@@ -657,13 +661,13 @@
             raise op.OperatorFileError(
                 [f"{self.path}: configuration: a change of this section needs a restart of the supervisor"]
             )
-        self.begin_rollout(plan, why, line)
+        self.begin_rollout(plan, why, connection)
 
-    def begin_rollout(self, plan, why, line):
-        """Starts a rollout; its outcome is sent to `line`, if any."""
+    def begin_rollout(self, plan, why, connection):
+        """Starts a rollout; its outcome is sent to `connection`, if any."""
         self.open_listeners(plan)
-        if line:
-            self.pending_replies.append((plan, line))
+        if connection:
+            self.pending_replies.append((plan, connection))
         self.step("change_plan", plan, why)
 
     def rollout_ended(self, effect):
@@ -674,12 +678,12 @@
         self.manager.notify_ready(self.summary())
         self.reply({"ok": effect.ok, "why": effect.why or "done"}, effect.target)
 
-    def reply(self, said, kind):
+    def reply(self, message, kind):
         """Sends a reply to the connections that wait for `kind`: a plan's rollout or "stop"."""
-        for k, line in self.pending_replies:
+        for k, connection in self.pending_replies:
             if k is kind:
-                line.send(said)
-        self.pending_replies = [(k, line) for k, line in self.pending_replies if k is not kind]
+                connection.send(message)
+        self.pending_replies = [(k, connection) for k, connection in self.pending_replies if k is not kind]
 
     def status(self):
         """Returns the fleet's status as a dict for JSON."""
