--- a/tests/configstore/drivers.py
+++ b/tests/configstore/drivers.py
@@ -15,7 +15,7 @@
 """Of one passing of time: a core that wants more asks for them without pause."""
 
 
-def half():
+def always_half():
     """Chance that is none."""
     return 0.5
 
@@ -31,44 +31,44 @@
     def __init__(self, name="r1", state=None, now=0):
         self.name, self.now, self.number = name, now, 0
         self.disk = state or m.ReplicaState()
-        self.slow = self.broken = False
-        self.stores, self.replies, self.turned_away, self.peer_calls = [], {}, {}, []
+        self.store_waits = self.store_fails = False
+        self.stores, self.replies, self.rejected, self.peer_calls = [], {}, {}, []
         self.restart()
 
     def restart(self):
         """Only the disk is left."""
         peers = tuple(name for name in REPLICAS if name != self.name)
-        self.core = re.Replica(self.name, peers, self.disk, half)
+        self.core = re.Replica(self.name, peers, self.disk, always_half)
         self.stores, self.replies, self.peer_calls = [], {}, []
-        self.tell(re.Tick())
+        self.step(re.Tick())
 
-    def tell(self, event):
+    def step(self, event):
         for effect in self.core.step(self.now, event):
-            self.carry_out(effect)
+            self.execute(effect)
 
-    def carry_out(self, effect):
+    def execute(self, effect):
         match effect:
             case re.Store():
                 self.stores.append(effect)
-                if not self.slow:
+                if not self.store_waits:
                     self.finish_store()
             case re.Reply():
                 self.replies[effect.request] = effect.message
             case re.Reject():
-                self.turned_away[effect.request] = effect.why
+                self.rejected[effect.request] = effect.why
             case re.CallPeer():
                 self.peer_calls.append(effect)
 
     def finish_store(self):
         store = self.stores.pop(0)
-        if not self.broken:
+        if not self.store_fails:
             self.disk = m.decode(m.encode(store.state), m.ReplicaState)
-        self.tell(re.Stored(store.token, not self.broken, "disk full" if self.broken else ""))
+        self.step(re.Stored(store.token, not self.store_fails, "disk full" if self.store_fails else ""))
 
     def ask(self, message):
         """The number of the request."""
         self.number += 1
-        self.tell(re.RequestReceived(self.number, message))
+        self.step(re.RequestReceived(self.number, message))
         return self.number
 
     def reply(self, message):
@@ -89,57 +89,57 @@
             ticks += 1
             assert ticks < TICKS_AT_MOST, "wants ticks without pause"
             self.now = max(self.now, self.core.wake_at)
-            self.tell(re.Tick())
+            self.step(re.Tick())
         self.now = until
 
 
 class FollowerDriver:
     """A follower whose checks, saves and applies wait for the test."""
 
-    def __init__(self, node="n1", replicas=REPLICAS, saved=None, uniform=half):
+    def __init__(self, node="n1", replicas=REPLICAS, saved=None, uniform=always_half):
         self.core, self.now = fo.Follower(node, replicas, uniform), 0
-        self.asks, self.work, self.notices = {}, [], []
+        self.open_calls, self.steps, self.notices = {}, [], []
         self.in_force, self.file = None, saved
-        self.tell(fo.Started(saved))
+        self.step(fo.Started(saved))
 
-    def tell(self, event):
+    def step(self, event):
         for effect in self.core.step(self.now, event):
             match effect:
                 case fo.SendWatch():
-                    self.asks[effect.call] = effect
+                    self.open_calls[effect.call] = effect
                 case fo.Notice():
                     self.notices.append(effect)
                 case _:
-                    self.work.append(effect)
+                    self.steps.append(effect)
 
-    def do(self, ok=True, why=""):
+    def finish_step(self, ok=True, why=""):
         """Carries out the next piece of work; what it was."""
-        effect = self.work.pop(0)
+        effect = self.steps.pop(0)
         match effect:
             case fo.Check():
-                self.tell(fo.Checked(ok, why))
+                self.step(fo.Checked(ok, why))
             case fo.Save():
                 if ok:
                     self.file = effect.record
-                self.tell(fo.Saved(ok, why))
+                self.step(fo.Saved(ok, why))
             case fo.Apply():
                 if ok:
                     self.in_force = effect.record
-                self.tell(fo.Applied(ok, why))
+                self.step(fo.Applied(ok, why))
         return type(effect)
 
-    def do_all(self):
+    def finish_steps(self):
         done = []
-        while self.work:
-            done.append(self.do())
+        while self.steps:
+            done.append(self.finish_step())
         return done
 
     def answer(self, new=None, call=None, age=0, generation=None):
         """Answers a call, the oldest where none is named."""
-        call = call or next(iter(self.asks))
-        ask = self.asks.pop(call)
+        call = call or next(iter(self.open_calls))
+        ask = self.open_calls.pop(call)
         generation = generation if generation is not None else new.generation if new else ask.request.since
-        self.tell(
+        self.step(
             fo.WatchReplied(
                 call,
                 m.WatchReply(
@@ -153,9 +153,9 @@
         )
 
     def fail(self, call=None):
-        call = call or next(iter(self.asks))
-        del self.asks[call]
-        self.tell(fo.WatchFailed(call, "refused"))
+        call = call or next(iter(self.open_calls))
+        del self.open_calls[call]
+        self.step(fo.WatchFailed(call, "refused"))
 
     def pass_time(self, span):
         until = self.now + span
@@ -164,7 +164,7 @@
             ticks += 1
             assert ticks < TICKS_AT_MOST, "wants ticks without pause"
             self.now = max(self.now, self.core.wake_at)
-            self.tell(fo.Tick())
+            self.step(fo.Tick())
         self.now = until
 
     def view(self):
@@ -179,14 +179,14 @@
         self.replicas = {name: ReplicaDriver(name) for name in REPLICAS}
         self.up = set(REPLICAS)
         self.nodes = [f"n{number}" for number in range(nodes)]
-        self.said = {}
-        self.hear_nodes()
+        self.reported = {}
+        self.report_nodes()
 
-    def hear_nodes(self):
+    def report_nodes(self):
         """Each node reports to the first two replicas, with what `said` tells of it."""
         for node in self.nodes:
             for name in REPLICAS[:2]:
-                self.replicas[name].watch(node, since=2**40, timeout_ms=0, **self.said.get(node, {}))
+                self.replicas[name].watch(node, since=2**40, timeout_ms=0, **self.reported.get(node, {}))
 
     def canaries(self, record):
         return [node for node in self.nodes if record.applies_to(node)]
@@ -211,12 +211,12 @@
 class PublisherDriver:
     """A publisher before a cluster."""
 
-    def __init__(self, cluster, order, uniform=half):
-        self.cluster, self.core = cluster, pu.Publisher(REPLICAS, order, uniform)
+    def __init__(self, cluster, command, uniform=always_half):
+        self.cluster, self.core = cluster, pu.Publisher(REPLICAS, command, uniform)
         self.calls, self.progress, self.done = [], [], None
-        self.tell(pu.Started())
+        self.step(pu.Started())
 
-    def tell(self, event):
+    def step(self, event):
         for effect in self.core.step(self.cluster.now, event):
             match effect:
                 case pu.Call():
@@ -231,13 +231,13 @@
         call = self.calls.pop(index)
         replica = self.cluster.replicas[call.replica]
         if call.replica not in self.cluster.up:
-            self.tell(pu.CallFailed(call.call, "refused"))
+            self.step(pu.CallFailed(call.call, "refused"))
             return
         reply = replica.reply(call.message)
         if lose_reply or reply is None:
-            self.tell(pu.CallFailed(call.call, "timed out"))
+            self.step(pu.CallFailed(call.call, "timed out"))
         else:
-            self.tell(pu.Replied(call.call, reply))
+            self.step(pu.Replied(call.call, reply))
 
     def deliver_all(self):
         while self.calls and self.done is None:
@@ -259,7 +259,7 @@
                 self.deliver()
             else:
                 self.cluster.set_now(max(self.cluster.now, self.core.wake_at))
-                self.tell(pu.Tick())
+                self.step(pu.Tick())
         while self.done is not None and self.calls:
             self.deliver()  # what was under way arrives
         return self.done
--- a/tests/configstore/shells.py
+++ b/tests/configstore/shells.py
@@ -25,10 +25,10 @@
 def until(true, what, wait=WAIT):
     """Until that is so; AssertionError after `wait` seconds."""
     end = time.monotonic() + wait
-    while not (said := true()):
+    while not (value := true()):
         assert time.monotonic() < end, what() if callable(what) else what
         time.sleep(0.01)
-    return said
+    return value
 
 
 PORTS = iter(range(15_000 + os.getpid() * 40 % 5_000, 21_000))
@@ -50,7 +50,7 @@
     return found
 
 
-def toy(port=0):
+def start_toy(port=0):
     """A discovery with one server behind it: its address. `port`: where it listens; 0: anywhere."""
     spec = importlib.util.spec_from_file_location("toy", ROOT / "examples" / "toy.py")
     module = importlib.util.module_from_spec(spec)
@@ -60,18 +60,18 @@
     return f"127.0.0.1:{listener.getsockname()[1]}"
 
 
-def two_toys():
+def start_two_toys():
     """Two of them on ports in a row: the first's address."""
     first, second = free_ports(2)
-    toy(second)
-    return toy(first)
+    start_toy(second)
+    return start_toy(first)
 
 
 def configuration(**settings):
     """The platform's JSON of the example, with these settings besides, as parsed."""
-    whole = json.loads((ROOT / "examples" / "node.json").read_text())
-    whole["settings"] |= settings
-    return whole
+    config_json = json.loads((ROOT / "examples" / "node.json").read_text())
+    config_json["settings"] |= settings
+    return config_json
 
 
 def types(*names):
@@ -117,21 +117,21 @@
         """Exit code and output of `cottonspread configuration ...`."""
         capsys.readouterr()
         code = cli.main(["configuration", words[0], "--replicas", self.all, *words[1:]])
-        said = capsys.readouterr()
-        return code, said.out + said.err
+        output = capsys.readouterr()
+        return code, output.out + output.err
 
     def status(self, capsys):
         """As JSON."""
-        _, said = self.command(capsys, "status", "--json", "--wait", "1")
-        return json.loads(said)
+        _, output = self.command(capsys, "status", "--json", "--wait", "1")
+        return json.loads(output)
 
-    def publish(self, capsys, whole, *words):
+    def publish(self, capsys, config_json, *words):
         """Exit code and output."""
         file = self.folder / "next.json"
-        file.write_text(json.dumps(whole))
+        file.write_text(json.dumps(config_json))
         return self.command(capsys, "publish", str(file), *words)
 
-    def until_heard(self, count):
+    def until_watching(self, count):
         """Until so many nodes watch two replicas each, so that any majority has heard of all of them."""
 
         def watches():
@@ -179,9 +179,9 @@
         self.store, self.name, self.port = store, name, free_ports(1)[0]
         self.file = store.folder / f"{name}.json"
         own = {"name": name, "listen": f"127.0.0.1:{self.port}", "discovery": discovery}
-        whole = configuration(**settings) | own
-        del whole["operator"]
-        self.file.write_text(json.dumps(whole))
+        config_json = configuration(**settings) | own
+        del config_json["operator"]
+        self.file.write_text(json.dumps(config_json))
         self.toml = store.operator(name)
         self.start()
 
@@ -190,13 +190,13 @@
         words = ("serve", "--config", str(self.file), "--operator", str(self.toml))
         self.process = self.store.process(f"{self.name}.log", *words)
         self.store.nodes.append(self.process)
-        until(lambda: self.takes("chat"), lambda: self.log())
+        until(lambda: self.accepts("chat"), lambda: self.log())
 
     def log(self):
         """All of it."""
         return (self.store.folder / f"{self.name}.log").read_text()
 
-    def opens(self, kind):
+    def first_answer(self, kind):
         """The first word of its answer to a call of this type."""
         try:
             with socket.create_connection(("127.0.0.1", self.port), timeout=5) as sock:
@@ -205,12 +205,12 @@
         except OSError as fault:
             return str(fault)
 
-    def takes(self, kind):
+    def accepts(self, kind):
         """Whether it opens a connection of this type."""
-        return self.opens(kind).startswith("UP")
+        return self.first_answer(kind).startswith("UP")
 
     def knows(self, kind):
         """Whether this type is in its configuration: one that is not is answered ERR, a slow server BUSY."""
-        answer = self.opens(kind)
+        answer = self.first_answer(kind)
         assert answer.split(" ")[0] in ("UP", "BUSY", "ERR"), answer
         return not answer.startswith("ERR")
--- a/tests/configstore/test_follower.py
+++ b/tests/configstore/test_follower.py
@@ -13,16 +13,16 @@
 STEPS = [fo.Check, fo.Save, fo.Apply]
 
 
-def holding(*records):
+def follower_with(*records):
     """A follower that has put these into force one after the other."""
     driver = FollowerDriver()
     for one in records:
         driver.answer(one)
-        driver.do_all()
+        driver.finish_steps()
     return driver
 
 
-def settle(driver):
+def pass_call_interval(driver):
     """Lets the pause between asks pass."""
     driver.pass_time(watches.MIN_CALL_INTERVAL)
 
@@ -33,27 +33,27 @@
 def test_a_record_is_checked_then_saved_then_applied():
     driver = FollowerDriver()
     driver.answer(record(1, 1))
-    assert driver.do_all() == STEPS
+    assert driver.finish_steps() == STEPS
     assert driver.in_force == driver.file == record(1, 1)
     assert driver.view().version == 1 and driver.view().generation == 1
     assert [(one.kind, one.version) for one in driver.notices] == [(fo.NoticeKind.IN_FORCE, 1)]
 
 
 def test_a_newer_record_replaces_it_and_the_same_one_does_no_work():
-    driver = holding(record(1, 1))
+    driver = follower_with(record(1, 1))
     driver.answer(record(1, 1))  # of the second watch, asked from 0 as well
-    assert driver.work == []
-    settle(driver)
+    assert driver.steps == []
+    pass_call_interval(driver)
     driver.answer(record(2, 2))
-    assert driver.do_all() == STEPS and driver.view().version == 2
+    assert driver.finish_steps() == STEPS and driver.view().version == 2
 
 
 def test_the_same_version_at_its_next_stage_does_no_work():
-    driver = holding(record(1, 1, CANARY))
+    driver = follower_with(record(1, 1, CANARY))
     driver.answer(record(2, 1))
-    assert driver.work == [] and driver.view().generation == 2
-    settle(driver)
-    assert {ask.request.since for ask in driver.asks.values()} == {2}
+    assert driver.steps == [] and driver.view().generation == 2
+    pass_call_interval(driver)
+    assert {ask.request.since for ask in driver.open_calls.values()} == {2}
 
 
 @pytest.mark.parametrize(
@@ -70,27 +70,27 @@
     ],
     ids=["body", "version", "generation", "older", "same", "other digest", "not a canary", "withdrawn"],
 )
-def test_what_is_not_to_be_trusted_is_not_taken_and_costs_the_replica_the_watch(wrong):
-    driver = holding(record(5, 5))
+def test_an_untrustworthy_answer_is_ignored_and_moves_the_watch_to_another_replica(wrong):
+    driver = follower_with(record(5, 5))
     driver.fail()  # the watch that asked from 0
-    settle(driver)
+    pass_call_interval(driver)
     driver.pass_time(m.SECOND)
-    call, asked = next((call, ask) for call, ask in driver.asks.items() if ask.request.since == 5)
+    call, asked = next((call, ask) for call, ask in driver.open_calls.items() if ask.request.since == 5)
     driver.answer(wrong, call)
-    assert driver.work == [] and driver.in_force == record(5, 5) and driver.view().version == 5
+    assert driver.steps == [] and driver.in_force == record(5, 5) and driver.view().version == 5
     assert driver.notices[-1].kind == fo.NoticeKind.DISTRUSTED
     driver.pass_time(m.SECOND)
-    assert asked.replica not in [ask.replica for ask in driver.asks.values() if ask.call > call]
+    assert asked.replica not in [ask.replica for ask in driver.open_calls.values() if ask.call > call]
 
 
 def test_one_record_at_a_time_and_the_newest_that_came_meanwhile_next():
     driver = FollowerDriver()
     driver.answer(record(1, 1))
     driver.answer(record(2, 2))
-    assert [type(work) for work in driver.work] == [fo.Check]
+    assert [type(work) for work in driver.steps] == [fo.Check]
     driver.pass_time(2 * m.SECOND)
     driver.answer(record(3, 3))
-    assert driver.do_all() == STEPS * 2
+    assert driver.finish_steps() == STEPS * 2
     assert driver.view().version == 3 and driver.in_force.version == 3
 
 
@@ -98,7 +98,7 @@
     driver = FollowerDriver()
     driver.answer(record(1, 1, CANARY))
     driver.answer(record(2, 1))
-    assert driver.do_all() == STEPS
+    assert driver.finish_steps() == STEPS
     assert driver.view().generation == 2
 
 
@@ -107,18 +107,18 @@
 
 @pytest.mark.parametrize("failing", [0, 1, 2], ids=["check", "save", "apply"])
 def test_a_step_that_fails_keeps_the_old_record_and_is_reported(failing):
-    driver = holding(record(1, 1))
-    settle(driver)
+    driver = follower_with(record(1, 1))
+    pass_call_interval(driver)
     driver.answer(record(2, 2))
     for _ in range(failing):
-        driver.do()
-    driver.do(ok=False, why="bad port")
+        driver.finish_step()
+    driver.finish_step(ok=False, why="bad port")
     assert driver.view().version == 1 and driver.in_force.version == 1
-    rest = driver.do_all()
+    rest = driver.finish_steps()
     assert rest == ([fo.Save] if failing == 2 else [])
     assert driver.file == record(1, 1)
-    settle(driver)
-    report = list(driver.asks.values())[-1].request.report
+    pass_call_interval(driver)
+    report = list(driver.open_calls.values())[-1].request.report
     assert (report.in_force, report.refused, report.why) == (1, 2, "bad port")
     assert (driver.notices[-1].kind, driver.notices[-1].why) == (fo.NoticeKind.REFUSED, "bad port")
 
@@ -126,61 +126,63 @@
 def test_a_first_record_that_cannot_be_applied_leaves_no_file():
     driver = FollowerDriver()
     driver.answer(record(1, 1))
-    driver.do(), driver.do(), driver.do(ok=False)
-    driver.do_all()
+    driver.finish_step(), driver.finish_step(), driver.finish_step(ok=False)
+    driver.finish_steps()
     assert driver.file is None and driver.view().version == 0
 
 
 def test_a_refused_record_is_asked_for_again_after_a_while_and_forgotten_with_the_next_in_force():
-    driver = holding(record(1, 1))
-    settle(driver)
+    driver = follower_with(record(1, 1))
+    pass_call_interval(driver)
     driver.answer(record(2, 2))
-    driver.do(ok=False)
-    settle(driver)
-    assert list(driver.asks.values())[-1].request.since == 2
+    driver.finish_step(ok=False)
+    pass_call_interval(driver)
+    assert list(driver.open_calls.values())[-1].request.since == 2
     for _ in range(12):
         driver.pass_time(fo.RECHECK_DELAY // 10)
-        for call in list(driver.asks):
+        for call in list(driver.open_calls):
             driver.answer(call=call)
-    settle(driver)
-    ask = list(driver.asks.values())[-1]
+    pass_call_interval(driver)
+    ask = list(driver.open_calls.values())[-1]
     assert ask.request.since == 1 and ask.request.report.refused == 2
     driver.answer(record(2, 2), ask.call)
-    assert driver.do_all() == STEPS
-    settle(driver)
-    assert list(driver.asks.values())[-1].request.report == m.NodeReport(node="n1", in_force=2)
-
-
-def test_a_node_that_finds_itself_ill_says_so_at_once():
-    driver = holding(record(1, 1))
-    driver.answer(call=next(iter(driver.asks)))
-    settle(driver)
-    settle(driver)
-    calls = set(driver.asks)
-    driver.tell(fo.HealthReported(1, False, "many errors"))
-    (new,) = set(driver.asks) - calls
-    report = driver.asks[new].request.report
-    assert (report.failing, report.why) == (1, "many errors") and driver.asks[new].request.timeout_ms == 0
-    driver.tell(fo.HealthReported(7, False))
-    assert set(driver.asks) == calls | {new}
+    assert driver.finish_steps() == STEPS
+    pass_call_interval(driver)
+    assert list(driver.open_calls.values())[-1].request.report == m.NodeReport(node="n1", in_force=2)
+
+
+def test_an_unhealthy_node_reports_it_at_once():
+    driver = follower_with(record(1, 1))
+    driver.answer(call=next(iter(driver.open_calls)))
+    pass_call_interval(driver)
+    pass_call_interval(driver)
+    calls = set(driver.open_calls)
+    driver.step(fo.HealthReported(1, False, "many errors"))
+    (new,) = set(driver.open_calls) - calls
+    report = driver.open_calls[new].request.report
+    assert (report.failing, report.why) == (1, "many errors") and driver.open_calls[
+        new
+    ].request.timeout_ms == 0
+    driver.step(fo.HealthReported(7, False))
+    assert set(driver.open_calls) == calls | {new}
     driver.answer(call=new)
-    driver.tell(fo.HealthReported(1, True))
-    assert list(driver.asks.values())[-1].request.report.failing == 0
+    driver.step(fo.HealthReported(1, True))
+    assert list(driver.open_calls.values())[-1].request.report.failing == 0
 
 
 def test_the_next_watch_waits_for_the_end_of_the_record_but_not_for_ever():
-    driver = holding(record(1, 1))
-    settle(driver)
-    before = set(driver.asks)
+    driver = follower_with(record(1, 1))
+    pass_call_interval(driver)
+    before = set(driver.open_calls)
     driver.answer(record(2, 2), max(before))
     driver.pass_time(fo.MAX_HOLD - 1)
-    assert set(driver.asks) == before - {max(before)}
+    assert set(driver.open_calls) == before - {max(before)}
     driver.pass_time(2)
-    (new,) = set(driver.asks) - before
-    assert driver.asks[new].request.report.in_force == 1
-    driver.do_all()
-    (report,) = set(driver.asks) - before - {new}
-    assert driver.asks[report].request.report.in_force == 2
+    (new,) = set(driver.open_calls) - before
+    assert driver.open_calls[new].request.report.in_force == 1
+    driver.finish_steps()
+    (report,) = set(driver.open_calls) - before - {new}
+    assert driver.open_calls[report].request.report.in_force == 2
 
 
 # Start
@@ -188,40 +190,40 @@
 
 def test_it_starts_from_the_saved_record_without_saving_it_and_asks_from_there():
     driver = FollowerDriver(saved=record(5, 5, CANARY, below=0))
-    assert {ask.request.since for ask in driver.asks.values()} == {5}
-    assert driver.do_all() == [fo.Check, fo.Apply] and driver.view().version == 5
+    assert {ask.request.since for ask in driver.open_calls.values()} == {5}
+    assert driver.finish_steps() == [fo.Check, fo.Apply] and driver.view().version == 5
 
 
 def test_a_newer_record_that_comes_while_it_starts_is_next():
     driver = FollowerDriver(saved=record(5, 5))
     driver.answer(record(6, 6))
-    assert driver.do_all() == [fo.Check, fo.Apply, *STEPS] and driver.view().version == 6
+    assert driver.finish_steps() == [fo.Check, fo.Apply, *STEPS] and driver.view().version == 6
 
 
-def test_a_damaged_saved_record_is_said_and_not_used():
+def test_a_damaged_saved_record_is_reported_and_not_used():
     driver = FollowerDriver(saved=msgspec.structs.replace(record(5, 5), body="half"))
-    assert driver.work == [] and driver.notices[0].kind == fo.NoticeKind.DISTRUSTED
-    assert {ask.request.since for ask in driver.asks.values()} == {0}
+    assert driver.steps == [] and driver.notices[0].kind == fo.NoticeKind.DISTRUSTED
+    assert {ask.request.since for ask in driver.open_calls.values()} == {0}
     driver.answer(record(5, 5))
-    assert driver.do_all() == STEPS
+    assert driver.finish_steps() == STEPS
 
 
 def test_after_a_restart_no_version_below_the_saved_one_is_taken_though_that_is_refused():
     driver = FollowerDriver(saved=record(5, 5))
-    driver.do(ok=False, why="unknown key")
+    driver.finish_step(ok=False, why="unknown key")
     assert driver.view().version == 0 and driver.view().refused == 5
     for _ in range(12):
         driver.pass_time(fo.RECHECK_DELAY // 10)
-        for call in list(driver.asks):
+        for call in list(driver.open_calls):
             driver.answer(call=call)
-    settle(driver)
-    ask = list(driver.asks.values())[-1]
+    pass_call_interval(driver)
+    ask = list(driver.open_calls.values())[-1]
     assert ask.request.since == 0
     driver.answer(record(4, 4), ask.call)
-    assert driver.work == []
+    assert driver.steps == []
     driver.pass_time(m.SECOND)
-    driver.answer(record(6, 6), max(driver.asks))
-    assert driver.do_all() == STEPS and driver.view().version == 6
+    driver.answer(record(6, 6), max(driver.open_calls))
+    assert driver.finish_steps() == STEPS and driver.view().version == 6
 
 
 # Watches
@@ -229,11 +231,11 @@
 
 def test_two_watches_are_open_at_two_replicas_and_the_third_is_the_spare():
     driver = FollowerDriver()
-    first, second = (ask.replica for ask in driver.asks.values())
+    first, second = (ask.replica for ask in driver.open_calls.values())
     (spare,) = set(REPLICAS) - {first, second}
     driver.fail()
     driver.pass_time(watches.RETRY_DELAY)
-    assert {ask.replica for ask in driver.asks.values()} == {second, spare}
+    assert {ask.replica for ask in driver.open_calls.values()} == {second, spare}
 
 
 def test_the_orders_of_many_nodes_spread_over_the_replicas():
@@ -241,41 +243,41 @@
     assert all(80 <= firsts.count(name) <= 120 for name in REPLICAS)
 
 
-def test_a_watch_goes_home_after_a_while():
+def test_a_watch_returns_to_its_preferred_replica():
     driver = FollowerDriver()
-    home = driver.asks[1].replica
+    preferred = driver.open_calls[1].replica
     driver.fail(1)
     for _ in range(watches.MAX_SPARE_REPLIES):
         driver.pass_time(watches.RETRY_DELAY)
-        assert driver.asks[max(driver.asks)].replica != home
-        driver.answer(call=max(driver.asks))
+        assert driver.open_calls[max(driver.open_calls)].replica != preferred
+        driver.answer(call=max(driver.open_calls))
     driver.pass_time(watches.RETRY_DELAY)
-    assert driver.asks[max(driver.asks)].replica == home
+    assert driver.open_calls[max(driver.open_calls)].replica == preferred
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_failures_are_tried_again_ever_more_seldom_within_bounds(seed):
+def test_failed_watches_are_retried_with_bounded_exponential_backoff(seed):
     driver = FollowerDriver(uniform=random.Random(seed).random)
     for failures in range(30):
-        driver.fail(max(driver.asks))
+        driver.fail(max(driver.open_calls))
         most = min(watches.RETRY_DELAY << failures, watches.MAX_RETRY_DELAY)
         free = [watch for watch in driver.core._watches._watches if watch.call is None]
         assert len(free) == 1 and most // 2 <= free[0].next_call_at - driver.now <= most
         driver.pass_time(most)
-    driver.answer(call=max(driver.asks))
+    driver.answer(call=max(driver.open_calls))
     driver.pass_time(watches.MIN_CALL_INTERVAL)
-    driver.fail(max(driver.asks))
+    driver.fail(max(driver.open_calls))
     driver.pass_time(watches.RETRY_DELAY)
-    assert len(driver.asks) == 2
+    assert len(driver.open_calls) == 2
 
 
 def test_a_replica_that_answers_at_once_each_time_is_asked_at_a_bounded_rate():
     driver = FollowerDriver()
     for _ in range(100):
-        for call in list(driver.asks):
+        for call in list(driver.open_calls):
             driver.answer(call=call)
         driver.pass_time(10 * m.MILLISECOND)
-    assert max(driver.asks) <= 2 * (1 + 100 * 10 * m.MILLISECOND // watches.MIN_CALL_INTERVAL)
+    assert max(driver.open_calls) <= 2 * (1 + 100 * 10 * m.MILLISECOND // watches.MIN_CALL_INTERVAL)
 
 
 def test_timeouts_are_drawn_within_bounds_and_each_call_has_its_deadline():
@@ -283,9 +285,9 @@
     for seed in range(50):
         driver = FollowerDriver(uniform=random.Random(seed).random)
         driver.answer(), driver.answer()
-        settle(driver)
-        assert len(driver.asks) == 2
-        for ask in driver.asks.values():
+        pass_call_interval(driver)
+        assert len(driver.open_calls) == 2
+        for ask in driver.open_calls.values():
             timeout = ask.request.timeout_ms * m.MILLISECOND
             assert watches.WATCH_TIMEOUT * (1 - watches.WATCH_JITTER) <= timeout <= watches.WATCH_TIMEOUT
             assert ask.deadline == watches.MIN_CALL_INTERVAL + timeout + watches.REPLY_GRACE
@@ -295,57 +297,62 @@
 
 def test_a_watch_at_another_replica_than_before_is_short():
     driver = FollowerDriver()
-    assert {ask.request.timeout_ms * m.MILLISECOND for ask in driver.asks.values()} == {watches.PROBE_TIMEOUT}
-    home = driver.asks[1].replica
+    assert {ask.request.timeout_ms * m.MILLISECOND for ask in driver.open_calls.values()} == {
+        watches.PROBE_TIMEOUT
+    }
+    preferred = driver.open_calls[1].replica
     driver.fail(1)
     driver.pass_time(watches.RETRY_DELAY)
     for _ in range(watches.MAX_SPARE_REPLIES):
-        driver.answer(call=max(driver.asks))
+        driver.answer(call=max(driver.open_calls))
         driver.pass_time(watches.MIN_CALL_INTERVAL)
-    ask = driver.asks[max(driver.asks)]
-    assert ask.replica == home and ask.request.timeout_ms * m.MILLISECOND == watches.PROBE_TIMEOUT
-    driver.answer(call=max(driver.asks))
+    ask = driver.open_calls[max(driver.open_calls)]
+    assert ask.replica == preferred and ask.request.timeout_ms * m.MILLISECOND == watches.PROBE_TIMEOUT
+    driver.answer(call=max(driver.open_calls))
     driver.pass_time(watches.MIN_CALL_INTERVAL)
-    ask = driver.asks[max(driver.asks)]
-    assert ask.replica == home and ask.request.timeout_ms * m.MILLISECOND > 5 * watches.PROBE_TIMEOUT
+    ask = driver.open_calls[max(driver.open_calls)]
+    assert ask.replica == preferred and ask.request.timeout_ms * m.MILLISECOND > 5 * watches.PROBE_TIMEOUT
 
 
 def test_a_watch_after_a_failure_is_short_until_one_is_answered():
     driver = FollowerDriver()
     for _ in range(3):
-        driver.fail(max(driver.asks))
+        driver.fail(max(driver.open_calls))
         driver.pass_time(watches.MAX_RETRY_DELAY)
-        ask = driver.asks[max(driver.asks)]
+        ask = driver.open_calls[max(driver.open_calls)]
         assert ask.request.timeout_ms * m.MILLISECOND == watches.PROBE_TIMEOUT
         assert ask.deadline <= driver.now + watches.PROBE_TIMEOUT + watches.REPLY_GRACE
-    driver.answer(call=max(driver.asks))
+    driver.answer(call=max(driver.open_calls))
     driver.pass_time(watches.MIN_CALL_INTERVAL)
-    assert driver.asks[max(driver.asks)].request.timeout_ms * m.MILLISECOND > 5 * watches.PROBE_TIMEOUT
+    assert (
+        driver.open_calls[max(driver.open_calls)].request.timeout_ms * m.MILLISECOND
+        > 5 * watches.PROBE_TIMEOUT
+    )
 
 
-def test_late_and_doubled_answers_are_nothing():
+def test_late_and_duplicate_answers_are_ignored():
     driver = FollowerDriver()
     answer = m.WatchReply(generation=1, reset=True, record=record(1, 1), replica="r1")
     driver.fail(1)
-    driver.tell(fo.WatchReplied(1, answer))
-    driver.tell(fo.WatchFailed(1, "again"))
-    assert driver.work == [] and driver.view().contact_age_us is None
+    driver.step(fo.WatchReplied(1, answer))
+    driver.step(fo.WatchFailed(1, "again"))
+    assert driver.steps == [] and driver.view().contact_age_us is None
 
 
 # Cut off
 
 
 def test_it_says_when_it_is_cut_off_and_when_it_is_back():
-    driver = holding(record(1, 1))
+    driver = follower_with(record(1, 1))
     for _ in range(2):
         driver.pass_time(fo.CUT_OFF_AFTER)
         assert not driver.view().cut_off
         driver.pass_time(1)
         assert driver.view().cut_off and driver.notices[-1].kind == fo.NoticeKind.CUT_OFF
-        driver.fail(min(driver.asks))
+        driver.fail(min(driver.open_calls))
         driver.pass_time(watches.RETRY_DELAY)
-        assert driver.asks[max(driver.asks)].request.report.cut_off
-        driver.answer(call=max(driver.asks))
+        assert driver.open_calls[max(driver.open_calls)].request.report.cut_off
+        driver.answer(call=max(driver.open_calls))
         assert not driver.view().cut_off and driver.notices[-1].kind == fo.NoticeKind.RECONNECTED
     assert driver.view().version == 1
 
@@ -358,12 +365,12 @@
     driver.pass_time(1)
     assert driver.view().cut_off
     driver.pass_time(m.SECOND)
-    driver.answer(age=m.SECOND, call=max(driver.asks))
+    driver.answer(age=m.SECOND, call=max(driver.open_calls))
     assert not driver.view().cut_off and driver.view().contact_age_us == m.SECOND
 
 
-def test_a_cut_off_node_takes_what_it_is_told():
+def test_a_cut_off_node_still_applies_records():
     driver = FollowerDriver()
     driver.pass_time(fo.CUT_OFF_AFTER + 1)
     driver.answer(record(1, 1, below=ALL), age=None)
-    assert driver.do_all() == STEPS and driver.view().cut_off
+    assert driver.finish_steps() == STEPS and driver.view().cut_off
--- a/tests/configstore/test_publisher.py
+++ b/tests/configstore/test_publisher.py
@@ -12,18 +12,18 @@
 BODY = "timeout_ms = 5\n"
 
 
-def published(cluster, body=BODY, **more):
+def start_publishing(cluster, body=BODY, **more):
     return PublisherDriver(cluster, pu.Publish(body, **more))
 
 
-def say(cluster, record, share=1.0, **said):
+def report(cluster, record, share=1.0, **said):
     """So many of the canaries report this of the record."""
     names = cluster.canaries(record)
     for name in names[: round(len(names) * share)]:
-        cluster.said[name] = {key: record.version for key in said} | {
+        cluster.reported[name] = {key: record.version for key in said} | {
             key: value for key, value in said.items() if key == "why"
         }
-    cluster.hear_nodes()
+    cluster.report_nodes()
 
 
 def cluster_with(*records):
@@ -33,7 +33,7 @@
 
 
 def at_canaries(cluster, body=BODY):
-    driver = published(cluster, body)
+    driver = start_publishing(cluster, body)
     driver.until(pu.Step.CANARIES)
     driver.deliver_all()
     return driver
@@ -58,7 +58,7 @@
     first = cluster.committed()
     assert (first.version, first.stage, first.body) == (2, CANARY, BODY)
     assert len(cluster.canaries(first)) == 2
-    say(cluster, first, in_force=0)
+    report(cluster, first, in_force=0)
     done = driver.run()
     assert (done.outcome, done.version) == (pu.Outcome.IN_FORCE, 2)
     for name in cluster.replicas:
@@ -72,31 +72,31 @@
     cluster = Cluster()
     driver = at_canaries(cluster)
     assert cluster.committed().version == 1
-    say(cluster, cluster.committed(), in_force=0)
+    report(cluster, cluster.committed(), in_force=0)
     assert driver.run().outcome == pu.Outcome.IN_FORCE
 
 
 def test_without_canaries_it_goes_everywhere_at_once():
     cluster = cluster_with(record(1, 1))
-    done = published(cluster, without_canaries=True).run()
+    done = start_publishing(cluster, without_canaries=True).run()
     assert done.outcome == pu.Outcome.IN_FORCE and cluster.committed().stage == EVERYWHERE
 
 
 def test_without_nodes_nothing_is_changed():
     cluster = Cluster(nodes=0)
-    assert published(cluster).run().outcome == pu.Outcome.NO_CANARIES
+    assert start_publishing(cluster).run().outcome == pu.Outcome.NO_CANARIES
     assert cluster.replicas["r1"].disk.accepted is None
 
 
 def test_a_node_not_heard_lately_or_cut_off_is_no_canary():
     cluster = Cluster(nodes=2)
-    cluster.said["n1"] = {"cut_off": True}
-    cluster.hear_nodes()
+    cluster.reported["n1"] = {"cut_off": True}
+    cluster.report_nodes()
     driver = at_canaries(cluster)
     assert driver.core._canaries.names == ("n0",)
     other = Cluster(nodes=2)
     other.set_now(60 * m.SECOND)
-    assert published(other).run().outcome == pu.Outcome.NO_CANARIES
+    assert start_publishing(other).run().outcome == pu.Outcome.NO_CANARIES
 
 
 @pytest.mark.parametrize("nodes, expected", [(1, 1), (2, 2), (50, 2), (420, 9)])
@@ -123,8 +123,8 @@
     cluster = cluster_with(record(1, 1), record(2, 2))
     driver = at_canaries(cluster)
     bad = cluster.committed()
-    say(cluster, bad, in_force=0)
-    say(cluster, bad, share=0.5, **{said: 0, "why": "bad port"})
+    report(cluster, bad, in_force=0)
+    report(cluster, bad, share=0.5, **{said: 0, "why": "bad port"})
     done = driver.run()
     assert (done.outcome, done.version) == (pu.Outcome.WITHDRAWN, 4) and "bad port" in done.why
     last = cluster.committed()
@@ -136,10 +136,10 @@
     cluster = cluster_with(record(1, 1))
     driver = at_canaries(cluster)
     bad = cluster.committed()
-    say(cluster, bad, in_force=0)
+    report(cluster, bad, in_force=0)
     driver.run(ca.SETTLE_TIME * 3 // 4)
     assert driver.done is None
-    say(cluster, bad, share=0.5, failing=0)
+    report(cluster, bad, share=0.5, failing=0)
     assert driver.run().outcome == pu.Outcome.WITHDRAWN
 
 
@@ -156,14 +156,14 @@
     cluster = Cluster(nodes=420)
     cluster.seed(record(1, 1))
     driver = at_canaries(cluster)
-    say(cluster, cluster.committed(), share=heard / 9, in_force=0)
+    report(cluster, cluster.committed(), share=heard / 9, in_force=0)
     assert driver.run().outcome == outcome
 
 
 def test_a_first_version_that_is_refused_leaves_nothing_in_force():
     cluster = Cluster()
     driver = at_canaries(cluster)
-    say(cluster, cluster.committed(), refused=0)
+    report(cluster, cluster.committed(), refused=0)
     done = driver.run()
     assert done.outcome == pu.Outcome.WITHDRAWN and "no version before" in done.why
     assert cluster.committed().stage == WITHDRAWN and cluster.replicas["r1"].disk.good is None
@@ -177,10 +177,10 @@
     cluster = cluster_with(record(1, 1))
     cluster.up -= {dead}
     cluster.replicas[dead].now = 0
-    driver = published(cluster)
+    driver = start_publishing(cluster)
     driver.until(pu.Step.CANARIES)
     alive = min(cluster.up)
-    say(cluster, cluster.committed(alive), in_force=0)
+    report(cluster, cluster.committed(alive), in_force=0)
     assert driver.run().outcome == pu.Outcome.IN_FORCE
     assert cluster.committed(dead).version == 1
 
@@ -188,7 +188,7 @@
 @pytest.mark.parametrize("step, kind", [("proposing", m.Accept), ("committing", m.Commit)])
 def test_one_reply_is_no_majority(step, kind):
     cluster = cluster_with(record(1, 1))
-    driver = published(cluster, without_canaries=True)
+    driver = start_publishing(cluster, without_canaries=True)
     driver.until(step)
     driver.calls = [call for call in driver.calls if isinstance(call.message, kind)]
     driver.deliver()
@@ -200,26 +200,26 @@
 def test_with_two_of_three_gone_it_says_no_quorum_and_commits_nothing():
     cluster = cluster_with(record(1, 1))
     cluster.up = {"r1"}
-    done = published(cluster).run()
+    done = start_publishing(cluster).run()
     assert done.outcome == pu.Outcome.NO_QUORUM and "reading" in done.why
     assert cluster.now <= pu.PHASE_TIMEOUT + m.SECOND
     assert cluster.committed().version == 1
 
 
 @pytest.mark.parametrize("step", [pu.Step.PROPOSING, pu.Step.COMMITTING, pu.Step.CANARIES])
-def test_two_of_three_lost_in_the_midst(step):
+def test_two_of_three_replicas_lost_during_a_run(step):
     cluster = cluster_with(record(1, 1))
-    driver = published(cluster)
+    driver = start_publishing(cluster)
     driver.until(step)
     cluster.up = {"r1"}
     done = driver.run()
     assert done.outcome == pu.Outcome.NO_QUORUM
     cluster.up = {"r1", "r2", "r3"}
-    for order in (pu.Withdraw(), pu.Publish("later")):
-        last = PublisherDriver(cluster, order)
+    for command in (pu.Withdraw(), pu.Publish("later")):
+        last = PublisherDriver(cluster, command)
         while last.done is None:
             if last.progress[-1].step == pu.Step.CANARIES:
-                say(cluster, last.core._record, in_force=0)
+                report(cluster, last.core._record, in_force=0)
             last.run(POLL_INTERVAL)
     assert last.done.outcome == pu.Outcome.IN_FORCE
     assert {cluster.committed(name).body for name in cluster.replicas} == {"later"}
@@ -232,7 +232,7 @@
 def test_a_lost_reply_is_asked_again_and_counts_once():
     cluster = cluster_with(record(1, 1))
     cluster.up = {"r1", "r2"}
-    driver = published(cluster, without_canaries=True)
+    driver = start_publishing(cluster, without_canaries=True)
     lost = set()
     while driver.done is None:
         if driver.calls:
@@ -241,14 +241,14 @@
             lost.add(kind)
         else:
             cluster.set_now(max(cluster.now, driver.core.wake_at))
-            driver.tell(pu.Tick())
+            driver.step(pu.Tick())
     assert driver.done.outcome == pu.Outcome.IN_FORCE and cluster.committed().generation == 2
 
 
 def test_calls_that_fail_are_made_again_with_bounded_pauses():
     cluster = Cluster()
     cluster.up = set()
-    driver = published(cluster)
+    driver = start_publishing(cluster)
     made = 0
     while driver.done is None:
         made += len(driver.calls)
@@ -256,18 +256,18 @@
         driver.deliver_all()
         assert driver.core.wake_at > cluster.now
         cluster.set_now(driver.core.wake_at)
-        driver.tell(pu.Tick())
+        driver.step(pu.Tick())
     assert 15 <= made <= 45
 
 
 def test_a_replica_slow_to_tell_its_state_still_counts():
     cluster = cluster_with(record(1, 1))
-    driver = published(cluster, without_canaries=True)
+    driver = start_publishing(cluster, without_canaries=True)
     driver.deliver(), driver.deliver()  # states of r1 and r2
     late = driver.calls.pop(0)
     assert driver.progress[-1].step == pu.Step.PROPOSING and late.replica == "r3"
     cluster.up = {"r1", "r3"}
-    driver.tell(pu.Replied(late.call, cluster.replicas["r3"].reply(late.message)))
+    driver.step(pu.Replied(late.call, cluster.replicas["r3"].reply(late.message)))
     assert driver.run().outcome == pu.Outcome.IN_FORCE
     assert cluster.committed("r3").version == 2 and cluster.committed("r2").version == 1
 
@@ -278,13 +278,13 @@
 def test_a_second_publisher_while_canaries_try_is_told_so():
     cluster = cluster_with(record(1, 1))
     at_canaries(cluster)
-    done = published(cluster, "other").run()
+    done = start_publishing(cluster, "other").run()
     assert (done.outcome, done.version) == (pu.Outcome.UNDER_WAY, 2)
 
 
 def test_of_two_that_propose_at_once_one_wins_a_generation():
     cluster = cluster_with(record(1, 1))
-    one, other = (published(cluster, body, without_canaries=True) for body in ("one", "other"))
+    one, other = (start_publishing(cluster, body, without_canaries=True) for body in ("one", "other"))
     one.until(pu.Step.PROPOSING), other.until(pu.Step.PROPOSING)
     outcomes = [one.run().outcome, other.run().outcome]
     assert outcomes == [pu.Outcome.IN_FORCE, pu.Outcome.SUPERSEDED]
@@ -310,7 +310,7 @@
         else:
             cluster.set_now(cluster.now + 20 * m.MILLISECOND)
             for each in busy:
-                each.tell(pu.Tick())
+                each.step(pu.Tick())
         for name in cluster.replicas:
             one = cluster.committed(name)
             assert seen.setdefault((name, "least"), 0) <= one.generation
@@ -318,7 +318,7 @@
             assert seen.setdefault(("digest", one.version), one.digest) == one.digest
             assert seen.setdefault(("checksum", one.generation), one.checksum) == one.checksum
             if one.stage == CANARY and draws.random() < 0.3:
-                say(cluster, one, in_force=0)
+                report(cluster, one, in_force=0)
     assert all(driver.done for driver in drivers)
 
 
@@ -328,16 +328,16 @@
 def runs_until_its_death(calls, body=BODY, bad=False):
     """A cluster whose publisher died after so many calls; None where it was done before."""
     cluster = cluster_with(record(1, 1))
-    driver = published(cluster, body)
+    driver = start_publishing(cluster, body)
     for _ in range(calls):
         while not driver.calls and driver.done is None:
             cluster.set_now(max(cluster.now, driver.core.wake_at))
-            driver.tell(pu.Tick())
+            driver.step(pu.Tick())
         if driver.done is not None:
             return None
         driver.deliver()
         if driver.progress[-1].step == pu.Step.CANARIES:
-            say(cluster, driver.core._record, **({"refused": 0} if bad else {"in_force": 0}))
+            report(cluster, driver.core._record, **({"refused": 0} if bad else {"in_force": 0}))
     return cluster
 
 
@@ -354,7 +354,7 @@
         good = {"body 1"} if bad else {"body 1", BODY}
         assert {replica.disk.good.body for replica in cluster.replicas.values()} <= good
         check_register(cluster)
-        last = published(cluster, "after all", without_canaries=True).run()
+        last = start_publishing(cluster, "after all", without_canaries=True).run()
         assert last.outcome == pu.Outcome.IN_FORCE
         assert {cluster.committed(name).body for name in cluster.replicas} == {"after all"}
     assert deaths > 15
@@ -367,7 +367,7 @@
     at_canaries(cluster)
     resumed = PublisherDriver(cluster, pu.Resume())
     resumed.until(pu.Step.CANARIES)
-    say(cluster, cluster.committed(), in_force=0)
+    report(cluster, cluster.committed(), in_force=0)
     done = resumed.run()
     assert (done.outcome, done.version) == (pu.Outcome.IN_FORCE, 2)
     assert cluster.committed().body == BODY
@@ -380,7 +380,7 @@
     assert cluster.committed() == record(1, 1)
 
 
-def test_withdraw_by_order():
+def test_withdraw_by_command():
     cluster = cluster_with(record(1, 1))
     at_canaries(cluster)
     done = PublisherDriver(cluster, pu.Withdraw()).run()
@@ -388,7 +388,7 @@
     assert cluster.committed().body == "body 1"
 
 
-def test_the_living_publisher_learns_that_it_was_withdrawn_by_another():
+def test_a_running_publisher_notices_a_withdrawal_by_another():
     cluster = cluster_with(record(1, 1))
     driver = at_canaries(cluster)
     PublisherDriver(cluster, pu.Withdraw()).run()
@@ -400,11 +400,11 @@
     cluster = cluster_with(record(1, 1))
     left = record(2, 2, CANARY)
     assert cluster.replicas["r2"].reply(m.Accept(base=record(1, 1).position, record=left)).accepted
-    done = published(cluster, without_canaries=True).run()
+    done = start_publishing(cluster, without_canaries=True).run()
     assert (done.outcome, done.version) == (pu.Outcome.IN_FORCE, 3)
 
 
-def test_a_stage_that_a_dead_publisher_proposed_is_gone_on_with():
+def test_a_stage_that_a_dead_publisher_proposed_is_resumed():
     for proposed, outcome in ((EVERYWHERE, pu.Outcome.IN_FORCE), (WITHDRAWN, pu.Outcome.WITHDRAWN)):
         cluster = cluster_with(record(1, 1))
         at_canaries(cluster)
@@ -428,7 +428,7 @@
 def test_a_replica_that_restarts_at_every_step_of_a_run():
     for calls in range(40):
         cluster = cluster_with(record(1, 1))
-        driver = published(cluster, without_canaries=True)
+        driver = start_publishing(cluster, without_canaries=True)
         for _ in range(calls):
             if driver.calls:
                 driver.deliver()
--- a/tests/configstore/test_replica.py
+++ b/tests/configstore/test_replica.py
@@ -109,7 +109,7 @@
 @pytest.mark.parametrize("message", [accept(EMPTY_POSITION, record(1, 1)), m.Commit(record=record(1, 1))])
 def test_nothing_is_acknowledged_or_told_before_it_is_stored(message):
     driver = ReplicaDriver()
-    driver.slow = True
+    driver.store_waits = True
     watch = driver.watch()
     request = driver.ask(message)
     assert request not in driver.replies and watch not in driver.replies
@@ -121,7 +121,7 @@
 
 def test_writes_are_stored_one_at_a_time_in_their_order():
     driver, one, other = ReplicaDriver(), record(1, 1), record(2, 2)
-    driver.slow = True
+    driver.store_waits = True
     requests = [driver.ask(accept(EMPTY_POSITION, one)), driver.ask(accept(one.position, other))]
     assert len(driver.stores) == 1
     driver.finish_store()
@@ -132,31 +132,31 @@
 
 def test_a_failed_store_is_refused_and_changes_nothing():
     driver = ReplicaDriver()
-    driver.broken = True
+    driver.store_fails = True
     reply = driver.reply(accept(EMPTY_POSITION, record(1, 1)))
     assert not reply.accepted and "disk full" in reply.why
     assert not driver.reply(m.Commit(record=record(1, 1))).committed
     assert driver.core.state == m.ReplicaState()
-    driver.broken = False
+    driver.store_fails = False
     assert driver.reply(accept(EMPTY_POSITION, record(1, 1, body="other"))).accepted
 
 
 def test_waiting_writes_are_bounded():
     driver = ReplicaDriver()
-    driver.slow = True
+    driver.store_waits = True
     requests = [driver.ask(accept(EMPTY_POSITION, record(1, 1))) for _ in range(re.MAX_QUEUED_WRITES + 5)]
-    assert len(driver.turned_away) == 4
+    assert len(driver.rejected) == 4
     driver.finish_store()
-    assert set(driver.replies) | set(driver.turned_away) == set(requests)
+    assert set(driver.replies) | set(driver.rejected) == set(requests)
 
 
 @pytest.mark.parametrize("acknowledged", [False, True])
 def test_what_was_stored_is_known_after_a_restart(acknowledged):
     driver, one = ReplicaDriver(), record(1, 1)
-    driver.slow = not acknowledged
+    driver.store_waits = not acknowledged
     driver.ask(accept(EMPTY_POSITION, one))
     driver.restart()
-    driver.slow = False
+    driver.store_waits = False
     reply = driver.reply(accept(EMPTY_POSITION, record(1, 1, body="other")))
     assert reply.accepted != acknowledged
     driver.restart()
@@ -204,7 +204,7 @@
     assert driver.replies[watch].record is None
 
 
-def test_canaries_alone_are_told_of_a_canary():
+def test_only_canaries_receive_a_canary_version():
     one, new = record(1, 1), record(2, 2, CANARY, below=2**31)
     driver = committed(one)
     watches = {f"n{number}": driver.watch(f"n{number}", since=1) for number in range(40)}
@@ -215,7 +215,7 @@
     assert driver.replies[driver.watch(other, since=0)].record == one
 
 
-def test_a_withdrawn_version_is_told_to_nobody():
+def test_a_withdrawn_version_is_sent_to_no_node():
     driver = committed(record(1, 1), record(2, 2, CANARY))
     watch = driver.watch("n1", since=2)
     driver.reply(m.Commit(record=record(3, 2, WITHDRAWN)))
@@ -227,9 +227,9 @@
     monkeypatch.setattr(re, "MAX_WATCHES", 3)
     driver = ReplicaDriver()
     numbers = [driver.watch(f"n{number}") for number in range(4)]
-    assert list(driver.turned_away) == numbers[3:]
-    driver.tell(re.RequestAbandoned(numbers[0]))
-    assert driver.watch("n9") not in driver.turned_away
+    assert list(driver.rejected) == numbers[3:]
+    driver.step(re.RequestAbandoned(numbers[0]))
+    assert driver.watch("n9") not in driver.rejected
     driver.reply(m.Commit(record=record(1, 1)))
     assert numbers[0] not in driver.replies and numbers[1] in driver.replies
 
@@ -238,7 +238,7 @@
     driver = ReplicaDriver()
     driver.watch("stays", timeout_ms=5_000)  # ends first, and so keeps the others in the heap
     for _ in range(5_000):
-        driver.tell(re.RequestAbandoned(driver.watch()))
+        driver.step(re.RequestAbandoned(driver.watch()))
     assert len(driver.core._watches._heap) <= 200
 
 
@@ -292,14 +292,14 @@
     assert {call.peer for call in driver.peer_calls} == {"r2", "r3"}
     watch = driver.watch(since=1)
     good, new = record(4, 3), record(5, 4, CANARY, below=0)
-    driver.tell(re.PeerReplied(1, peer_reply(committed=new, committed_generation=5, good=good)))
+    driver.step(re.PeerReplied(1, peer_reply(committed=new, committed_generation=5, good=good)))
     assert driver.disk.committed == new and driver.disk.good == good and driver.disk.accepted == new
     assert driver.replies[watch].record == good
 
 
 def test_a_good_version_that_was_missed_is_caught_up_beside_a_committed_canary():
     driver = committed(record(1, 1), record(5, 4, CANARY, below=0))
-    driver.tell(re.PeerReplied(1, peer_reply(committed_generation=5, good=record(4, 3))))
+    driver.step(re.PeerReplied(1, peer_reply(committed_generation=5, good=record(4, 3))))
     assert driver.disk.good == record(4, 3) and driver.disk.committed.generation == 5
     driver.pass_time(m.SECOND)
     assert driver.peer_calls[-1].message.since == 5 and driver.peer_calls[-1].message.good_since == 4
@@ -308,9 +308,9 @@
 def test_what_another_replica_tells_is_checked():
     driver = committed(record(3, 3))
     for wrong in (damaged(generation=9, body="x"), record(4, 2), record(3, 3, body="other")):
-        driver.tell(re.PeerReplied(driver.peer_calls[-1].call, peer_reply(committed=wrong)))
+        driver.step(re.PeerReplied(driver.peer_calls[-1].call, peer_reply(committed=wrong)))
         driver.pass_time(m.SECOND)
-    driver.tell(re.PeerReplied(driver.peer_calls[-1].call, peer_reply(good=damaged(body="x"))))
+    driver.step(re.PeerReplied(driver.peer_calls[-1].call, peer_reply(good=damaged(body="x"))))
     assert driver.disk.committed == record(3, 3) and driver.disk.good == record(3, 3)
 
 
@@ -328,22 +328,22 @@
 def test_the_age_of_the_majority_is_told_with_each_answer():
     driver = committed(record(1, 1))
     assert driver.replies[driver.watch()].majority_age_us is None
-    driver.tell(re.PeerReplied(2, peer_reply()))
+    driver.step(re.PeerReplied(2, peer_reply()))
     driver.now += 3 * m.SECOND
     assert driver.replies[driver.watch()].majority_age_us == 3 * m.SECOND
-    driver.tell(re.PeerFailed(1, "refused"))
+    driver.step(re.PeerFailed(1, "refused"))
     assert driver.replies[driver.watch()].majority_age_us == 3 * m.SECOND
 
 
-def test_peers_that_fail_are_asked_ever_more_seldom_within_bounds():
+def test_failing_peers_are_called_with_bounded_exponential_backoff():
     driver = ReplicaDriver()
     for _ in range(12):
         for call in driver.peer_calls[-2:]:
-            driver.tell(re.PeerFailed(call.call, "refused"))
+            driver.step(re.PeerFailed(call.call, "refused"))
         asked = len(driver.peer_calls)
         driver.pass_time(peers.MAX_PEER_RETRY_DELAY)
         assert len(driver.peer_calls) == asked + 2
-    driver.tell(re.PeerFailed(driver.peer_calls[-1].call, "refused"))
+    driver.step(re.PeerFailed(driver.peer_calls[-1].call, "refused"))
     assert (
         peers.MAX_PEER_RETRY_DELAY * 3 // 4 <= driver.core.wake_at - driver.now <= peers.MAX_PEER_RETRY_DELAY
     )
@@ -352,7 +352,7 @@
 def test_a_peer_that_always_has_news_is_not_asked_without_pause():
     driver = ReplicaDriver()
     for _ in range(40):
-        driver.tell(re.PeerReplied(driver.peer_calls[-1].call, peer_reply(committed=damaged(body="x"))))
+        driver.step(re.PeerReplied(driver.peer_calls[-1].call, peer_reply(committed=damaged(body="x"))))
         driver.pass_time(10 * m.MILLISECOND)
     assert len(driver.peer_calls) <= 2 + 40 * 10 * m.MILLISECOND // peers.PEER_CALL_DELAY + 1
 
--- a/tests/configstore/test_shell_fleet.py
+++ b/tests/configstore/test_shell_fleet.py
@@ -73,22 +73,22 @@
 
 
 def test_a_fleet_takes_over_what_is_published_and_says_why_it_refuses(store, capsys):
-    discovery = shells.two_toys()
+    discovery = shells.start_two_toys()
     fleet = Fleet(store, discovery, discovery_step=1)
     fleet.process.send_signal(signal.SIGHUP)  # with its own file it goes on as ever
     shells.until(lambda: "event=rollout" in fleet.log(), fleet.log)
     pids = fleet.pids()
-    store.until_heard(1)
+    store.until_watching(1)
 
-    code, said = store.publish(capsys, configuration(discovery, "other"))
-    assert code == 0 and "in force at 1 nodes" in said, said
+    code, output = store.publish(capsys, configuration(discovery, "other"))
+    assert code == 0 and "in force at 1 nodes" in output, output
     assert fleet.pids() == pids, "nobody was restarted"
     assert [log(store, n).count("event=reload") for n in range(2)] == [1, 1]
     shown = fleet.status()["configuration"]
     assert (shown["version"], shown["refused"], shown["cut_off"]) == (1, 0, False)
 
-    code, said = store.publish(capsys, configuration("127.0.0.1:65535", "third"))
-    assert code == 1 and "discovery: '127.0.0.1:65536' is not an address" in said, said
+    code, output = store.publish(capsys, configuration("127.0.0.1:65535", "third"))
+    assert code == 1 and "discovery: '127.0.0.1:65536' is not an address" in output, output
     shells.until(lambda: fleet.status()["configuration"]["version"] == 3, "the body before, as a new version")
     assert fleet.pids() == pids
 
@@ -133,7 +133,7 @@
         '[configuration]\nreplicas = ["127.0.0.1:1"]\n'
         '[fleet]\nname = "f"\nconfig = "node.json"\ninstances = 1\nlisten = "127.0.0.1:9"\n'
     )
-    supervisor, told = Supervisor(tmp_path), []
+    supervisor, outcomes = Supervisor(tmp_path), []
     store_follower = supervisor.store_follower = StoreFollower(
         supervisor, op.read_fleet(str(supervisor.path))[3]
     )
@@ -141,17 +141,18 @@
 
     def hand_over(version, stage, text):
         record = m.make_record(version, version, stage, 2**32, text)
-        store_follower.hand_over(record, lambda ok, why="": told.append((version, ok, why)))
+        store_follower.hand_over(record, lambda ok, why="": outcomes.append((version, ok, why)))
         store_follower.process_records()
         return record
 
     good = json.dumps(configuration("127.0.0.1:1", "second"))
     hand_over(1, m.Stage.CANARY, good)
     plan, line = supervisor.rollouts.pop()
-    assert "second" in plan.specs["f-0"].live and plan.fleet.live_watch_s == 0.5 and not told
+    assert "second" in plan.specs["f-0"].live and plan.fleet.live_watch_s == 0.5 and not outcomes
     line.send({"ok": True, "why": "done"})
     assert (
-        told.pop() == (1, True, "done") and store_follower.body_in_force == store_follower.wanted_body == good
+        outcomes.pop() == (1, True, "done")
+        and store_follower.body_in_force == store_follower.wanted_body == good
     )
 
     third = hand_over(2, m.Stage.EVERYWHERE, json.dumps(configuration("127.0.0.1:1", "third")))
@@ -159,23 +160,23 @@
     assert plan.fleet.live_watch_s == 0 and store_follower.wanted_body == third.body
     line.send({"ok": False, "why": "f-0: refused"})
     assert (
-        told.pop() == (2, False, "f-0: refused")
+        outcomes.pop() == (2, False, "f-0: refused")
         and store_follower.body_in_force == store_follower.wanted_body == good
     )
 
     faulty = hand_over(3, m.Stage.EVERYWHERE, '{"settings": 3}')
-    assert not supervisor.rollouts and told.pop()[:2] == (3, False) and store_follower.wanted_body == good
+    assert not supervisor.rollouts and outcomes.pop()[:2] == (3, False) and store_follower.wanted_body == good
     with pytest.raises(config.ConfigurationError):
         store_follower.check(faulty)
     store_follower.check(third)
 
     supervisor.core.stopping = True
     hand_over(4, m.Stage.EVERYWHERE, good)
-    assert not supervisor.rollouts and told.pop() == (4, False, "the fleet is stopping")
+    assert not supervisor.rollouts and outcomes.pop() == (4, False, "the fleet is stopping")
 
 
 def test_only_a_new_supervisor_takes_another_section(store):
-    fleet = Fleet(store, shells.toy())
+    fleet = Fleet(store, shells.start_toy())
     store.operator("fleet", fleet.keys, node="another")
     words = [sys.executable, "-m", "cottonspread", "fleet", "reload", "--operator", str(fleet.toml)]
     done = subprocess.run(words, cwd=shells.ROOT, capture_output=True, text=True, timeout=60)
--- a/tests/configstore/test_shell_section.py
+++ b/tests/configstore/test_shell_section.py
@@ -27,9 +27,9 @@
     ],
 )
 def test_a_faulty_section_is_named(text, key):
-    with pytest.raises(op.OperatorFileError) as told:
+    with pytest.raises(op.OperatorFileError) as error:
         op.read_text(text)
-    assert key in str(told.value)
+    assert key in str(error.value)
 
 
 def test_the_section_is_off_unless_it_is_there_and_is_shown_where_it_is(tmp_path, capsys):
@@ -42,7 +42,7 @@
     assert {key: shown[f"configuration.{key}"] for key in keys} == dict.fromkeys(keys, "new")
 
 
-def test_own_keys_stay_and_all_others_are_carried():
+def test_local_keys_stay_and_all_others_are_replaced():
     own = {"name": "n1", "settings": {"Me": 4, "Zone": 2, "Step": 1}, "discovery": "a:1"}
     carried = {"name": "x", "seed": "1", "settings": {"Me": 0, "Step": 5}, "discovery": "b:2", "more": [1]}
     before = repr((own, carried))
@@ -57,7 +57,7 @@
 
 
 @pytest.mark.parametrize("carried", [[], "x", None, {"settings": 3}, {}])
-def test_what_is_carried_and_no_configuration_is_told(carried):
+def test_an_invalid_published_configuration_is_refused(carried):
     with pytest.raises(config.ConfigurationError):
         config.with_local_keys(carried, {"name": "n1"}, ("name", "settings.Me"))
 
@@ -83,16 +83,16 @@
     assert serving.apply_published(node, active, good) == (True, "") and node.retuned == ["second"]
     assert active.values["name"] == "n1" and active.parts[0].name == "n1"
 
-    for faulty, said in (("{", "invalid JSON"), ("[]", "not an object"), ('{"settings": {}}', "missing")):
+    for faulty, expected in (("{", "invalid JSON"), ("[]", "not an object"), ('{"settings": {}}', "missing")):
         ok, why = serving.apply_published(node, active, faulty)
-        assert not ok and said in why
+        assert not ok and expected in why
     assert node.retuned == ["second"] and node.hastened == [ev.NotRetuned] * 3
     assert serving.reload(node, active) == "" and node.retuned == ["second"] * 2, (
         "SIGHUP keeps what is carried"
     )
 
 
-def test_what_was_in_force_before_a_start_is_so_from_its_first_moment(tmp_path):
+def test_the_saved_configuration_is_in_force_from_the_start(tmp_path):
     file = tmp_path / "node.json"
     file.write_text(json.dumps(shells.configuration()))
     active = serving.ActiveConfiguration(str(file), ("name",))
--- a/tests/configstore/test_shell_server.py
+++ b/tests/configstore/test_shell_server.py
@@ -81,7 +81,7 @@
 
 
 @pytest.mark.parametrize(
-    "data, status, said",
+    "data, status, expected",
     [
         (b"nonsense\r\n\r\n", 400, b"invalid request line"),
         (b"GET " + b"x" * 10_000, 400, b"head is too long"),
@@ -99,10 +99,10 @@
         ),
     ],
 )
-def test_a_request_that_cannot_be_served_is_told_why_and_the_replica_goes_on(running, data, status, said):
+def test_a_request_that_cannot_be_served_is_told_why_and_the_replica_goes_on(running, data, status, expected):
     with running.connect(data) as sock:
         got, body = answer(sock)
-        assert got == status and said in body
+        assert got == status and expected in body
         assert answer(sock) == (0, b""), "closed"
     with running.connect(post("state", b"{}")) as sock:
         assert answer(sock)[0] == 200
@@ -229,14 +229,14 @@
 def test_calls_end_in_time_and_all_at_a_stop():
     silent = socket.create_server(("127.0.0.1", 0))
     name = f"127.0.0.1:{silent.getsockname()[1]}"
-    callers, told = Callers(), []
-    callers.call(name, m.ReadState(), now() + 200_000, told.append)
-    shells.until(lambda: told, "the first has run out")
-    callers.call(name, m.ReadState(), now() + 3600 * m.SECOND, told.append)
+    callers, outcomes = Callers(), []
+    callers.call(name, m.ReadState(), now() + 200_000, outcomes.append)
+    shells.until(lambda: outcomes, "the first has run out")
+    callers.call(name, m.ReadState(), now() + 3600 * m.SECOND, outcomes.append)
     callers.stop()
-    shells.until(lambda: len(told) == 2, "the second is given up")
-    callers.call("127.0.0.1:1", m.ReadState(), now() + m.SECOND, told.append)
-    assert [type(one) for one in told] == [CallError] * 3
+    shells.until(lambda: len(outcomes) == 2, "the second is given up")
+    callers.call("127.0.0.1:1", m.ReadState(), now() + m.SECOND, outcomes.append)
+    assert [type(one) for one in outcomes] == [CallError] * 3
     silent.close()
 
 
--- a/tests/configstore/test_shell_store.py
+++ b/tests/configstore/test_shell_store.py
@@ -16,15 +16,15 @@
 
 
 def test_a_good_one_comes_into_force_and_a_faulty_one_stops_at_its_canaries(store, capsys):
-    discovery = shells.toy()
+    discovery = shells.start_toy()
     nodes = [shells.ServeNode(store, f"n{n}", discovery) for n in range(2)]
     followers = [store.follower(f"bare-{n}") for n in range(4)]
-    store.until_heard(6)
+    store.until_watching(6)
     good = shells.configuration(TrafficTypes=shells.types("chat", "other")) | {"discovery": discovery}
 
-    code, said = store.publish(capsys, good)
-    assert code == 0, said
-    assert "canaries: version 1 canary: 2 nodes" in said and "in force at 6 nodes" in said
+    code, output = store.publish(capsys, good)
+    assert code == 0, output
+    assert "canaries: version 1 canary: 2 nodes" in output and "in force at 6 nodes" in output
     assert all(node.knows("other") for node in nodes)
     assert [client.view().version for client in followers] == [1] * 4
     assert nodes[0].log().count("event=listening") == 1, "nobody was restarted"
@@ -33,10 +33,10 @@
     faulty = json.loads(json.dumps(good))
     del faulty["settings"]["Rules"]
     refusing = [store.follower(f"strict-{n}", check=refuse) for n in range(30)]
-    store.until_heard(36)
-    code, said = store.publish(capsys, faulty)
-    assert code == 1 and "withdrawn: version 3" in said, said
-    assert "missing" in said or "as played" in said
+    store.until_watching(36)
+    code, output = store.publish(capsys, faulty)
+    assert code == 1 and "withdrawn: version 3" in output, output
+    assert "missing" in output or "as played" in output
     status = store.status(capsys)
     assert (status["version"], status["stage"]) == (3, "everywhere")
     assert all(node.knows("other") for node in nodes)
@@ -49,15 +49,15 @@
 
 
 def test_one_replica_lost_and_back_two_lost_and_a_node_started_without_any(store, capsys):
-    discovery = shells.toy()
+    discovery = shells.start_toy()
     node = shells.ServeNode(store, "n0", discovery)
     follower = store.follower("bare")
-    store.until_heard(2)
+    store.until_watching(2)
     body = shells.configuration(TrafficTypes=shells.types("chat", "second")) | {"discovery": discovery}
 
     store.kill(0)
-    code, said = store.publish(capsys, body)
-    assert code == 0 and f"replica {store.names[0]}: does not answer" in said, said
+    code, output = store.publish(capsys, body)
+    assert code == 0 and f"replica {store.names[0]}: does not answer" in output, output
     assert node.knows("second") and follower.view().version == 1
     store.start(0)
     shells.until(
@@ -66,11 +66,11 @@
 
     store.kill(1)
     store.kill(2)
-    code, said = store.publish(capsys, body)
-    assert code == 3 and "no-quorum" in said, said
+    code, output = store.publish(capsys, body)
+    assert code == 3 and "no-quorum" in output, output
     assert node.knows("second") and follower.view().version == 1
-    code, said = store.command(capsys, "status")
-    assert code == 3 and "no majority of replicas is up" in said
+    code, output = store.command(capsys, "status")
+    assert code == 3 and "no majority of replicas is up" in output
 
     store.kill(0)
     node.process.kill()
@@ -79,14 +79,14 @@
     assert node.knows("second"), "what was in force is so from the first moment on"
     for n in range(3):
         store.start(n)
-    store.until_heard(2)
-    code, said = store.publish(capsys, shells.configuration() | {"discovery": discovery})
-    assert code == 0 and not node.knows("second") and node.knows("chat"), said
+    store.until_watching(2)
+    code, output = store.publish(capsys, shells.configuration() | {"discovery": discovery})
+    assert code == 0 and not node.knows("second") and node.knows("chat"), output
 
 
 def test_a_replica_whose_file_is_damaged_does_not_start_and_the_others_go_on(store, capsys):
     store.follower("bare")
-    store.until_heard(1)
+    store.until_watching(1)
     assert store.publish(capsys, shells.configuration())[0] == 0
     shells.until(lambda: all(r["version"] == 1 for r in store.status(capsys)["replicas"]), "all have it")
     store.kill(2)
@@ -98,14 +98,14 @@
     log = (store.folder / "r2.log").read_text()
     assert "replica.json: damaged: the checksum does not match" in log and "Traceback" not in log
     assert file.read_bytes() == damaged, "left for staff to look at"
-    code, said = store.publish(capsys, shells.configuration(Step=2))
-    assert code == 0 and "version 2" in said
+    code, output = store.publish(capsys, shells.configuration(Step=2))
+    assert code == 0 and "version 2" in output
 
 
-def test_a_publisher_that_died_is_gone_on_with(store, capsys):
+def test_a_run_of_a_dead_publisher_is_resumed(store, capsys):
     held = []
     followers = [store.follower(f"bare-{n}", apply=lambda record, done: held.append(done)) for n in range(2)]
-    store.until_heard(2)
+    store.until_watching(2)
     file = store.folder / "next.json"
     file.write_text(json.dumps(shells.configuration()))
     words = "configuration", "publish", "--replicas", store.all, str(file)
@@ -113,19 +113,19 @@
     shells.until(lambda: len(held) == 2, "both canaries are applying")
     publisher.kill()
     publisher.wait()
-    code, said = store.publish(capsys, shells.configuration())
-    assert code == 1 and "under-way: version 1" in said, said
+    code, output = store.publish(capsys, shells.configuration())
+    assert code == 1 and "under-way: version 1" in output, output
     status = store.status(capsys)
     assert (status["version"], status["stage"], len(status["behind"])) == (1, "canary", 2)
     for done in held:
         done(True)
-    code, said = store.command(capsys, "publish", "--resume")
-    assert code == 0 and "in-force: version 1" in said, said
+    code, output = store.command(capsys, "publish", "--resume")
+    assert code == 0 and "in-force: version 1" in output, output
     assert [client.view().version for client in followers] == [1, 1]
 
 
 def test_a_saved_configuration_that_is_damaged_is_told_and_the_file_counts(store, capsys):
-    node = shells.ServeNode(store, "n0", shells.toy())
+    node = shells.ServeNode(store, "n0", shells.start_toy())
     node.process.kill()
     node.process.wait()
     kept = store.folder / "kept-n0" / "n0.configuration.json"
@@ -139,12 +139,12 @@
 def test_commands_say_what_is_wrong_with_their_arguments(store, capsys, tmp_path):
     assert store.command(capsys, "publish", str(tmp_path / "none.json"))[0] == 2
     (tmp_path / "bad.json").write_text("{}")
-    code, said = store.command(capsys, "publish", str(tmp_path / "bad.json"))
-    assert code == 2 and "name: missing" in said
+    code, output = store.command(capsys, "publish", str(tmp_path / "bad.json"))
+    assert code == 2 and "name: missing" in output
     long = shells.configuration() | {"more": "x" * 300_000}
-    code, said = store.publish(capsys, long)
-    assert code == 2 and "characters" in said
+    code, output = store.publish(capsys, long)
+    assert code == 2 and "characters" in output
     assert cli.main(["configuration", "status", "--replicas", "a"]) == 2
     assert "expected HOST:PORT" in capsys.readouterr().err
-    code, said = store.publish(capsys, shells.configuration())
-    assert code == 1 and "no-canaries" in said
+    code, output = store.publish(capsys, shells.configuration())
+    assert code == 1 and "no-canaries" in output
--- a/tests/fleet/test_core.py
+++ b/tests/fleet/test_core.py
@@ -45,41 +45,41 @@
     )
 
 
-class World:
+class Simulation:
     """The processes that the core asks for, and what it was seen to do."""
 
     def __init__(self, first):
         self.now, self.plan, self.core = SECOND, first, c.Core(SECOND, first)
-        self.alive, self.effects, self.outcomes, self.started, self.ended = {}, [], [], [], set()
-        self.over, self.doors, self.refusing = False, set(), set()
-        self.tell("tick")
+        self.processes, self.effects, self.outcomes, self.started, self.ended = {}, [], [], [], set()
+        self.all_stopped, self.answering_busy, self.refused_live = False, set(), set()
+        self.step("tick")
 
-    def tell(self, what, *args):
-        if not self.over:
+    def step(self, what, *args):
+        if not self.all_stopped:
             for effect in self.core.step(self.now, what, *args):
                 self.effects.append(effect)
-                self.carry_out(effect)
+                self.execute(effect)
 
-    def carry_out(self, e):
+    def execute(self, e):
         key = (getattr(e, "name", None), getattr(e, "generation", None))
         if isinstance(e, c.Start):
-            assert key not in self.alive and key not in self.ended, "a generation used twice"
+            assert key not in self.processes and key not in self.ended, "a generation used twice"
             assert (
                 sum(
                     1
-                    for k in self.alive
+                    for k in self.processes
                     if k[0] == e.name
-                    and self.alive[k]["state"] in ("starting", "waiting", "prepared")
-                    and not self.alive[k]["killed"]
+                    and self.processes[k]["state"] in ("starting", "waiting", "prepared")
+                    and not self.processes[k]["killed"]
                 )
                 == 0
             ), "two successors"
             assert (
-                sum(p["state"] == "starting" and not p["told"] for p in self.alive.values())
+                sum(p["state"] == "starting" and not p["has_reported"] for p in self.processes.values())
                 < self.core.plan.fleet.start_at_once
             )
-            self.alive[key] = {
-                "told": False,
+            self.processes[key] = {
+                "has_reported": False,
                 "state": "starting",
                 "spec": e.spec,
                 "steps": 0,
@@ -88,53 +88,53 @@
                 "bad": 0,
                 "frozen": False,
                 "leave": None,
-                "deaf": False,
+                "ignores_apply": False,
                 "live": e.spec.live_digest,
                 "refused": None,
             }
             self.started.append(key)
         elif isinstance(e, c.StartAccepting):
-            assert all(p["state"] != "serving" for k, p in self.alive.items() if k[0] == e.name), (
+            assert all(p["state"] != "serving" for k, p in self.processes.items() if k[0] == e.name), (
                 f"two holders of {e.name}"
             )
-            assert e.name not in self.doors, "the supervisor answers at the door of a holder"
-            self.alive[key]["state"] = "serving" if not self.alive[key]["frozen"] else "prepared"
-            self.alive[key]["taken"] = True
+            assert e.name not in self.answering_busy, "the supervisor answers at the door of a holder"
+            self.processes[key]["state"] = "serving" if not self.processes[key]["frozen"] else "prepared"
+            self.processes[key]["accepting"] = True
         elif isinstance(e, c.StopAccepting):
-            self.alive[key]["leave"] = e.has_successor
+            self.processes[key]["leave"] = e.has_successor
         elif isinstance(e, c.Kill):
-            self.alive[key]["killed"] = True
+            self.processes[key]["killed"] = True
         elif isinstance(e, c.ApplyLive):
             self.apply(key, e.spec)
         elif isinstance(e, c.AnswerBusy):
-            (self.doors.add if e.enabled else self.doors.discard)(e.name)
+            (self.answering_busy.add if e.enabled else self.answering_busy.discard)(e.name)
         elif isinstance(e, c.RolloutEnded):
             self.outcomes.append(e)
         elif isinstance(e, c.AllStopped):
-            self.over = True
+            self.all_stopped = True
 
     def apply(self, key, spec):
-        if spec.live in self.refusing:
-            self.alive[key]["refused"] = {"live": spec.live_digest, "why": "as played"}
-        elif not self.alive[key]["deaf"]:
-            self.alive[key] |= {"live": spec.live_digest, "refused": None}
+        if spec.live in self.refused_live:
+            self.processes[key]["refused"] = {"live": spec.live_digest, "why": "as played"}
+        elif not self.processes[key]["ignores_apply"]:
+            self.processes[key] |= {"live": spec.live_digest, "refused": None}
 
     def status(self, key):
-        p = self.alive[key]
-        p["steps"], p["told"] = p["steps"] + 1, True
-        self.tell(
+        p = self.processes[key]
+        p["steps"], p["has_reported"] = p["steps"] + 1, True
+        self.step(
             "status_received", *key, {k: p[k] for k in ("state", "steps", "ended", "bad", "live", "refused")}
         )
 
     def exit(self, key, how):
-        del self.alive[key]
+        del self.processes[key]
         self.ended.add(key)
-        self.tell("exited", *key, how)
+        self.step("exited", *key, how)
 
     def advance(self, key, bad_specs=()):
         """A process does its next thing."""
-        p = self.alive.get(key)
-        if p is None or self.over:
+        p = self.processes.get(key)
+        if p is None or self.all_stopped:
             return
         if p["killed"]:
             self.exit(key, "signal 9")
@@ -151,17 +151,17 @@
             p["state"] = {"starting": "waiting", "waiting": "prepared"}.get(p["state"], p["state"])
             self.status(key)
 
-    def settle(self, seconds=60, bad_specs=(), step=0.25):
+    def run_for(self, seconds=60, bad_specs=(), step=0.25):
         for _ in range(int(seconds / step)):
             self.now += int(step * SECOND)
-            for key in list(self.alive):
+            for key in list(self.processes):
                 self.advance(key, bad_specs)
-            self.tell("tick")
-            if self.over:
+            self.step("tick")
+            if self.all_stopped:
                 return
 
-    def holders(self):
-        return {k[0]: p for k, p in self.alive.items() if p["state"] == "serving"}
+    def serving(self):
+        return {k[0]: p for k, p in self.processes.items() if p["state"] == "serving"}
 
 
 PLANS = [
@@ -175,88 +175,88 @@
 ]
 
 
-class Anything(RuleBasedStateMachine):
+class RandomEvents(RuleBasedStateMachine):
     @initialize(n=st.sampled_from([0, 2, 4]))
     def begin(self, n):
-        self.world, self.stops = World(PLANS[n]), 0
+        self.sim, self.stops = Simulation(PLANS[n]), 0
 
     @rule(n=st.integers(0, 30), many=st.integers(1, 6))
-    def some_go_on(self, n, many):
+    def processes_advance(self, n, many):
         for _ in range(many):
-            keys = sorted(self.world.alive)
+            keys = sorted(self.sim.processes)
             if keys:
-                self.world.advance(keys[n % len(keys)], {"bad"})
+                self.sim.advance(keys[n % len(keys)], {"bad"})
 
     @rule(ms=st.sampled_from([10, 50, 300, 900, 2_500, 70_000]))
     def time_passes(self, ms):
-        self.world.now += ms * 1000
-        self.world.tell("tick")
+        self.sim.now += ms * 1000
+        self.sim.step("tick")
 
     @rule(n=st.integers(0, 30), how=st.sampled_from(["signal 9", "exit 1"]))
-    def one_dies(self, n, how):
-        keys = sorted(self.world.alive)
+    def process_dies(self, n, how):
+        keys = sorted(self.sim.processes)
         if keys:
-            self.world.exit(keys[n % len(keys)], how)
+            self.sim.exit(keys[n % len(keys)], how)
 
     @rule(n=st.integers(0, 30))
-    def one_freezes(self, n):
-        keys = sorted(self.world.alive)
+    def process_freezes(self, n):
+        keys = sorted(self.sim.processes)
         if keys:
-            self.world.alive[keys[n % len(keys)]]["frozen"] = True
+            self.sim.processes[keys[n % len(keys)]]["frozen"] = True
 
     @rule(n=st.integers(0, 30), bad=st.integers(0, 30))
     def calls_end(self, n, bad):
-        keys = sorted(self.world.alive)
+        keys = sorted(self.sim.processes)
         if keys:
-            p = self.world.alive[keys[n % len(keys)]]
+            p = self.sim.processes[keys[n % len(keys)]]
             p["ended"], p["bad"] = p["ended"] + 30, p["bad"] + bad
 
     @rule(live=st.sampled_from(["x", "y"]), refused=st.booleans())
     def live_parts_are_refused(self, live, refused):
-        (self.world.refusing.add if refused else self.world.refusing.discard)(live)
+        (self.sim.refused_live.add if refused else self.sim.refused_live.discard)(live)
 
-    @rule(n=st.integers(0, 30), deaf=st.booleans())
-    def one_obeys_no_order_to_apply(self, n, deaf):
-        keys = sorted(self.world.alive)
+    @rule(n=st.integers(0, 30), ignores_apply=st.booleans())
+    def process_ignores_apply(self, n, ignores_apply):
+        keys = sorted(self.sim.processes)
         if keys:
-            self.world.alive[keys[n % len(keys)]]["deaf"] = deaf
+            self.sim.processes[keys[n % len(keys)]]["ignores_apply"] = ignores_apply
 
     @rule(p=st.sampled_from(PLANS))
     def reload(self, p):
-        self.world.tell("change_plan", p)
+        self.sim.step("change_plan", p)
 
     @rule(n=st.integers(0, 4), what=st.sampled_from(["drain", "restart"]))
-    def by_hand(self, n, what):
-        if f"f-{n}" in self.world.core.slots:
-            self.world.tell(what, f"f-{n}")
+    def operator_command(self, n, what):
+        if f"f-{n}" in self.sim.core.slots:
+            self.sim.step(what, f"f-{n}")
 
     @rule()
     def stop(self):
         self.stops += 1
         if self.stops > 4:  # mostly the others
-            self.world.tell("stop")
+            self.sim.step("stop")
 
     @rule(n=st.integers(0, 30))
-    def told_twice_or_late(self, n):
-        if self.world.ended:
-            self.world.tell("exited", *sorted(self.world.ended)[n % len(self.world.ended)], "exit 0")
-            self.world.tell(
+    def late_and_duplicate_events(self, n):
+        if self.sim.ended:
+            self.sim.step("exited", *sorted(self.sim.ended)[n % len(self.sim.ended)], "exit 0")
+            self.sim.step(
                 "status_received",
-                *sorted(self.world.ended)[n % len(self.world.ended)],
+                *sorted(self.sim.ended)[n % len(self.sim.ended)],
                 {"state": "serving", "steps": 1},
             )
 
     @invariant()
-    def promises(self):
-        world = getattr(self, "world", None)
-        if world is None:
+    def invariants(self):
+        sim = getattr(self, "world", None)
+        if sim is None:
             return
-        core = world.core
+        core = sim.core
         for name in core.slots:
-            serving = [k for k, p in world.alive.items() if k[0] == name and p["state"] == "serving"]
+            serving = [k for k, p in sim.processes.items() if k[0] == name and p["state"] == "serving"]
             assert len(serving) <= 1, f"two holders of {name}"
         known = {(p.name, p.generation) for p in core.processes()}
-        assert known == set(world.alive) or world.over, (
+        assert known == set(sim.processes) or sim.all_stopped, (
             "a process that nobody looks after, or one that is not there"
         )
         if core.rollout and not core.rollout.rollback_reason:
@@ -273,30 +273,30 @@
         """
         if not hasattr(self, "world"):
             return
-        world, core = self.world, self.world.core
-        world.refusing.clear()
-        world.settle(150, {"bad"}, step=0.5)
+        sim, core = self.sim, self.sim.core
+        sim.refused_live.clear()
+        sim.run_for(150, {"bad"}, step=0.5)
         if not core.stopping:
             assert core.rollout is None and core.pending is None, (
                 "a rollout without an end",
                 core.describe_slots(),
             )
             for name, slot in core.slots.items():
-                up = name in world.holders()
-                assert up == (not slot.drained and not slot.given_up), (name, core.state_of(slot))
-                assert (name in world.doors) == (not up)
-                if up:
+                is_up = name in sim.serving()
+                assert is_up == (not slot.drained and not slot.given_up), (name, core.state_of(slot))
+                assert (name in sim.answering_busy) == (not is_up)
+                if is_up:
                     assert (
-                        world.holders()[name]["spec"].start == slot.spec.start
-                        and world.holders()[name]["live"] == slot.spec.live_digest
+                        sim.serving()[name]["spec"].start == slot.spec.start
+                        and sim.serving()[name]["live"] == slot.spec.live_digest
                     )
-            world.tell("stop")
-        world.settle(60)
-        assert world.over and not world.alive, "a stop without an end"
+            sim.step("stop")
+        sim.run_for(60)
+        assert sim.all_stopped and not sim.processes, "a stop without an end"
 
 
-TestAnything = Anything.TestCase
-TestAnything.settings = settings(
+TestRandomEvents = RandomEvents.TestCase
+TestRandomEvents.settings = settings(
     max_examples=int(os.environ.get("FLEET_SEQUENCES", "300")),
     stateful_step_count=40,
     deadline=None,
@@ -306,206 +306,204 @@
 )
 
 
-def up(**more):
-    world = World(plan(**more))
-    world.settle(5)
-    assert len(world.holders()) == len(world.plan.specs)
-    return world
+def start_all(**more):
+    sim = Simulation(plan(**more))
+    sim.run_for(5)
+    assert len(sim.serving()) == len(sim.plan.specs)
+    return sim
 
 
 def test_an_instance_that_crashes_at_each_start_is_given_up_and_the_others_are_untouched():
-    world = up()
-    world.alive[("f-1", 2)]["state"] = "serving"
-    began, held = len(world.started), {k for k in world.alive if k[0] != "f-1"}
-    world.exit(("f-1", 2), "exit 1")
+    sim = start_all()
+    sim.processes[("f-1", 2)]["state"] = "serving"
+    began, held = len(sim.started), {k for k in sim.processes if k[0] != "f-1"}
+    sim.exit(("f-1", 2), "exit 1")
     for _ in range(600):
-        world.now += SECOND // 10
-        for key in [k for k in world.alive if k[0] == "f-1"]:
-            world.exit(key, "exit 1")
+        sim.now += SECOND // 10
+        for key in [k for k in sim.processes if k[0] == "f-1"]:
+            sim.exit(key, "exit 1")
         for key in held:
-            world.advance(key)
-        world.tell("tick")
-    assert len(world.started) - began == 4, "restarts, then given up"
+            sim.advance(key)
+        sim.step("tick")
+    assert len(sim.started) - began == 4, "restarts, then given up"
     assert (
-        held <= set(world.alive)
-        and world.core.state_of(world.core.slots["f-1"]) == "given-up"
-        and world.doors == {"f-1"}
+        held <= set(sim.processes)
+        and sim.core.state_of(sim.core.slots["f-1"]) == "given-up"
+        and sim.answering_busy == {"f-1"}
     )
-    world.tell("restart", "f-1")
-    world.settle(5)
-    assert "f-1" in world.holders() and not world.doors
+    sim.step("restart", "f-1")
+    sim.run_for(5)
+    assert "f-1" in sim.serving() and not sim.answering_busy
 
 
 def test_the_waits_between_restarts_double():
-    world = up(count=1)
+    sim = start_all(count=1)
     times = []
     for _ in range(1200):
-        world.now += SECOND // 20
-        world.tell("tick")
-        for key in list(world.alive):
-            if world.alive[key]["state"] != "serving" or not times:
-                times.append(world.now)
-                world.exit(key, "exit 1")
+        sim.now += SECOND // 20
+        sim.step("tick")
+        for key in list(sim.processes):
+            if sim.processes[key]["state"] != "serving" or not times:
+                times.append(sim.now)
+                sim.exit(key, "exit 1")
     gaps = [round((b - a) / SECOND, 1) for a, b in itertools.pairwise(times)]
     assert gaps[:4] == [0.1, 0.5, 1.0, 2.0] or gaps[:4] == [0.0, 0.5, 1.0, 2.0], gaps
 
 
-def test_a_frozen_one_is_ended_and_replaced_and_a_busy_one_is_not():
-    world = up()
-    world.alive[("f-0", 1)]["frozen"] = True
-    world.settle(3.5)
-    assert ("f-0", 1) not in world.alive and ("f-2", 3) in world.alive
-    world.settle(2)
-    assert world.holders()["f-0"] and world.core.slots["f-0"].last_failure == "stuck: no step for 3 s"
-
-
-def test_one_that_was_told_to_leave_and_ends_before_it_says_so_has_not_failed():
-    world = up(count=1)
-    world.tell("change_plan", plan(1, start="b"))
-    world.advance(("f-0", 2))
-    world.advance(("f-0", 2))
-    assert world.alive["f-0", 1]["leave"] is True
-    world.exit(("f-0", 1), "exit 0")
-    assert not world.core.slots["f-0"].last_failure and world.holders()["f-0"]["spec"].start == "b"
-
-
-def test_one_that_freezes_while_it_leaves_is_ended():
-    world = up()
-    world.tell("drain", "f-1")
-    world.advance(("f-1", 2))
-    assert world.alive["f-1", 2]["state"] == "leaving"
-    world.alive["f-1", 2]["frozen"] = True
-    world.settle(3.5)
-    assert ("f-1", 2) in world.alive
-    world.settle(2)
-    assert ("f-1", 2) not in world.alive
-
-
-def test_one_without_a_list_is_waited_for_as_long_as_it_makes_steps_and_no_longer():
-    world = World(plan(count=1))
-    world.advance(("f-0", 1))
+def test_a_frozen_process_is_killed_and_replaced_and_a_busy_one_is_not():
+    sim = start_all()
+    sim.processes[("f-0", 1)]["frozen"] = True
+    sim.run_for(3.5)
+    assert ("f-0", 1) not in sim.processes and ("f-2", 3) in sim.processes
+    sim.run_for(2)
+    assert sim.serving()["f-0"] and sim.core.slots["f-0"].last_failure == "stuck: no step for 3 s"
+
+
+def test_a_process_that_ends_before_it_reports_leaving_has_not_failed():
+    sim = start_all(count=1)
+    sim.step("change_plan", plan(1, start="b"))
+    sim.advance(("f-0", 2))
+    sim.advance(("f-0", 2))
+    assert sim.processes["f-0", 1]["leave"] is True
+    sim.exit(("f-0", 1), "exit 0")
+    assert not sim.core.slots["f-0"].last_failure and sim.serving()["f-0"]["spec"].start == "b"
+
+
+def test_a_process_that_freezes_while_it_leaves_is_killed():
+    sim = start_all()
+    sim.step("drain", "f-1")
+    sim.advance(("f-1", 2))
+    assert sim.processes["f-1", 2]["state"] == "leaving"
+    sim.processes["f-1", 2]["frozen"] = True
+    sim.run_for(3.5)
+    assert ("f-1", 2) in sim.processes
+    sim.run_for(2)
+    assert ("f-1", 2) not in sim.processes
+
+
+def test_a_process_without_a_list_has_no_start_timeout_while_it_makes_progress():
+    sim = Simulation(plan(count=1))
+    sim.advance(("f-0", 1))
     for n in range(600):
-        world.now += SECOND // 10
+        sim.now += SECOND // 10
         if n < 300:
-            world.status(("f-0", 1))
-        world.tell("tick")
-        if world.alive.get(("f-0", 1), {}).get("killed"):
+            sim.status(("f-0", 1))
+        sim.step("tick")
+        if sim.processes.get(("f-0", 1), {}).get("killed"):
             break
     assert 300 + 79 <= n <= 300 + 90, "its 5 s begin when it was last seen alive: 3 s after its last step"
 
 
-def test_a_supervisor_that_stood_still_itself_blames_nobody_for_the_silence():
-    world = up()
-    before = set(world.alive)
-    world.now += 600 * SECOND  # it was stopped, or the machine slept
-    world.tell("tick")
-    world.settle(5)
-    assert set(world.alive) == before
+def test_a_supervisor_that_was_stopped_itself_kills_no_process():
+    sim = start_all()
+    before = set(sim.processes)
+    sim.now += 600 * SECOND  # it was stopped, or the machine slept
+    sim.step("tick")
+    sim.run_for(5)
+    assert set(sim.processes) == before
 
 
-def test_a_rollout_whose_successor_does_not_get_ready_leaves_the_holder_in_place():
-    world = up()
-    world.tell("change_plan", plan(start="bad"))
-    world.settle(20, {"bad"})
-    assert not world.outcomes[-1].ok and world.outcomes[-1].why == "f-0: exit 2"
-    assert set(world.alive) == {("f-0", 1), ("f-1", 2), ("f-2", 3)}, "the old ones were touched"
+def test_a_rollout_whose_successor_is_never_ready_leaves_the_active_process_in_place():
+    sim = start_all()
+    sim.step("change_plan", plan(start="bad"))
+    sim.run_for(20, {"bad"})
+    assert not sim.outcomes[-1].ok and sim.outcomes[-1].why == "f-0: exit 2"
+    assert set(sim.processes) == {("f-0", 1), ("f-1", 2), ("f-2", 3)}, "the old ones were touched"
 
 
-def test_a_rollout_that_brings_more_bad_ends_goes_back_by_itself():
-    world = up(watch_s=5.0)
-    world.tell("change_plan", plan(start="b", watch_s=5.0), "upgrade")
+def test_a_rollout_with_more_bad_ends_is_rolled_back_automatically():
+    sim = start_all(watch_s=5.0)
+    sim.step("change_plan", plan(start="b", watch_s=5.0), "upgrade")
     for _ in range(400):
-        world.now += SECOND // 10
-        for key in list(world.alive):
-            world.advance(key)
-            if key in world.alive:
-                p = world.alive[key]
+        sim.now += SECOND // 10
+        for key in list(sim.processes):
+            sim.advance(key)
+            if key in sim.processes:
+                p = sim.processes[key]
                 p["ended"], p["bad"] = p["ended"] + 2, p["bad"] + (p["spec"].start == "b")
-    assert not world.outcomes[-1].ok and "ended badly" in world.outcomes[-1].why
-    assert {p["spec"].start for p in world.holders().values()} == {"a"} and len(world.holders()) == 3
+    assert not sim.outcomes[-1].ok and "ended badly" in sim.outcomes[-1].why
+    assert {p["spec"].start for p in sim.serving().values()} == {"a"} and len(sim.serving()) == 3
 
 
 @pytest.mark.parametrize("count", [1, 3])
-def test_what_was_as_bad_before_is_no_fault_of_the_rollout(count):
-    world = up(count=count, watch_s=5.0)
+def test_a_bad_share_that_is_no_higher_than_before_does_not_roll_back(count):
+    sim = start_all(count=count, watch_s=5.0)
     for n in range(600):
-        world.now += SECOND // 10
+        sim.now += SECOND // 10
         if n == 50:
-            world.tell("change_plan", plan(count, start="b", watch_s=5.0), "upgrade")
-        for key in list(world.alive):
-            world.advance(key)
-            if key in world.alive:
-                p = world.alive[key]
+            sim.step("change_plan", plan(count, start="b", watch_s=5.0), "upgrade")
+        for key in list(sim.processes):
+            sim.advance(key)
+            if key in sim.processes:
+                p = sim.processes[key]
                 p["ended"], p["bad"] = p["ended"] + 4, p["bad"] + 1
-    assert world.outcomes[-1].ok and {p["spec"].start for p in world.holders().values()} == {"b"}
+    assert sim.outcomes[-1].ok and {p["spec"].start for p in sim.serving().values()} == {"b"}
 
 
 def test_a_rollout_goes_one_by_one_and_a_good_one_changes_all():
-    world = up(watch_s=1.0)
-    world.tell("change_plan", plan(start="b", watch_s=1.0))
+    sim = start_all(watch_s=1.0)
+    sim.step("change_plan", plan(start="b", watch_s=1.0))
     most = 0
-    while not world.outcomes:
-        world.settle(0.25)
-        assert len(world.holders()) >= 2
-        most = max(most, sum(p["state"] != "serving" for p in world.alive.values()))
-    assert (
-        world.outcomes[-1].ok and most <= 2 and {p["spec"].start for p in world.holders().values()} == {"b"}
-    )
+    while not sim.outcomes:
+        sim.run_for(0.25)
+        assert len(sim.serving()) >= 2
+        most = max(most, sum(p["state"] != "serving" for p in sim.processes.values()))
+    assert sim.outcomes[-1].ok and most <= 2 and {p["spec"].start for p in sim.serving().values()} == {"b"}
 
 
 def test_reload_during_reload_the_newest_wins_and_stop_during_reload_stops():
-    world = up()
-    world.tell("change_plan", plan(start="b"))
-    world.tell("change_plan", plan(start="c"))
-    world.tell("change_plan", plan(start="d"))
-    world.settle(60)
-    assert {p["spec"].start for p in world.holders().values()} == {"d"}
-    assert not any(e.spec.start == "c" for e in world.effects if isinstance(e, c.Start))
-    assert [(o.ok, o.target.specs["f-0"].start) for o in world.outcomes] == [
+    sim = start_all()
+    sim.step("change_plan", plan(start="b"))
+    sim.step("change_plan", plan(start="c"))
+    sim.step("change_plan", plan(start="d"))
+    sim.run_for(60)
+    assert {p["spec"].start for p in sim.serving().values()} == {"d"}
+    assert not any(e.spec.start == "c" for e in sim.effects if isinstance(e, c.Start))
+    assert [(o.ok, o.target.specs["f-0"].start) for o in sim.outcomes] == [
         (False, "c"),
         (True, "b"),
         (True, "d"),
     ], "each has an outcome"
-    world.tell("change_plan", plan(start="e"))
-    world.settle(0.5)
-    world.tell("stop")
-    world.settle(10)
-    assert world.over and not world.alive
+    sim.step("change_plan", plan(start="e"))
+    sim.run_for(0.5)
+    sim.step("stop")
+    sim.run_for(10)
+    assert sim.all_stopped and not sim.processes
 
 
-def test_a_name_that_is_taken_back_while_it_leaves_is_there_in_the_end():
+def test_a_removed_name_that_a_rollback_restores_while_it_leaves_is_kept():
     """The first plan drops two names; it goes back while they leave.
 
     One was lost from the table, and the rollout never ended.
     """
-    world = up(count=4)
-    world.tell("change_plan", plan(2, start="bad"))
+    sim = start_all(count=4)
+    sim.step("change_plan", plan(2, start="bad"))
     for _ in range(40):
-        world.now += SECOND // 20
-        for key in list(world.alive):
-            if key not in (("f-2", 3), ("f-3", 4)) or world.outcomes:
-                world.advance(key, {"bad"})
-        world.tell("tick")
-    world.settle(20, {"bad"})
-    assert not world.outcomes[-1].ok and set(world.holders()) == {"f-0", "f-1", "f-2", "f-3"}
+        sim.now += SECOND // 20
+        for key in list(sim.processes):
+            if key not in (("f-2", 3), ("f-3", 4)) or sim.outcomes:
+                sim.advance(key, {"bad"})
+        sim.step("tick")
+    sim.run_for(20, {"bad"})
+    assert not sim.outcomes[-1].ok and set(sim.serving()) == {"f-0", "f-1", "f-2", "f-3"}
 
 
 def test_a_live_change_starts_nothing():
-    world = up()
-    world.tell("change_plan", plan(live="y"))
-    world.settle(5)
+    sim = start_all()
+    sim.step("change_plan", plan(live="y"))
+    sim.run_for(5)
     assert (
-        len(world.started) == 3
-        and world.outcomes[-1].ok
-        and all(p["live"] == plan(live="y").specs["f-0"].live_digest for p in world.alive.values())
+        len(sim.started) == 3
+        and sim.outcomes[-1].ok
+        and all(p["live"] == plan(live="y").specs["f-0"].live_digest for p in sim.processes.values())
     )
 
 
 def test_what_an_earlier_supervisor_left_is_adopted_and_changed_as_by_a_reload():
-    world = object.__new__(World)
-    world.now, world.plan, world.core = SECOND, plan(start="b"), c.Core(SECOND, plan(start="b"))
-    world.refusing = set()
-    world.alive, world.effects, world.outcomes, world.started, world.ended, world.over, world.doors = (
+    sim = object.__new__(Simulation)
+    sim.now, sim.plan, sim.core = SECOND, plan(start="b"), c.Core(SECOND, plan(start="b"))
+    sim.refused_live = set()
+    sim.processes, sim.effects, sim.outcomes, sim.started, sim.ended, sim.all_stopped, sim.answering_busy = (
         {},
         [],
         [],
@@ -516,7 +514,7 @@
     )
     for n, state in enumerate(["serving", "serving", "prepared"]):
         spec = plan().specs[f"f-{n}"]
-        world.alive[f"f-{n}", 7 + n] = {
+        sim.processes[f"f-{n}", 7 + n] = {
             "state": state,
             "spec": spec,
             "steps": 5,
@@ -524,116 +522,116 @@
             "ended": 0,
             "bad": 0,
             "frozen": False,
-            "told": True,
+            "has_reported": True,
             "leave": None,
-            "deaf": False,
+            "ignores_apply": False,
             "live": spec.live_digest,
             "refused": None,
         }
-        world.core.adopt(f"f-{n}", 7 + n, spec, {"state": state, "steps": 5, "live": spec.live_digest})
-    world.tell("finish_adoption")
-    assert not [e for e in world.effects if isinstance(e, c.Start) and e.name != "f-2"][1:], "all at once"
-    world.settle(40)
-    assert len(world.holders()) == 3 and {p["spec"].start for p in world.holders().values()} == {"b"}
-    assert all(g > 9 for _, g in world.started)
+        sim.core.adopt(f"f-{n}", 7 + n, spec, {"state": state, "steps": 5, "live": spec.live_digest})
+    sim.step("finish_adoption")
+    assert not [e for e in sim.effects if isinstance(e, c.Start) and e.name != "f-2"][1:], "all at once"
+    sim.run_for(40)
+    assert len(sim.serving()) == 3 and {p["spec"].start for p in sim.serving().values()} == {"b"}
+    assert all(g > 9 for _, g in sim.started)
 
 
 @pytest.mark.parametrize("most", [1, 2])
-def test_a_paced_stop_stops_so_many_at_a_time(most):
-    world = up(count=3, stop_at_once=most)
-    world.tell("stop")
+def test_a_paced_stop_stops_a_limited_number_at_a_time(most):
+    sim = start_all(count=3, stop_at_once=most)
+    sim.step("stop")
     seen = 0
-    while not world.over:
-        seen = max(seen, sum(p["leave"] is not None for p in world.alive.values()))
-        world.settle(0.25)
+    while not sim.all_stopped:
+        seen = max(seen, sum(p["leave"] is not None for p in sim.processes.values()))
+        sim.run_for(0.25)
     assert seen == most
 
 
-def applied(world):
-    return [e.name for e in world.effects if isinstance(e, c.ApplyLive)]
+def applied(sim):
+    return [e.name for e in sim.effects if isinstance(e, c.ApplyLive)]
 
 
 def test_a_live_change_is_watched_on_the_first_and_then_taken_over_by_all_the_others_together():
-    world = up(count=8, watch_s=5.0, live_watch_s=1.0)
-    began, before = world.now, set(world.alive)
-    world.tell("change_plan", plan(8, live="y", watch_s=5.0, live_watch_s=1.0))
-    assert applied(world) == ["f-0"]
-    world.settle(0.75)
-    assert applied(world) == ["f-0"], "the first is still watched"
-    world.settle(0.75)
-    assert applied(world) == [f"f-{n}" for n in range(8)] and not world.outcomes
-    while not world.outcomes:
-        world.settle(0.25)
-    assert world.outcomes[-1].ok and world.now - began <= 3 * SECOND
-    assert set(world.alive) == before, "nobody was restarted"
-    assert {p["live"] for p in world.alive.values()} == {plan(live="y").specs["f-0"].live_digest}
+    sim = start_all(count=8, watch_s=5.0, live_watch_s=1.0)
+    began, before = sim.now, set(sim.processes)
+    sim.step("change_plan", plan(8, live="y", watch_s=5.0, live_watch_s=1.0))
+    assert applied(sim) == ["f-0"]
+    sim.run_for(0.75)
+    assert applied(sim) == ["f-0"], "the first is still watched"
+    sim.run_for(0.75)
+    assert applied(sim) == [f"f-{n}" for n in range(8)] and not sim.outcomes
+    while not sim.outcomes:
+        sim.run_for(0.25)
+    assert sim.outcomes[-1].ok and sim.now - began <= 3 * SECOND
+    assert set(sim.processes) == before, "nobody was restarted"
+    assert {p["live"] for p in sim.processes.values()} == {plan(live="y").specs["f-0"].live_digest}
 
 
 def test_a_live_change_that_the_first_refuses_reaches_no_other():
-    world = up(count=8)
-    world.refusing.add("y")
-    world.tell("change_plan", plan(8, live="y"))
-    world.settle(5)
-    assert not world.outcomes[-1].ok and world.outcomes[-1].why == "f-0: refused: as played"
-    assert applied(world) == ["f-0"] and len(world.started) == 8
-
-
-def test_a_live_change_that_a_later_one_refuses_is_taken_back_from_all():
-    world = up(count=3)
-    world.tell("change_plan", plan(live="y", watch_s=2.0))
-    world.settle(0.5)
-    world.refusing.add("y")
-    world.settle(5)
-    assert not world.outcomes[-1].ok and "refused: as played" in world.outcomes[-1].why
-    assert {p["live"] for p in world.alive.values()} == {plan().specs["f-0"].live_digest} and len(
-        world.started
+    sim = start_all(count=8)
+    sim.refused_live.add("y")
+    sim.step("change_plan", plan(8, live="y"))
+    sim.run_for(5)
+    assert not sim.outcomes[-1].ok and sim.outcomes[-1].why == "f-0: refused: as played"
+    assert applied(sim) == ["f-0"] and len(sim.started) == 8
+
+
+def test_a_live_change_that_a_later_process_refuses_is_rolled_back_everywhere():
+    sim = start_all(count=3)
+    sim.step("change_plan", plan(live="y", watch_s=2.0))
+    sim.run_for(0.5)
+    sim.refused_live.add("y")
+    sim.run_for(5)
+    assert not sim.outcomes[-1].ok and "refused: as played" in sim.outcomes[-1].why
+    assert {p["live"] for p in sim.processes.values()} == {plan().specs["f-0"].live_digest} and len(
+        sim.started
     ) == 3
 
 
-def test_a_live_change_that_brings_more_bad_ends_goes_back():
-    world = up(count=3)
+def test_a_live_change_with_more_bad_ends_is_rolled_back():
+    sim = start_all(count=3)
     changed = plan(live="y", watch_s=5.0, live_watch_s=5.0)
-    world.tell("change_plan", changed)
+    sim.step("change_plan", changed)
     for _ in range(60):
-        world.now += SECOND // 10
-        for key in list(world.alive):
-            p = world.alive[key]
+        sim.now += SECOND // 10
+        for key in list(sim.processes):
+            p = sim.processes[key]
             p["ended"], p["bad"] = p["ended"] + 2, p["bad"] + (p["live"] == changed.specs["f-0"].live_digest)
-            world.status(key)
-    assert not world.outcomes[-1].ok and "ended badly" in world.outcomes[-1].why
-    assert applied(world) == ["f-0", "f-0"], "to the first and back again"
-
-
-def test_a_live_change_that_is_not_taken_over_in_time_goes_back_and_one_obeyed_late_is_set_right():
-    world = up(count=2)
-    world.alive["f-0", 1]["deaf"] = True
-    world.tell("change_plan", plan(2, live="y"))
-    world.settle(6)
-    assert world.outcomes[-1].why == "f-0: not applied after 5 s"
-    world.alive["f-0", 1] |= {"live": plan(live="y").specs["f-0"].live_digest, "deaf": False}
-    world.settle(2)
-    assert world.alive["f-0", 1]["live"] == plan().specs["f-0"].live_digest and len(world.started) == 2
-
-
-def test_a_way_back_that_is_refused_is_taken_by_a_successor():
-    world = up(count=3)
-    world.tell("change_plan", plan(3, live="y", watch_s=5.0, live_watch_s=1.0))
-    world.settle(1.5)
-    assert applied(world) == ["f-0", "f-1", "f-2"] and not world.outcomes
-    world.refusing.add("x")
-    world.exit(("f-1", 2), "signal 9")  # while it is watched
-    world.settle(20)
-    assert not world.outcomes[-1].ok and world.outcomes[-1].why == "f-1: signal 9"
-    assert {p["live"] for p in world.holders().values()} == {plan().specs["f-0"].live_digest}
-    assert len(world.holders()) == 3 and len(world.started) == 6
-
-
-def test_a_program_that_tells_its_whole_live_part_is_replaced_by_a_successor():
+            sim.status(key)
+    assert not sim.outcomes[-1].ok and "ended badly" in sim.outcomes[-1].why
+    assert applied(sim) == ["f-0", "f-0"], "to the first and back again"
+
+
+def test_a_live_change_that_times_out_is_rolled_back_and_a_late_one_is_corrected():
+    sim = start_all(count=2)
+    sim.processes["f-0", 1]["ignores_apply"] = True
+    sim.step("change_plan", plan(2, live="y"))
+    sim.run_for(6)
+    assert sim.outcomes[-1].why == "f-0: not applied after 5 s"
+    sim.processes["f-0", 1] |= {"live": plan(live="y").specs["f-0"].live_digest, "ignores_apply": False}
+    sim.run_for(2)
+    assert sim.processes["f-0", 1]["live"] == plan().specs["f-0"].live_digest and len(sim.started) == 2
+
+
+def test_a_refused_rollback_is_done_by_a_successor():
+    sim = start_all(count=3)
+    sim.step("change_plan", plan(3, live="y", watch_s=5.0, live_watch_s=1.0))
+    sim.run_for(1.5)
+    assert applied(sim) == ["f-0", "f-1", "f-2"] and not sim.outcomes
+    sim.refused_live.add("x")
+    sim.exit(("f-1", 2), "signal 9")  # while it is watched
+    sim.run_for(20)
+    assert not sim.outcomes[-1].ok and sim.outcomes[-1].why == "f-1: signal 9"
+    assert {p["live"] for p in sim.serving().values()} == {plan().specs["f-0"].live_digest}
+    assert len(sim.serving()) == 3 and len(sim.started) == 6
+
+
+def test_a_program_that_reports_its_whole_live_part_is_replaced_by_a_successor():
     """One of an earlier release takes the settings over only at its start."""
-    world = up(count=2)
-    for p in world.alive.values():
-        p["live"], p["deaf"] = p["spec"].live, True
-    world.settle(1)
-    world.tell("change_plan", plan(2, live="y"))
-    world.settle(10)
-    assert world.outcomes[-1].ok and len(world.started) == 4 and not applied(world)
+    sim = start_all(count=2)
+    for p in sim.processes.values():
+        p["live"], p["ignores_apply"] = p["spec"].live, True
+    sim.run_for(1)
+    sim.step("change_plan", plan(2, live="y"))
+    sim.run_for(10)
+    assert sim.outcomes[-1].ok and len(sim.started) == 4 and not applied(sim)
--- a/tests/fleet/test_fleet.py
+++ b/tests/fleet/test_fleet.py
@@ -78,13 +78,13 @@
             more + "[fleet]\n" + "".join(f"{k} = {json.dumps(v)}\n" for k, v in self.keys.items())
         )
 
-    def words(self, *words):
+    def command_line(self, *args):
         return [
             sys.executable,
             "-m",
             "cottonspread",
             "fleet",
-            *words,
+            *args,
             "--operator",
             str(self.folder / "o.toml"),
         ]
@@ -92,12 +92,14 @@
     def run(self, **more):
         with open(self.folder / "run.log", "ab") as log:
             self.processes.append(
-                subprocess.Popen(self.words("run"), cwd=ROOT, stdout=log, stderr=log, **more)
+                subprocess.Popen(self.command_line("run"), cwd=ROOT, stdout=log, stderr=log, **more)
             )
         return self.processes[-1]
 
-    def command(self, *words):
-        done = subprocess.run(self.words(*words), cwd=ROOT, capture_output=True, text=True, timeout=WAIT * 2)
+    def command(self, *args):
+        done = subprocess.run(
+            self.command_line(*args), cwd=ROOT, capture_output=True, text=True, timeout=WAIT * 2
+        )
         assert "Traceback" not in done.stderr, done.stderr
         return done
 
@@ -123,7 +125,7 @@
             )
             time.sleep(0.02)
 
-    def up(self):
+    def wait_ready(self):
         self.until(
             lambda: (
                 self.status().get("ready")
@@ -134,7 +136,7 @@
         )
         return {name: row["pid"] for name, row in self.rows().items()}
 
-    def say(self, n, line):
+    def first_answer(self, n, line):
         """What a client gets for its first line."""
         with socket.create_connection(("127.0.0.1", self.port + n), timeout=10) as sock:
             sock.sendall(line + b"\r\n")
@@ -168,18 +170,18 @@
     """What a service manager gets that listens at the fleet's `notify`; always, for
     one that does not read misses notices.
     """
-    manager, said = socket.socket(socket.AF_UNIX, socket.SOCK_DGRAM), []
+    manager, notifications = socket.socket(socket.AF_UNIX, socket.SOCK_DGRAM), []
     manager.bind(str(one.folder / "notify"))
 
     def listen():
         while True:
-            said.append(manager.recv(4096).decode())
+            notifications.append(manager.recv(4096).decode())
 
     threading.Thread(target=listen, daemon=True).start()
-    return said
+    return notifications
 
 
-def gone(pids):
+def have_ended(pids):
     return all(
         not os.path.exists(f"/proc/{pid}") or open(f"/proc/{pid}/stat").read().split(") ")[1][0] == "Z"
         for pid in pids
@@ -188,39 +190,39 @@
 
 def test_commands_and_notices_to_the_service_manager(fleet, tmp_path):
     one = fleet(2)
-    said = notices(one)
+    notifications = notices(one)
 
-    def heard(word):
-        one.until(lambda: any(word in line for line in said), word)
+    def received(word):
+        one.until(lambda: any(word in line for line in notifications), word)
         return True
 
     process = one.run(
         env={**os.environ, "NOTIFY_SOCKET": str(one.folder / "notify"), "WATCHDOG_USEC": "200000"}
     )
-    assert heard("READY=1") and heard("WATCHDOG=1") and one.status()["ready"], (
+    assert received("READY=1") and received("WATCHDOG=1") and one.status()["ready"], (
         "ready was told before it was so"
     )
-    before = one.up()
-    assert one.say(0, b"PING") == one.say(1, b"PING") == b"PONG"
+    before = one.wait_ready()
+    assert one.first_answer(0, b"PING") == one.first_answer(1, b"PING") == b"PONG"
     table = one.command("status")
     assert table.returncode == 0 and "f-0  " in table.stdout and "serving" in table.stdout
-    said.clear()
+    notifications.clear()
     process.send_signal(signal.SIGHUP)
-    assert heard("RELOADING=1") and heard("READY=1") and one.up() == before, (
+    assert received("RELOADING=1") and received("READY=1") and one.wait_ready() == before, (
         "nothing has changed, so nobody is restarted"
     )
     assert one.command("drain", "f-1").returncode == 0
     one.until(lambda: one.rows()["f-1"]["state"] == "drained", "drained")
-    assert one.say(1, b"OPEN x k c=chat,d=2000") == b"BUSY" and one.say(1, b"PING") == b"ERR", (
-        "the door of the drained one"
-    )
+    assert (
+        one.first_answer(1, b"OPEN x k c=chat,d=2000") == b"BUSY" and one.first_answer(1, b"PING") == b"ERR"
+    ), "the door of the drained one"
     crowd = [socket.create_connection(("127.0.0.1", one.port + 1), timeout=10) for _ in range(200)]
     for sock in crowd:
         sock.sendall(b"OPEN x k c=chat,d=2000\r\n")
     assert [sock.recv(100) for sock in crowd] == [b"BUSY\r\n"] * 200 and "fault" not in one.log()
     for sock in crowd:
         sock.close()
-    assert one.say(0, b"PING") == b"PONG" and one.command("status").returncode == 0
+    assert one.first_answer(0, b"PING") == b"PONG" and one.command("status").returncode == 0
     assert one.command("restart", "f-1").returncode == one.command("restart", "f-0").returncode == 0
     one.until(
         lambda: all(r["state"] == "serving" and r["pid"] not in before.values() for r in one.rows().values()),
@@ -229,14 +231,14 @@
     unknown = one.command("drain", "f-9")
     assert unknown.returncode == 1 and "f-9: no such instance" in unknown.stderr
     assert "instance=" in one.log() and "generation=" in one.command("logs", "f-0").stdout
-    said.clear()
-    assert one.command("stop").returncode == 0 and process.wait(WAIT) == 0 and heard("STOPPING=1")
+    notifications.clear()
+    assert one.command("stop").returncode == 0 and process.wait(WAIT) == 0 and received("STOPPING=1")
     assert one.command("status").returncode == 2
 
 
 def test_a_single_node_tells_the_service_manager_too(fleet):
     one = fleet(1)
-    said = notices(one)
+    notifications = notices(one)
     answer, speaks = one.toy.answer, threading.Event()
     one.toy.answer = lambda query: speaks.wait(WAIT) and answer(query)
     one.node["listen"] = f"127.0.0.1:{one.port}"
@@ -248,73 +250,75 @@
         env={**os.environ, "NOTIFY_SOCKET": str(one.folder / "notify"), "WATCHDOG_USEC": "100000"},
     )
     one.processes.append(process)
-    one.until(lambda: said.count("WATCHDOG=1") >= 3, "alive")
-    assert not any("READY" in line for line in said), "ready without a list"
+    one.until(lambda: notifications.count("WATCHDOG=1") >= 3, "alive")
+    assert not any("READY" in line for line in notifications), "ready without a list"
     speaks.set()
-    one.until(lambda: any("READY=1" in line for line in said), "ready")
+    one.until(lambda: any("READY=1" in line for line in notifications), "ready")
     process.send_signal(signal.SIGTERM)
-    one.until(lambda: "STOPPING=1" in said, "stopping")
+    one.until(lambda: "STOPPING=1" in notifications, "stopping")
     assert process.wait(WAIT) == 0
 
 
 def test_kill_of_an_instance_of_the_supervisor_and_of_both(fleet):
     one = fleet(2)
     first = one.run()
-    before = one.up()
+    before = one.wait_ready()
     os.kill(before["f-0"], signal.SIGKILL)
     one.until(lambda: one.rows()["f-0"]["pid"] not in (None, before["f-0"]) and one.status()["ready"], "back")
     assert one.rows()["f-0"]["why"] == "signal 9" and one.rows()["f-0"]["restarts"] == 1
-    before = one.up()
+    before = one.wait_ready()
     first.kill()
     first.wait()
-    assert one.say(0, b"PING") == one.say(1, b"PING") == b"PONG", "without a supervisor they serve on"
+    assert one.first_answer(0, b"PING") == one.first_answer(1, b"PING") == b"PONG", (
+        "without a supervisor they serve on"
+    )
     second = one.run()
-    assert one.up() == before, "adopted, not started anew"
+    assert one.wait_ready() == before, "adopted, not started anew"
     assert one.log().count("event=adopted") == 2
     one.node["limits"]["sockets"] = 1000  # which no running instance takes over
     one.write()
     second.kill()
     os.kill(before["f-0"], signal.SIGKILL)
     second.wait()
-    one.until(lambda: gone([before["f-0"]]), "killed")
+    one.until(lambda: have_ended([before["f-0"]]), "killed")
     one.run()
-    after = one.up()
+    after = one.wait_ready()
     assert not set(after.values()) & set(before.values()), (
         "the plan has changed: the one left over is replaced"
     )
-    assert one.say(0, b"PING") == one.say(1, b"PING") == b"PONG"
+    assert one.first_answer(0, b"PING") == one.first_answer(1, b"PING") == b"PONG"
 
 
 def test_instances_without_a_supervisor_stop_themselves(fleet):
     one = fleet(2)
     one.write('[instance]\norphan_s = 1.0\n[log]\nformat = "json"\n')
     process = one.run()
-    pids = one.up()
+    pids = one.wait_ready()
     lines = [json.loads(line) for line in (one.folder / "s" / "log" / "f-1.log").read_text().splitlines()]
     assert lines and all((line["node"], line["generation"]) == ("f-1", 2) for line in lines)
     process.kill()
     process.wait()
-    one.until(lambda: gone(pids.values()), "orphans have stopped")
+    one.until(lambda: have_ended(pids.values()), "orphans have stopped")
     one.run()
-    one.up()
+    one.wait_ready()
 
 
 def test_a_frozen_instance_is_replaced_and_a_frozen_orphan_is_ended_at_the_next_start(fleet):
     one = fleet(2)
     process = one.run()
-    pids = one.up()
+    pids = one.wait_ready()
     os.kill(pids["f-1"], signal.SIGSTOP)
     one.until(
         lambda: one.rows()["f-1"]["pid"] not in (None, pids["f-1"]) and one.status()["ready"], "replaced"
     )
     assert one.rows()["f-1"]["why"] == "stuck: no step for 2 s" and one.rows()["f-0"]["pid"] == pids["f-0"]
-    pids = one.up()
+    pids = one.wait_ready()
     process.kill()
     process.wait()
     os.kill(pids["f-0"], signal.SIGSTOP)
     one.run()
-    after = one.up()
-    assert after["f-1"] == pids["f-1"] and after["f-0"] != pids["f-0"] and gone([pids["f-0"]])
+    after = one.wait_ready()
+    assert after["f-1"] == pids["f-1"] and after["f-0"] != pids["f-0"] and have_ended([pids["f-0"]])
 
 
 def broken_checkout(folder):
@@ -324,27 +328,27 @@
     return package.parent
 
 
-def test_an_upgrade_that_does_not_start_goes_back_and_a_good_one_is_kept(fleet):
+def test_an_upgrade_that_does_not_start_is_rolled_back_and_a_good_one_is_kept(fleet):
     one = fleet(2)
     process = one.run()
-    before = one.up()
+    before = one.wait_ready()
     done = one.command("upgrade", "--checkout", str(broken_checkout(one.folder)))
     assert done.returncode == 1 and "f-0: exit 1" in done.stderr
-    assert one.up() == before, "the old ones were touched"
+    assert one.wait_ready() == before, "the old ones were touched"
     (one.folder / "new").symlink_to(ROOT)
     assert one.command("upgrade", "--checkout", str(one.folder / "new")).returncode == 0
-    after = one.up()
+    after = one.wait_ready()
     assert not set(after.values()) & set(before.values())
     environment = Path(f"/proc/{after['f-0']}/environ").read_text()
     assert environment.split("PYTHONPATH=")[1].split("\0")[0] == str(one.folder / "new")
     process.kill()
     process.wait()
     one.run()
-    assert one.up() == after, "the next supervisor knows of the upgrade"
+    assert one.wait_ready() == after, "the next supervisor knows of the upgrade"
     assert one.command("upgrade", "--checkout", str(one.folder)).returncode == 2
 
 
-def test_one_that_crashes_at_each_start_is_given_up_and_told_to_clients(fleet):
+def test_an_instance_that_crashes_at_each_start_is_given_up_and_answered_busy(fleet):
     one = fleet(2)
     (one.folder / "s").mkdir()
     (one.folder / "s" / "fleet.json").write_text(
@@ -353,16 +357,16 @@
     one.run()
     one.until(lambda: {r["state"] for r in one.rows().values()} == {"given-up"}, "given up")
     assert one.log().count("event=ended") == 8, "each once and three times again"
-    assert one.say(0, b"OPEN x k c=chat,d=2000") == b"BUSY"
+    assert one.first_answer(0, b"OPEN x k c=chat,d=2000") == b"BUSY"
     assert one.command("upgrade").returncode == 0, "onto the supervisor's own program"
-    one.up()
-    assert one.say(0, b"PING") == b"PONG"
+    one.wait_ready()
+    assert one.first_answer(0, b"PING") == b"PONG"
 
 
 def test_two_on_one_folder_and_addresses_that_are_taken(fleet):
     one = fleet(2)
     first = one.run()
-    one.up()
+    one.wait_ready()
     second = one.command("run")
     assert second.returncode == 2 and f"another supervisor is running there, pid {first.pid}" in second.stderr
     other = fleet(2, listen=f"127.0.0.1:{one.port}")
@@ -372,28 +376,28 @@
         and f"127.0.0.1:{one.port} for f-0: address in use" in third.stderr
         and "for f-1" in third.stderr
     )
-    assert one.up()
+    assert one.wait_ready()
     first.kill()
     first.wait()
     (one.folder / "s" / "fleet.pid").write_text("1\n")  # stale, and some other process has that number
     one.run()
-    one.up()
+    one.wait_ready()
 
 
 def test_a_file_that_is_faulty_half_written_unreadable_or_gone_changes_nothing(fleet):
     one = fleet(2)
     process = one.run()
-    before = one.up()
+    before = one.wait_ready()
     good = (one.folder / "node.json").read_text(), (one.folder / "o.toml").read_text()
 
-    def spoil(template, operators):
+    def write_files(template, operators):
         for name, text in (("node.json", template), ("o.toml", operators)):
             (one.folder / name).unlink(missing_ok=True)
             if text is not None:
                 (one.folder / name).write_bytes(text.encode() if isinstance(text, str) else text)
 
     kept = shutil.copy(one.folder / "o.toml", one.folder / "kept.toml")
-    for template, operators, said in (
+    for template, operators, expected in (
         (good[0][:200], good[1], "invalid JSON"),
         (None, good[1], "No such file"),
         (b"\xff\xfe", good[1], "decode"),
@@ -406,89 +410,91 @@
         ),
         (good[0], None, "No such file"),
     ):
-        spoil(template, operators)
+        write_files(template, operators)
         count = one.log().count('kept="the old configuration"')
         process.send_signal(signal.SIGHUP)
         one.until(lambda before=count: one.log().count('kept="the old configuration"') > before, "told")
-        assert said in one.log().splitlines()[-1] or said in one.log(), said
-    spoil(*good)
-    assert one.up() == before and kept
+        assert expected in one.log().splitlines()[-1] or expected in one.log(), expected
+    write_files(*good)
+    assert one.wait_ready() == before and kept
     assert one.command("reload").returncode == 0
     one.node["limits"]["sockets"] = 1000  # which no running instance takes over
     one.write()
     assert one.command("reload").returncode == 0
-    assert not set(one.up().values()) & set(before.values())
+    assert not set(one.wait_ready().values()) & set(before.values())
 
 
 def test_a_live_change_reaches_running_instances(fleet):
     one = fleet(2)
     one.run()
-    before = one.up()
+    before = one.wait_ready()
     _, one.node["discovery"] = toy(1)
     one.write()
     assert one.command("reload").returncode == 0
-    assert one.up() == before, "nobody was restarted"
+    assert one.wait_ready() == before, "nobody was restarted"
     one.until(lambda: one.command("logs", "f-1").stdout.count("entries=1") == 1, "the new discovery's list")
     one.write(instances=3)  # Balancers changes with it: the two take it over, and one is new
     assert one.command("reload").returncode == 0
-    after = one.up()
+    after = one.wait_ready()
     assert set(after) == {"f-0", "f-1", "f-2"} and after | before == after, "nobody was restarted"
     assert all(one.command("logs", name).stdout.count("event=reload") == 2 for name in before)
     one.node["limits"]["sockets"] = 1000
     one.write()
     assert one.command("reload").returncode == 0
-    assert not set(one.up().values()) & set(after.values()), "limits take a new process"
+    assert not set(one.wait_ready().values()) & set(after.values()), "limits take a new process"
     one.write(instances=1)
     assert one.command("reload").returncode == 0
     one.until(lambda: set(one.rows()) == {"f-0"}, "the others are gone")
     with pytest.raises(ConnectionRefusedError):
-        one.say(2, b"PING")
+        one.first_answer(2, b"PING")
 
 
 def test_settings_reach_running_instances_and_connections_stay(fleet):
     one = fleet(2)
     process = one.run()
-    before = one.up()
-    assert one.say(1, b"OPEN x k c=other,d=20").startswith(b"ERR")
-    standing = socket.create_connection(("127.0.0.1", one.port + 1), timeout=10)
-    standing.sendall(b"OPEN y k c=chat,d=20000\r\n")
-    up = standing.makefile("rb").readline()
+    before = one.wait_ready()
+    assert one.first_answer(1, b"OPEN x k c=other,d=20").startswith(b"ERR")
+    established = socket.create_connection(("127.0.0.1", one.port + 1), timeout=10)
+    established.sendall(b"OPEN y k c=chat,d=20000\r\n")
+    answer = established.makefile("rb").readline()
     one.node["settings"]["TrafficTypes"].append({**one.node["settings"]["TrafficTypes"][0], "Name": "other"})
     one.write()
     done = one.command("reload")
     assert done.returncode == 0, done.stderr
-    assert one.say(1, b"OPEN z k c=other,d=20").startswith(b"UP") and up.startswith(b"UP")
-    standing.setblocking(False)
+    assert one.first_answer(1, b"OPEN z k c=other,d=20").startswith(b"UP") and answer.startswith(b"UP")
+    established.setblocking(False)
     with pytest.raises(BlockingIOError):  # neither closed nor told anything
-        standing.recv(1, socket.MSG_PEEK)
-    standing.close()
-    assert one.up() == before, "nobody was restarted"
+        established.recv(1, socket.MSG_PEEK)
+    established.close()
+    assert one.wait_ready() == before, "nobody was restarted"
     process.kill()
     process.wait()
     one.run()
-    assert one.up() == before and one.log().count("event=adopted") == 2 and "going-back" not in one.log()
+    assert (
+        one.wait_ready() == before and one.log().count("event=adopted") == 2 and "going-back" not in one.log()
+    )
     assert "of=adopted" not in one.log(), "the next supervisor knows that the settings are in force there"
 
 
-def test_a_full_disk_costs_lines_and_no_service(fleet):
+def test_a_full_disk_loses_log_lines_but_no_service(fleet):
     one = fleet(2)
     process = one.run(preexec_fn=lambda: resource.setrlimit(resource.RLIMIT_FSIZE, (0, 0)))
-    before = one.up()
-    assert one.say(0, b"PING") == one.say(1, b"PING") == b"PONG"
+    before = one.wait_ready()
+    assert one.first_answer(0, b"PING") == one.first_answer(1, b"PING") == b"PONG"
     os.kill(before["f-0"], signal.SIGKILL)
     one.until(lambda: one.rows()["f-0"]["pid"] not in (None, before["f-0"]) and one.status()["ready"], "back")
     one.node["limits"]["sockets"] = 1000
     one.write()
     assert one.command("reload").returncode == 0
-    assert one.up()["f-1"] != before["f-1"], "successors are started on a full disk too"
+    assert one.wait_ready()["f-1"] != before["f-1"], "successors are started on a full disk too"
     assert not (one.folder / "s" / "f-0.list.json").exists() and one.log() == ""
     assert one.command("stop").returncode == 0 and process.wait(WAIT) == 0
 
 
-def test_descriptors_that_do_not_suffice_are_told_before_the_start_and_running_out_ends_nothing(fleet):
+def test_a_low_descriptor_limit_is_reported_at_the_start_and_running_out_ends_nothing(fleet):
     one = fleet(2)
     done = subprocess.run(
-        one.words("run"),
+        one.command_line("run"),
         cwd=ROOT,
         capture_output=True,
         text=True,
@@ -497,7 +503,7 @@
     )
     assert done.returncode == 2 and "descriptors" in done.stderr
     process = one.run()
-    before = one.up()
+    before = one.wait_ready()
     full = resource.prlimit(
         process.pid, resource.RLIMIT_NOFILE, (8, resource.prlimit(process.pid, resource.RLIMIT_NOFILE)[1])
     )
@@ -508,7 +514,7 @@
         lambda: one.status().get("ready") or one.rows().get("f-0", {}).get("state") == "given-up", "goes on"
     )
     assert one.command("restart", "f-0").returncode == 0
-    after = one.up()
+    after = one.wait_ready()
     assert after["f-1"] == before["f-1"]
 
 
@@ -532,7 +538,7 @@
     more = f"[instance]\nlist_wait_s = {0.2 if saved else 20.0}\nsave_list = {str(saved).lower()}\n"
     one.write(more, start_s=25.0)
     one.run()
-    pid = one.up()["f-0"]
+    pid = one.wait_ready()["f-0"]
     one.toy.change(0, "Terminating")
     kept = one.folder / "s" / "f-0.list.json"
     if saved:
@@ -547,18 +553,20 @@
         hangs.clear()
     one.until(lambda: one.rows()["f-0"]["state"] == "serving", "serving")
     for n in range(20):
-        assert one.say(0, b"OPEN i%d k%d c=chat,d=2000,g=%x" % (n, n, n)).startswith(b"UP")
+        assert one.first_answer(0, b"OPEN i%d k%d c=chat,d=2000,g=%x" % (n, n, n)).startswith(b"UP")
     hangs.clear()
     log = one.folder / "s" / "log" / "f-0.log"
     one.until(lambda: log.read_text().count("legs=") == 20, "all are over")
     assert log.read_text().count("legs=1 host=toy-2") == 20, "toy-1, number 0, drains"
 
 
-def test_an_upgrade_that_ends_more_calls_badly_goes_back_by_itself(fleet):
+def test_an_upgrade_that_ends_more_calls_badly_is_rolled_back(fleet):
     one = fleet(2, watch_s=60.0, worse_of=10)
     one.run()
-    before = one.up()
-    assert all(one.say(n % 2, b"OPEN i%d k%d c=chat,d=2000" % (n, n)).startswith(b"UP") for n in range(20))
+    before = one.wait_ready()
+    assert all(
+        one.first_answer(n % 2, b"OPEN i%d k%d c=chat,d=2000" % (n, n)).startswith(b"UP") for n in range(20)
+    )
     worse = one.folder / "worse"
     shutil.copytree(
         ROOT / "cottonspread", worse / "cottonspread", ignore=shutil.ignore_patterns("__pycache__")
@@ -570,7 +578,7 @@
         )
     )
     upgrade = subprocess.Popen(
-        one.words("upgrade", "--checkout", str(worse)),
+        one.command_line("upgrade", "--checkout", str(worse)),
         cwd=ROOT,
         stdout=subprocess.PIPE,
         stderr=subprocess.PIPE,
@@ -581,10 +589,10 @@
         "the first is changed",
     )
     for n in range(12):
-        assert one.say(0, b"OPEN j%d k%d c=chat,d=2000" % (n, n)).startswith(b"BUSY")
-    _, said = upgrade.communicate(timeout=WAIT)
+        assert one.first_answer(0, b"OPEN j%d k%d c=chat,d=2000" % (n, n)).startswith(b"BUSY")
+    _, stderr = upgrade.communicate(timeout=WAIT)
     assert (
-        upgrade.returncode == 1 and "f-0: " in said and "calls ended badly, before 0.000 of them" in said
-    ), said
-    after = one.up()
-    assert after["f-1"] == before["f-1"] and one.say(0, b"OPEN x k c=chat,d=2000").startswith(b"UP")
+        upgrade.returncode == 1 and "f-0: " in stderr and "calls ended badly, before 0.000 of them" in stderr
+    ), stderr
+    after = one.wait_ready()
+    assert after["f-1"] == before["f-1"] and one.first_answer(0, b"OPEN x k c=chat,d=2000").startswith(b"UP")
--- a/tests/fleet/test_operator.py
+++ b/tests/fleet/test_operator.py
@@ -59,10 +59,10 @@
 def test_every_fault_of_the_file_is_told_at_once_with_file_and_key(tmp_path, text, keys, capsys):
     file = tmp_path / "o.toml"
     file.write_text(text)
-    with pytest.raises(op.OperatorFileError) as told:
+    with pytest.raises(op.OperatorFileError) as error:
         op.read(str(file))
-    assert len(told.value.faults) == len(keys)
-    for line, key in zip(told.value.faults, keys, strict=True):
+    assert len(error.value.faults) == len(keys)
+    for line, key in zip(error.value.faults, keys, strict=True):
         assert line.startswith(f"{file}: {key}"), line
     assert cli.main(["check", "--operator", str(file)]) == 2
     said = capsys.readouterr().err.splitlines()
@@ -144,10 +144,10 @@
         ({**NODE, "seed": "xyz"}, "xyz"),
     ],
 )
-def test_a_template_that_makes_no_sense_is_named(tmp_path, node, said):
-    with pytest.raises(config.ConfigurationError) as told:
+def test_an_invalid_template_is_named(tmp_path, node, said):
+    with pytest.raises(config.ConfigurationError) as error:
         plans.read(fleet(tmp_path, node=node), ("py", ""))
-    assert "node.json: " in str(told.value) and said in str(told.value)
+    assert "node.json: " in str(error.value) and said in str(error.value)
 
 
 def with_settings(**more):
