--- a/benchmarks/configstore/mutants.py
+++ b/benchmarks/configstore/mutants.py
@@ -1,8 +1,8 @@
-"""Mutants of the configuration store: one line changed on a scratch copy, and the tests that must notice.
+"""Mutation tests of the configuration store: one line is changed in a copy, and the tests must fail.
 
     python benchmarks/configstore/mutants.py [RESULT.json]
 
-Two run at a time; the end is 0 if each was noticed.
+Two run at a time; the exit code is 0 if each mutant was detected.
 """
 
 import json
@@ -360,7 +360,7 @@
 
 
 def play(mutant):
-    """Whether the tests notice."""
+    """Runs the tests with one mutant; returns whether they failed."""
     what, file, text, other, tests = mutant
     with tempfile.TemporaryDirectory() as folder:
         copy = Path(folder) / "tree"
@@ -370,11 +370,11 @@
         path = copy / "cottonspread" / "configstore" / file
         source = path.read_text()
         if source.count(text) != 1:
-            why = f"its text stands there {source.count(text)} times"
+            why = f"its text occurs {source.count(text)} times"
             return {"mutant": what, "file": file, "noticed": False, "why": why}
         path.write_text(source.replace(text, other))
         command = [sys.executable, "-m", "pytest", "-n", "0", "-q", "-x", "-p", "no:cacheprovider", tests]
-        command += ["-k", "not command"]  # it names the checkout's commit, and the copy is none
+        command += ["-k", "not command"]  # that test needs the checkout's commit, and the copy has none
         try:
             done = subprocess.run(command, cwd=copy, capture_output=True, text=True, timeout=WAIT)
         except subprocess.TimeoutExpired:
@@ -385,7 +385,7 @@
 
 
 def main(given):
-    """Plays all, or those whose name contains the words after the result's path."""
+    """Runs all mutants, or those whose name contains one of the words after the result's path."""
     words = given[1:]
     chosen = [one for one in MUTANTS if not words or any(word in one[0] for word in words)]
     told = []
--- a/benchmarks/fleet/forty.py
+++ b/benchmarks/fleet/forty.py
@@ -1,7 +1,6 @@
-"""Forty instances on one machine: plays benchmarks/fleet/forty.toml and writes what the
-operators asked for to results/forty.json.
+"""Forty instances on one machine: runs benchmarks/fleet/forty.toml and writes results/forty.json.
 
-PYTHONPATH=. python benchmarks/fleet/forty.py [--out FOLDER]          # four minutes; wants the cores alone
+PYTHONPATH=. python benchmarks/fleet/forty.py [--out FOLDER]     # four minutes; needs an idle machine
 """
 
 import argparse
--- a/tests/configstore/drivers.py
+++ b/tests/configstore/drivers.py
@@ -1,4 +1,4 @@
-"""Cores driven by hand: each effect is carried out when the test says so."""
+"""Drivers for the cores in tests: effects are executed when the test asks for it."""
 
 from cottonspread.configstore import follower as fo
 from cottonspread.configstore import messages as m
@@ -8,25 +8,28 @@
 REPLICAS = "r1", "r2", "r3"
 EVERYWHERE, CANARY, WITHDRAWN = m.Stage.EVERYWHERE, m.Stage.CANARY, m.Stage.WITHDRAWN
 ALL = 2**32
-"""A canary threshold under which every node falls."""
+"""A canary threshold that makes every node a canary."""
 
 
 TICKS_AT_MOST = 10_000
-"""Of one passing of time: a core that wants more asks for them without pause."""
+"""Ticks in one interval of time: a core that requests more would run in a busy loop."""
 
 
 def always_half():
-    """Chance that is none."""
+    """A constant in place of random numbers."""
     return 0.5
 
 
 def record(generation, version, stage=EVERYWHERE, body=None, below=ALL):
-    """A sound record."""
+    """A valid record."""
     return m.make_record(generation, version, stage, below, f"body {version}" if body is None else body)
 
 
 class ReplicaDriver:
-    """A replica whose disk takes what it is given at once, unless `slow`, or fails, while `broken`."""
+    """A replica with a simulated disk.
+
+    Stores complete at once, unless `store_waits`; they fail while `store_fails`.
+    """
 
     def __init__(self, name="r1", state=None, now=0):
         self.name, self.now, self.number = name, now, 0
@@ -36,7 +39,7 @@
         self.restart()
 
     def restart(self):
-        """Only the disk is left."""
+        """Restarts the replica; only the disk's contents are kept."""
         peers = tuple(name for name in REPLICAS if name != self.name)
         self.core = re.Replica(self.name, peers, self.disk, always_half)
         self.stores, self.replies, self.peer_calls = [], {}, []
@@ -66,13 +69,13 @@
         self.step(re.Stored(store.token, not self.store_fails, "disk full" if self.store_fails else ""))
 
     def ask(self, message):
-        """The number of the request."""
+        """Sends a request and returns its number."""
         self.number += 1
         self.step(re.RequestReceived(self.number, message))
         return self.number
 
     def reply(self, message):
-        """Asks, and the reply or None."""
+        """Sends a request and returns the reply, or None."""
         return self.replies.get(self.ask(message))
 
     def watch(self, node="n1", since=0, timeout_ms=10_000, **said):
@@ -94,7 +97,7 @@
 
 
 class FollowerDriver:
-    """A follower whose checks, saves and applies wait for the test."""
+    """A follower whose checks, saves and applies are completed by the test."""
 
     def __init__(self, node="n1", replicas=REPLICAS, saved=None, uniform=always_half):
         self.core, self.now = fo.Follower(node, replicas, uniform), 0
@@ -113,7 +116,7 @@
                     self.steps.append(effect)
 
     def finish_step(self, ok=True, why=""):
-        """Carries out the next piece of work; what it was."""
+        """Completes the next check, save or apply; returns its type."""
         effect = self.steps.pop(0)
         match effect:
             case fo.Check():
@@ -135,7 +138,7 @@
         return done
 
     def answer(self, new=None, call=None, age=0, generation=None):
-        """Answers a call, the oldest where none is named."""
+        """Answers a call, by default the oldest."""
         call = call or next(iter(self.open_calls))
         ask = self.open_calls.pop(call)
         generation = generation if generation is not None else new.generation if new else ask.request.since
@@ -172,7 +175,7 @@
 
 
 class Cluster:
-    """Three replicas, and publishers whose calls are delivered one by one."""
+    """Three replicas and their nodes, for publishers whose calls are delivered one by one."""
 
     def __init__(self, nodes=10):
         self.now = 0
@@ -183,7 +186,7 @@
         self.report_nodes()
 
     def report_nodes(self):
-        """Each node reports to the first two replicas, with what `said` tells of it."""
+        """Each node reports to the first two replicas, with its fields from `reported`."""
         for node in self.nodes:
             for name in REPLICAS[:2]:
                 self.replicas[name].watch(node, since=2**40, timeout_ms=0, **self.reported.get(node, {}))
@@ -195,7 +198,7 @@
         return self.replicas[name].disk.committed
 
     def seed(self, *records):
-        """Every replica has accepted and committed these."""
+        """Lets every replica accept and commit these records."""
         for one in records:
             for replica in self.replicas.values():
                 base = replica.disk.accepted.position if replica.disk.accepted else m.EMPTY_POSITION
@@ -209,7 +212,7 @@
 
 
 class PublisherDriver:
-    """A publisher before a cluster."""
+    """A publisher connected to a cluster."""
 
     def __init__(self, cluster, command, uniform=always_half):
         self.cluster, self.core = cluster, pu.Publisher(REPLICAS, command, uniform)
@@ -227,7 +230,7 @@
                     self.done = effect
 
     def deliver(self, index=0, lose_reply=False):
-        """The call at that place reaches its replica, and the reply comes back, or not."""
+        """Delivers the call at this index to its replica, and the reply unless `lose_reply`."""
         call = self.calls.pop(index)
         replica = self.cluster.replicas[call.replica]
         if call.replica not in self.cluster.up:
@@ -244,13 +247,13 @@
             self.deliver()
 
     def until(self, step):
-        """Delivers call by call until that step begins."""
+        """Delivers calls until this step begins."""
         while self.progress[-1].step != step:
             assert self.calls and self.done is None
             self.deliver()
 
     def run(self, span=60 * m.SECOND):
-        """On, with time, until it is done."""
+        """Delivers calls and advances time until the publisher is done, at most for `span`."""
         until, turns = self.cluster.now + span, 0
         while self.done is None and self.cluster.now <= until:
             turns += 1
@@ -261,5 +264,5 @@
                 self.cluster.set_now(max(self.cluster.now, self.core.wake_at))
                 self.step(pu.Tick())
         while self.done is not None and self.calls:
-            self.deliver()  # what was under way arrives
+            self.deliver()  # calls still open are delivered
         return self.done
--- a/tests/configstore/shells.py
+++ b/tests/configstore/shells.py
@@ -1,5 +1,6 @@
-"""Real replicas, nodes and followers on loopback, for the tests of the shells. Every wait is for what is to
-happen, with a bound.
+"""Real replicas, nodes and followers on loopback, for the tests of the I/O shells.
+
+Every wait is for the expected condition, with a timeout.
 """
 
 import importlib.util
@@ -23,7 +24,7 @@
 
 
 def until(true, what, wait=WAIT):
-    """Until that is so; AssertionError after `wait` seconds."""
+    """Waits until `true()` is true and returns its value; AssertionError after `wait` seconds."""
     end = time.monotonic() + wait
     while not (value := true()):
         assert time.monotonic() < end, what() if callable(what) else what
@@ -35,8 +36,9 @@
 
 
 def free_ports(count):
-    """Ports in a row that nobody listens on, under those that the system gives out, and none given twice:
-    who is to listen there may not do so yet.
+    """Returns consecutive ports that nobody listens on, below the system's ephemeral range.
+
+    No port is returned twice, because the intended listener may not have bound it yet.
     """
     found = []
     while len(found) < count:
@@ -51,7 +53,7 @@
 
 
 def start_toy(port=0):
-    """A discovery with one server behind it: its address. `port`: where it listens; 0: anywhere."""
+    """Starts a discovery service with one server; returns its address. `port`: 0 for any."""
     spec = importlib.util.spec_from_file_location("toy", ROOT / "examples" / "toy.py")
     module = importlib.util.module_from_spec(spec)
     spec.loader.exec_module(module)
@@ -61,27 +63,27 @@
 
 
 def start_two_toys():
-    """Two of them on ports in a row: the first's address."""
+    """Starts two discovery services on consecutive ports; returns the first one's address."""
     first, second = free_ports(2)
     start_toy(second)
     return start_toy(first)
 
 
 def configuration(**settings):
-    """The platform's JSON of the example, with these settings besides, as parsed."""
+    """Returns the example's platform JSON, parsed, with these additional settings."""
     config_json = json.loads((ROOT / "examples" / "node.json").read_text())
     config_json["settings"] |= settings
     return config_json
 
 
 def types(*names):
-    """Traffic types with these names."""
+    """Returns traffic types with these names."""
     first = configuration()["settings"]["TrafficTypes"][0]
     return [{**first, "Name": name} for name in names]
 
 
 class Store:
-    """Three replicas as processes, and what watches them."""
+    """Three replica processes, and the nodes and followers that watch them."""
 
     def __init__(self, folder):
         self.folder, self.ports = folder, free_ports(3)
@@ -92,47 +94,47 @@
 
     @property
     def all(self):
-        """As the command line takes them."""
+        """The replicas' addresses as a command-line argument."""
         return ",".join(self.names)
 
     def process(self, log, *words):
-        """The command as a process."""
+        """Starts a `cottonspread` command as a process."""
         with open(self.folder / log, "ab") as out:
             return subprocess.Popen(
                 [sys.executable, "-m", "cottonspread", *words], cwd=ROOT, stdout=out, stderr=out
             )
 
     def start(self, n, *more):
-        """Replica n; `more`: words of its command."""
+        """Starts replica n; `more`: further arguments of its command."""
         peers = ",".join(name for name in self.names if name != self.names[n])
         words = ("--listen", self.names[n], "--peers", peers, "--state", str(self.folder / f"r{n}"))
         self.replicas[n] = self.process(f"r{n}.log", "configuration", "serve", *words, *more)
 
     def kill(self, n):
-        """Replica n, as by a power cut."""
+        """Kills replica n, as a power failure would."""
         self.replicas[n].kill()
         self.replicas[n].wait(WAIT)
 
     def command(self, capsys, *words):
-        """Exit code and output of `cottonspread configuration ...`."""
+        """Returns exit code and output of `cottonspread configuration ...`."""
         capsys.readouterr()
         code = cli.main(["configuration", words[0], "--replicas", self.all, *words[1:]])
         output = capsys.readouterr()
         return code, output.out + output.err
 
     def status(self, capsys):
-        """As JSON."""
+        """Returns the status, parsed."""
         _, output = self.command(capsys, "status", "--json", "--wait", "1")
         return json.loads(output)
 
     def publish(self, capsys, config_json, *words):
-        """Exit code and output."""
+        """Publishes a configuration; returns exit code and output."""
         file = self.folder / "next.json"
         file.write_text(json.dumps(config_json))
         return self.command(capsys, "publish", str(file), *words)
 
     def until_watching(self, count):
-        """Until so many nodes watch two replicas each, so that any majority has heard of all of them."""
+        """Waits until `count` nodes watch two replicas each, so that any majority has all their reports."""
 
         def watches():
             states = driver.read_states(tuple(self.names), 1.0).values()
@@ -142,7 +144,7 @@
         until(lambda: watches() >= 2 * count, lambda: f"{watches()} watches of {count} nodes")
 
     def operator(self, name, more="", **keys):
-        """An operator's file with the section for this store."""
+        """Writes an operator's file with the section for this store; returns its path."""
         keys = {"replicas": self.names, "state": f"kept-{name}", **keys}
         path = self.folder / f"{name}.toml"
         text = "".join(f"{key} = {json.dumps(value)}\n" for key, value in keys.items())
@@ -150,14 +152,14 @@
         return path
 
     def follower(self, name, check=lambda record: None, apply=lambda record, done: done(True)):
-        """A bare one in this process."""
+        """Starts a follower without a node in this process."""
         client = Client(name, tuple(self.names), str(self.folder / name), check, apply)
         client.start()
         self.followers.append(client)
         return client
 
     def end(self):
-        """Of all."""
+        """Stops all followers, nodes and replicas."""
         for client in self.followers:
             client.stop()
         for process in [*self.nodes, *self.replicas]:
@@ -173,7 +175,7 @@
 
 
 class ServeNode:
-    """`cottonspread serve` with the section."""
+    """A node, `cottonspread serve`, that follows the store."""
 
     def __init__(self, store, name, discovery, **settings):
         self.store, self.name, self.port = store, name, free_ports(1)[0]
@@ -186,18 +188,18 @@
         self.start()
 
     def start(self):
-        """Anew."""
+        """Starts the process and waits until it serves."""
         words = ("serve", "--config", str(self.file), "--operator", str(self.toml))
         self.process = self.store.process(f"{self.name}.log", *words)
         self.store.nodes.append(self.process)
         until(lambda: self.accepts("chat"), lambda: self.log())
 
     def log(self):
-        """All of it."""
+        """Returns the complete log."""
         return (self.store.folder / f"{self.name}.log").read_text()
 
     def first_answer(self, kind):
-        """The first word of its answer to a call of this type."""
+        """Returns the first line of the answer to a call of this type, or the error."""
         try:
             with socket.create_connection(("127.0.0.1", self.port), timeout=5) as sock:
                 sock.sendall(b"OPEN i%d k c=%s,d=20\r\n" % (time.monotonic_ns(), kind.encode()))
@@ -206,11 +208,11 @@
             return str(fault)
 
     def accepts(self, kind):
-        """Whether it opens a connection of this type."""
+        """Whether the node accepts a call of this type."""
         return self.first_answer(kind).startswith("UP")
 
     def knows(self, kind):
-        """Whether this type is in its configuration: one that is not is answered ERR, a slow server BUSY."""
+        """Whether this type is configured: an unknown type is answered ERR, a slow server gives BUSY."""
         answer = self.first_answer(kind)
         assert answer.split(" ")[0] in ("UP", "BUSY", "ERR"), answer
         return not answer.startswith("ERR")
--- a/tests/configstore/test_configuration_plays.py
+++ b/tests/configstore/test_configuration_plays.py
@@ -1,4 +1,4 @@
-"""The configuration store in simulated time at small sizes: plays, drawn faults, work counted, its judge."""
+"""The configuration store in simulated time at small sizes: plays, random faults, counted work and checks."""
 
 from types import SimpleNamespace
 
@@ -89,7 +89,7 @@
     assert sum(node.messages for node in fleet.nodes.values()) - before <= 4 * 16 + 4
 
 
-# The network and the judge can tell
+# The simulated network and the checks themselves
 
 
 def test_requests_and_responses_are_read_as_they_were_written():
@@ -106,7 +106,7 @@
 
 
 class Judge:
-    """The promises with a clock set by hand, and three replicas that accept what they are told."""
+    """The simulation's checks with a clock set by the test, and three replicas that accept everything."""
 
     def __init__(self):
         self.world = SimpleNamespace(now=0)
--- a/tests/configstore/test_follower.py
+++ b/tests/configstore/test_follower.py
@@ -1,4 +1,4 @@
-"""A follower: what it takes, what it keeps, when it asks whom, and what it says of itself."""
+"""A follower: which records it applies and saves, which replica it calls when, and what it reports."""
 
 import random
 
@@ -14,7 +14,7 @@
 
 
 def follower_with(*records):
-    """A follower that has put these into force one after the other."""
+    """Returns a follower that has applied these records one after the other."""
     driver = FollowerDriver()
     for one in records:
         driver.answer(one)
@@ -23,11 +23,11 @@
 
 
 def pass_call_interval(driver):
-    """Lets the pause between asks pass."""
+    """Lets the minimum interval between calls pass."""
     driver.pass_time(watches.MIN_CALL_INTERVAL)
 
 
-# What it takes
+# Records that it applies
 
 
 def test_a_record_is_checked_then_saved_then_applied():
@@ -41,7 +41,7 @@
 
 def test_a_newer_record_replaces_it_and_the_same_one_does_no_work():
     driver = follower_with(record(1, 1))
-    driver.answer(record(1, 1))  # of the second watch, asked from 0 as well
+    driver.answer(record(1, 1))  # on the second watch, whose `since` was 0 too
     assert driver.steps == []
     pass_call_interval(driver)
     driver.answer(record(2, 2))
@@ -72,7 +72,7 @@
 )
 def test_an_untrustworthy_answer_is_ignored_and_moves_the_watch_to_another_replica(wrong):
     driver = follower_with(record(5, 5))
-    driver.fail()  # the watch that asked from 0
+    driver.fail()  # the watch whose `since` was 0
     pass_call_interval(driver)
     driver.pass_time(m.SECOND)
     call, asked = next((call, ask) for call, ask in driver.open_calls.items() if ask.request.since == 5)
@@ -102,7 +102,7 @@
     assert driver.view().generation == 2
 
 
-# What it refuses
+# Records that it refuses
 
 
 @pytest.mark.parametrize("failing", [0, 1, 2], ids=["check", "save", "apply"])
--- a/tests/configstore/test_publisher.py
+++ b/tests/configstore/test_publisher.py
@@ -1,4 +1,4 @@
-"""A publisher before three real replica cores: quorum, canaries, two at once, and a death at every step."""
+"""A publisher with three real replica cores: quorum, canaries, two at a time, and a crash at every step."""
 
 import random
 
@@ -17,7 +17,7 @@
 
 
 def report(cluster, record, share=1.0, **said):
-    """So many of the canaries report this of the record."""
+    """Lets this share of the canaries report these fields for the record."""
     names = cluster.canaries(record)
     for name in names[: round(len(names) * share)]:
         cluster.reported[name] = {key: record.version for key in said} | {
@@ -40,7 +40,7 @@
 
 
 def check_register(cluster):
-    """No two records for a generation, no two digests for a version, committed where a majority accepted."""
+    """Checks that no generation has two committed records and no version two digests."""
     known = {}
     for replica in cluster.replicas.values():
         one = replica.disk.committed
@@ -49,7 +49,7 @@
             assert known.setdefault(("version", one.version), one.digest) == one.digest
 
 
-# The ordinary path
+# Without failures
 
 
 def test_a_good_change_goes_to_canaries_and_then_everywhere():
@@ -326,7 +326,7 @@
 
 
 def runs_until_its_death(calls, body=BODY, bad=False):
-    """A cluster whose publisher died after so many calls; None where it was done before."""
+    """Returns a cluster whose publisher died after `calls` calls; None if it was done before."""
     cluster = cluster_with(record(1, 1))
     driver = start_publishing(cluster, body)
     for _ in range(calls):
@@ -393,7 +393,7 @@
     driver = at_canaries(cluster)
     PublisherDriver(cluster, pu.Withdraw()).run()
     assert driver.run().outcome == pu.Outcome.SUPERSEDED
-    assert cluster.now < 2 * pu.POLL_INTERVAL  # at its next look, not at the end of its wait
+    assert cluster.now < 2 * pu.POLL_INTERVAL  # at its next poll, not at the end of its timeout
 
 
 def test_an_uncommitted_leftover_is_superseded_and_its_version_is_not_used_again():
--- a/tests/configstore/test_replica.py
+++ b/tests/configstore/test_replica.py
@@ -1,4 +1,4 @@
-"""A replica: what it accepts, when it acknowledges, whom it answers when."""
+"""A replica: what it accepts, when it acknowledges, and when it replies to which client."""
 
 import msgspec
 import pytest
@@ -16,7 +16,7 @@
 
 
 def committed(*records):
-    """A replica with these committed one after the other."""
+    """Returns a replica with these records committed one after the other."""
     driver = ReplicaDriver()
     for one in records:
         assert driver.reply(m.Commit(record=one)).committed
@@ -84,7 +84,9 @@
 
 def test_committed_versions_only_grow():
     driver = committed(record(3, 2), record(5, 3))
-    assert driver.reply(m.Commit(record=record(4, 2, WITHDRAWN))).committed  # newer one is there
+    assert driver.reply(
+        m.Commit(record=record(4, 2, WITHDRAWN))
+    ).committed  # a newer record is committed already
     assert driver.disk.committed.generation == 5
     for wrong in (record(6, 2), record(5, 4), record(6, 3, body="other"), record(6, 3, CANARY)):
         assert not driver.reply(m.Commit(record=wrong)).committed
@@ -236,7 +238,7 @@
 
 def test_the_heap_of_waits_does_not_grow_with_waits_that_ended():
     driver = ReplicaDriver()
-    driver.watch("stays", timeout_ms=5_000)  # ends first, and so keeps the others in the heap
+    driver.watch("stays", timeout_ms=5_000)  # has the earliest deadline, and so keeps the others in the heap
     for _ in range(5_000):
         driver.step(re.RequestAbandoned(driver.watch()))
     assert len(driver.core._watches._heap) <= 200
--- a/tests/configstore/test_shell_fleet.py
+++ b/tests/configstore/test_shell_fleet.py
@@ -1,4 +1,4 @@
-"""A whole fleet that follows the store, and what a node without the section loads."""
+"""A complete fleet that follows the store, and which modules a node without the section loads."""
 
 import json
 import os
@@ -75,7 +75,7 @@
 def test_a_fleet_takes_over_what_is_published_and_says_why_it_refuses(store, capsys):
     discovery = shells.start_two_toys()
     fleet = Fleet(store, discovery, discovery_step=1)
-    fleet.process.send_signal(signal.SIGHUP)  # with its own file it goes on as ever
+    fleet.process.send_signal(signal.SIGHUP)  # before the first publish its own file counts
     shells.until(lambda: "event=rollout" in fleet.log(), fleet.log)
     pids = fleet.pids()
     store.until_watching(1)
@@ -97,9 +97,7 @@
         process.wait()
     fleet.start()
     assert fleet.pids() == pids and "event=going-back" not in fleet.log()
-    assert [log(store, n).count("event=reload") for n in range(2)] == [1, 1], (
-        "it had what it needs on its disk"
-    )
+    assert [log(store, n).count("event=reload") for n in range(2)] == [1, 1], "the saved record sufficed"
 
 
 def log(store, n):
@@ -107,7 +105,7 @@
 
 
 class Supervisor:
-    """What `Carrying` needs of one; a rollout's outcome is told by the test."""
+    """The part of a supervisor that `StoreFollower` uses; the test reports the outcome of rollouts."""
 
     def __init__(self, folder):
         self.path, self.program, self.rollouts = str(folder / "o.toml"), ("python", ""), []
--- a/tests/configstore/test_shell_section.py
+++ b/tests/configstore/test_shell_section.py
@@ -1,4 +1,4 @@
-"""The section [configuration], and what of a carried configuration stays a machine's own."""
+"""The section [configuration], and which keys of a published configuration stay local to a machine."""
 
 import json
 
@@ -63,7 +63,7 @@
 
 
 class Node:
-    """What `apply_published` needs of one."""
+    """The part of a node that `apply_published` uses."""
 
     def __init__(self):
         self.retuned, self.hastened = [], []
@@ -88,7 +88,7 @@
         assert not ok and expected in why
     assert node.retuned == ["second"] and node.hastened == [ev.NotRetuned] * 3
     assert serving.reload(node, active) == "" and node.retuned == ["second"] * 2, (
-        "SIGHUP keeps what is carried"
+        "SIGHUP keeps the published configuration"
     )
 
 
--- a/tests/configstore/test_shell_server.py
+++ b/tests/configstore/test_shell_server.py
@@ -1,6 +1,4 @@
-"""A replica's shell alone: requests in pieces, faulty ones, peers that are slow, silent or too many, and its
-storage.
-"""
+"""A replica's I/O shell alone: split and invalid requests, slow, silent and too many clients, and storage."""
 
 import os
 import socket
@@ -19,7 +17,7 @@
 
 
 class Running:
-    """A replica in a thread, without the others."""
+    """A replica in a thread, without its peers."""
 
     def __init__(self, folder):
         listener = socket.create_server(("127.0.0.1", 0))
@@ -57,7 +55,7 @@
 
 
 def answer(sock):
-    """(status, body) of the next one; (0, b"") at the connection's end."""
+    """Reads the next response as (status, body); (0, b"") at the end of the connection."""
     file = sock.makefile("rb")
     first = file.readline()
     if not first:
@@ -110,7 +108,7 @@
 
 def test_a_watch_waits_for_a_commit_and_one_whose_peer_has_gone_is_forgotten(running):
     sockets = [running.connect(watch()) for _ in range(3)]
-    shells.until(lambda: running.server.core.watches == 3, "three wait")
+    shells.until(lambda: running.server.core.watches == 3, "three watches are open")
     sockets.pop().close()
     shells.until(lambda: running.server.core.watches == 2, "one has gone")
     with running.connect(post("accept", m.encode(ACCEPT))) as sock:
@@ -160,7 +158,7 @@
 def test_more_connections_than_there_is_room_for_are_closed(running, monkeypatch):
     monkeypatch.setattr(server, "MAX_CONNECTIONS", 2)
     with running.connect(watch()) as one, running.connect(watch()) as other:
-        shells.until(lambda: running.server.core.watches == 2, "two wait")
+        shells.until(lambda: running.server.core.watches == 2, "two watches are open")
         with running.connect() as third:
             assert answer(third) == (0, b"")
         other.close()
@@ -241,7 +239,7 @@
 
 
 def test_a_replica_that_has_lost_its_file_does_not_take_part(tmp_path):
-    """It began with nothing, as a new one, and could accept a second body for a version it had accepted."""
+    """It used to start empty like a new one, and could accept a second body for an accepted version."""
     path = str(tmp_path / server.STATE_FILE)
     with pytest.raises(storage.StorageError, match="not found"):
         server.read_state(path, new=False)
--- a/tests/configstore/test_shell_store.py
+++ b/tests/configstore/test_shell_store.py
@@ -1,4 +1,4 @@
-"""The shells put together: three replicas, two nodes and bare followers, through publishes and failures."""
+"""All I/O shells together: three replicas, two nodes and further followers, with publishes and failures."""
 
 import json
 
@@ -29,7 +29,7 @@
     assert [client.view().version for client in followers] == [1] * 4
     assert nodes[0].log().count("event=listening") == 1, "nobody was restarted"
 
-    # Read alone it makes sense; beside what is in force it has lost a key, which only nodes can tell.
+    # It is valid by itself, but lacks a key that the configuration in force has, which only nodes can detect.
     faulty = json.loads(json.dumps(good))
     del faulty["settings"]["Rules"]
     refusing = [store.follower(f"strict-{n}", check=refuse) for n in range(30)]
@@ -76,7 +76,7 @@
     node.process.kill()
     node.process.wait()
     node.start()
-    assert node.knows("second"), "what was in force is so from the first moment on"
+    assert node.knows("second"), "the saved configuration is in force from the start"
     for n in range(3):
         store.start(n)
     store.until_watching(2)
@@ -97,7 +97,7 @@
     assert store.replicas[2].wait(shells.WAIT) == 2
     log = (store.folder / "r2.log").read_text()
     assert "replica.json: damaged: the checksum does not match" in log and "Traceback" not in log
-    assert file.read_bytes() == damaged, "left for staff to look at"
+    assert file.read_bytes() == damaged, "the file is left for an operator to inspect"
     code, output = store.publish(capsys, shells.configuration(Step=2))
     assert code == 0 and "version 2" in output
 
--- a/tests/fleet/test_core.py
+++ b/tests/fleet/test_core.py
@@ -1,5 +1,6 @@
-"""The supervisor's core through random orders of events, with processes that do what processes do, against
-its promises. FLEET_SEQUENCES=5000 plays so many.
+"""The supervisor's core under random sequences of events, with simulated processes, checked for invariants.
+
+FLEET_SEQUENCES=5000 runs that many sequences.
 """
 
 import itertools
@@ -46,7 +47,7 @@
 
 
 class Simulation:
-    """The processes that the core asks for, and what it was seen to do."""
+    """Simulated processes that the core starts and stops, and a record of its effects."""
 
     def __init__(self, first):
         self.now, self.plan, self.core = SECOND, first, c.Core(SECOND, first)
@@ -95,9 +96,9 @@
             self.started.append(key)
         elif isinstance(e, c.StartAccepting):
             assert all(p["state"] != "serving" for k, p in self.processes.items() if k[0] == e.name), (
-                f"two holders of {e.name}"
+                f"two active processes of {e.name}"
             )
-            assert e.name not in self.answering_busy, "the supervisor answers at the door of a holder"
+            assert e.name not in self.answering_busy, "the supervisor answers BUSY beside an active process"
             self.processes[key]["state"] = "serving" if not self.processes[key]["frozen"] else "prepared"
             self.processes[key]["accepting"] = True
         elif isinstance(e, c.StopAccepting):
@@ -132,7 +133,7 @@
         self.step("exited", *key, how)
 
     def advance(self, key, bad_specs=()):
-        """A process does its next thing."""
+        """A process takes its next step."""
         p = self.processes.get(key)
         if p is None or self.all_stopped:
             return
@@ -233,7 +234,7 @@
     @rule()
     def stop(self):
         self.stops += 1
-        if self.stops > 4:  # mostly the others
+        if self.stops > 4:  # rarely, so that most sequences test other events
             self.sim.step("stop")
 
     @rule(n=st.integers(0, 30))
@@ -254,23 +255,21 @@
         core = sim.core
         for name in core.slots:
             serving = [k for k, p in sim.processes.items() if k[0] == name and p["state"] == "serving"]
-            assert len(serving) <= 1, f"two holders of {name}"
+            assert len(serving) <= 1, f"two active processes of {name}"
         known = {(p.name, p.generation) for p in core.processes()}
         assert known == set(sim.processes) or sim.all_stopped, (
-            "a process that nobody looks after, or one that is not there"
+            "the core does not know a process, or knows one that does not exist"
         )
         if core.rollout and not core.rollout.rollback_reason:
             r = core.rollout
-            # Running processes that take a change over follow all together, once the first was watched.
+            # Running processes that apply a live change follow all together, once the first was observed.
             alone = [s for s in r.in_progress if not (r.live_verified and s in r.live_slots)]
             assert len(alone) <= max(core.plan.fleet.at_once, 1) + sum(
                 1 for s in alone if s.name not in r.previous_plan.specs or not s.serving()
             ), "more at once than allowed"
 
     def teardown(self):
-        """Whatever happened: left alone it comes to rest, with one holder
-        of each name; told to stop, it stops.
-        """
+        """After any sequence it settles with one active process per name, and stops when told to."""
         if not hasattr(self, "world"):
             return
         sim, core = self.sim, self.sim.core
@@ -278,7 +277,7 @@
         sim.run_for(150, {"bad"}, step=0.5)
         if not core.stopping:
             assert core.rollout is None and core.pending is None, (
-                "a rollout without an end",
+                "a rollout that does not end",
                 core.describe_slots(),
             )
             for name, slot in core.slots.items():
@@ -292,7 +291,7 @@
                     )
             sim.step("stop")
         sim.run_for(60)
-        assert sim.all_stopped and not sim.processes, "a stop without an end"
+        assert sim.all_stopped and not sim.processes, "a stop that does not end"
 
 
 TestRandomEvents = RandomEvents.TestCase
@@ -391,7 +390,7 @@
         sim.step("tick")
         if sim.processes.get(("f-0", 1), {}).get("killed"):
             break
-    assert 300 + 79 <= n <= 300 + 90, "its 5 s begin when it was last seen alive: 3 s after its last step"
+    assert 300 + 79 <= n <= 300 + 90, "its 5 s begin when it last counted as alive, 3 s after its last step"
 
 
 def test_a_supervisor_that_was_stopped_itself_kills_no_process():
@@ -408,7 +407,7 @@
     sim.step("change_plan", plan(start="bad"))
     sim.run_for(20, {"bad"})
     assert not sim.outcomes[-1].ok and sim.outcomes[-1].why == "f-0: exit 2"
-    assert set(sim.processes) == {("f-0", 1), ("f-1", 2), ("f-2", 3)}, "the old ones were touched"
+    assert set(sim.processes) == {("f-0", 1), ("f-1", 2), ("f-2", 3)}, "the old processes were touched"
 
 
 def test_a_rollout_with_more_bad_ends_is_rolled_back_automatically():
@@ -472,9 +471,9 @@
 
 
 def test_a_removed_name_that_a_rollback_restores_while_it_leaves_is_kept():
-    """The first plan drops two names; it goes back while they leave.
+    """A plan removes two names and is rolled back while they leave.
 
-    One was lost from the table, and the rollout never ended.
+    One of them was lost from the core's table, and the rollout never ended.
     """
     sim = start_all(count=4)
     sim.step("change_plan", plan(2, start="bad"))
@@ -557,13 +556,13 @@
     sim.step("change_plan", plan(8, live="y", watch_s=5.0, live_watch_s=1.0))
     assert applied(sim) == ["f-0"]
     sim.run_for(0.75)
-    assert applied(sim) == ["f-0"], "the first is still watched"
+    assert applied(sim) == ["f-0"], "the first is still being observed"
     sim.run_for(0.75)
     assert applied(sim) == [f"f-{n}" for n in range(8)] and not sim.outcomes
     while not sim.outcomes:
         sim.run_for(0.25)
     assert sim.outcomes[-1].ok and sim.now - began <= 3 * SECOND
-    assert set(sim.processes) == before, "nobody was restarted"
+    assert set(sim.processes) == before, "no process was restarted"
     assert {p["live"] for p in sim.processes.values()} == {plan(live="y").specs["f-0"].live_digest}
 
 
@@ -619,7 +618,7 @@
     sim.run_for(1.5)
     assert applied(sim) == ["f-0", "f-1", "f-2"] and not sim.outcomes
     sim.refused_live.add("x")
-    sim.exit(("f-1", 2), "signal 9")  # while it is watched
+    sim.exit(("f-1", 2), "signal 9")  # while it is being observed
     sim.run_for(20)
     assert not sim.outcomes[-1].ok and sim.outcomes[-1].why == "f-1: signal 9"
     assert {p["live"] for p in sim.serving().values()} == {plan().specs["f-0"].live_digest}
@@ -627,7 +626,7 @@
 
 
 def test_a_program_that_reports_its_whole_live_part_is_replaced_by_a_successor():
-    """One of an earlier release takes the settings over only at its start."""
+    """A program of an earlier release applies settings only at its start."""
     sim = start_all(count=2)
     for p in sim.processes.values():
         p["live"], p["ignores_apply"] = p["spec"].live, True
--- a/tests/fleet/test_fleet.py
+++ b/tests/fleet/test_fleet.py
@@ -1,6 +1,6 @@
-"""Whole fleets on loopback: killed, frozen, crashed, reloaded with bad files, on full disks.
+"""Complete fleets on loopback: killed, frozen, crashed, reloaded with bad files, on full disks.
 
-Every wait is for what is to happen.
+Every wait is for the expected condition, with a timeout.
 """
 
 import importlib.util
@@ -35,7 +35,7 @@
 
 
 def free_ports(count):
-    """The first of so many free ports in a row; each worker of the suite has its own range."""
+    """Returns the first of `count` consecutive free ports; each xdist worker has its own range."""
     lowest = 16000 + 2000 * (int(os.environ.get("PYTEST_XDIST_WORKER", "gw0")[2:]) % 8)
     for first in range(lowest + os.getpid() % 1000, lowest + 2000 - count, count):
         socks = []
@@ -52,7 +52,9 @@
 
 class Fleet:
     def __init__(self, instances=2, **keys):
-        self.folder = Path(tempfile.mkdtemp(prefix="fl-", dir="/tmp"))  # short: sockets' paths are
+        self.folder = Path(
+            tempfile.mkdtemp(prefix="fl-", dir="/tmp")
+        )  # short, because the path of a Unix socket is limited
         self.toy, self.discovery = toy()
         self.port, self.processes = free_ports(instances + 1), []
         self.keys = {
@@ -104,7 +106,7 @@
         return done
 
     def status(self):
-        """{} while no supervisor answers."""
+        """Returns the supervisor's status; {} while none answers."""
         try:
             with control.connect(str(self.folder / "s" / "fleet.sock")) as sock:
                 sock.sendall(b'{"do": "status"}\n')
@@ -137,7 +139,7 @@
         return {name: row["pid"] for name, row in self.rows().items()}
 
     def first_answer(self, n, line):
-        """What a client gets for its first line."""
+        """Returns the answer to a client's first line."""
         with socket.create_connection(("127.0.0.1", self.port + n), timeout=10) as sock:
             sock.sendall(line + b"\r\n")
             return sock.makefile("rb").readline().strip()
@@ -167,8 +169,9 @@
 
 
 def notices(one):
-    """What a service manager gets that listens at the fleet's `notify`; always, for
-    one that does not read misses notices.
+    """Returns a list of the notifications sent to the fleet's `notify` socket.
+
+    A thread reads them all the time, because the sender drops what is not read.
     """
     manager, notifications = socket.socket(socket.AF_UNIX, socket.SOCK_DGRAM), []
     manager.bind(str(one.folder / "notify"))
@@ -200,7 +203,7 @@
         env={**os.environ, "NOTIFY_SOCKET": str(one.folder / "notify"), "WATCHDOG_USEC": "200000"}
     )
     assert received("READY=1") and received("WATCHDOG=1") and one.status()["ready"], (
-        "ready was told before it was so"
+        "READY was sent too early"
     )
     before = one.wait_ready()
     assert one.first_answer(0, b"PING") == one.first_answer(1, b"PING") == b"PONG"
@@ -209,13 +212,13 @@
     notifications.clear()
     process.send_signal(signal.SIGHUP)
     assert received("RELOADING=1") and received("READY=1") and one.wait_ready() == before, (
-        "nothing has changed, so nobody is restarted"
+        "nothing has changed, so no process is restarted"
     )
     assert one.command("drain", "f-1").returncode == 0
     one.until(lambda: one.rows()["f-1"]["state"] == "drained", "drained")
     assert (
         one.first_answer(1, b"OPEN x k c=chat,d=2000") == b"BUSY" and one.first_answer(1, b"PING") == b"ERR"
-    ), "the door of the drained one"
+    ), "the supervisor answers for the drained instance"
     crowd = [socket.create_connection(("127.0.0.1", one.port + 1), timeout=10) for _ in range(200)]
     for sock in crowd:
         sock.sendall(b"OPEN x k c=chat,d=2000\r\n")
@@ -226,7 +229,7 @@
     assert one.command("restart", "f-1").returncode == one.command("restart", "f-0").returncode == 0
     one.until(
         lambda: all(r["state"] == "serving" and r["pid"] not in before.values() for r in one.rows().values()),
-        "both anew",
+        "both restarted",
     )
     unknown = one.command("drain", "f-9")
     assert unknown.returncode == 1 and "f-9: no such instance" in unknown.stderr
@@ -273,7 +276,7 @@
         "without a supervisor they serve on"
     )
     second = one.run()
-    assert one.wait_ready() == before, "adopted, not started anew"
+    assert one.wait_ready() == before, "adopted, not restarted"
     assert one.log().count("event=adopted") == 2
     one.node["limits"]["sockets"] = 1000  # which no running instance takes over
     one.write()
@@ -284,7 +287,7 @@
     one.run()
     after = one.wait_ready()
     assert not set(after.values()) & set(before.values()), (
-        "the plan has changed: the one left over is replaced"
+        "the plan has changed, so the remaining process is replaced"
     )
     assert one.first_answer(0, b"PING") == one.first_answer(1, b"PING") == b"PONG"
 
@@ -334,7 +337,7 @@
     before = one.wait_ready()
     done = one.command("upgrade", "--checkout", str(broken_checkout(one.folder)))
     assert done.returncode == 1 and "f-0: exit 1" in done.stderr
-    assert one.wait_ready() == before, "the old ones were touched"
+    assert one.wait_ready() == before, "the old processes were touched"
     (one.folder / "new").symlink_to(ROOT)
     assert one.command("upgrade", "--checkout", str(one.folder / "new")).returncode == 0
     after = one.wait_ready()
@@ -356,7 +359,7 @@
     )
     one.run()
     one.until(lambda: {r["state"] for r in one.rows().values()} == {"given-up"}, "given up")
-    assert one.log().count("event=ended") == 8, "each once and three times again"
+    assert one.log().count("event=ended") == 8, "each started once and restarted three times"
     assert one.first_answer(0, b"OPEN x k c=chat,d=2000") == b"BUSY"
     assert one.command("upgrade").returncode == 0, "onto the supervisor's own program"
     one.wait_ready()
@@ -379,7 +382,7 @@
     assert one.wait_ready()
     first.kill()
     first.wait()
-    (one.folder / "s" / "fleet.pid").write_text("1\n")  # stale, and some other process has that number
+    (one.folder / "s" / "fleet.pid").write_text("1\n")  # a stale pid that belongs to another process
     one.run()
     one.wait_ready()
 
@@ -433,7 +436,7 @@
     assert one.command("reload").returncode == 0
     assert one.wait_ready() == before, "nobody was restarted"
     one.until(lambda: one.command("logs", "f-1").stdout.count("entries=1") == 1, "the new discovery's list")
-    one.write(instances=3)  # Balancers changes with it: the two take it over, and one is new
+    one.write(instances=3)  # this changes Balancers too: two instances apply it, and one is new
     assert one.command("reload").returncode == 0
     after = one.wait_ready()
     assert set(after) == {"f-0", "f-1", "f-2"} and after | before == after, "nobody was restarted"
@@ -463,7 +466,7 @@
     assert done.returncode == 0, done.stderr
     assert one.first_answer(1, b"OPEN z k c=other,d=20").startswith(b"UP") and answer.startswith(b"UP")
     established.setblocking(False)
-    with pytest.raises(BlockingIOError):  # neither closed nor told anything
+    with pytest.raises(BlockingIOError):  # neither closed nor sent anything
         established.recv(1, socket.MSG_PEEK)
     established.close()
     assert one.wait_ready() == before, "nobody was restarted"
@@ -520,10 +523,10 @@
 
 @pytest.mark.parametrize("saved", [True, False])
 def test_a_successor_started_from_an_old_list_sends_nothing_to_a_server_that_drains(fleet, saved):
-    """Its configuration lists the server as ready.
+    """The instance's configuration lists the server as ready.
 
-    What the holder was told of the drain reaches it by the saved list; where there is none, it takes
-    nothing before discovery has spoken.
+    The successor learns of the drain from the list that its predecessor saved; without a saved list it
+    accepts no connections before discovery has answered.
     """
     one = fleet(1)
     hangs, answer = threading.Event(), one.toy.answer
@@ -556,7 +559,7 @@
         assert one.first_answer(0, b"OPEN i%d k%d c=chat,d=2000,g=%x" % (n, n, n)).startswith(b"UP")
     hangs.clear()
     log = one.folder / "s" / "log" / "f-0.log"
-    one.until(lambda: log.read_text().count("legs=") == 20, "all are over")
+    one.until(lambda: log.read_text().count("legs=") == 20, "all calls have ended")
     assert log.read_text().count("legs=1 host=toy-2") == 20, "toy-1, number 0, drains"
 
 
--- a/tests/fleet/test_lab_fleet.py
+++ b/tests/fleet/test_lab_fleet.py
@@ -1,5 +1,6 @@
-"""Eight instances under the lab's load, reloaded while a server drains, killed, upgraded and
-stopped in a burst: the ledger counts.
+"""Eight instances under load from the lab, with an audit for lost and duplicate answers.
+
+They are reloaded while a server drains, killed, upgraded, and stopped during a burst of calls.
 """
 
 import json
@@ -42,8 +43,8 @@
     result = results.read(folder)
     told = [n for n in record.read(folder, "nodes") if n["k"].startswith("fleet-")]
     assert [n["code"] for n in told if "code" in n] == [0, 0, 0], told  # reload, upgrade, stop
-    # Lost, doubled, sent again, or sent to a server that drains: never. Milliseconds are judged where
-    # the machine gave them (benchmarks).
+    # No answer may be lost, duplicated, sent again or sent to a draining server. Rules about milliseconds are
+    # checked only where the machine is fast enough (benchmarks).
     timed = {"a leg after the final answer", "no answer before the guard time"}
     assert not [o for o in result.audit["offences"] if o["what"] not in timed], process.stdout
     calls = [c for c in record.read(folder, "load") if c["k"] == "call"]
@@ -56,7 +57,7 @@
         kinds[kind] = kinds.get(kind, 0) + 1
     assert len(before) > 400 and not kinds.get("refused"), kinds
     stopped = [c for c in calls if first_stop <= c["intended"] < first_stop + 1_000_000]
-    assert len(stopped) > 60, "the burst"
+    assert len(stopped) > 60, "calls of the burst"
     assert any(
         c["answers"] and c["answers"][0][1] == "UP" for c in calls if c["intended"] > first_stop + 5_000_000
-    ), "back again"
+    ), "served again after the stop"
--- a/tests/fleet/test_operator.py
+++ b/tests/fleet/test_operator.py
@@ -1,4 +1,4 @@
-"""The operator's file: every fault is told, with file, key and what was expected."""
+"""The operator's file: every error is reported with file, key and the expected value."""
 
 import json
 
@@ -97,7 +97,7 @@
 
 
 def test_a_thousand_instances_are_planned_on_addresses_that_run_on_past_254(tmp_path, capsys):
-    """256 instances were the most, and with an address for each 254."""
+    """The limit used to be 256 instances, and 254 with an address for each."""
     many = (
         GOOD.replace("= 3", "= 1024").replace("127.0.0.1:9000", "127.10.0.1:9000")
         + "port_step = 0\nhost_step = 1\nat_once = 1024\nstart_at_once = 1024\n"
