--- a/cottonspread/front/handover.py
+++ b/cottonspread/front/handover.py
@@ -1,7 +1,7 @@
-"""What a process passes to the one that replaces it, as text in a file. Pure.
+"""The state that a process passes to its successor, as text in a file. Does no I/O.
 
-To servers and clients the two are one node: keys go on to the server that has them, what went to cold
-servers counts on, the id of a call that is open in one is in use for the other. Times are the clock's,
+To servers and clients the two are one node: keys stay on their servers, legs sent to cold servers go on
+counting, and the id of a call open in one process is taken in the other. Times are of the monotonic clock,
 which all processes of a machine share.
 """
 
@@ -9,12 +9,12 @@
 from dataclasses import asdict, dataclass, replace
 
 VERSION = 1
-MOST_RECORDS = 5000  # the latest; each is a line of some 60 bytes that counts as memory
+MAX_RECORDS = 5000  # the latest ones; each takes about 60 bytes of text, which counts as memory
 
 
 @dataclass(frozen=True)
 class OpenConnection:
-    """An open connection, passed on between two lines."""
+    """An established connection, handed over between two lines of its protocol."""
 
     id: str
     type: str
@@ -24,24 +24,27 @@
     key: str = None
     group: str = None
     tenant: int = 0
-    load: float = 0.0  # as last told; 0: not told
-    waiting: tuple = ()  # when lines without an echo were sent
+    load: float = 0.0  # last reported, microseconds of work a second; 0: not reported
+    waiting: tuple = ()  # times at which the lines were sent that have no echo yet
 
 
 @dataclass(frozen=True)
 class HandoverState:
-    """What a process tells its successor, so that it does not begin from nothing."""
+    """The state that a process hands to its successor."""
 
-    room: int  # connections that the successor may hold while both are there
-    draining: bool = False  # the operators had this node drained
-    ids: tuple = ()  # of calls that are open
+    room: int  # connections that the successor may hold while both processes run
+    draining: bool = False  # whether operators drain this node
+    ids: tuple = ()  # of open calls
     records: tuple = ()  # (key, server), the longest idle first
-    sent: tuple = ()  # (server, when, legs): what cold servers were sent, the oldest first
+    sent: tuple = ()  # (server, time, legs) sent to cold servers, the oldest first
 
 
 def snapshot(module, now, **more):
-    """What the module keeps that its successor needs. It is only read."""
-    records = [(key, host.name) for key, (host, _) in list(module.records.items())[-MOST_RECORDS:]]
+    """The decision module's state that a successor needs; the module is only read.
+
+    `more`: the other fields of `HandoverState`.
+    """
+    records = [(key, host.name) for key, (host, _) in list(module.records.items())[-MAX_RECORDS:]]
     cold = [h for h in module.membership.hosts.values() if module.slow_start.capacity_share(h, now) < 1]
     return HandoverState(
         records=tuple(records),
@@ -54,49 +57,49 @@
     )
 
 
-def pack(handed, mark):
-    """`mark`: the word of the successor that asked."""
-    return json.dumps({"version": VERSION, "mark": mark, **asdict(handed)})
+def pack(state, mark):
+    """The state as JSON; `mark`: the token of the successor that asked for it."""
+    return json.dumps({"version": VERSION, "mark": mark, **asdict(state)})
 
 
-def pack_connection(standing):
-    """A standing connection as a line of JSON, to go with its two sockets."""
-    return json.dumps({"version": VERSION, **asdict(standing)}).encode() + b"\n"
+def pack_connection(connection):
+    """A connection as a line of JSON, to be sent along with its two sockets."""
+    return json.dumps({"version": VERSION, **asdict(connection)}).encode() + b"\n"
 
 
 def unpack_connection(line):
-    """ValueError if it cannot be read."""
-    said = json.loads(line)
-    if not isinstance(said, dict) or said.pop("version", None) != VERSION:
-        raise ValueError("no connection of this version")
+    """The connection in a line of JSON; ValueError if it cannot be read."""
+    parsed = json.loads(line)
+    if not isinstance(parsed, dict) or parsed.pop("version", None) != VERSION:
+        raise ValueError(f"not a handed-over connection of version {VERSION}")
     try:
-        one = OpenConnection(**said)
+        connection = OpenConnection(**parsed)
         return replace(
-            one,
-            waiting=tuple(map(int, one.waiting)),
-            began=int(one.began),
-            setup=int(one.setup),
-            tenant=int(one.tenant),
-            load=float(one.load),
+            connection,
+            waiting=tuple(map(int, connection.waiting)),
+            began=int(connection.began),
+            setup=int(connection.setup),
+            tenant=int(connection.tenant),
+            load=float(connection.load),
         )
-    except TypeError as fault:
-        raise ValueError(f"{type(fault).__name__}: {fault}") from fault
+    except TypeError as error:
+        raise ValueError(f"{type(error).__name__}: {error}") from error
 
 
 def unpack(text, mark):
-    """None if this is not the answer to `mark`; ValueError if it cannot be read."""
-    said = json.loads(text)
-    if not isinstance(said, dict) or said.get("version") != VERSION:
-        raise ValueError("no hand-over of this version")
-    if said.get("mark") != mark:
+    """The state in a JSON text; None if it has another mark, ValueError if it cannot be read."""
+    parsed = json.loads(text)
+    if not isinstance(parsed, dict) or parsed.get("version") != VERSION:
+        raise ValueError(f"not a handover state of version {VERSION}")
+    if parsed.get("mark") != mark:
         return None
     try:
         return HandoverState(
-            max(2, int(said["room"])),
-            bool(said["draining"]),
-            tuple(map(str, said["ids"])),
-            tuple((str(key), str(host)) for key, host in said["records"]),
-            tuple((str(host), int(at), int(count)) for host, at, count in said["sent"]),
+            max(2, int(parsed["room"])),
+            bool(parsed["draining"]),
+            tuple(map(str, parsed["ids"])),
+            tuple((str(key), str(host)) for key, host in parsed["records"]),
+            tuple((str(host), int(at), int(count)) for host, at, count in parsed["sent"]),
         )
-    except (KeyError, TypeError) as fault:
-        raise ValueError(f"{type(fault).__name__}: {fault}") from fault
+    except (KeyError, TypeError) as error:
+        raise ValueError(f"{type(error).__name__}: {error}") from error
--- a/cottonspread/net/admission.py
+++ b/cottonspread/net/admission.py
@@ -1,10 +1,9 @@
-"""Clients on their way from the listener's queue to the reducer: whoever has said a whole first line is let
-in, whoever has not waits outside.
+"""Accepts clients and admits them to the reducer once they have sent a whole first line.
 
-One thread accepts and looks what has come. It waits for no client and for no room. A client that says
-nothing, or half a line, costs a descriptor and a place in `WaitingRoom`, neither a thread nor a step of the
-reducer: so no crowd of them keeps a client with a whole line in the listener's queue past its deadline. What
-comes is only peeked at, and whoever reads the connection later finds all of it.
+One thread accepts connections and polls those without a whole line. It never blocks on a client or on a full
+queue. A client that sends nothing, or half a line, costs one descriptor and one entry in `PendingClients`,
+but no thread and no step of the reducer. So many such clients cannot hold a client with a whole line in the
+listener's queue past its deadline. Input is only peeked at; the connection's reader gets all of it later.
 """
 
 import contextlib
@@ -20,25 +19,25 @@
 
 from cottonspread.net import pool, workers
 from cottonspread.net.departure import COMING
-from cottonspread.net.reducer import FIRST_WAIT
+from cottonspread.net.reducer import FIRST_LINE_TIMEOUT
 
 log = logging.getLogger("cottonspread.node")
 
-LOOK = 0.1  # seconds between two looks whether somebody has waited too long
-ACCEPTED_AT_ONCE = 64  # then those that wait are looked at again
-NO_DESCRIPTOR_PAUSE = 0.05  # seconds until some are given back
+CHECK_INTERVAL = 0.1  # seconds between two checks for clients past their timeout
+ACCEPT_BATCH = 64  # connections accepted before pending clients are polled again
+DESCRIPTOR_RETRY_DELAY = 0.05  # seconds to wait for free descriptors after a failed accept
 
 
 @dataclass(eq=False)
-class Client:
-    """A client that has not said a whole line."""
+class PendingClient:
+    """A client that has not sent a whole line."""
 
     sock: socket.socket
-    since: int  # when it was accepted, in microseconds of the node's clock
+    accepted_at: int  # microseconds of the node's clock
 
 
-class WaitingRoom:
-    """Clients without a whole first line, the one that has waited longest first. It touches no socket."""
+class PendingClients:
+    """Clients without a whole first line, oldest first. Does not touch their sockets."""
 
     def __init__(self):
         self.clients = OrderedDict()  # by descriptor
@@ -47,83 +46,86 @@
         return len(self.clients)
 
     def add(self, number, client):
-        """A client has come; `number`: its descriptor."""
+        """Adds a client; `number`: its descriptor."""
         self.clients[number] = client
 
-    def take(self, number):
-        """Takes out the client with that descriptor; None if there is none."""
+    def remove(self, number):
+        """Removes and returns the client with this descriptor, or None."""
         return self.clients.pop(number, None)
 
-    def take_first(self):
-        """Takes out the one that has waited longest."""
+    def remove_oldest(self):
+        """Removes and returns the oldest client."""
         return self.clients.popitem(last=False)[1]
 
-    def take_overdue(self, now, patience):
-        """Takes out, one by one, those that have waited longer than `patience` microseconds."""
-        while self.clients and now - next(iter(self.clients.values())).since > patience:
-            yield self.take_first()
+    def remove_overdue(self, now, timeout):
+        """Removes and yields the clients that have waited longer than `timeout` microseconds."""
+        while self.clients and now - next(iter(self.clients.values())).accepted_at > timeout:
+            yield self.remove_oldest()
 
-    def take_beyond(self, most):
-        """Takes out, one by one, those that have waited longest until `most` are left."""
-        while len(self.clients) > max(0, most):
-            yield self.take_first()
+    def remove_excess(self, limit):
+        """Removes and yields the oldest clients until `limit` are left."""
+        while len(self.clients) > max(0, limit):
+            yield self.remove_oldest()
 
 
-class Gate(Protocol):
-    """What the node decides about clients. Called by the accepting thread, which must not wait."""
+class AdmissionHandler(Protocol):
+    """What the node decides about clients. Called by the accepting thread, so it must not block."""
 
-    def most_waiting(self):
-        """How many clients may wait now."""
+    def max_pending(self):
+        """How many clients may be pending now."""
 
-    def ending(self):
-        """Whether the node was asked to end."""
+    def stopping(self):
+        """Whether the node was asked to stop."""
 
-    def let_in(self, client, first):
-        """The client has said `first`, a whole line or what can be none; its socket is the node's now."""
+    def admit(self, client, first):
+        """Takes over a client that has sent `first`: a whole line, or input that cannot become one."""
 
-    def turn_away(self, sock, reason, retry_after=None):
-        """The socket is answered BUSY and given back; `reason`: the code in the log."""
+    def refuse(self, sock, reason, retry_after=None):
+        """Answers BUSY and closes the socket; `reason`: the code for the log."""
 
 
-def is_whole(data):
-    """Whether these first bytes are a whole line, or too many for one."""
+def is_complete(data):
+    """Whether the data contain a whole line, or are too long for one."""
     return b"\n" in data or len(data) >= pool.BUFFER_SIZE
 
 
 class Admission:
-    """The accepting thread of one listener. `stop_accepting` and `end` may be called from any thread."""
+    """The accepting thread of a listener. `stop_accepting` and `end` may be called from any thread."""
 
     READY = select.EPOLLIN | select.EPOLLRDHUP | select.EPOLLET
 
-    def __init__(self, listener, shared, clock, gate):
-        """`shared`: others take from the listener too, so that what is in its queue at the end is theirs."""
-        self.listener, self.shared, self.clock, self.gate = listener, shared, clock, gate
-        self.waiting = WaitingRoom()
+    def __init__(self, listener, shared, clock, handler):
+        """`shared`: other processes accept from the listener too and get what is left in its queue."""
+        self.listener, self.shared, self.clock, self.handler = listener, shared, clock, handler
+        self.pending = PendingClients()
         self.poll = select.epoll()
         self.wake, self.woken = socket.socketpair()
-        self.leaving = self.finishing = False
-        self.left, self.ended = threading.Event(), threading.Event()  # as asked by the two calls below
+        self.stop_requested = self.end_requested = False
+        self.accepting_stopped, self.ended = (
+            threading.Event(),
+            threading.Event(),
+        )  # as asked by the two calls below
 
     def start(self):
-        """From now on connections are accepted."""
-        # Another process may take the connection that this one was woken for.
+        """Starts accepting connections."""
+        # Another process may accept the connection that woke this one up.
         self.listener.setblocking(False)
         workers.start_thread(self.run, stack=workers.WIDE)
 
     def stop_accepting(self):
-        """Returns once nothing more is taken from the listener; who waits already may still speak."""
-        self.leaving = True
-        self.tell()
-        self.left.wait()
+        """Returns once nothing more is accepted; pending clients may still send their line."""
+        self.stop_requested = True
+        self.wake_up()
+        self.accepting_stopped.wait()
 
     def end(self):
-        """Everybody who is here is turned away, and then `ended` is set."""
-        self.finishing = True
-        self.tell()
+        """Has the thread refuse all pending clients, then set `ended`."""
+        self.end_requested = True
+        self.wake_up()
 
-    def tell(self):
-        """Wakes the thread."""
-        with contextlib.suppress(OSError):  # it has ended
+    def wake_up(self):
+        """Wakes the thread from its poll."""
+        with contextlib.suppress(OSError):  # the thread has ended
             self.wake.send(b"x", socket.MSG_DONTWAIT)
 
     def run(self):
@@ -131,95 +133,96 @@
         self.poll.register(self.listener, select.EPOLLIN)
         self.poll.register(self.woken, select.EPOLLIN)
         try:
-            while not self.finishing:
-                self.turn()
+            while not self.end_requested:
+                self.poll_once()
         finally:
             self.close()
 
-    def turn(self):
-        """One look at all that is ready."""
+    def poll_once(self):
+        """Polls once and handles everything that is ready."""
         accepts = False
-        for number, ready in self.poll.poll(LOOK):
+        for number, ready in self.poll.poll(CHECK_INTERVAL):
             if number == self.woken.fileno():
                 self.woken.recv(64)
             elif number == self.listener.fileno():
                 accepts = True
             else:
-                self.look(number, ready)
-        if self.leaving and not self.left.is_set():
+                self.on_readable(number, ready)
+        if self.stop_requested and not self.accepting_stopped.is_set():
             self.poll.unregister(self.listener)
-            self.left.set()
-        elif accepts and not self.leaving:
+            self.accepting_stopped.set()
+        elif accepts and not self.stop_requested:
             self.accept()
-        self.turn_out_overdue()
+        self.refuse_overdue()
 
     def accept(self):
-        """Those in the listener's queue, some at a time."""
+        """Accepts a batch of connections from the listener's queue."""
         try:
-            for _ in range(ACCEPTED_AT_ONCE):
-                self.accepted(self.listener.accept()[0])
-        except BlockingIOError:  # nobody is left there
+            for _ in range(ACCEPT_BATCH):
+                self.on_accepted(self.listener.accept()[0])
+        except BlockingIOError:  # the queue is empty
             pass
         except OSError as fault:
             log.warning("accept", extra={"pairs": {"why": errno.errorcode.get(fault.errno, str(fault))}})
-            time.sleep(NO_DESCRIPTOR_PAUSE)
+            time.sleep(DESCRIPTOR_RETRY_DELAY)
 
-    def accepted(self, sock):
-        """A client has come; often its line is there already."""
+    def on_accepted(self, sock):
+        """Handles a new connection, whose line has often arrived already."""
         try:
             workers.prepare(sock)
-        except OSError:  # gone already
+        except OSError:  # the client has disconnected already
             sock.close()
             return
-        client = Client(sock, self.clock())
-        if not self.speaks(client, 0):
-            self.waiting.add(sock.fileno(), client)
+        client = PendingClient(sock, self.clock())
+        if not self.handle_first_line(client, 0):
+            self.pending.add(sock.fileno(), client)
             self.poll.register(sock, self.READY)
-            for one in self.waiting.take_beyond(self.gate.most_waiting()):
-                self.turn_away(one, "no-first-line")
+            for one in self.pending.remove_excess(self.handler.max_pending()):
+                self.refuse(one, "no-first-line")
 
-    def look(self, number, ready):
-        """Something has come from a client that waits."""
-        client = self.waiting.clients.get(number)
-        if client is not None and self.speaks(client, ready):
-            self.waiting.take(number)
+    def on_readable(self, number, ready):
+        """Handles input from a pending client."""
+        client = self.pending.clients.get(number)
+        if client is not None and self.handle_first_line(client, ready):
+            self.pending.remove(number)
 
-    def speaks(self, client, ready):
-        """Whether the client has said a whole line, or will say none, and so is the node's from now on."""
+    def handle_first_line(self, client, ready):
+        """Admits the client if it has sent a whole line or can no longer send one; returns whether it did."""
         try:
             first = client.sock.recv(pool.BUFFER_SIZE, socket.MSG_PEEK | socket.MSG_DONTWAIT)
         except BlockingIOError:
             return False
-        except OSError:  # broken: whoever reads there next hears of it
+        except OSError:  # a connection error: its reader will get it
             first = b""
-        if first and not is_whole(first) and not ready & (select.EPOLLRDHUP | select.EPOLLHUP):
+        if first and not is_complete(first) and not ready & (select.EPOLLRDHUP | select.EPOLLHUP):
             return False
         if ready:
             self.poll.unregister(client.sock)
-        self.gate.let_in(client, first)
+        self.handler.admit(client, first)
         return True
 
-    def turn_out_overdue(self):
-        """Those that have waited too long."""
-        patience = COMING if self.gate.ending() else FIRST_WAIT
-        for client in self.waiting.take_overdue(self.clock(), patience):
-            self.turn_away(client, "no-first-line")
+    def refuse_overdue(self):
+        """Refuses clients that have waited too long."""
+        timeout = COMING if self.handler.stopping() else FIRST_LINE_TIMEOUT
+        for client in self.pending.remove_overdue(self.clock(), timeout):
+            self.refuse(client, "no-first-line")
 
-    def turn_away(self, client, reason):
-        """A client that waited."""
+    def refuse(self, client, reason):
+        """Refuses a pending client."""
         self.poll.unregister(client.sock)
-        self.gate.turn_away(client.sock, reason)
+        self.handler.refuse(client.sock, reason)
 
     def close(self):
-        """Those in the listener's queue too: closed over them it would reset connections on which a whole
-        first line may lie."""
-        for client in self.waiting.take_beyond(0):
-            self.turn_away(client, "stopping")
-        if not self.shared and not self.left.is_set():
-            with contextlib.suppress(OSError):  # nobody is left
+        """Refuses all clients, also those in the listener's queue: closing the listener would reset them,
+        although their first line may have arrived.
+        """
+        for client in self.pending.remove_excess(0):
+            self.refuse(client, "stopping")
+        if not self.shared and not self.accepting_stopped.is_set():
+            with contextlib.suppress(OSError):  # the queue is empty
                 while True:
-                    self.gate.turn_away(self.listener.accept()[0], "stopping")
-        self.left.set()
+                    self.handler.refuse(self.listener.accept()[0], "stopping")
+        self.accepting_stopped.set()
         self.poll.close()
         self.woken.close()
         self.wake.close()
--- a/cottonspread/policy/path.py
+++ b/cottonspread/policy/path.py
@@ -107,7 +107,7 @@
         return half + self.rng.below(half + 1)
 
     def load_of_new(self, call, host):
-        """(weight of a new leg, weight it adds to its server); weighs the mean until its load is known."""
+        """(weight of a new leg, weight it adds to its server): the mean, until the leg's load is reported."""
         return Loads.MEAN, self.loads.added_by(call, host)
 
     def leg_accepted(self, leg):
@@ -235,18 +235,18 @@
             self.pending.append(io.Timer(self.membership.poll_delay(e.took), "ask"))
             return
         self.membership.failures = 0
-        lost, started, new = self.membership.apply_update(e)
-        # Load-dependent weights arrive every second for every server: rotation, orders and sums stay.
-        if not new:
+        withdrawn, restarted, changed = self.membership.apply_update(e)
+        # Dynamic weights arrive every second for every server: rotation, orders and sums stay as they are.
+        if not changed:
             return
-        for host in lost:
+        for host in withdrawn:
             self.withdraw(host)
-        for host in started:
+        for host in restarted:
             host.restart()
-        self.membership.drop_gone(lost)
+        self.membership.drop_gone(withdrawn)
         up = self.membership.up()
         self.rotation.keep(up)
-        self.overview.keep(up, self.now)
+        self.overview.set_servers(up, self.now)
 
     def withdraw(self, host):
         """Handles a server that takes nothing new; from a draining one clients are moved one by one.
