--- a/cottonspread/fleet/core.py
+++ b/cottonspread/fleet/core.py
@@ -288,9 +288,8 @@
         if status["steps"] != p.steps:
             p.steps, p.last_progress_at = status["steps"], self.now
         p.status = status
-        if (
-            status.get("live") == p.spec.live
-        ):  # the full text, not its digest: a program of an earlier release
+        if status.get("live") == p.spec.live:
+            # The status has the full text instead of its digest: a program of an earlier release.
             p.accepts_live = False
         refused = status.get("refused")
         if refused and p.requested_spec and refused["live"] == p.requested_spec.live_digest:
@@ -319,9 +318,8 @@
             self.log_event("left", p, how=how)
             return
         slot.active, slot.successor = (None if x is p else x for x in (slot.active, slot.successor))
-        if (
-            p.leave_sent_at and not p.kill_reason
-        ):  # it was told to leave and ended before it reported "leaving"
+        if p.leave_sent_at and not p.kill_reason:
+            # It was told to leave and ended before it reported "leaving".
             self.log_event("left", p, how=how)
             return
         self.process_failed(slot, p, p.kill_reason or how)
@@ -537,8 +535,8 @@
         )
         if ended < fleet.worse_of:
             return ""
-        # Unchanged processes are exposed to the same conditions now. Late in the rollout none are left, so
-        # the share before the rollout counts too.
+        # Unchanged processes run under the same conditions now. Late in the rollout none are left, so the
+        # share before the rollout counts too.
         was = max(
             self.rollout.baseline_bad_share,
             self.bad_share(
--- a/cottonspread/fleet/plan.py
+++ b/cottonspread/fleet/plan.py
@@ -19,16 +19,10 @@
 from cottonspread.config import operator as op
 from cottonspread.fleet import control
 
-LIVE_KEYS = (
-    "discovery",
-    "settings",
-    "load_lines",
-)  # keys of the platform's JSON that a running instance can apply
-FIXED_SETTINGS = (
-    "Me",
-    "MembershipMode",
-    "Weights",
-)  # settings that a running node keeps as at its start
+# Keys of the platform's JSON that a running instance can apply
+LIVE_KEYS = ("discovery", "settings", "load_lines")
+# Settings that a running node does not change after its start
+FIXED_SETTINGS = ("Me", "MembershipMode", "Weights")
 
 
 @dataclass(frozen=True)
--- a/cottonspread/fleet/store_follower.py
+++ b/cottonspread/fleet/store_follower.py
@@ -46,9 +46,8 @@
                 [f"{self.supervisor.path}: configuration.state: {folder}: {fault}"]
             ) from fault
         if self.client.saved:
-            with contextlib.suppress(
-                config.ConfigurationError
-            ):  # otherwise the file is used, and the follower reports the refusal
+            # If the saved body is not valid any more, the file is used, and the follower reports the refusal.
+            with contextlib.suppress(config.ConfigurationError):
                 self.check(self.client.saved)
                 self.body_in_force = self.wanted_body = self.client.saved.body
 
--- a/cottonspread/fleet/supervisor.py
+++ b/cottonspread/fleet/supervisor.py
@@ -420,7 +420,7 @@
         self.selector.register(fd, selectors.EVENT_READ, lambda: self.process_exited(name, generation))
 
     def process_exited(self, name, generation):
-        """Cleans up after a process and tells the core."""
+        """Cleans up after a process and passes its end to the core."""
         fd = self.pidfds.pop((name, generation))
         self.selector.unregister(fd)
         os.close(fd)
@@ -502,7 +502,7 @@
             return False
         sock.setblocking(False)
         client = BusyClient(sock)
-        if at_once:  # a line that is not here yet comes too late
+        if at_once:  # a line that has not arrived by now is too late
             with contextlib.suppress(OSError):
                 client.data = sock.recv(4096)
             self.answer_busy(client)
