--- a/cottonspread/fleet/store_follower.py
+++ b/cottonspread/fleet/store_follower.py
@@ -28,7 +28,7 @@
         self.supervisor, self.section, self.client = supervisor, section, None
         self.body_in_force, self.wanted_body = None, None
         """The body that the fleet runs, and the body of the current or last rollout."""
-        self.handed_over = queue.SimpleQueue()
+        self.pending_records = queue.SimpleQueue()
 
     def prepare(self):
         """Creates the client and takes the saved body into account from the first plan on.
@@ -40,7 +40,7 @@
         folder = plans.resolve_path(self.supervisor.path, self.section.state)
         name = self.section.node or self.supervisor.fleet.name
         try:
-            self.client = Client(name, tuple(self.section.replicas), folder, self.check, self.hand_over)
+            self.client = Client(name, tuple(self.section.replicas), folder, self.check, self.enqueue)
         except OSError as fault:
             raise op.OperatorFileError(
                 [f"{self.supervisor.path}: configuration.state: {folder}: {fault}"]
@@ -67,14 +67,14 @@
         supervisor = self.supervisor
         plans.read(supervisor.path, supervisor.program, supervisor.check, record.body)
 
-    def hand_over(self, record, done):
+    def enqueue(self, record, done):
         """Called in the follower's thread: queues a record to apply."""
-        self.handed_over.put((record, done))
+        self.pending_records.put((record, done))
 
     def process_records(self):
         """Called in the supervisor's loop: rolls out the queued records."""
-        while not self.handed_over.empty():
-            record, done = self.handed_over.get()
+        while not self.pending_records.empty():
+            record, done = self.pending_records.get()
             try:
                 self.roll_out(record, done)
             except (config.ConfigurationError, OSError) as fault:
--- a/tests/configstore/test_shell_fleet.py
+++ b/tests/configstore/test_shell_fleet.py
@@ -137,14 +137,14 @@
     )
     store_follower.prepare()
 
-    def hand_over(version, stage, text):
+    def enqueue(version, stage, text):
         record = m.make_record(version, version, stage, 2**32, text)
-        store_follower.hand_over(record, lambda ok, why="": outcomes.append((version, ok, why)))
+        store_follower.enqueue(record, lambda ok, why="": outcomes.append((version, ok, why)))
         store_follower.process_records()
         return record
 
     good = json.dumps(configuration("127.0.0.1:1", "second"))
-    hand_over(1, m.Stage.CANARY, good)
+    enqueue(1, m.Stage.CANARY, good)
     plan, line = supervisor.rollouts.pop()
     assert "second" in plan.specs["f-0"].live and plan.fleet.live_watch_s == 0.5 and not outcomes
     line.send({"ok": True, "why": "done"})
@@ -153,7 +153,7 @@
         and store_follower.body_in_force == store_follower.wanted_body == good
     )
 
-    third = hand_over(2, m.Stage.EVERYWHERE, json.dumps(configuration("127.0.0.1:1", "third")))
+    third = enqueue(2, m.Stage.EVERYWHERE, json.dumps(configuration("127.0.0.1:1", "third")))
     plan, line = supervisor.rollouts.pop()
     assert plan.fleet.live_watch_s == 0 and store_follower.wanted_body == third.body
     line.send({"ok": False, "why": "f-0: refused"})
@@ -162,14 +162,14 @@
         and store_follower.body_in_force == store_follower.wanted_body == good
     )
 
-    faulty = hand_over(3, m.Stage.EVERYWHERE, '{"settings": 3}')
+    faulty = enqueue(3, m.Stage.EVERYWHERE, '{"settings": 3}')
     assert not supervisor.rollouts and outcomes.pop()[:2] == (3, False) and store_follower.wanted_body == good
     with pytest.raises(config.ConfigurationError):
         store_follower.check(faulty)
     store_follower.check(third)
 
     supervisor.core.stopping = True
-    hand_over(4, m.Stage.EVERYWHERE, good)
+    enqueue(4, m.Stage.EVERYWHERE, good)
     assert not supervisor.rollouts and outcomes.pop() == (4, False, "the fleet is stopping")
 
 
