--- a/benchmarks/crossings/mutants.py
+++ b/benchmarks/crossings/mutants.py
@@ -32,7 +32,7 @@
     (
         "the look for the client before the first byte",
         "net/workers.py",
-        'why = self.must_not_begin(effect) if effect.attempt else ""',
+        'why = self.reason_not_to_start(effect) if effect.attempt else ""',
         'why = ""',
         [f"{ATTEMPTS}::test_nothing_is_sent_for_a_client_that_left_while_its_connection_came_up"],
     ),
@@ -143,8 +143,8 @@
     (
         "the bound on what is read after the end",
         "net/workers.py",
-        "DRAINED_AT_MOST, CUT_WAIT = 1024 * 1024, 2000",
-        "DRAINED_AT_MOST, CUT_WAIT = 1 << 60, 2000",
+        "MAX_DISCARDED, CUT_TIMEOUT_MS = 1024 * 1024, 2000",
+        "MAX_DISCARDED, CUT_TIMEOUT_MS = 1 << 60, 2000",
         [f"{CLOSING}::test_one_that_sends_at_full_speed_and_stays_is_given_up_and_holds_nobody_up"],
     ),
     (
@@ -185,7 +185,7 @@
     (
         "SIGTERM before the queue",
         "net/node.py",
-        "        self.hasten(ev.StopAsked())",
+        "        self.post_urgent(ev.StopAsked())",
         "        self.post(ev.StopAsked())",
         [f"{SHUTDOWN}::test_sigterm_goes_before_all_that_waits"],
     ),
--- a/cottonspread/cli/instance.py
+++ b/cottonspread/cli/instance.py
@@ -49,7 +49,7 @@
         path = os.path.join(start_message["folder"], f"{self.name}.list.json")
         parts = self.read(json.loads(self.live))
         self.initial_list = InitialList(parts, path if own["save_list"] else None, own["list_wait_s"])
-        self.node = Node(*parts, keep=self.initial_list.on_list)
+        self.node = Node(*parts, on_list=self.initial_list.on_list)
 
     def read(self, live):
         """Reads the node's configuration; `live`: the settings that can change while the instance runs."""
@@ -169,7 +169,7 @@
         """
         if self.lock.acquire():
             self.accept_deadline = 0.0
-            self.node.take()
+            self.node.start_accepting()
             self.set_state("serving")
         elif now > self.accept_deadline:
             log.error("held", extra={"pairs": {"by": self.lock.holder_pid()}})
@@ -178,7 +178,7 @@
     def leave(self, handed):
         """Stops accepting connections and shuts down; `handed`: a successor has the listening socket."""
         self.accept_deadline = 0.0
-        self.node.leave(handed)
+        self.node.shut_down(handed)
         self.lock.release()
         self.set_state("leaving")
 
@@ -189,12 +189,12 @@
             parts = self.read(values)
         except config.ConfigurationError as fault:
             self.refused = {"live": control.digest(live), "why": str(fault)}
-            self.node.hasten(ev.NotRetuned())
+            self.node.post_urgent(ev.NotRetuned())
             log.error("reload", extra={"pairs": {"why": fault, "kept": "the old configuration"}})
             self.send_status()
             return
         logging.getLogger("cottonspread").setLevel(values["level"].upper())
-        self.node.retune(*parts[:-1])
+        self.node.reload(*parts[:-1])
         self.live, self.refused = live, None
         changed = {key: values[key] for key in ("discovery", "level")}
         log.info("reload", extra={"pairs": changed | {"live": control.digest(live)}})
--- a/cottonspread/cli/node.py
+++ b/cottonspread/cli/node.py
@@ -14,7 +14,7 @@
 from cottonspread.fleet import notify
 from cottonspread.net import discovery, logfmt
 from cottonspread.net import events as ev
-from cottonspread.net.node import Node, most_ends
+from cottonspread.net.node import Node, socket_limit
 
 log = logging.getLogger("cottonspread.cli")
 
@@ -84,8 +84,8 @@
         takeover = takeovers.Takeover(parts) if listener else None
         node = Node(
             *parts,
-            keep=takeover and takeover.initial_list.on_list,
-            ended=lambda: requests.put(lambda node, active: None),
+            on_list=takeover and takeover.initial_list.on_list,
+            on_ended=lambda: requests.put(lambda node, active: None),
         )
         node.start(listener)
         if follower:
@@ -209,17 +209,17 @@
         values, parts = active.read()
         config.check_no_key_missing(active.values, values)
     except config.ConfigurationError as fault:
-        node.hasten(ev.NotRetuned())
+        node.post_urgent(ev.NotRetuned())
         log.error("reload", extra={"pairs": {"why": fault, "kept": "the old configuration"}})
         return str(fault)
     except Exception as fault:  # a bug of ours
-        node.hasten(ev.NotRetuned())
+        node.post_urgent(ev.NotRetuned())
         log.exception("fault", extra={"pairs": {"while": "reload"}})
         return f"internal error: {type(fault).__name__}: {fault}"
     endpoints, resource_limits, _, _, begin, _ = parts
     # what cannot change while the node runs still has the values of the start
     old_endpoints, old_limits, _, _, old_begin, _ = active.parts
-    node.retune(*parts[:-1])
+    node.reload(*parts[:-1])
     kept = [
         key
         for key, same in (
@@ -269,9 +269,10 @@
         )
     )
     print(
-        f"{len(names.types)} traffic types, node {begin.node_number} of {begin.nodes or 'an unknown number'}, "
+        f"{len(names.types)} traffic types, "
+        f"node {begin.node_number} of {begin.nodes or 'an unknown number'}, "
         f"{len(known['instances'])} servers in the initial list, "
-        f"at most {most_ends(resource_limits, endpoints.operator)} connections"
+        f"at most {socket_limit(resource_limits, endpoints.operator)} connections"
     )
     print(
         f"weights in the list {'change with load' if begin.dynamic_weights else 'are fixed sizes'}, "
--- a/cottonspread/cli/takeover.py
+++ b/cottonspread/cli/takeover.py
@@ -21,7 +21,7 @@
 from cottonspread.fleet import control
 from cottonspread.front import handover
 from cottonspread.lists import saved
-from cottonspread.net import passing, workers
+from cottonspread.net import connection_transfer, workers
 
 log = logging.getLogger("cottonspread.succession")
 
@@ -106,7 +106,7 @@
         else:
             if not self.has_lock and self.lock.acquire():  # the predecessor has exited
                 self.has_lock = True
-                node.limit(None)
+                node.limit_sockets(None)
                 if self.transfer_listener:
                     self.transfer_listener.shutdown(socket.SHUT_RDWR)  # wakes its thread
                     self.transfer_listener = None
@@ -116,8 +116,8 @@
         """Starts accepting connections, with the predecessor's state if there is any."""
         self.state = "serving"
         if handed:
-            node.inherit(handed)
-        node.take()
+            node.inherit_state(handed)
+        node.start_accepting()
         log.info("takes", extra={"pairs": {"handed": bool(handed), "alone": self.has_lock}})
 
     def listen_for_connections(self, node):
@@ -131,7 +131,9 @@
         except OSError as fault:
             log.warning("hand-over", extra={"pairs": {"file": self.transfer_path, "why": fault}})
             return
-        workers.start_thread(self.receive_connections, self.transfer_listener, node, stack=workers.WIDE)
+        workers.start_thread(
+            self.receive_connections, self.transfer_listener, node, stack=workers.LARGE_STACK_SIZE
+        )
 
     def receive_connections(self, listener, node):
         """The thread that receives established connections, until the listener is shut down."""
@@ -146,7 +148,7 @@
                     sock.settimeout(ANSWER_TIMEOUT)
                     if sock.recv(len(token), socket.MSG_WAITALL) == token:
                         sock.settimeout(None)
-                        passing.take_over(sock, node.adopt)
+                        connection_transfer.receive_connections(sock, node.adopt_connection)
                 except OSError as fault:
                     log.warning("hand-over", extra={"pairs": {"why": fault}})
         listener.close()
@@ -165,7 +167,7 @@
             except OSError as fault:  # it has exited, or its version does not accept them
                 log.warning("hand-over", extra={"pairs": {"why": fault}})
                 sock = None
-        node.leave(True, sock)
+        node.shut_down(True, sock)
 
     def read_reply(self):
         """The predecessor's state, or None while there is no valid reply with this process's token."""
@@ -189,7 +191,7 @@
         if token == self.token:  # this process's own request, which nobody answered
             self.remove_file(self.request_path)
             return
-        handed = node.hand_over()
+        handed = node.hand_over_state()
         if handed:
             self.remove_file(self.request_path)
             self.successor_token = token
--- a/cottonspread/lab/sim/node.py
+++ b/cottonspread/lab/sim/node.py
@@ -20,10 +20,10 @@
 from cottonspread.lab.sim.world import EPOCH, SECOND
 from cottonspread.net import discovery, lines
 from cottonspread.net import events as ev
-from cottonspread.net.node import SPARE_ENDS, changeable, door_target, may_watch, most_ends
+from cottonspread.net.node import SPARE_DESCRIPTORS, admission_target, reloadable, socket_limit, watch_at_once
 from cottonspread.net.pool import BUFFER_SIZE
 from cottonspread.net.reducer import Reducer
-from cottonspread.net.workers import HALF_LINE_WAIT
+from cottonspread.net.workers import PARTIAL_LINE_TIMEOUT
 
 STEP = 30  # microseconds that a step of the reducer takes, and half of that by chance
 HOP = 60  # at most, from one thread to another
@@ -78,7 +78,7 @@
         elif side.eof or self.cut:
             self.over("half-line" if self.buffer and not self.draining else "end")
         elif self.buffer and not self.draining:
-            process.world.at(self.since + HALF_LINE_WAIT * SECOND, self.too_old, self.since)
+            process.world.at(self.since + PARTIAL_LINE_TIMEOUT * SECOND, self.too_old, self.since)
 
     def gather(self):
         """Takes what is there; whether the reducer was told of a whole line, or of one too long."""
@@ -243,7 +243,7 @@
         self.skew, self.drift = node.skew, node.drift
         self.parts = config.read_node(json.dumps(values), {})
         endpoints, resource_limits, names, host_protocol, begin, known = self.parts
-        self.most = self.all = most_ends(resource_limits, endpoints.operator)
+        self.most = self.all = socket_limit(resource_limits, endpoints.operator)
         self.queue, self.urgent, self.awake, self.wake_at = deque(), deque(), False, 1 << 62
         self.free_at, self.writer_at, self.frozen, self.late_writes = world.now, world.now, 0, None
         self.dead, self.numbers, self.steps, self.ended, self.began, self.finished = (
@@ -262,7 +262,7 @@
             not shared,
         )
         version, listed, addresses, unread = discovery.read_list(known, names, ListUpdateKind.SAVED)
-        self.door = AdmissionLimiter(door_target(begin))
+        self.door = AdmissionLimiter(admission_target(begin))
         self.discovery = discovery.Discovery(
             endpoints.discovery,
             names,
@@ -270,7 +270,7 @@
             version,
             begin.server_list.polled,
             node.save_list,
-            may_watch(begin, listed, shared),
+            watch_at_once(begin, listed, shared),
         )
         self.reducer = Reducer(self.clock(), begin, names, host_protocol, self.most, *node.fleet.policy)
         self.caller = node.agent.attach(self)
@@ -464,7 +464,7 @@
     def accepted(self, side):
         if not self.door.admits(self.clock()):
             self.turn_away(side, "node-late", self.reducer.retry_after())
-        elif len(self.live) >= self.most + SPARE_ENDS // 2:
+        elif len(self.live) >= self.most + SPARE_DESCRIPTORS // 2:
             self.turn_away(side, "no-room-at-all", 0)
         else:
             end = ev.End(True)
@@ -530,9 +530,9 @@
             self.hasten(ev.NotRetuned())
             return
         self.values, self.discovery.names = values, parts[2]
-        begin = changeable(parts[4], self.reducer.begin)
+        begin = reloadable(parts[4], self.reducer.begin)
         self.hasten(ev.Retuned(begin, parts[2], parts[3]))
-        self.door.target = door_target(begin)
+        self.door.target = admission_target(begin)
 
     # Replacement
 
--- a/cottonspread/net/admission.py
+++ b/cottonspread/net/admission.py
@@ -110,7 +110,7 @@
         """Starts accepting connections."""
         # Another process may accept the connection that woke this one up.
         self.listener.setblocking(False)
-        workers.start_thread(self.run, stack=workers.WIDE)
+        workers.start_thread(self.run, stack=workers.LARGE_STACK_SIZE)
 
     def stop_accepting(self):
         """Returns once nothing more is accepted; pending clients may still send their line."""
--- a/cottonspread/net/passing.py
+++ b/cottonspread/net/connection_transfer.py
@@ -13,10 +13,10 @@
 
 log = logging.getLogger("cottonspread.passing")
 
-TAKEN, LEFT = b"y", b"n"
+ACCEPTED, DECLINED = b"y", b"n"
 
 
-class Giver:
+class ConnectionSender:
     """The predecessor's side, in a thread of its own: a successor that hangs
     holds up one connection, and nobody else.
     """
@@ -27,9 +27,9 @@
     def run(self):
         while True:
             order = self.orders.get()
-            self.post(ev.Passed(order.conn, *self.give(order)))
+            self.post(ev.Passed(order.conn, *self.send(order)))
 
-    def give(self, order):
+    def send(self, order):
         """Whether the successor has it, and if not, whether it was just being read."""
         workers = order.client.worker, order.host.worker
         gatherers = [worker.gatherer for worker in workers]
@@ -41,7 +41,7 @@
                 [handover.pack_connection(order.standing)],
                 [worker.sock.fileno() for worker in workers],
             )
-            taken = self.sock.recv(1) == TAKEN
+            taken = self.sock.recv(1) == ACCEPTED
         except OSError as fault:
             log.warning("passing", extra={"pairs": {"why": fault}})
             taken = False
@@ -51,7 +51,7 @@
         return taken, False
 
 
-def take_over(sock, adopt):
+def receive_connections(sock, adopt):
     """The successor's side, until the predecessor has ended.
 
     `adopt(standing, client, host)`: whether it is taken, and then its own.
@@ -70,4 +70,4 @@
             log.warning("passing", extra={"pairs": {"why": fault}})
             for one in sockets:
                 one.close()
-        sock.sendall(TAKEN if taken else LEFT)
+        sock.sendall(ACCEPTED if taken else DECLINED)
--- a/cottonspread/net/node.py
+++ b/cottonspread/net/node.py
@@ -15,7 +15,7 @@
 
 from cottonspread.front.lateness import AdmissionLimiter
 from cottonspread.interface import ListUpdateKind
-from cottonspread.net import admin, discovery, lines, passing, workers
+from cottonspread.net import admin, connection_transfer, discovery, lines, workers
 from cottonspread.net import events as ev
 from cottonspread.net.admission import Admission
 from cottonspread.net.closing import Closer
@@ -24,11 +24,11 @@
 
 log = logging.getLogger("cottonspread.node")
 
-QUEUE = 4096  # events; workers wait when it is full
+EVENT_QUEUE_SIZE = 4096  # events; workers wait when it is full
 BACKLOG = 1024
-LAST_ACCEPTS = 0.2  # seconds at the end in which the accepting thread turns away whoever is left
+FINAL_ACCEPT_TIME = 0.2  # seconds at the end in which the accepting thread turns away whoever is left
 # How a call ends that was lost or turned away: what an upgrade may not bring more of (docs/on-call.md)
-BADLY = {
+FAILURE_REASONS = {
     "fault",
     "overdue",
     "released",
@@ -40,9 +40,9 @@
     "stuck",
     "unknown",
 }
-NO_CALL = {"ping", "no-first-line", "not-ready"}
-SPARE_ENDS = 32  # descriptors for the listener, discovery, logs, and to turn clients away with
-BASE_MB, END_KB = 24, 32  # memory of a node without connections, and of one end
+NO_CALL_REASONS = {"ping", "no-first-line", "not-ready"}
+SPARE_DESCRIPTORS = 32  # descriptors for the listener, discovery, logs, and to turn clients away with
+BASE_MB, CONNECTION_END_KB = 24, 32  # memory of a node without connections, and of one end
 
 
 class Clock:
@@ -55,27 +55,30 @@
         return int((time.monotonic() + self.offset) * 1_000_000)
 
 
-def most_ends(resource_limits, operator=None):
+def socket_limit(resource_limits, operator=None):
     """How many connections, clients' and hosts', fit into descriptors and memory."""
-    spare = SPARE_ENDS + (admin.RESERVED_DESCRIPTORS if operator else 0)
+    spare = SPARE_DESCRIPTORS + (admin.RESERVED_DESCRIPTORS if operator else 0)
     return max(
-        2, min(resource_limits.sockets - spare, (resource_limits.memory_mb - BASE_MB) * 1024 // END_KB)
+        2,
+        min(
+            resource_limits.sockets - spare, (resource_limits.memory_mb - BASE_MB) * 1024 // CONNECTION_END_KB
+        ),
     )
 
 
-def door_target(begin):
+def admission_target(begin):
     """How long first lines may lie here: see `AdmissionLimiter`."""
     return min(t.setup_target for t in begin.types) // 4
 
 
-def may_watch(begin, listed, follows):
+def watch_at_once(begin, listed, follows):
     """Whether a known list is watched at once: a process that `follows`
     another waits for a list told to itself.
     """
     return begin.server_list.polled and not follows and bool(listed.entries)
 
 
-def changeable(begin, was):
+def reloadable(begin, was):
     """Settings that a node which runs takes over: what cannot change then stays as it was, in all parts."""
     return replace(
         begin,
@@ -84,7 +87,7 @@
     )
 
 
-def grow_table(sockets):
+def grow_descriptor_table(sockets):
     """The kernel's table of descriptors at its full size before there are threads: each time that it grows
     later, whoever opens the next one, the reducer among them, waits 10 to 25 ms for every core to pass by.
     """
@@ -98,165 +101,184 @@
     """`start` returns once the node listens; `stop` asks it to end its work; `join` waits until it has."""
 
     def __init__(
-        self, endpoints, resource_limits, names, host_protocol, begin, known, keep=None, ended=lambda: None
+        self,
+        endpoints,
+        resource_limits,
+        names,
+        host_protocol,
+        begin,
+        initial_list,
+        on_list=None,
+        on_ended=lambda: None,
     ):
-        """`keep(version, instances, whole)`, if given, is told each list as JSON, in the discovery's thread;
-        `ended()` is called once, when all is done.
+        """`on_list(version, instances, whole)`, if given, is told each list as JSON, in discovery's thread;
+        `on_ended()` is called once, when all is done.
         """
         self.endpoints, self.resource_limits, self.clock = endpoints, resource_limits, Clock()
-        self.events, self.done = queue.Queue(QUEUE), threading.Event()
-        self.most = self.all = most_ends(resource_limits, endpoints.operator)
+        self.events, self.done = queue.Queue(EVENT_QUEUE_SIZE), threading.Event()
+        self.max_sockets = self.max_sockets_alone = socket_limit(resource_limits, endpoints.operator)
         self.workers = workers.Workers(
-            BufferPool(), self.post, self.clock.now, lambda: (self.done.set(), ended())
+            BufferPool(), self.post, self.clock.now, lambda: (self.done.set(), on_ended())
+        )
+        self.limiter_lock, self.admission_limiter = (
+            threading.Lock(),
+            AdmissionLimiter(admission_target(begin)),
         )
-        self.lock, self.door = threading.Lock(), AdmissionLimiter(door_target(begin))
-        version, listed, addresses, unread = discovery.read_list(known, names, ListUpdateKind.SAVED)
+        version, listed, addresses, unread = discovery.read_list(initial_list, names, ListUpdateKind.SAVED)
         self.discovery = discovery.Discovery(
             endpoints.discovery,
             names,
             self.post,
             version,
             begin.server_list.polled,
-            keep,
-            may_watch(begin, listed, keep is not None),
+            on_list,
+            watch_at_once(begin, listed, on_list is not None),
         )
-        self.reducer = Reducer(self.clock.now(), begin, names, host_protocol, self.most)
+        self.reducer = Reducer(self.clock.now(), begin, names, host_protocol, self.max_sockets)
         self.discovery.start_with(
-            listed, addresses, unread, trusted=begin.server_list.polled or keep is not None
+            listed, addresses, unread, trusted=begin.server_list.polled or on_list is not None
         )
-        self.listener, self.shared, self.steps, self.ended = None, False, 0, Counter()
+        self.listener, self.shared, self.steps, self.end_reasons = None, False, 0, Counter()
         self.closer = Closer(self.max_closing)
         self.admission, self.finished = None, False
-        self.admin, self.urgent = None, queue.SimpleQueue()  # `urgent`: events that no full queue may hold up
-        self.giver = None  # passes standing connections on
+        # `urgent_events`: events that no full queue may hold up
+        self.admin, self.urgent_events = None, queue.SimpleQueue()
+        self.connection_sender = None  # passes standing connections on
 
     def max_closing(self):
         """How many that were turned away may be read to their end at a time."""
         waiting = len(self.admission.pending) if self.admission else 0
-        return max(SPARE_ENDS // 4, self.most - len(self.workers.live) - waiting)
+        return max(SPARE_DESCRIPTORS // 4, self.max_sockets - len(self.workers.live) - waiting)
 
     def post(self, event):
         self.events.put((self.clock.now(), event))
 
     def start(self, listener=None):
         """`listener`: a socket that another process keeps too and that listens already;
-        nothing is taken from it before `take`.
+        nothing is taken from it before `start_accepting`.
         """
         self.shared = listener is not None
         self.listener = listener or socket.create_server(self.endpoints.listen, backlog=BACKLOG)
-        self.admin = admin.Admin(self.endpoints.operator, self.called) if self.endpoints.operator else None
+        self.admin = (
+            admin.Admin(self.endpoints.operator, self.answer_command) if self.endpoints.operator else None
+        )
         # What came before it was accepted is stamped too: a client's time runs from when its line was here.
         self.listener.setsockopt(socket.SOL_SOCKET, lines.SO_TIMESTAMPNS, 1)
-        grow_table(self.resource_limits.sockets)
+        grow_descriptor_table(self.resource_limits.sockets)
         # Before there are threads: said after, the list's first word could stand in the log before it.
         log.info(
             "listening",
             extra={
-                "pairs": {"address": "{}:{}".format(*self.listener.getsockname()[:2]), "most_ends": self.most}
+                "pairs": {
+                    "address": "{}:{}".format(*self.listener.getsockname()[:2]),
+                    "most_ends": self.max_sockets,
+                }
             },
         )
         self.workers.start()
         workers.start_thread(self.closer.run)
         if self.admin:
-            workers.start_thread(self.admin.run, stack=workers.WIDE)
-        for target in (self.loop, self.discovery.run):
-            workers.start_thread(target, stack=workers.WIDE)
+            workers.start_thread(self.admin.run, stack=workers.LARGE_STACK_SIZE)
+        for target in (self.run_reducer, self.discovery.run):
+            workers.start_thread(target, stack=workers.LARGE_STACK_SIZE)
         if not self.shared:
-            self.take()
+            self.start_accepting()
 
-    def serves(self):
+    def is_serving(self):
         """Whether connections are taken from the listener, and there is a server to send them to."""
         return self.reducer.listed and not self.reducer.stopping and self.admission is not None
 
-    def called(self, word):
+    def answer_command(self, command):
         """The answer to an operator's call; in the thread of their address, which may wait for nothing."""
-        if word == "health":
-            return b"200 yes\n" if self.serves() else b"400 no\n"
-        if word == "counters":
+        if command == "health":
+            return b"200 yes\n" if self.is_serving() else b"400 no\n"
+        if command == "counters":
             return b"200 the figures\n%sEOF\n" % self.reducer.counters.text(len(self.reducer.by_id)).encode()
-        if word not in ("quiesce", "resume"):
+        if command not in ("quiesce", "resume"):
             return b"400 known calls: health, counters, quiesce, resume\n"
         if self.reducer.stopping:
             return b"400 stopping\n"
-        self.hasten(ev.DrainAsked(word == "quiesce"))
-        return b"200 draining\n" if word == "quiesce" else b"200 serving\n"
+        self.post_urgent(ev.DrainAsked(command == "quiesce"))
+        return b"200 draining\n" if command == "quiesce" else b"200 serving\n"
 
-    def hasten(self, event):
+    def post_urgent(self, event):
         """For the reducer before all that waits in its queue, and without waiting for room there."""
-        self.urgent.put((self.clock.now(), event))
+        self.urgent_events.put((self.clock.now(), event))
         with contextlib.suppress(queue.Full):  # it is awake
             self.events.put_nowait((self.clock.now(), ev.Tick()))  # wakes it
 
-    def follow(self, address, anew=False):
+    def change_discovery(self, address, refetch=False):
         """Another discovery from now on, or the whole list of this one anew;
         the list, calls and connections stay.
         """
-        if anew or address != self.endpoints.discovery:
+        if refetch or address != self.endpoints.discovery:
             self.endpoints = replace(self.endpoints, discovery=address)
             self.discovery.change_address(address)
 
-    def take(self):
+    def start_accepting(self):
         """Take connections from the listener from now on."""
         self.admission = Admission(self.listener, self.shared, self.clock.now, self)
         self.admission.start()
 
-    def inherit(self, handed):
-        """Before `take`: what the process before this one hands over."""
-        self.limit(handed.room)
-        self.post(ev.Inherited(handed))
+    def inherit_state(self, state):
+        """Before `start_accepting`: what the process before this one hands over."""
+        self.limit_sockets(state.room)
+        self.post(ev.Inherited(state))
 
-    def limit(self, most):
+    def limit_sockets(self, limit):
         """While two processes share the limits of one; None: alone again."""
-        self.most = self.reducer.most_ends = min(most or self.all, self.all)
+        self.max_sockets = self.reducer.most_ends = min(
+            limit or self.max_sockets_alone, self.max_sockets_alone
+        )
 
-    def hand_over(self, wait=0.5):
+    def hand_over_state(self, wait=0.5):
         """What a successor is to know, or None if the reducer is too late to tell."""
-        given = queue.SimpleQueue()
-        self.hasten(ev.HandOverAsked(given.put))
+        reply = queue.SimpleQueue()
+        self.post_urgent(ev.HandOverAsked(reply.put))
         try:
-            handed = given.get(timeout=wait)
+            state = reply.get(timeout=wait)
         except queue.Empty:
             return None
-        self.most = self.reducer.most_ends
-        return handed
+        self.max_sockets = self.reducer.most_ends
+        return state
 
-    def retune(self, endpoints, resource_limits, names, host_protocol, begin):
+    def reload(self, endpoints, resource_limits, names, host_protocol, begin):
         """Another configuration from now on: list, calls and connections stay."""
-        begin = changeable(begin, self.reducer.begin)
+        begin = reloadable(begin, self.reducer.begin)
         renamed = (names.zones, names.kinds) != (self.discovery.names.zones, self.discovery.names.kinds)
         self.discovery.names = names
-        self.hasten(ev.Retuned(begin, names, host_protocol))
-        with self.lock:
-            self.door.target = door_target(begin)
-        self.follow(endpoints.discovery, renamed)
+        self.post_urgent(ev.Retuned(begin, names, host_protocol))
+        with self.limiter_lock:
+            self.admission_limiter.target = admission_target(begin)
+        self.change_discovery(endpoints.discovery, renamed)
 
-    def adopt(self, standing, client, host):
+    def adopt_connection(self, standing, client, host):
         """A standing connection of the process before this one, with its two sockets. Whether it is taken."""
         ends = ev.End(True), ev.End(False)
         for end, sock in zip(ends, (client, host), strict=True):
-            if not self.workers.begin(end, sock):
+            if not self.workers.start_worker(end, sock):
                 for left in (client, host):
                     left.close()
                 return False
-        given = queue.SimpleQueue()
-        self.post(ev.Adopted(*ends, standing, given.put))
-        taken = given.get()  # however late: the reducer alone knows whether it has it
+        reply = queue.SimpleQueue()
+        self.post(ev.Adopted(*ends, standing, reply.put))
+        taken = reply.get()  # however late: the reducer alone knows whether it has it
         if taken:  # its room comes with it
-            self.limit(self.most + 2)
+            self.limit_sockets(self.max_sockets + 2)
         return taken
 
-    def leave(self, handed, heir=None):
+    def shut_down(self, handed, successor=None):
         """Take no more, and stop.
 
         What is in the queue of the listener is another's: a successor's (`handed`), or the supervisor's.
-        `heir`: a connection to a successor that takes standing ones too.
+        `successor`: a connection to a successor that takes standing ones too.
         """
         if self.admission:
             self.admission.stop_accepting()
-        if heir:
-            self.giver = passing.Giver(heir, self.post)
-            workers.start_thread(self.giver.run, stack=workers.WIDE)
-        self.post(ev.StopAsked(handed, heir is not None))
+        if successor:
+            self.connection_sender = connection_transfer.ConnectionSender(successor, self.post)
+            workers.start_thread(self.connection_sender.run, stack=workers.LARGE_STACK_SIZE)
+        self.post(ev.StopAsked(handed, successor is not None))
 
     def ping(self, wait=1.0):
         """Whether a PING is answered: by the reducer and the workers as a client's
@@ -267,7 +289,7 @@
             ours.settimeout(wait)
             theirs.setsockopt(socket.SOL_SOCKET, socket.SO_RCVTIMEO, workers.RCVTIMEO)
             end = ev.End(True)
-            if not self.workers.begin(end, theirs):
+            if not self.workers.start_worker(end, theirs):
                 theirs.close()
                 return False
             self.post(ev.Came(end))
@@ -281,41 +303,41 @@
         """What is told of a node that runs: whole numbers, and `listed`,
         whether it knows a server that is ready.
         """
-        reducer, ended = self.reducer, dict(self.ended)
+        reducer, ended = self.reducer, dict(self.end_reasons)
         return {
             "steps": self.steps,
             "listed": reducer.listed,
             "list": self.discovery.version,
             "connections": len(reducer.conns),
             "calls": len(reducer.by_id),
-            "ended": sum(n for reason, n in ended.items() if reason not in NO_CALL),
-            "bad": sum(n for reason, n in ended.items() if reason in BADLY),
+            "ended": sum(n for reason, n in ended.items() if reason not in NO_CALL_REASONS),
+            "bad": sum(n for reason, n in ended.items() if reason in FAILURE_REASONS),
         }
 
     def stop(self):
         """Before all that waits: the platform's time runs from here, whatever lies in the queue."""
-        self.hasten(ev.StopAsked())
+        self.post_urgent(ev.StopAsked())
 
     def join(self, wait=None):
         return self.done.wait(wait)
 
-    def loop(self):
+    def run_reducer(self):
         """The one thread that runs the reducer."""
         while not self.finished:
             left = (self.reducer.due() - self.clock.now()) / 1e6
             try:
-                at, event = self.urgent.get_nowait()
+                at, event = self.urgent_events.get_nowait()
             except queue.Empty:
-                at, event = self.next(left)
+                at, event = self.next_event(left)
             now = self.clock.now()
             at = getattr(event, "at", 0) or at or now
             if isinstance(event, ev.Got) and event.end.client and event.end.conn.opening is None:
-                with self.lock:
-                    self.door.record_wait(now, now - at)
+                with self.limiter_lock:
+                    self.admission_limiter.record_wait(now, now - at)
             for effect in self.step(event, at):
-                self.carry_out(effect)
+                self.execute(effect)
 
-    def next(self, left):
+    def next_event(self, left):
         """What comes next from the queue within so many seconds."""
         try:
             return self.events.get(timeout=left) if left > 0 else self.events.get_nowait()
@@ -334,37 +356,37 @@
             log.exception("fault", extra={"pairs": {"while": type(event).__name__}})
         return self.reducer.after_fault(event)
 
-    def carry_out(self, effect):
+    def execute(self, effect):
         if isinstance(effect, ev.Say):
             if effect.event == "closed":
-                self.ended[effect.pairs["reason"]] += 1
+                self.end_reasons[effect.pairs["reason"]] += 1
             log.log(logging.getLevelName(effect.level.upper()), effect.event, extra={"pairs": effect.pairs})
         elif isinstance(effect, ev.FollowList):
             self.discovery.enabled.set()
         elif isinstance(effect, ev.Pass):
-            self.giver.orders.put(effect)
+            self.connection_sender.orders.put(effect)
         elif isinstance(effect, ev.Stop):
-            self.finish()
+            self.close_all()
         else:
-            self.workers.carry_out(effect)
+            self.workers.execute(effect)
 
-    def finish(self):
+    def close_all(self):
         self.finished = True
         self.discovery.stop()
         if self.admin:
             self.admin.stop()
         if self.admission:
             self.admission.end()  # who accepts may wait for room in the reducer's queue
-            until = time.monotonic() + LAST_ACCEPTS
-            while not self.admission.ended.wait(LAST_ACCEPTS / 20) and time.monotonic() < until:
+            until = time.monotonic() + FINAL_ACCEPT_TIME
+            while not self.admission.ended.wait(FINAL_ACCEPT_TIME / 20) and time.monotonic() < until:
                 self.refuse_unknown()
         self.refuse_unknown()
-        self.hold_up_nobody()
-        self.workers.carry_out(ev.Quit())
+        self.unblock_posters()
+        self.workers.execute(ev.Quit())
         self.closer.stop()
-        self.workers.writes.put(None)  # the last answers go out before the process may end
+        self.workers.write_queue.put(None)  # the last answers go out before the process may end
 
-    def hold_up_nobody(self):
+    def unblock_posters(self):
         """After the last step nothing is taken from the queue: the writer waited for room there for ever."""
         with self.events.mutex:
             self.events.maxsize = sys.maxsize
@@ -378,15 +400,18 @@
             except queue.Empty:
                 break
             if isinstance(event, ev.Came) and event.end.worker is not None:
-                self.workers.carry_out(ev.Write(event.end, lines.busy(self.reducer.retry_after())))
-                self.workers.carry_out(ev.Finish(event.end))
+                self.workers.execute(ev.Write(event.end, lines.busy(self.reducer.retry_after())))
+                self.workers.execute(ev.Finish(event.end))
 
     # What `admission.Admission` asks of its gate
 
     def max_pending(self):
         """How many clients may wait for their first line now: no more than a part, and none where calls need
         the descriptors."""
-        return min(self.most // WAITING_PART, self.most + SPARE_ENDS // 4 - len(self.workers.live))
+        return min(
+            self.max_sockets // WAITING_PART,
+            self.max_sockets + SPARE_DESCRIPTORS // 4 - len(self.workers.live),
+        )
 
     def stopping(self):
         """Whether the node was asked to end."""
@@ -399,8 +424,8 @@
             return
         end = ev.End(True)
         # What has come and is not yet in the reducer's count: hundreds at once would pass the limit.
-        room = len(self.workers.live) < self.most + SPARE_ENDS // 4
-        if not room or not self.workers.begin(end, client.sock):
+        room = len(self.workers.live) < self.max_sockets + SPARE_DESCRIPTORS // 4
+        if not room or not self.workers.start_worker(end, client.sock):
             self.refuse(client.sock, "no-room-at-all", 0)
             return
         self.post(ev.Came(end, client.accepted_at))
@@ -410,8 +435,8 @@
         told so however late the node is."""
         if first.startswith(lines.PING):
             return True
-        with self.lock:
-            admitted = self.door.admits(self.clock.now())
+        with self.limiter_lock:
+            admitted = self.admission_limiter.admits(self.clock.now())
         return admitted and not self.events.full()  # whoever accepts waits for nobody
 
     def refuse(self, sock, reason, retry_after=None):
@@ -428,5 +453,5 @@
                 lines.type_named(sock.recv(4096, socket.MSG_DONTWAIT))
             )
         self.closer.add(sock)
-        self.ended[reason] += 1
+        self.end_reasons[reason] += 1
         log.info("closed", extra={"pairs": {"reason": reason}})
--- a/cottonspread/net/workers.py
+++ b/cottonspread/net/workers.py
@@ -23,13 +23,15 @@
 
 log = logging.getLogger("cottonspread.workers")
 
-STACK = 128 * 1024  # of each end's thread
-WIDE = 1024 * 1024  # of the few others: JSON nested a thousand deep needs over 128 KiB, or the node dies
-HALF_LINE_WAIT = 5  # seconds; a read that waits looks as often whether half a line is too old
-RCVTIMEO = struct.pack("ll", HALF_LINE_WAIT, 0)
+STACK_SIZE = 128 * 1024  # of each end's thread
+# of the few others: JSON nested a thousand deep needs over 128 KiB, or the node dies
+LARGE_STACK_SIZE = 1024 * 1024
+PARTIAL_LINE_TIMEOUT = 5  # seconds; a read that waits looks as often whether half a line is too old
+RCVTIMEO = struct.pack("ll", PARTIAL_LINE_TIMEOUT, 0)
 # bytes and seconds: what a closed connection's reader takes in one go
-DRAINED_AT_ONCE, DRAIN_PAUSE = 64 * 1024, 0.05
-DRAINED_AT_MOST, CUT_WAIT = 1024 * 1024, 2000  # bytes in all, and then milliseconds until the reducer's cut
+DISCARD_BURST, DISCARD_PAUSE = 64 * 1024, 0.05
+# bytes in all, and then milliseconds until the reducer's cut
+MAX_DISCARDED, CUT_TIMEOUT_MS = 1024 * 1024, 2000
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)
 
 
@@ -40,7 +42,7 @@
     sock.setsockopt(socket.SOL_SOCKET, lines.SO_TIMESTAMPNS, 1)
 
 
-def gone(sock):
+def peer_closed(sock):
     """Whether the other side has ended its sending or broken, whatever still lies here unread.
 
     Asked of the kernel, without waiting.
@@ -56,7 +58,7 @@
         return False
 
 
-def start_thread(target, *args, stack=STACK):
+def start_thread(target, *args, stack=STACK_SIZE):
     """Raises RuntimeError if there is none to be had."""
     threading.stack_size(stack)
     threading.Thread(target=target, args=args, name=target.__qualname__, daemon=True).start()
@@ -74,25 +76,25 @@
         while True:
             order = self.orders.get()
             if isinstance(order, ev.Free):
-                self.free()
+                self.release()
                 return
             try:
-                said = (
+                result = (
                     self.read()
                     if isinstance(order, ev.Read)
-                    else self.drain()
+                    else self.discard_input()
                     if isinstance(order, ev.Drain)
                     else self.connect(order)
                 )
             except Exception:  # our own fault: in plain sight, and the connection ends
                 log.exception("fault", extra={"pairs": {"while": type(order).__name__}})
-                said = (
+                result = (
                     ev.Connected(self.end, False)
                     if isinstance(order, ev.Connect)
                     else ev.Over(self.end, "fault")
                 )
-            if said is not None:
-                self.post(said)
+            if result is not None:
+                self.post(result)
 
     def connect(self, order):
         sock = self.sock
@@ -106,7 +108,7 @@
 
     def read(self):
         if self.gatherer is None:
-            self.gatherer = lines.Gatherer(self.sock, self.pool, HALF_LINE_WAIT)
+            self.gatherer = lines.Gatherer(self.sock, self.pool, PARTIAL_LINE_TIMEOUT)
         try:
             data = self.gatherer.lines()
             return (
@@ -121,31 +123,31 @@
         except OSError:
             return ev.Over(self.end, "reset")
 
-    def drain(self):
+    def discard_input(self):
         """To the other side's end, at a bounded pace: who sends on at full speed keeps no reader busy.
 
         Bytes left unread would make the close a reset, which takes the last line with it; who sends more
-        than DRAINED_AT_MOST is no client that hears it, and to such a one the reset tells that nobody
+        than MAX_DISCARDED is no client that hears it, and to such a one the reset tells that nobody
         listens. The reducer cuts it off in the end.
         """
         if self.gatherer is not None:
             self.gatherer.drop()
         try:
-            at_once, rest = 0, DRAINED_AT_MOST
-            while rest > 0 and (got := self.read_away()):
+            at_once, rest = 0, MAX_DISCARDED
+            while rest > 0 and (got := self.discard_some()):
                 at_once, rest = at_once + got, rest - got
-                if at_once >= DRAINED_AT_ONCE:
+                if at_once >= DISCARD_BURST:
                     at_once = 0
-                    time.sleep(DRAIN_PAUSE)
+                    time.sleep(DISCARD_PAUSE)
             if rest <= 0:
                 look = select.poll()  # until it is cut off from here, or breaks
                 look.register(self.sock, select.POLLRDHUP)
-                look.poll(CUT_WAIT)
+                look.poll(CUT_TIMEOUT_MS)
         except OSError:
             pass
         return ev.Over(self.end, "end")
 
-    def empty(self):
+    def discard_unread(self):
         """From another thread, as the process ends: what lies here unread is dropped."""
         try:
             while self.sock.recv(8192, socket.MSG_DONTWAIT):
@@ -153,7 +155,7 @@
         except OSError:  # all is read, or it has ended
             pass
 
-    def read_away(self):
+    def discard_some(self):
         """Some bytes, dropped; 0 at the end of the connection."""
         while True:
             try:
@@ -161,7 +163,7 @@
             except BlockingIOError:  # the socket's own time-out has passed
                 pass
 
-    def free(self):
+    def release(self):
         if self.gatherer is not None:
             self.gatherer.drop()
         if self.sock is not None:
@@ -171,16 +173,16 @@
 
 
 class Workers:
-    def __init__(self, pool, post, clock, written=lambda: None):
-        """`written` is called once, when all has been handed to the kernel after the order None."""
-        self.pool, self.post, self.clock, self.written = pool, post, clock, written
-        self.writes = queue.SimpleQueue()
+    def __init__(self, pool, post, clock, on_all_written=lambda: None):
+        """`on_all_written` is called once, when all has been handed to the kernel after the order None."""
+        self.pool, self.post, self.clock, self.on_all_written = pool, post, clock, on_all_written
+        self.write_queue = queue.SimpleQueue()
         self.live = set()  # who holds a socket, with what the reducer has not yet heard of
 
     def start(self):
-        start_thread(self.write_all, stack=WIDE)
+        start_thread(self.run_writer, stack=LARGE_STACK_SIZE)
 
-    def begin(self, end, sock):
+    def start_worker(self, end, sock):
         """A thread for this end; False if there is none to be had."""
         worker = Worker(end, sock, self.pool, self.post, self.live, self.clock)
         self.live.add(worker)
@@ -192,7 +194,7 @@
             return False
         return True
 
-    def ask(self, order):
+    def probe(self, order):
         """One probe, in a thread of its own: a host that says nothing holds up nobody.
 
         Our own want of a descriptor is no word on the host.
@@ -221,57 +223,59 @@
             ending, report = Ending.FULL if ours else Ending.CONNECT_FAILED, {}
         self.post(ev.Asked(order.host, ending, report, round((time.monotonic() - began) * 1e6)))
 
-    def carry_out(self, effect):
+    def execute(self, effect):
         if isinstance(effect, ev.Ask):
             try:
-                start_thread(self.ask, effect)
+                start_thread(self.probe, effect)
             except RuntimeError:  # no thread is to be had; as below, by way of the writer
-                self.writes.put(ev.Asked(effect.host, Ending.FULL, {}))
+                self.write_queue.put(ev.Asked(effect.host, Ending.FULL, {}))
             return
         if isinstance(effect, ev.Connect):
             try:
                 sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
             except OSError as fault:
                 # By way of the writer: the reducer's own thread may not wait for room in its queue.
-                self.writes.put(ev.Connected(effect.end, False, errno.errorcode.get(fault.errno, "socket")))
+                self.write_queue.put(
+                    ev.Connected(effect.end, False, errno.errorcode.get(fault.errno, "socket"))
+                )
                 return
-            if not self.begin(effect.end, sock):
+            if not self.start_worker(effect.end, sock):
                 sock.close()
-                self.writes.put(ev.Connected(effect.end, False, "no-thread"))
+                self.write_queue.put(ev.Connected(effect.end, False, "no-thread"))
                 return
             effect.end.worker.orders.put(effect)
         elif isinstance(effect, (ev.Read, ev.Drain)):
             if effect.end.worker is not None:
                 effect.end.worker.orders.put(effect)
         else:
-            self.writes.put(effect)
+            self.write_queue.put(effect)
 
-    def write_all(self):
+    def run_writer(self):
         while True:
-            effect = self.writes.get()
+            effect = self.write_queue.get()
             if effect is None:  # the node is done
-                self.written()
+                self.on_all_written()
                 return
             if isinstance(effect, (ev.Connected, ev.Asked)):
                 self.post(effect)
                 continue
             if isinstance(effect, ev.Quit):
                 for worker in list(self.live):
-                    worker.empty()
+                    worker.discard_unread()
                 continue
             worker = effect.end.worker
             if worker is None:  # freed already
                 continue
             try:
-                self.write_one(worker, effect)
+                self.execute_write(worker, effect)
             except (OSError, RuntimeError):  # the other side was first, or no thread is to be had
                 if isinstance(effect, ev.Write):
                     self.post(ev.Written(effect.end, False))
 
-    def write_one(self, worker, effect):
+    def execute_write(self, worker, effect):
         """One order that belongs to an end: what is to be sent, or how its sending ends."""
         if isinstance(effect, ev.Write):
-            why = self.must_not_begin(effect) if effect.attempt else ""
+            why = self.reason_not_to_start(effect) if effect.attempt else ""
             if why:
                 self.post(ev.Written(effect.end, False, why=why))
             else:
@@ -288,14 +292,14 @@
         else:
             worker.sock.shutdown(socket.SHUT_RDWR)
 
-    def must_not_begin(self, effect):
+    def reason_not_to_start(self, effect):
         """What the reducer could not know yet when it ordered an attempt's first line: its
         client has left, which lies in the queue behind much else on a busy node, or its time has
         passed meanwhile. The reason, or "".
         """
         client = effect.end.conn.client.worker
         try:
-            if client is None or gone(client.sock):
+            if client is None or peer_closed(client.sock):
                 return "client-gone"
         except OSError:  # given back just now
             return "client-gone"
@@ -309,9 +313,9 @@
         if sent == len(effect.data):
             self.post(ev.Written(effect.end, True, self.clock()))
         else:  # no slow peer holds up the others
-            start_thread(self.write_slowly, sock, effect, sent)
+            start_thread(self.write_blocking, sock, effect, sent)
 
-    def write_slowly(self, sock, effect, sent):
+    def write_blocking(self, sock, effect, sent):
         try:
             sock.sendall(memoryview(effect.data)[sent:])
             ok = True
--- a/tests/configstore/test_shell_section.py
+++ b/tests/configstore/test_shell_section.py
@@ -66,13 +66,13 @@
     """What `apply_published` needs of one."""
 
     def __init__(self):
-        self.retuned, self.hastened = [], []
+        self.reloads, self.urgent_events = [], []
 
-    def retune(self, *parts):
-        self.retuned.append(parts[4].types[0].name)
+    def reload(self, *parts):
+        self.reloads.append(parts[4].types[0].name)
 
-    def hasten(self, event):
-        self.hastened.append(type(event))
+    def post_urgent(self, event):
+        self.urgent_events.append(type(event))
 
 
 def test_a_node_that_cannot_take_a_change_over_says_why_and_keeps_what_it_has(tmp_path):
@@ -80,14 +80,14 @@
     file.write_text(json.dumps(shells.configuration()))
     active, node = serving.ActiveConfiguration(str(file), op.Configuration(replicas=("a:1",)).own), Node()
     good = json.dumps(shells.configuration(TrafficTypes=shells.types("second")) | {"name": "other"})
-    assert serving.apply_published(node, active, good) == (True, "") and node.retuned == ["second"]
+    assert serving.apply_published(node, active, good) == (True, "") and node.reloads == ["second"]
     assert active.values["name"] == "n1" and active.parts[0].name == "n1"
 
     for faulty, said in (("{", "invalid JSON"), ("[]", "not an object"), ('{"settings": {}}', "missing")):
         ok, why = serving.apply_published(node, active, faulty)
         assert not ok and said in why
-    assert node.retuned == ["second"] and node.hastened == [ev.NotRetuned] * 3
-    assert serving.reload(node, active) == "" and node.retuned == ["second"] * 2, (
+    assert node.reloads == ["second"] and node.urgent_events == [ev.NotRetuned] * 3
+    assert serving.reload(node, active) == "" and node.reloads == ["second"] * 2, (
         "SIGHUP keeps what is carried"
     )
 
--- a/tests/crossings/test_attempts.py
+++ b/tests/crossings/test_attempts.py
@@ -33,7 +33,7 @@
         assert gate.here.wait(10)
         one.close(how)
         until(
-            lambda: any(workers.gone(w.sock) for w in list(node.workers.live) if w.end.client),
+            lambda: any(workers.peer_closed(w.sock) for w in list(node.workers.live) if w.end.client),
             "the client's end is not here",
         )
         gate.open.set()
@@ -41,7 +41,7 @@
         assert first.take().rest() == b"", "sent for nobody"
         node.seen.wait(ev.Written, lambda e: e.why == "client-gone")
         kept.set()
-        until(lambda: node.ended["left-in-setup"] == 1, "not ended")
+        until(lambda: node.end_reasons["left-in-setup"] == 1, "not ended")
         assert not any(host.waits() for host in hosts)
 
 
@@ -62,19 +62,19 @@
 
     with running(agent, before, sockets=1024) as node:
         listed(node)
-        node.hasten(ev.NotRetuned())
+        node.post_urgent(ev.NotRetuned())
         assert gate.here.wait(10)
         many = [client(node, opening(n)) for n in range(150)]
         until(lambda: len(node.workers.live) == len(many), "not all accepted")
         for one in many:
             one.close()
         gate.open.set()
-        until(lambda: sum(node.ended.values()) == len(many), "not all ended")
+        until(lambda: sum(node.end_reasons.values()) == len(many), "not all ended")
         for host in hosts:
             while host.waits():
                 assert host.take().rest() == b""
         # as many as set-ups are let go at once
-        assert node.ended["left-in-setup"] >= 8 and node.ended.keys() <= {
+        assert node.end_reasons["left-in-setup"] >= 8 and node.end_reasons.keys() <= {
             "left-in-setup",
             "rejected",
         }
@@ -190,7 +190,7 @@
         one = client(node, opening(1, "once", wait=300))
         peer = serve(hosts)
         assert peer.line.startswith(b"OPEN ")
-        node.hasten(ev.NotRetuned())
+        node.post_urgent(ev.NotRetuned())
         assert gate.here.wait(10)
         began = node.clock.now()
         peer.say(b"UP r")
@@ -305,9 +305,9 @@
             assert one.hear().split()[:1] in ([b"BUSY"], [b"ERR"])
             assert one.hear() == b""
             one.close()
-        assert sum(node.ended.values()) <= 60 and not node.ended["overdue"]
-        until(lambda: sum(node.ended.values()) == 60, "not all ended")
-        assert not node.ended["overdue"]
+        assert sum(node.end_reasons.values()) <= 60 and not node.end_reasons["overdue"]
+        until(lambda: sum(node.end_reasons.values()) == 60, "not all ended")
+        assert not node.end_reasons["overdue"]
     stop.set()
     for host in hosts:
         host.close()
--- a/tests/crossings/test_closing.py
+++ b/tests/crossings/test_closing.py
@@ -41,12 +41,12 @@
 
 def test_a_client_turned_away_at_the_door_may_send_its_line_just_then(agent):
     """The door is for calls: one that says nothing is told the end when its time is over."""
-    with running(agent, lambda node: setattr(node.door, "admits", lambda now: False)) as node:
+    with running(agent, lambda node: setattr(node.admission_limiter, "admits", lambda now: False)) as node:
         listed(node)
         told_the_end(client(node), b"BUSY")
         told_the_end(client(node, opening(1)), b"BUSY")
         until(lambda: not node.closer.open_sockets, "kept")
-        assert node.ended["node-late"] == 1 and node.ended["no-first-line"] == 1
+        assert node.end_reasons["node-late"] == 1 and node.end_reasons["no-first-line"] == 1
 
 
 def test_a_request_that_crosses_the_end_of_a_resting_connection_is_answered_and_not_sent_on(
@@ -81,14 +81,14 @@
     monkeypatch.setattr(reducer, "FIRST_WAIT", 100_000)
 
     def before(node):
-        finish = node.workers.carry_out
+        finish = node.workers.execute
 
         def held(effect):
             if isinstance(effect, ev.Write) and effect.data.startswith(b"BUSY"):
                 gate.wait()  # the word and the end wait, the reducer has decided
             finish(effect)
 
-        node.workers.carry_out = held
+        node.workers.execute = held
 
     with running(agent, before) as node:
         listed(node)
@@ -146,7 +146,9 @@
             assert client(node, b"PING").hear() == b"PONG"
         thread.join(10)
         assert stop.is_set(), "still read after a second and more"
-        until(lambda: node.ended["garbled"] + node.ended["early-line"] == 1, "kept")  # as its lines were read
+        until(
+            lambda: node.end_reasons["garbled"] + node.end_reasons["early-line"] == 1, "kept"
+        )  # as its lines were read
 
 
 def test_the_closer_keeps_no_more_than_it_may_and_nobody_for_good(monkeypatch):
--- a/tests/crossings/test_floods.py
+++ b/tests/crossings/test_floods.py
@@ -44,7 +44,7 @@
         operators = node.admin.listener.getsockname()
         idle = [client(node) for _ in range(300)]
         assert call(operators, b"counters").startswith(b"200 ")
-        assert len(node.workers.live) <= node.most + 32
+        assert len(node.workers.live) <= node.max_sockets + 32
         back.set()
         listed(node, 1)
         for n in range(5):
@@ -55,14 +55,14 @@
                 until(
                     lambda: (
                         any(h.waits() for h in hosts)
-                        or node.ended["no-room-at-all"]
-                        or node.ended["rejected"]
+                        or node.end_reasons["no-room-at-all"]
+                        or node.end_reasons["rejected"]
                     ),
                     "not dealt with",
                 )
                 if any(h.waits() for h in hosts):
                     break
-                node.ended.clear()
+                node.end_reasons.clear()
                 one.close()
             peer = next(h for h in hosts if h.waits()).take()
             assert peer.hear().startswith(b"OPEN ")
--- a/tests/crossings/test_handover.py
+++ b/tests/crossings/test_handover.py
@@ -10,7 +10,7 @@
 from standins import WAIT
 
 from cottonspread.front import handover
-from cottonspread.net import passing
+from cottonspread.net import connection_transfer
 
 STANDING = handover.pack_connection(handover.OpenConnection("id", "plain", "s-1", 1, 2))
 
@@ -27,7 +27,9 @@
         end.close()  # the dead one's copies
     taken = []
     with ours, contextlib.suppress(OSError):  # nobody hears the answer
-        passing.take_over(ours, lambda standing, client, host: taken.append((standing, client, host)) or True)
+        connection_transfer.receive_connections(
+            ours, lambda standing, client, host: taken.append((standing, client, host)) or True
+        )
     return taken, [other for _, other in ends]
 
 
--- a/tests/crossings/test_list.py
+++ b/tests/crossings/test_list.py
@@ -251,8 +251,8 @@
         assert struck.wait(WAIT)
         if fault is refused:  # now it pauses
             node.seen.wait(ev.ListFailed)
-        node.follow(second.address)
-        node.follow(third.address)
+        node.change_discovery(second.address)
+        node.change_discovery(third.address)
         node.seen.wait(
             ev.Heard, lambda e: {entry.host for entry in e.listed.entries} == {"s-1", "s-2", "s-3"}
         )
@@ -315,7 +315,7 @@
     with running(agent) as node:
         listed(node)
         monkeypatch.setattr(discovery.Discovery, "__setattr__", setting)
-        node.follow(second.address)
+        node.change_discovery(second.address)
         monkeypatch.undo()
         assert made.is_set()
         listed(node, 40)
@@ -335,7 +335,7 @@
 
     with running(old, before, settings=SETTINGS | {"MembershipMode": "ask", "AskEvery": 10_000}) as node:
         node.seen.wait(ev.ListFailed)
-        node.follow(new.address)
+        node.change_discovery(new.address)
         listed(node, 40)
 
 
@@ -443,7 +443,7 @@
         if reload:
             second = Agent(version=40)
             second.scripted.put(lambda call: call.say(whole))
-            node.follow(second.address)
+            node.change_discovery(second.address)
         else:
             agent.scripted.put(lambda call: (setattr(agent, "version", 40), call.say(whole)))
             agent.change(other, "Ready")  # ends the watch that is out
--- a/tests/crossings/test_pieces.py
+++ b/tests/crossings/test_pieces.py
@@ -64,7 +64,7 @@
 
 def retuned(node, agent, **more):
     parts = config.read_node(settings(agent, settings=SETTINGS | more), {})
-    node.retune(*parts[:-1])
+    node.reload(*parts[:-1])
     node.seen.wait(ev.Retuned)
 
 
--- a/tests/crossings/test_shutdown.py
+++ b/tests/crossings/test_shutdown.py
@@ -44,13 +44,13 @@
 
 def at_the_end(monkeypatch, node, what):
     """`what` happens after the reducer's last step, before anything is closed."""
-    finish = node.finish
+    finish = node.close_all
 
     def finishing():
         what()
         finish()
 
-    monkeypatch.setattr(node, "finish", finishing)
+    monkeypatch.setattr(node, "close_all", finishing)
 
 
 def test_a_connection_in_the_listeners_queue_at_the_end_is_turned_away(agent, monkeypatch):
@@ -64,22 +64,22 @@
             late.extend(client(node, opening(n)) for n in (2, 3))
             gate.open.set()
 
-        admits = node.door.admits
+        admits = node.admission_limiter.admits
 
         def held(now):
             if node.reducer.stopped:
                 gate.wait()
             return admits(now)
 
-        monkeypatch.setattr(node.door, "admits", held)
-        finish = node.finish
+        monkeypatch.setattr(node.admission_limiter, "admits", held)
+        finish = node.close_all
 
         def finishing():
             late.append(client(node, opening(1)))
             what()
             finish()
 
-        monkeypatch.setattr(node, "finish", finishing)
+        monkeypatch.setattr(node, "close_all", finishing)
         node.stop()
         assert node.join(WAIT)
         assert len(late) == 3
@@ -176,7 +176,8 @@
         thread = threading.Thread(target=flood)
         thread.start()
         until(
-            lambda: any(t.name.endswith("write_slowly") for t in threading.enumerate()), "it took everything"
+            lambda: any(t.name.endswith("write_blocking") for t in threading.enumerate()),
+            "it took everything",
         )
         began = node.clock.now()
         node.stop()
@@ -198,7 +199,7 @@
 
     with running(agent, before) as node:
         listed(node)
-        node.hasten(ev.NotRetuned())
+        node.post_urgent(ev.NotRetuned())
         assert gate.here.wait(WAIT)
         while True:
             try:
@@ -228,17 +229,17 @@
         began = node.clock.now()
         node.stop()
         node.seen.wait(ev.StopAsked)
-        node.hasten(ev.DrainAsked(True))
-        node.retune(
+        node.post_urgent(ev.DrainAsked(True))
+        node.reload(
             node.endpoints,
             node.resource_limits,
             node.discovery.names,
             node.reducer.hearing,
             node.reducer.begin,
         )
-        node.follow(node.endpoints.discovery, True)
+        node.change_discovery(node.endpoints.discovery, True)
         node.stop()
-        node.hasten(ev.DrainAsked(False))
+        node.post_urgent(ev.DrainAsked(False))
         clean_end(one, b"MOVE")
         one.close()
         assert node.join(WAIT)
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -12,7 +12,7 @@
 from cottonspread.front.counters import ANSWERS, Counters
 from cottonspread.net import admin, lines
 from cottonspread.net import events as ev
-from cottonspread.net.node import Node, most_ends
+from cottonspread.net.node import Node, socket_limit
 
 
 def call(address, said, end=False):
@@ -224,7 +224,7 @@
 def test_the_descriptors_of_the_address_are_set_aside():
     resource_limits = config.ResourceLimits(192, 256)
     assert (
-        most_ends(resource_limits) - most_ends(resource_limits, ("127.0.0.1", 1))
+        socket_limit(resource_limits) - socket_limit(resource_limits, ("127.0.0.1", 1))
         == admin.RESERVED_DESCRIPTORS
         > admin.MAX_CALLERS
     )
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -21,10 +21,10 @@
 from cottonspread.net import discovery, lines, logfmt, workers
 from cottonspread.net import events as ev
 from cottonspread.net.http import HttpClient, ResponseError
-from cottonspread.net.node import Node, grow_table
+from cottonspread.net.node import Node, grow_descriptor_table
 from cottonspread.net.notes import Heard, Notes
 from cottonspread.net.pool import BUFFER_SIZE, BufferPool
-from cottonspread.net.workers import WIDE, Workers, start_thread
+from cottonspread.net.workers import LARGE_STACK_SIZE, Workers, start_thread
 
 EXAMPLES = Path(__file__).parent.parent / "examples"
 NODE = (EXAMPLES / "node.json").read_text()
@@ -75,7 +75,7 @@
 
 def test_the_table_of_descriptors_has_its_size_before_there_are_threads():
     """It grew under them, and whoever opened the next one, the reducer too, waited 10 to 25 ms."""
-    grow_table(3000)
+    grow_descriptor_table(3000)
     size = next(
         line for line in Path("/proc/self/status").read_text().splitlines() if line.startswith("FDSize")
     )
@@ -196,7 +196,7 @@
 
 def probe(address, wait=WAIT):
     told = queue.Queue()
-    Workers(BufferPool(), told.put, lambda: 0).carry_out(ev.Ask("s-1", address, round(wait * 1_000_000)))
+    Workers(BufferPool(), told.put, lambda: 0).execute(ev.Ask("s-1", address, round(wait * 1_000_000)))
     return told.get(timeout=WAIT)
 
 
@@ -403,7 +403,7 @@
     )
     monkeypatch.setattr(discovery.time, "sleep", lambda _: None)
     one.enabled.set()
-    start_thread(one.run, stack=WIDE)  # with less, JSON nested deep ended the whole process
+    start_thread(one.run, stack=LARGE_STACK_SIZE)  # with less, JSON nested deep ended the whole process
     told = [heard.get(timeout=WAIT) for _ in range(4)]
     one.stop()
     assert [e.listed.version for e in told] == [41, 43, 44, 45] and len(failed) == 4
@@ -443,7 +443,7 @@
         0,
     )
     one.enabled.set()
-    start_thread(one.run, stack=WIDE)
+    start_thread(one.run, stack=LARGE_STACK_SIZE)
     assert heard.get(timeout=WAIT).listed.version == 41
     one.change_address(second.address)
     assert [heard.get(timeout=WAIT).listed.version for _ in range(2)] == [7, 8] and not failed
@@ -662,7 +662,7 @@
 @pytest.mark.parametrize("waiting", [0, 4])
 def test_nobody_waits_for_room_at_a_node_that_has_ended(monkeypatch, waiting):
     """The writer did, behind the last answers to over two thousand clients: the process never ended."""
-    monkeypatch.setattr("cottonspread.net.node.QUEUE", 4)
+    monkeypatch.setattr("cottonspread.net.node.EVENT_QUEUE_SIZE", 4)
     place, *rest = config.read_node(NODE, {})
     node = Node(replace(place, operator=None), *rest)
     node.shared = True
@@ -671,7 +671,7 @@
     posted = [threading.Thread(target=node.post, args=(ev.Tick(),), daemon=True) for _ in range(20)]
     for thread in posted[:10]:
         thread.start()
-    node.finish()
+    node.close_all()
     for thread in posted[10:]:
         thread.start()
     for thread in posted:
@@ -775,9 +775,9 @@
     ours, theirs = socket.socketpair()
     end = ev.End(True)
     node.listener = socket.create_server(("127.0.0.1", 0))
-    node.workers.begin(end, theirs)
-    node.carry_out(ev.Write(end, b"BUSY\r\n"))
-    node.carry_out(ev.Stop())
+    node.workers.start_worker(end, theirs)
+    node.execute(ev.Write(end, b"BUSY\r\n"))
+    node.execute(ev.Stop())
     assert not node.join(0), "the process might end here, with the answer not yet written"
-    node.workers.write_all()
+    node.workers.run_writer()
     assert node.join(0) and ours.recv(100) == b"BUSY\r\n"
--- a/tests/test_succession.py
+++ b/tests/test_succession.py
@@ -24,8 +24,8 @@
 from cottonspread.cli.takeover import Takeover, inherited_listener, short_socket_path
 from cottonspread.fleet import control
 from cottonspread.front import handover
+from cottonspread.net import connection_transfer, lines
 from cottonspread.net import events as ev
-from cottonspread.net import lines, passing
 from cottonspread.net.pool import BufferPool
 
 ROOT = Path(__file__).parent.parent
@@ -71,13 +71,13 @@
     """In a node's place: what it is told."""
 
     def __init__(self):
-        self.events, self.retuned = [], []
+        self.events, self.reloads = [], []
 
-    def hasten(self, event):
+    def post_urgent(self, event):
         self.events.append(event)
 
-    def retune(self, *parts):
-        self.retuned.append(parts)
+    def reload(self, *parts):
+        self.reloads.append(parts)
 
 
 @pytest.mark.parametrize(
@@ -94,7 +94,7 @@
     before = active.values, active.parts
     file.write_text(json.dumps(without(path)))
     reload(node, active)
-    assert [type(e) for e in node.events] == [ev.NotRetuned] and not node.retuned
+    assert [type(e) for e in node.events] == [ev.NotRetuned] and not node.reloads
     assert (active.values, active.parts) == before
 
 
@@ -140,7 +140,7 @@
     file.write_text(text)
     with caplog.at_level("INFO", "cottonspread"):
         reload(node, active)
-    assert [type(e) for e in node.events] == [ev.NotRetuned] and not node.retuned
+    assert [type(e) for e in node.events] == [ev.NotRetuned] and not node.reloads
     assert (active.values, active.parts) == before
     assert [str(r.pairs["why"]).partition(": ")[0] for r in caplog.records if r.getMessage() == "reload"] == [
         key
@@ -177,7 +177,7 @@
         file.write_text(changed(change))
         with caplog.at_level("INFO", "cottonspread"):
             reload(node, active)
-        assert [t.name for t in node.retuned[-1][4].types] == names and not node.events
+        assert [t.name for t in node.reloads[-1][4].types] == names and not node.events
     assert caplog.records[-1].pairs["at_next_start"] == "listen,limits"
 
 
@@ -549,11 +549,13 @@
 def test_a_standing_connection_that_cannot_be_read_is_left_where_it_is(line):
     ours, theirs = socket.socketpair(socket.AF_UNIX)
     one, other = socket.socketpair()
-    taker = threading.Thread(target=passing.take_over, args=(theirs, lambda *_: True), daemon=True)
+    taker = threading.Thread(
+        target=connection_transfer.receive_connections, args=(theirs, lambda *_: True), daemon=True
+    )
     taker.start()
     socket.send_fds(ours, [line], [one.fileno()])
     ours.shutdown(socket.SHUT_WR) if not line.endswith(b"\n") else None
-    assert ours.recv(1) == passing.LEFT
+    assert ours.recv(1) == connection_transfer.DECLINED
     other.sendall(b"still ours")
     assert one.recv(100) == b"still ours"
     ours.close()
