--- a/cottonspread/drill/codec.py
+++ b/cottonspread/drill/codec.py
@@ -1,4 +1,4 @@
-"""Between the drill's lines of text and the types of `cottonspread.interface`. No decisions here."""
+"""Converts between the simulator's text lines and the types of `cottonspread.interface`."""
 
 import base64
 
@@ -30,27 +30,29 @@
 
 
 class DecodeError(ValueError):
-    """A line that cannot be understood; the rest of its batch can."""
+    """An invalid line; the rest of its batch is processed."""
 
 
 def millis(value):
+    """Microseconds as milliseconds in text."""
     return f"{value / 1000:.3f}"
 
 
 def split(line):
-    """One line as its message name and its fields."""
+    """Splits a line into its message name and its fields."""
     name, _, rest = line.partition("\t")
     text, last = TEXT_FIELDS.get(name), {}
-    if text:  # runs to the end of the line
+    if text:  # this field runs to the end of the line
         before, found, value = ("\t" + rest).partition(f"\t{text}=")
         rest, last = before[1:], {text: value} if found else {}
     try:
         return name, {**dict([part.split("=", 1) for part in rest.split("\t") if part]), **last}
     except ValueError:
-        raise DecodeError(f"part without '=': {rest!r}") from None
+        raise DecodeError(f"field without '=': {rest!r}") from None
 
 
 def entry(f):
+    """Reads one server of a list."""
     got = f.get
     return i.Entry(
         f["Host"],
@@ -64,6 +66,7 @@
 
 
 def arrived(f):
+    """Reads a call."""
     options = int(f.get("Options", 0))
     return i.CallArrived(
         int(f["Call"]),
@@ -79,6 +82,7 @@
 
 
 def status_note(f):
+    """Reads a status report of a call; None for an unknown kind."""
     sort, call = int(f["Sort"]), int(f["Call"])
     if sort == LOAD_CHANGED:
         return i.LoadReported(call, float(f["X"]))
@@ -88,6 +92,7 @@
 
 
 def data(text):
+    """Decodes the data of a message between nodes."""
     return b"" if text == "-" else base64.b64decode(text, validate=True)
 
 
@@ -118,7 +123,7 @@
 
 
 def read(name, fields):
-    """The event a line stands for; None for a message this front does not know."""
+    """The event of a line; None for an unknown message."""
     reader = READERS.get(name)
     try:
         return reader(fields) if reader else None
@@ -127,6 +132,7 @@
 
 
 def read_list(fields, lines):
+    """Reads a list of servers; `lines`: the fields of its entries."""
     try:
         return i.ListUpdate(
             NEWS[fields["Scope"]], int(fields.get("Index", 0)), tuple(entry(f) for f in lines)
@@ -136,17 +142,20 @@
 
 
 def read_begin(fields):
+    """Reads a node's settings."""
     return config.read_begin(
         config.parse(fields.get("Config", ""), "settings"), int(fields.get("RngSeed", 0))
     )
 
 
 def reject_line(action):
+    """The line that refuses a call."""
     told = f"\tComeBack={millis(action.retry_after)}" if action.retry_after else ""
     return f"bounce\tCall={action.call}{told}"
 
 
 def tell_line(action):
+    """The line that sends a message to another node."""
     return f"publish\tDest={action.peer}\tBytes={base64.b64encode(action.data).decode() or '-'}"
 
 
@@ -165,7 +174,7 @@
 
 
 def write(action):
-    """One action as a line."""
+    """The line of an action."""
     line = LINES.get(type(action))
     if line is None:
         raise TypeError(f"no line for {action!r}")
--- a/cottonspread/net/__init__.py
+++ b/cottonspread/net/__init__.py
@@ -1,1 +1,1 @@
-"""The real node: threads on blocking sockets round one reducer, which holds the decision module."""
+"""The node itself: threads with blocking sockets around one reducer, which contains the policy."""
--- a/cottonspread/net/admission.py
+++ b/cottonspread/net/admission.py
@@ -40,9 +40,11 @@
     """Clients without a whole first line, oldest first. Does not touch their sockets."""
 
     def __init__(self):
+        """Starts empty."""
         self.clients = OrderedDict()  # by descriptor
 
     def __len__(self):
+        """How many are pending."""
         return len(self.clients)
 
     def add(self, number, client):
--- a/cottonspread/net/connection_transfer.py
+++ b/cottonspread/net/connection_transfer.py
@@ -1,6 +1,7 @@
-"""Standing connections on their way from a process to the one that replaces it: both sockets in one
-message, one connection after the other, each answered. A message without an answer is the successor's all
-the same, unless the way to it has broken.
+"""Transfers established connections to the process that replaces this one, over a Unix socket.
+
+Each connection is one message with both sockets, and each message is answered before the next. A connection
+whose message was sent belongs to the successor, even without an answer, unless the Unix socket has failed.
 """
 
 import logging
@@ -17,20 +18,20 @@
 
 
 class ConnectionSender:
-    """The predecessor's side, in a thread of its own: a successor that hangs
-    holds up one connection, and nobody else.
-    """
+    """The predecessor's side, in its own thread: a hanging successor delays only one connection."""
 
     def __init__(self, sock, post):
+        """`sock`: connected to the successor; `post(event)` passes events to the reducer."""
         self.sock, self.post, self.orders = sock, post, queue.SimpleQueue()
 
     def run(self):
+        """The thread: transfers the connections put into `orders`, one at a time."""
         while True:
             order = self.orders.get()
             self.post(ev.Passed(order.conn, *self.send(order)))
 
     def send(self, order):
-        """Whether the successor has it, and if not, whether it was just being read."""
+        """Transfers one connection: (whether the successor has it; if not, whether it was busy reading)."""
         workers = order.client.worker, order.host.worker
         gatherers = [worker.gatherer for worker in workers]
         if None in gatherers or not lines.let_go(gatherers):
@@ -52,9 +53,9 @@
 
 
 def receive_connections(sock, adopt):
-    """The successor's side, until the predecessor has ended.
+    """The successor's side: receives connections until the predecessor has closed the Unix socket.
 
-    `adopt(standing, client, host)`: whether it is taken, and then its own.
+    `adopt(connection, client, host)` takes ownership of the two sockets and returns True, or returns False.
     """
     while True:
         data, fds, _, _ = socket.recv_fds(sock, 1 << 16, 2, socket.MSG_CMSG_CLOEXEC)
--- a/cottonspread/net/node.py
+++ b/cottonspread/net/node.py
@@ -1,4 +1,4 @@
-"""A node: the reducer, the workers, discovery and the listening socket put together. It can be embedded."""
+"""A node: connects the reducer, the worker threads, discovery and the listening socket. Can be embedded."""
 
 import contextlib
 import fcntl
@@ -24,10 +24,10 @@
 
 log = logging.getLogger("cottonspread.node")
 
-EVENT_QUEUE_SIZE = 4096  # events; workers wait when it is full
+EVENT_QUEUE_SIZE = 4096  # events; worker threads block while it is full
 BACKLOG = 1024
-FINAL_ACCEPT_TIME = 0.2  # seconds at the end in which the accepting thread turns away whoever is left
-# How a call ends that was lost or turned away: what an upgrade may not bring more of (docs/on-call.md)
+FINAL_ACCEPT_TIME = 0.2  # seconds at the end in which the accepting thread refuses the remaining clients
+# Reason codes of calls that were lost or refused. An upgrade must not increase their share (docs/on-call.md).
 FAILURE_REASONS = {
     "fault",
     "overdue",
@@ -41,22 +41,24 @@
     "unknown",
 }
 NO_CALL_REASONS = {"ping", "no-first-line", "not-ready"}
-SPARE_DESCRIPTORS = 32  # descriptors for the listener, discovery, logs, and to turn clients away with
-BASE_MB, CONNECTION_END_KB = 24, 32  # memory of a node without connections, and of one end
+SPARE_DESCRIPTORS = 32  # for the listener, discovery, logs, and for refusing clients
+BASE_MB, CONNECTION_END_KB = 24, 32  # memory of a node without connections, and of one connection end
 
 
 class Clock:
     """Unix time in microseconds that never goes back."""
 
     def __init__(self):
+        """Starts at the system's current time."""
         self.offset = time.time() - time.monotonic()
 
     def now(self):
+        """The current time."""
         return int((time.monotonic() + self.offset) * 1_000_000)
 
 
 def socket_limit(resource_limits, operator=None):
-    """How many connections, clients' and hosts', fit into descriptors and memory."""
+    """How many sockets, to clients and to hosts, the limits on descriptors and memory allow."""
     spare = SPARE_DESCRIPTORS + (admin.RESERVED_DESCRIPTORS if operator else 0)
     return max(
         2,
@@ -67,19 +69,19 @@
 
 
 def admission_target(begin):
-    """How long first lines may lie here: see `AdmissionLimiter`."""
+    """The target for the time that first lines wait here, see `AdmissionLimiter`."""
     return min(t.setup_target for t in begin.types) // 4
 
 
 def watch_at_once(begin, listed, follows):
-    """Whether a known list is watched at once: a process that `follows`
-    another waits for a list told to itself.
+    """Whether to watch the initial list from its version on. A process that `follows` another one requests
+    the full list instead.
     """
     return begin.server_list.polled and not follows and bool(listed.entries)
 
 
 def reloadable(begin, was):
-    """Settings that a node which runs takes over: what cannot change then stays as it was, in all parts."""
+    """The new settings, with the old values of those that cannot change while the node runs."""
     return replace(
         begin,
         server_list=replace(begin.server_list, polled=was.server_list.polled),
@@ -88,17 +90,19 @@
 
 
 def grow_descriptor_table(sockets):
-    """The kernel's table of descriptors at its full size before there are threads: each time that it grows
-    later, whoever opens the next one, the reducer among them, waits 10 to 25 ms for every core to pass by.
+    """Grows the kernel's descriptor table to its full size before threads are started.
+
+    Each later growth blocks the thread that opens the next descriptor, possibly the reducer's, for 10 to 25
+    ms, because the kernel synchronises with every core.
     """
-    with contextlib.suppress(OSError):  # no descriptor 0, or fewer than that: it grows as it must
+    with contextlib.suppress(OSError):  # no descriptor 0, or a lower limit: it grows when needed
         os.close(
             fcntl.fcntl(0, fcntl.F_DUPFD, min(sockets, resource.getrlimit(resource.RLIMIT_NOFILE)[0]) - 1)
         )
 
 
 class Node:
-    """`start` returns once the node listens; `stop` asks it to end its work; `join` waits until it has."""
+    """`start` returns once the node listens; `stop` asks it to end; `join` waits until it has ended."""
 
     def __init__(
         self,
@@ -111,8 +115,9 @@
         on_list=None,
         on_ended=lambda: None,
     ):
-        """`on_list(version, instances, whole)`, if given, is told each list as JSON, in discovery's thread;
-        `on_ended()` is called once, when all is done.
+        """`on_list(version, instances, full)`, if given, gets each list as JSON, in discovery's thread.
+
+        `on_ended()` is called once, when the node has ended.
         """
         self.endpoints, self.resource_limits, self.clock = endpoints, resource_limits, Clock()
         self.events, self.done = queue.Queue(EVENT_QUEUE_SIZE), threading.Event()
@@ -141,31 +146,32 @@
         self.listener, self.shared, self.steps, self.end_reasons = None, False, 0, Counter()
         self.closer = Closer(self.max_closing)
         self.admission, self.finished = None, False
-        # `urgent_events`: events that no full queue may hold up
+        # `urgent_events`: events that must not be delayed by a full queue
         self.admin, self.urgent_events = None, queue.SimpleQueue()
-        self.connection_sender = None  # passes standing connections on
+        self.connection_sender = None  # transfers established connections to a successor
 
     def max_closing(self):
-        """How many that were turned away may be read to their end at a time."""
+        """How many refused clients may be in lingering close at a time."""
         waiting = len(self.admission.pending) if self.admission else 0
         return max(SPARE_DESCRIPTORS // 4, self.max_sockets - len(self.workers.live) - waiting)
 
     def post(self, event):
+        """Queues an event for the reducer; blocks while the queue is full."""
         self.events.put((self.clock.now(), event))
 
     def start(self, listener=None):
-        """`listener`: a socket that another process keeps too and that listens already;
-        nothing is taken from it before `start_accepting`.
+        """`listener`: a listening socket shared with another process; nothing is accepted from it before
+        `start_accepting`.
         """
         self.shared = listener is not None
         self.listener = listener or socket.create_server(self.endpoints.listen, backlog=BACKLOG)
         self.admin = (
             admin.Admin(self.endpoints.operator, self.answer_command) if self.endpoints.operator else None
         )
-        # What came before it was accepted is stamped too: a client's time runs from when its line was here.
+        # Also timestamps data received before the accept: a client's time starts when its line arrived.
         self.listener.setsockopt(socket.SOL_SOCKET, lines.SO_TIMESTAMPNS, 1)
         grow_descriptor_table(self.resource_limits.sockets)
-        # Before there are threads: said after, the list's first word could stand in the log before it.
+        # Before threads start: otherwise the first list could be logged before it.
         log.info(
             "listening",
             extra={
@@ -185,11 +191,11 @@
             self.start_accepting()
 
     def is_serving(self):
-        """Whether connections are taken from the listener, and there is a server to send them to."""
+        """Whether connections are accepted and there is a server to send them to."""
         return self.reducer.listed and not self.reducer.stopping and self.admission is not None
 
     def answer_command(self, command):
-        """The answer to an operator's call; in the thread of their address, which may wait for nothing."""
+        """Answers an operator's command. Runs in the thread of that address, so it must not block."""
         if command == "health":
             return b"200 yes\n" if self.is_serving() else b"400 no\n"
         if command == "counters":
@@ -202,37 +208,38 @@
         return b"200 draining\n" if command == "quiesce" else b"200 serving\n"
 
     def post_urgent(self, event):
-        """For the reducer before all that waits in its queue, and without waiting for room there."""
+        """Queues an event ahead of all others, without blocking on a full queue."""
         self.urgent_events.put((self.clock.now(), event))
-        with contextlib.suppress(queue.Full):  # it is awake
+        with contextlib.suppress(queue.Full):  # then the reducer is awake already
             self.events.put_nowait((self.clock.now(), ev.Tick()))  # wakes it
 
     def change_discovery(self, address, refetch=False):
-        """Another discovery from now on, or the whole list of this one anew;
-        the list, calls and connections stay.
+        """Switches to another discovery address, or fetches the full list again from the current one.
+
+        The list, calls and connections stay.
         """
         if refetch or address != self.endpoints.discovery:
             self.endpoints = replace(self.endpoints, discovery=address)
             self.discovery.change_address(address)
 
     def start_accepting(self):
-        """Take connections from the listener from now on."""
+        """Starts accepting connections from the listener."""
         self.admission = Admission(self.listener, self.shared, self.clock.now, self)
         self.admission.start()
 
     def inherit_state(self, state):
-        """Before `start_accepting`: what the process before this one hands over."""
+        """Takes over the state of the previous process. Called before `start_accepting`."""
         self.limit_sockets(state.room)
         self.post(ev.Inherited(state))
 
     def limit_sockets(self, limit):
-        """While two processes share the limits of one; None: alone again."""
+        """Limits the sockets while two processes share the limits of one; None: no other process any more."""
         self.max_sockets = self.reducer.most_ends = min(
             limit or self.max_sockets_alone, self.max_sockets_alone
         )
 
     def hand_over_state(self, wait=0.5):
-        """What a successor is to know, or None if the reducer is too late to tell."""
+        """The state for a successor, or None if the reducer does not answer in time."""
         reply = queue.SimpleQueue()
         self.post_urgent(ev.HandOverAsked(reply.put))
         try:
@@ -243,7 +250,7 @@
         return state
 
     def reload(self, endpoints, resource_limits, names, host_protocol, begin):
-        """Another configuration from now on: list, calls and connections stay."""
+        """Applies another configuration; the list, calls and connections stay."""
         begin = reloadable(begin, self.reducer.begin)
         renamed = (names.zones, names.kinds) != (self.discovery.names.zones, self.discovery.names.kinds)
         self.discovery.names = names
@@ -253,7 +260,10 @@
         self.change_discovery(endpoints.discovery, renamed)
 
     def adopt_connection(self, standing, client, host):
-        """A standing connection of the process before this one, with its two sockets. Whether it is taken."""
+        """Takes over an established connection of the previous process, with its two sockets.
+
+        Returns whether it did.
+        """
         ends = ev.End(True), ev.End(False)
         for end, sock in zip(ends, (client, host), strict=True):
             if not self.workers.start_worker(end, sock):
@@ -262,16 +272,16 @@
                 return False
         reply = queue.SimpleQueue()
         self.post(ev.Adopted(*ends, standing, reply.put))
-        taken = reply.get()  # however late: the reducer alone knows whether it has it
-        if taken:  # its room comes with it
+        taken = reply.get()  # without a timeout: only the reducer knows whether it took the connection
+        if taken:  # its share of the socket limit comes with it
             self.limit_sockets(self.max_sockets + 2)
         return taken
 
     def shut_down(self, handed, successor=None):
-        """Take no more, and stop.
+        """Stops accepting and ends the node. The listener's queue is left to a successor (`handed`) or to the
+        supervisor.
 
-        What is in the queue of the listener is another's: a successor's (`handed`), or the supervisor's.
-        `successor`: a connection to a successor that takes standing ones too.
+        `successor`: a socket connected to a successor that also takes established connections.
         """
         if self.admission:
             self.admission.stop_accepting()
@@ -281,9 +291,7 @@
         self.post(ev.StopAsked(handed, successor is not None))
 
     def ping(self, wait=1.0):
-        """Whether a PING is answered: by the reducer and the workers as a client's
-        is, on a pair of sockets of its own.
-        """
+        """Whether the reducer and the workers answer a PING, sent like a client's over a socket pair."""
         ours, theirs = socket.socketpair()
         with ours:
             ours.settimeout(wait)
@@ -300,9 +308,7 @@
                 return False
 
     def status(self):
-        """What is told of a node that runs: whole numbers, and `listed`,
-        whether it knows a server that is ready.
-        """
+        """The node's state for the supervisor: counts, and `listed`, whether it knows a server that is up."""
         reducer, ended = self.reducer, dict(self.end_reasons)
         return {
             "steps": self.steps,
@@ -315,14 +321,15 @@
         }
 
     def stop(self):
-        """Before all that waits: the platform's time runs from here, whatever lies in the queue."""
+        """Asks the node to end, ahead of all queued events: the platform's time limit has started."""
         self.post_urgent(ev.StopAsked())
 
     def join(self, wait=None):
+        """Waits up to `wait` seconds, or for ever, until the node has ended; returns whether it has."""
         return self.done.wait(wait)
 
     def run_reducer(self):
-        """The one thread that runs the reducer."""
+        """The thread that runs the reducer."""
         while not self.finished:
             left = (self.reducer.due() - self.clock.now()) / 1e6
             try:
@@ -338,16 +345,16 @@
                 self.execute(effect)
 
     def next_event(self, left):
-        """What comes next from the queue within so many seconds."""
+        """The next queued event with its time, or a tick after `left` seconds."""
         try:
             return self.events.get(timeout=left) if left > 0 else self.events.get_nowait()
         except queue.Empty:
             return 0, ev.Tick()
 
     def step(self, event, at=0):
-        """One step of the reducer.
+        """Makes one step of the reducer and returns its effects.
 
-        Our own fault stands in the log with its trace, and costs one connection.
+        A bug in it is logged with its traceback and costs one connection.
         """
         self.steps += 1
         try:
@@ -357,6 +364,7 @@
         return self.reducer.after_fault(event)
 
     def execute(self, effect):
+        """Executes one effect of the reducer."""
         if isinstance(effect, ev.Say):
             if effect.event == "closed":
                 self.end_reasons[effect.pairs["reason"]] += 1
@@ -371,12 +379,13 @@
             self.workers.execute(effect)
 
     def close_all(self):
+        """Closes everything after the reducer's last step."""
         self.finished = True
         self.discovery.stop()
         if self.admin:
             self.admin.stop()
         if self.admission:
-            self.admission.end()  # who accepts may wait for room in the reducer's queue
+            self.admission.end()  # its thread may be blocked on the full event queue
             until = time.monotonic() + FINAL_ACCEPT_TIME
             while not self.admission.ended.wait(FINAL_ACCEPT_TIME / 20) and time.monotonic() < until:
                 self.refuse_unknown()
@@ -384,16 +393,18 @@
         self.unblock_posters()
         self.workers.execute(ev.Quit())
         self.closer.stop()
-        self.workers.write_queue.put(None)  # the last answers go out before the process may end
+        self.workers.write_queue.put(None)  # the last answers are sent before the process may exit
 
     def unblock_posters(self):
-        """After the last step nothing is taken from the queue: the writer waited for room there for ever."""
+        """Removes the limit of the event queue after the last step: nothing is taken from it any more, and
+        the writer thread would block on it for ever.
+        """
         with self.events.mutex:
             self.events.maxsize = sys.maxsize
             self.events.not_full.notify_all()
 
     def refuse_unknown(self):
-        """After the last step: who was accepted and is not known to the reducer."""
+        """After the last step, refuses clients that were accepted but are not known to the reducer."""
         while True:
             try:
                 event = self.events.get_nowait()[1]
@@ -403,27 +414,28 @@
                 self.workers.execute(ev.Write(event.end, lines.busy(self.reducer.retry_after())))
                 self.workers.execute(ev.Finish(event.end))
 
-    # What `admission.Admission` asks of its gate
+    # The methods of `admission.AdmissionHandler`
 
     def max_pending(self):
-        """How many clients may wait for their first line now: no more than a part, and none where calls need
-        the descriptors."""
+        """How many clients may be pending now: at most a part of the limit, and none when calls need the
+        descriptors.
+        """
         return min(
             self.max_sockets // WAITING_PART,
             self.max_sockets + SPARE_DESCRIPTORS // 4 - len(self.workers.live),
         )
 
     def stopping(self):
-        """Whether the node was asked to end."""
+        """Whether the node was asked to stop."""
         return bool(self.reducer.stopping)
 
     def admit(self, client, first):
-        """A client has said its first line."""
+        """Passes a client that has sent its first line to the reducer, or refuses it."""
         if not self.may_admit(first):
             self.refuse(client.sock, "node-late")
             return
         end = ev.End(True)
-        # What has come and is not yet in the reducer's count: hundreds at once would pass the limit.
+        # Counts clients that the reducer does not know yet: a burst of hundreds would exceed the limit.
         room = len(self.workers.live) < self.max_sockets + SPARE_DESCRIPTORS // 4
         if not room or not self.workers.start_worker(end, client.sock):
             self.refuse(client.sock, "no-room-at-all", 0)
@@ -431,24 +443,27 @@
         self.post(ev.Came(end, client.accepted_at))
 
     def may_admit(self, first):
-        """Whether there is time for it. The door is for calls: a front that asks whether the node serves is
-        told so however late the node is."""
+        """Whether the node is fast enough for another call. A PING is always admitted: a load balancer in
+        front that asks whether the node serves gets its answer however late the node is.
+        """
         if first.startswith(lines.PING):
             return True
         with self.limiter_lock:
             admitted = self.admission_limiter.admits(self.clock.now())
-        return admitted and not self.events.full()  # whoever accepts waits for nobody
+        return admitted and not self.events.full()  # the accepting thread must not block
 
     def refuse(self, sock, reason, retry_after=None):
-        """No room or no time for its call. Of its first line only the type is read, for the figures.
-        `retry_after`: microseconds; None: as the settings say."""
+        """Refuses a client with BUSY. Only the type is read from its first line, for the counters.
+
+        `retry_after`: microseconds; None: as in the settings.
+        """
         after = self.reducer.retry_after() if retry_after is None else retry_after
         try:
             sock.send(lines.busy(after), socket.MSG_DONTWAIT)
             sock.shutdown(socket.SHUT_WR)
         except OSError:
             pass
-        with contextlib.suppress(OSError):  # it has not come yet
+        with contextlib.suppress(OSError):  # the line has not arrived yet
             self.reducer.counters.count_refused_on_accept(
                 lines.type_named(sock.recv(4096, socket.MSG_DONTWAIT))
             )
--- a/cottonspread/net/workers.py
+++ b/cottonspread/net/workers.py
@@ -1,11 +1,10 @@
-"""The threads that carry out the reducer's effects on sockets.
+"""The threads that execute the reducer's effects on sockets.
 
-They decide nothing and keep no state but sockets.
+They make no decisions and keep no state but sockets.
 
-Each end of a connection has one thread, which connects, reads and at last gives the socket back;
-one thread writes for all, and hands a write that would block to a thread of its own. Orders to one
-end are at most three at a time, so the queues of orders are bounded by the number of ends; the
-queue of events is bounded by itself.
+Each end of a connection has one thread, which connects, reads and finally closes the socket. One thread
+writes for all ends; a write that would block is moved to a thread of its own. An end has at most three orders
+queued at a time, so the order queues are bounded by the number of ends. The event queue has its own limit.
 """
 
 import errno
@@ -24,18 +23,19 @@
 log = logging.getLogger("cottonspread.workers")
 
 STACK_SIZE = 128 * 1024  # of each end's thread
-# of the few others: JSON nested a thousand deep needs over 128 KiB, or the node dies
+# of the few others: parsing JSON nested a thousand levels deep needs over 128 KiB and would crash the process
 LARGE_STACK_SIZE = 1024 * 1024
-PARTIAL_LINE_TIMEOUT = 5  # seconds; a read that waits looks as often whether half a line is too old
+PARTIAL_LINE_TIMEOUT = 5  # seconds; a blocking read checks at this interval whether a partial line is too old
 RCVTIMEO = struct.pack("ll", PARTIAL_LINE_TIMEOUT, 0)
-# bytes and seconds: what a closed connection's reader takes in one go
+# bytes and seconds: how much input of a connection being closed is discarded without a pause
 DISCARD_BURST, DISCARD_PAUSE = 64 * 1024, 0.05
-# bytes in all, and then milliseconds until the reducer's cut
+# bytes discarded in total, then milliseconds to wait until the reducer shuts the connection down
 MAX_DISCARDED, CUT_TIMEOUT_MS = 1024 * 1024, 2000
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)
 
 
 def prepare(sock):
+    """Sets the options of a connected socket."""
     sock.settimeout(None)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVTIMEO, RCVTIMEO)
@@ -43,9 +43,9 @@
 
 
 def peer_closed(sock):
-    """Whether the other side has ended its sending or broken, whatever still lies here unread.
+    """Whether the other side has closed its sending side or reset, even if input is still unread.
 
-    Asked of the kernel, without waiting.
+    Asks the kernel and does not block.
     """
     look = select.poll()
     look.register(sock, select.POLLIN | select.POLLRDHUP)
@@ -54,25 +54,27 @@
         return True
     try:
         return bool(ready & select.POLLIN) and not sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
-    except BlockingIOError:  # its reader was first
+    except BlockingIOError:  # its reader thread took the input
         return False
 
 
 def start_thread(target, *args, stack=STACK_SIZE):
-    """Raises RuntimeError if there is none to be had."""
+    """Starts a daemon thread; raises RuntimeError if the system has none left."""
     threading.stack_size(stack)
     threading.Thread(target=target, args=args, name=target.__qualname__, daemon=True).start()
 
 
 class Worker:
-    """One end's thread."""
+    """The thread of one end of a connection."""
 
     def __init__(self, end, sock, pool, post, live, clock):
+        """`post(event)` passes events to the reducer; `live`: the set of workers that hold a socket."""
         self.end, self.sock, self.pool, self.post, self.live, self.clock = end, sock, pool, post, live, clock
         self.orders, self.gatherer = queue.SimpleQueue(), None
         end.worker = self
 
     def run(self):
+        """The thread: executes orders until the socket is released."""
         while True:
             order = self.orders.get()
             if isinstance(order, ev.Free):
@@ -86,7 +88,7 @@
                     if isinstance(order, ev.Drain)
                     else self.connect(order)
                 )
-            except Exception:  # our own fault: in plain sight, and the connection ends
+            except Exception:  # a bug of ours: log it and end the connection
                 log.exception("fault", extra={"pairs": {"while": type(order).__name__}})
                 result = (
                     ev.Connected(self.end, False)
@@ -97,6 +99,7 @@
                 self.post(result)
 
     def connect(self, order):
+        """Connects to a host; returns the event for the reducer."""
         sock = self.sock
         try:
             sock.settimeout(max(0.001, order.wait / 1e6))
@@ -107,6 +110,7 @@
             return ev.Connected(self.end, False, errno.errorcode.get(fault.errno, type(fault).__name__))
 
     def read(self):
+        """Reads whole lines, blocking; returns the event for the reducer, None if the socket was released."""
         if self.gatherer is None:
             self.gatherer = lines.Gatherer(self.sock, self.pool, PARTIAL_LINE_TIMEOUT)
         try:
@@ -124,11 +128,12 @@
             return ev.Over(self.end, "reset")
 
     def discard_input(self):
-        """To the other side's end, at a bounded pace: who sends on at full speed keeps no reader busy.
+        """Discards input until the other side closes, at a limited rate so that a flooding peer costs little
+        time.
 
-        Bytes left unread would make the close a reset, which takes the last line with it; who sends more
-        than MAX_DISCARDED is no client that hears it, and to such a one the reset tells that nobody
-        listens. The reducer cuts it off in the end.
+        Closing with unread input would send a reset, and the peer could lose the last line. A peer that sends
+        more than MAX_DISCARDED does not read our lines anyway, and the reset tells it to stop. The reducer
+        shuts it down in the end.
         """
         if self.gatherer is not None:
             self.gatherer.drop()
@@ -140,7 +145,7 @@
                     at_once = 0
                     time.sleep(DISCARD_PAUSE)
             if rest <= 0:
-                look = select.poll()  # until it is cut off from here, or breaks
+                look = select.poll()  # wait until the reducer shuts it down, or it fails
                 look.register(self.sock, select.POLLRDHUP)
                 look.poll(CUT_TIMEOUT_MS)
         except OSError:
@@ -148,22 +153,23 @@
         return ev.Over(self.end, "end")
 
     def discard_unread(self):
-        """From another thread, as the process ends: what lies here unread is dropped."""
+        """Discards input that has already arrived. Called from another thread as the process ends."""
         try:
             while self.sock.recv(8192, socket.MSG_DONTWAIT):
                 pass
-        except OSError:  # all is read, or it has ended
+        except OSError:  # nothing left, or the connection has failed
             pass
 
     def discard_some(self):
-        """Some bytes, dropped; 0 at the end of the connection."""
+        """Reads and discards once; returns the number of bytes, 0 at the end of the stream."""
         while True:
             try:
                 return len(self.sock.recv(8192))
-            except BlockingIOError:  # the socket's own time-out has passed
+            except BlockingIOError:  # the receive timeout of the socket
                 pass
 
     def release(self):
+        """Closes the socket and detaches the thread from its connection end."""
         if self.gatherer is not None:
             self.gatherer.drop()
         if self.sock is not None:
@@ -173,17 +179,20 @@
 
 
 class Workers:
+    """All worker threads of a node, and the thread that writes for them."""
+
     def __init__(self, pool, post, clock, on_all_written=lambda: None):
-        """`on_all_written` is called once, when all has been handed to the kernel after the order None."""
+        """`on_all_written` is called once, after the order None, when all data is with the kernel."""
         self.pool, self.post, self.clock, self.on_all_written = pool, post, clock, on_all_written
         self.write_queue = queue.SimpleQueue()
-        self.live = set()  # who holds a socket, with what the reducer has not yet heard of
+        self.live = set()  # workers that hold a socket, including those that the reducer does not know yet
 
     def start(self):
+        """Starts the writer thread."""
         start_thread(self.run_writer, stack=LARGE_STACK_SIZE)
 
     def start_worker(self, end, sock):
-        """A thread for this end; False if there is none to be had."""
+        """Starts the thread of this end; returns False if the system has none left."""
         worker = Worker(end, sock, self.pool, self.post, self.live, self.clock)
         self.live.add(worker)
         try:
@@ -195,9 +204,9 @@
         return True
 
     def probe(self, order):
-        """One probe, in a thread of its own: a host that says nothing holds up nobody.
+        """Sends one probe to a host, in its own thread so that a silent host blocks nothing else.
 
-        Our own want of a descriptor is no word on the host.
+        A lack of local resources, such as descriptors, is not reported as a failure of the host.
         """
         began, data = time.monotonic(), b""
         try:
@@ -224,17 +233,18 @@
         self.post(ev.Asked(order.host, ending, report, round((time.monotonic() - began) * 1e6)))
 
     def execute(self, effect):
+        """Passes an effect of the reducer to the thread that executes it."""
         if isinstance(effect, ev.Ask):
             try:
                 start_thread(self.probe, effect)
-            except RuntimeError:  # no thread is to be had; as below, by way of the writer
+            except RuntimeError:  # no thread available; posted by the writer thread, see below
                 self.write_queue.put(ev.Asked(effect.host, Ending.FULL, {}))
             return
         if isinstance(effect, ev.Connect):
             try:
                 sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
             except OSError as fault:
-                # By way of the writer: the reducer's own thread may not wait for room in its queue.
+                # Posted by the writer thread: the reducer's thread must not block on its own event queue.
                 self.write_queue.put(
                     ev.Connected(effect.end, False, errno.errorcode.get(fault.errno, "socket"))
                 )
@@ -251,9 +261,10 @@
             self.write_queue.put(effect)
 
     def run_writer(self):
+        """The writer thread."""
         while True:
             effect = self.write_queue.get()
-            if effect is None:  # the node is done
+            if effect is None:  # the node has ended
                 self.on_all_written()
                 return
             if isinstance(effect, (ev.Connected, ev.Asked)):
@@ -264,16 +275,16 @@
                     worker.discard_unread()
                 continue
             worker = effect.end.worker
-            if worker is None:  # freed already
+            if worker is None:  # already released
                 continue
             try:
                 self.execute_write(worker, effect)
-            except (OSError, RuntimeError):  # the other side was first, or no thread is to be had
+            except (OSError, RuntimeError):  # the other side has closed, or no thread is available
                 if isinstance(effect, ev.Write):
                     self.post(ev.Written(effect.end, False))
 
     def execute_write(self, worker, effect):
-        """One order that belongs to an end: what is to be sent, or how its sending ends."""
+        """Executes one write-side order of an end: data to send, or how to end the connection."""
         if isinstance(effect, ev.Write):
             why = self.reason_not_to_start(effect) if effect.attempt else ""
             if why:
@@ -282,40 +293,43 @@
                 self.write(worker.sock, effect)
         elif isinstance(effect, ev.Free):  # behind the others: no order may meet a number used again
             if worker.gatherer is not None and worker.gatherer.gone:
-                worker.sock.close()  # its thread looks up only when something comes to the new owner
+                worker.sock.close()  # its thread is blocked in a read until input for the new owner arrives
             worker.orders.put(effect)
         elif isinstance(effect, ev.Finish):
             worker.sock.shutdown(socket.SHUT_WR)
         elif effect.broken:
             worker.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
-            worker.sock.shutdown(socket.SHUT_RD)  # wakes its reader; the reset goes out at the close
+            worker.sock.shutdown(socket.SHUT_RD)  # wakes its reader; the reset is sent by the close
         else:
             worker.sock.shutdown(socket.SHUT_RDWR)
 
     def reason_not_to_start(self, effect):
-        """What the reducer could not know yet when it ordered an attempt's first line: its
-        client has left, which lies in the queue behind much else on a busy node, or its time has
-        passed meanwhile. The reason, or "".
+        """Why the first line of an attempt must not be sent after all, or "".
+
+        Checks what the reducer could not know when it gave the order: that the client has left, which on a
+        busy node is still queued behind many other events, or that the deadline has passed.
         """
         client = effect.end.conn.client.worker
         try:
             if client is None or peer_closed(client.sock):
                 return "client-gone"
-        except OSError:  # given back just now
+        except OSError:  # just closed
             return "client-gone"
         return "too-late" if effect.by and self.clock() >= effect.by else ""
 
     def write(self, sock, effect):
+        """Sends data without blocking; what the socket does not accept is left to a new thread."""
         try:
             sent = sock.send(effect.data, socket.MSG_DONTWAIT)
         except BlockingIOError:
             sent = 0
         if sent == len(effect.data):
             self.post(ev.Written(effect.end, True, self.clock()))
-        else:  # no slow peer holds up the others
+        else:  # a slow peer must not block the others
             start_thread(self.write_blocking, sock, effect, sent)
 
     def write_blocking(self, sock, effect, sent):
+        """Sends the rest of the data, blocking, in a thread of its own; `sent`: bytes sent already."""
         try:
             sock.sendall(memoryview(effect.data)[sent:])
             ok = True
