--- a/cottonspread/drill/codec.py
+++ b/cottonspread/drill/codec.py
@@ -33,7 +33,7 @@
     """An invalid line; the rest of its batch is processed."""
 
 
-def millis(value):
+def ms_text(value):
     """Microseconds as milliseconds in text."""
     return f"{value / 1000:.3f}"
 
@@ -51,21 +51,21 @@
         raise DecodeError(f"field without '=': {rest!r}") from None
 
 
-def entry(f):
+def read_entry(f):
     """Reads one server of a list."""
-    got = f.get
+    get = f.get
     return i.Entry(
         f["Host"],
-        int(got("Site", 0)),
-        int(got("Shape", 0)),
-        float(got("Heft", 1)),
-        int(got("UnitGroup", 0)),
+        int(get("Site", 0)),
+        int(get("Shape", 0)),
+        float(get("Heft", 1)),
+        int(get("UnitGroup", 0)),
         ms_to_us(f["CameUp"]) if "CameUp" in f else 0,
-        STATES[got("Availability", "up")],
+        STATES[get("Availability", "up")],
     )
 
 
-def arrived(f):
+def read_call(f):
     """Reads a call."""
     options = int(f.get("Options", 0))
     return i.CallArrived(
@@ -81,24 +81,24 @@
     )
 
 
-def status_note(f):
+def read_status_note(f):
     """Reads a status report of a call; None for an unknown kind."""
-    sort, call = int(f["Sort"]), int(f["Call"])
-    if sort == LOAD_CHANGED:
+    kind, call = int(f["Sort"]), int(f["Call"])
+    if kind == LOAD_CHANGED:
         return i.LoadReported(call, float(f["X"]))
-    if sort == MESSAGES_SLOW:
+    if kind == MESSAGES_SLOW:
         return i.DelayReported(call, ms_to_us(f["X"]))
     return None
 
 
-def data(text):
+def decode_data(text):
     """Decodes the data of a message between nodes."""
     return b"" if text == "-" else base64.b64decode(text, validate=True)
 
 
 READERS = {
-    "work_item": arrived,
-    "inherited": arrived,
+    "work_item": read_call,
+    "inherited": read_call,
     "accepted": lambda f: i.LegAccepted(
         int(f["Call"]), int(f.get("Trial", 0)), ms_to_us(f.get("WaitTime", 0))
     ),
@@ -110,7 +110,7 @@
         ms_to_us(f.get("WaitTime", 0)),
     ),
     "expired": lambda f: i.CallExpired(int(f["Call"])),
-    "status_note": status_note,
+    "status_note": read_status_note,
     "fired": lambda f: i.TimerFired(f["Cookie"]),
     "pong": lambda f: probe_ended(
         f["Host"],
@@ -118,7 +118,7 @@
         ms_to_us(f.get("WaitTime", 0)),
         parse_load_report(f.get("Feedback")),
     ),
-    "peer": lambda f: i.PeerMessageReceived(int(f["Neighbour"]), data(f["Bytes"])),
+    "peer": lambda f: i.PeerMessageReceived(int(f["Neighbour"]), decode_data(f["Bytes"])),
 }
 
 
@@ -135,7 +135,7 @@
     """Reads a list of servers; `lines`: the fields of its entries."""
     try:
         return i.ListUpdate(
-            NEWS[fields["Scope"]], int(fields.get("Index", 0)), tuple(entry(f) for f in lines)
+            NEWS[fields["Scope"]], int(fields.get("Index", 0)), tuple(read_entry(f) for f in lines)
         )
     except (KeyError, ValueError) as fault:
         raise DecodeError(f"view: {fault!r}") from fault
@@ -150,25 +150,25 @@
 
 def reject_line(action):
     """The line that refuses a call."""
-    told = f"\tComeBack={millis(action.retry_after)}" if action.retry_after else ""
-    return f"bounce\tCall={action.call}{told}"
+    retry_field = f"\tComeBack={ms_text(action.retry_after)}" if action.retry_after else ""
+    return f"bounce\tCall={action.call}{retry_field}"
 
 
-def tell_line(action):
+def peer_message_line(action):
     """The line that sends a message to another node."""
     return f"publish\tDest={action.peer}\tBytes={base64.b64encode(action.data).decode() or '-'}"
 
 
 LINES = {
-    i.Send: lambda a: f"route\tCall={a.call}\tUntil={millis(a.deadline)}\tHost={a.host}",
+    i.Send: lambda a: f"route\tCall={a.call}\tUntil={ms_text(a.deadline)}\tHost={a.host}",
     i.Reject: reject_line,
     i.Release: lambda a: f"end_failed\tCall={a.call}",
     i.Cancel: lambda a: f"undo_send\tCall={a.call}\tTrial={a.leg}",
     i.Move: lambda a: f"move\tCall={a.call}",
-    i.Timer: lambda a: f"set_timer\tFromNow={millis(a.after)}\tCookie={a.token}",
+    i.Timer: lambda a: f"set_timer\tFromNow={ms_text(a.after)}\tCookie={a.token}",
     i.Probe: lambda a: f"sample\tHost={a.host}",
     i.Subscribe: lambda a: "listen\tWant=1",
-    i.SendToPeer: tell_line,
+    i.SendToPeer: peer_message_line,
     i.Log: lambda a: "note_down\tMessage=" + " ".join(a.text.split()),
 }
 
