--- a/benchmarks/crossings/mutants.py
+++ b/benchmarks/crossings/mutants.py
@@ -1,9 +1,9 @@
-"""Takes out, one by one, the lines that make a crossing right, and runs the tests that are to notice it:
+"""Breaks, one by one, lines that get concurrent events right, and runs the tests that must fail then:
 
     python benchmarks/crossings/mutants.py OUT.json
 
-Works in a copy of the tree, which is removed. Exit code 1 if a mutant is not
-noticed, or its line is not there any more.
+Works in a copy of the tree, which is removed afterwards. Exits with 1 if a mutant is not noticed, or if its
+line is not found.
 """
 
 import json
@@ -15,7 +15,7 @@
 from pathlib import Path
 
 ROOT = Path(__file__).parent.parent.parent
-AT_ONCE, WAIT = 4, 90
+MAX_PARALLEL, TEST_TIMEOUT = 4, 90
 
 ATTEMPTS, CLOSING, SHUTDOWN, LIST, FLOODS = (
     f"tests/crossings/test_{name}.py" for name in ("attempts", "closing", "shutdown", "list", "floods")
@@ -25,14 +25,14 @@
     "tests/crossings/test_pieces.py",
     "tests/test_reducer.py::test_whatever_comes_is_answered_once_and_given_back",
 )
-POLICY = "policy"  # the decisions: whichever of their files has the line
+POLICY = "policy"  # stands for whichever file of the package holds the line
 
-# (what is taken out, file, the line as it stands, the line in its place, tests of which one must fail)
+# (name, file, the line, its replacement, tests of which one must fail)
 MUTANTS = [
     (
         "the look for the client before the first byte",
         "net/workers.py",
-        'why = self.reason_not_to_start(effect) if effect.attempt else ""',
+        'why = self.reason_not_to_start(effect) if effect.first_line else ""',
         'why = ""',
         [f"{ATTEMPTS}::test_nothing_is_sent_for_a_client_that_left_while_its_connection_came_up"],
     ),
@@ -68,7 +68,7 @@
     (
         "an attempt not begun never ran",
         "net/reducer.py",
-        "if not leg.begun and leg.conn.opening.held_by is None:",
+        "if not leg.begun and leg.conn.request.held_by is None:",
         "if False:",
         [
             f"{SCENARIO}[never_begun]",
@@ -78,8 +78,8 @@
     (
         "given up while it came up",
         "net/reducer.py",
-        "        elif leg.ended:\n            e.end.over = True",
-        "        elif False:\n            e.end.over = True",
+        "        elif leg.ended:\n            e.end.input_ended = True",
+        "        elif False:\n            e.end.input_ended = True",
         [f"{SCENARIO}[late_connect]"],
     ),
     (
@@ -103,8 +103,8 @@
     (
         "a client's half-close",
         "net/reducer.py",
-        "        self.out.append(ev.Finish(end))\n        if end.client:",
-        "        self.out.append(ev.Cut(end))\n        if end.client:",
+        "        self.effects.append(ev.ShutdownWrite(end))\n        if end.is_client:",
+        "        self.effects.append(ev.Shutdown(end))\n        if end.is_client:",
         [
             f"{CLOSING}::test_what_is_no_first_line_is_answered_and_read_to_its_end",
             f"{CLOSING}::test_a_client_that_is_moved_may_still_be_sending",
@@ -113,7 +113,7 @@
     (
         "reading on after the end",
         "net/reducer.py",
-        "        if e.end.closing or e.end.finish:\n            self.read(e.end) ",
+        "        if e.end.closing_since or e.end.shutdown_when_written:\n            self.read(e.end) ",
         "        if False:\n            self.read(e.end) ",
         [f"{SCENARIO}[close_crosses_line]"],
     ),
@@ -178,15 +178,15 @@
     (
         "who is accepted and not known at the end",
         "net/node.py",
-        "if isinstance(event, ev.Came) and event.end.worker is not None:",
+        "if isinstance(event, ev.ClientAccepted) and event.end.worker is not None:",
         "if False:",
         [f"{SHUTDOWN}::test_a_connection_that_the_reducer_does_not_know_at_the_end_is_turned_away"],
     ),
     (
         "SIGTERM before the queue",
         "net/node.py",
-        "        self.post_urgent(ev.StopAsked())",
-        "        self.post(ev.StopAsked())",
+        "        self.post_urgent(ev.StopRequested())",
+        "        self.post(ev.StopRequested())",
         [f"{SHUTDOWN}::test_sigterm_goes_before_all_that_waits"],
     ),
     (
@@ -283,7 +283,7 @@
     (
         "the bound on clients that say nothing",
         "net/reducer.py",
-        "while len(self.unopened) >= max(2, self.most_ends // WAITING_PART):",
+        "while len(self.awaiting_first_line) >= max(2, self.max_sockets // PENDING_CLIENTS_DIVISOR):",
         "while False:",
         [f"{SCENARIO}[crowd]"],
     ),
@@ -333,7 +333,7 @@
     (
         "who is not in a whole list",
         "net/reducer.py",
-        "            gone |= self.servers.keys() - e.addresses.keys()",
+        "            gone |= self.hosts.keys() - e.addresses.keys()",
         "            pass",
         [f"{LIST}::test_a_whole_list_in_the_midst_of_an_attempt_is_kept_to"],
     ),
@@ -382,8 +382,8 @@
     (
         "the settings that a first line is read under",
         "net/reducer.py",
-        "        self.names, self.hearing = e.names, e.hearing\n",
-        "        self.hearing = e.hearing\n",
+        "        self.names, self.host_protocol = e.names, e.host_protocol\n",
+        "        self.host_protocol = e.host_protocol\n",
         [f"{PIECES}::test_a_first_line_whose_end_comes_after_a_reload_is_read_under_the_new_settings"],
     ),
     (
@@ -410,58 +410,62 @@
 ]
 
 
-def place(package, file, line):
-    """The file that the line stands in."""
+def find_file(package, file, line):
+    """Returns the path of the file that holds the line."""
     if file != POLICY:
         return package / file
     files = sorted((package / "policy").glob("*.py"))
-    return next((one for one in files if line in one.read_text()), files[0])
+    return next((path for path in files if line in path.read_text()), files[0])
 
 
-def play(mutant):
-    what, file, line, other, tests = mutant
-    with tempfile.TemporaryDirectory() as folder:
-        copy = Path(folder) / "tree"
+def run_mutant(mutant):
+    """Runs one mutant's tests in a changed copy of the tree; returns its row of the results."""
+    name, file, line, replacement, tests = mutant
+    with tempfile.TemporaryDirectory() as directory:
+        copy = Path(directory) / "tree"
         shutil.copytree(ROOT, copy, ignore=shutil.ignore_patterns(".git", ".venv", "journal", "__pycache__"))
-        path = place(copy / "cottonspread", file, line)
+        path = find_file(copy / "cottonspread", file, line)
         text = path.read_text()
         if text.count(line) != 1:
             return {
-                "mutant": what,
+                "mutant": name,
                 "file": file,
                 "noticed": False,
-                "why": f"its line stands there {text.count(line)} times",
+                "why": f"its line was found {text.count(line)} times",
             }
-        path.write_text(text.replace(line, other))
+        path.write_text(text.replace(line, replacement))
         try:
-            done = subprocess.run(
+            completed = subprocess.run(
                 [sys.executable, "-m", "pytest", "-q", "-n", "0", "-p", "no:cacheprovider", *tests],
                 cwd=copy,
                 capture_output=True,
                 text=True,
-                timeout=WAIT,
+                timeout=TEST_TIMEOUT,
             )
         except subprocess.TimeoutExpired:
-            return {"mutant": what, "file": file, "noticed": True, "why": f"hung for {WAIT} s"}
-        last = done.stdout.strip().splitlines()[-1] if done.stdout.strip() else done.stderr[-200:]
+            return {"mutant": name, "file": file, "noticed": True, "why": f"timed out after {TEST_TIMEOUT} s"}
+        summary = (
+            completed.stdout.strip().splitlines()[-1] if completed.stdout.strip() else completed.stderr[-200:]
+        )
         return {
-            "mutant": what,
+            "mutant": name,
             "file": file,
-            "noticed": done.returncode == 1 and "failed" in last,
-            "why": last,
+            "noticed": completed.returncode == 1 and "failed" in summary,
+            "why": summary,
         }
 
 
-def main(given):
-    with ThreadPoolExecutor(AT_ONCE) as pool:
-        told = []
-        for one in pool.map(play, MUTANTS):
-            told.append(one)
-            verdict = "noticed" if one["noticed"] else "NOT NOTICED"
-            print(f"{verdict}: {one['mutant']} ({one['file']}): {one['why']}", flush=True)
-    if given:
-        Path(given[0]).write_text(json.dumps(told, indent=1) + "\n")
-    return 0 if all(one["noticed"] for one in told) else 1
+def main(args):
+    """Runs all mutants; returns the exit code."""
+    with ThreadPoolExecutor(MAX_PARALLEL) as pool:
+        results = []
+        for result in pool.map(run_mutant, MUTANTS):
+            results.append(result)
+            verdict = "noticed" if result["noticed"] else "NOT NOTICED"
+            print(f"{verdict}: {result['mutant']} ({result['file']}): {result['why']}", flush=True)
+    if args:
+        Path(args[0]).write_text(json.dumps(results, indent=1) + "\n")
+    return 0 if all(result["noticed"] for result in results) else 1
 
 
 if __name__ == "__main__":
--- a/cottonspread/cli/instance.py
+++ b/cottonspread/cli/instance.py
@@ -189,7 +189,7 @@
             parts = self.read(values)
         except config.ConfigurationError as fault:
             self.refused = {"live": control.digest(live), "why": str(fault)}
-            self.node.post_urgent(ev.NotRetuned())
+            self.node.post_urgent(ev.ReloadRejected())
             log.error("reload", extra={"pairs": {"why": fault, "kept": "the old configuration"}})
             self.send_status()
             return
@@ -205,7 +205,7 @@
     """Runs an instance; returns its exit code."""
     start_message = json.loads(sys.stdin.readline())
     start = json.loads(start_message["start"])
-    write_out = logfmt.start(
+    write_out = logfmt.configure(
         start_message["name"],
         json.loads(start_message["live"])["level"].upper(),
         start["format"],
--- a/cottonspread/cli/node.py
+++ b/cottonspread/cli/node.py
@@ -74,7 +74,9 @@
     takeover = follower = None
     name = active.parts[0].name
     write_out = (
-        logfmt.start(name, sections[0].level.upper(), sections[0].format) if sections else logfmt.start(name)
+        logfmt.configure(name, sections[0].level.upper(), sections[0].format)
+        if sections
+        else logfmt.configure(name)
     )
     parts = list(active.parts)
     try:
@@ -209,11 +211,11 @@
         values, parts = active.read()
         config.check_no_key_missing(active.values, values)
     except config.ConfigurationError as fault:
-        node.post_urgent(ev.NotRetuned())
+        node.post_urgent(ev.ReloadRejected())
         log.error("reload", extra={"pairs": {"why": fault, "kept": "the old configuration"}})
         return str(fault)
     except Exception as fault:  # a bug of ours
-        node.post_urgent(ev.NotRetuned())
+        node.post_urgent(ev.ReloadRejected())
         log.exception("fault", extra={"pairs": {"while": "reload"}})
         return f"internal error: {type(fault).__name__}: {fault}"
     endpoints, resource_limits, _, _, begin, _ = parts
--- a/cottonspread/fleet/plan.py
+++ b/cottonspread/fleet/plan.py
@@ -1,9 +1,9 @@
-"""What each instance of a fleet is, derived from the operator's file and the platform's
-JSON. Reads two files, starts nothing.
+"""The plan of a fleet: the configuration of each instance, derived from two files.
 
-A fleet's plan is read whole, checked whole, and then handed on as text: a file that changes or vanishes
-between check and use changes nothing. What a plan says of an instance is in two parts: what needs a new
-process, and what a running one takes over.
+The files are the operator's file and the platform's JSON. The plan is read and checked completely, and then
+passed on as text, so a file that changes or vanishes between check and use has no effect. The configuration
+of an instance has two parts: `start`, which needs a new process to change, and `live`, which a running one
+can apply.
 """
 
 import errno
@@ -19,17 +19,21 @@
 from cottonspread.config import operator as op
 from cottonspread.fleet import control
 
-LIVE = (
+LIVE_KEYS = (
     "discovery",
     "settings",
     "load_lines",
-)  # keys of the platform's JSON that a running instance takes over
-FIXED = ("Me", "MembershipMode", "Weights")  # of the settings: a running node keeps what it started with
+)  # keys of the platform's JSON that a running instance can apply
+FIXED_SETTINGS = (
+    "Me",
+    "MembershipMode",
+    "Weights",
+)  # settings that a running node keeps as at its start
 
 
 @dataclass(frozen=True)
-class Spec:
-    """One instance: `start` and `live` are JSON with sorted keys, so equal texts are equal meaning."""
+class InstanceSpec:
+    """One instance: `start` and `live` are JSON with sorted keys, so equal texts have equal meaning."""
 
     name: str
     address: tuple
@@ -38,57 +42,61 @@
 
     @functools.cached_property
     def live_digest(self):
-        """What an instance calls the live part in its status, in place of its whole text."""
+        """The digest by which an instance identifies its live part in its status."""
         return control.digest(self.live)
 
 
 @dataclass(frozen=True)
 class Plan:
+    """The specs of all instances and the program that they run."""
+
     fleet: op.Fleet
     specs: dict  # by name, in the order of their numbers
-    program: tuple  # (python, folder put first on its path)
+    program: tuple  # (Python interpreter, folder put first on its path)
 
 
-def canonical(value):
+def canonical_json(value):
+    """Returns JSON with sorted keys."""
     return json.dumps(value, sort_keys=True)
 
 
-def stepped(address, port=0, octet=0):
-    """HOST:PORT some steps on."""
+def offset_address(address, port=0, octet=0):
+    """Returns HOST:PORT with the port and the host's last octet increased by the given amounts."""
     host, _, number = address.rpartition(":")
     if octet:
         host = op.offset_address(host, octet)
     return f"{host}:{int(number) + port}"
 
 
-def beside(path, other):
+def resolve_path(path, other):
+    """Returns `other` relative to the folder of the file `path`."""
     return os.path.join(os.path.dirname(os.path.abspath(path)), other)
 
 
 def folders(path, fleet):
-    """(for state, for logs)."""
-    state = beside(path, fleet.state)
-    return state, beside(path, fleet.logs) if fleet.logs else os.path.join(state, "log")
+    """Returns (state folder, log folder)."""
+    state = resolve_path(path, fleet.state)
+    return state, resolve_path(path, fleet.logs) if fleet.logs else os.path.join(state, "log")
 
 
-def read(path, program, check=lambda text: config.read_node(text, {}), carried=None):
-    """The plan that the files give now.
+def read(path, program, check=lambda text: config.read_node(text, {}), published=None):
+    """Reads the current plan from the files.
 
-    Raises config.ConfigurationError, naming file and key. `check(text)` reads an instance's JSON: the parts
-    of config.read_node, or config.ConfigurationError. `carried`: what the configuration store told, which
-    stands for the template but for the keys that are this machine's own.
+    Raises config.ConfigurationError, naming file and key. `check(text)` validates an instance's JSON: it
+    returns the parts of config.read_node or raises config.ConfigurationError. `published`: the body from the
+    configuration store; it replaces the template except for the keys that belong to this machine.
     """
     log, instance, fleet, section = op.read_fleet(path)
-    template = beside(path, fleet.config)
+    template = resolve_path(path, fleet.config)
     try:
         with open(template, encoding="utf-8") as file:
             text = file.read()
     except (OSError, UnicodeDecodeError) as fault:
         raise op.OperatorFileError([f"{path}: fleet.config: {template}: {fault}"]) from fault
     whole = config.parse(text, template)
-    if carried is not None and isinstance(whole, dict):
+    if published is not None and isinstance(whole, dict):
         whole = config.with_local_keys(
-            config.parse(carried, "configuration"), whole, section.own if section else ()
+            config.parse(published, "configuration"), whole, section.own if section else ()
         )
     if not isinstance(whole, dict) or not isinstance(whole.get("settings"), dict):
         raise op.OperatorFileError([f"{template}: settings: expected an object"])
@@ -100,40 +108,44 @@
         own = {
             **whole,
             "name": name,
-            "listen": stepped(fleet.listen, fleet.port_step * n, fleet.host_step * n),
+            "listen": offset_address(fleet.listen, fleet.port_step * n, fleet.host_step * n),
             "settings": {
                 **whole["settings"],
                 "Me": fleet.first + n,
                 "Balancers": fleet.nodes or fleet.first + fleet.instances,
             },
         }
-        # the supervisor's socket serves instead, and a successor runs beside each instance
+        # The supervisor's socket replaces it; and a successor, which runs beside its predecessor, could not
+        # bind the same address.
         own.pop("operator", None)
         try:
             own["discovery"] = (
-                stepped(whole["discovery"], fleet.discovery_step * n)
+                offset_address(whole["discovery"], fleet.discovery_step * n)
                 if fleet.discovery_step
                 else whole["discovery"]
             )
             if "seed" in whole:
                 own["seed"] = "%x" % (int(whole["seed"], 16) + n)
-            place = check(canonical(own))[0]
+            place = check(canonical_json(own))[0]
         except (config.ConfigurationError, ValueError, TypeError) as fault:
             raise op.OperatorFileError([f"{template}: {fault} (instance {name})"]) from fault
-        live = {key: own.pop(key) for key in LIVE if key in own} | {"level": log.level}
+        live = {key: own.pop(key) for key in LIVE_KEYS if key in own} | {"level": log.level}
         start = {
             "config": own,
-            "fixed": {key: live["settings"].get(key) for key in FIXED},
+            "fixed": {key: live["settings"].get(key) for key in FIXED_SETTINGS},
             "format": log.format,
             "instance": msgspec.to_builtins(instance),
             "program": list(program),
         }
-        specs[name] = Spec(name, place.listen, canonical(start), canonical(live))
+        specs[name] = InstanceSpec(name, place.listen, canonical_json(start), canonical_json(live))
     return Plan(fleet, specs, tuple(program))
 
 
-def bound(address):
-    """A listening socket, or OSError. Without SO_REUSEPORT: a second one on this address is told at once."""
+def listen_on(address):
+    """Returns a listening socket or raises OSError.
+
+    SO_REUSEPORT is not set, so a second socket on this address fails at once.
+    """
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     try:
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -147,11 +159,11 @@
 
 
 def bind_all(specs):
-    """Listening sockets by address; every address that is taken is named at once."""
+    """Returns listening sockets by address; the error lists every address that is in use."""
     taken, faults = {}, []
     for spec in specs:
         try:
-            taken[spec.address] = bound(spec.address)
+            taken[spec.address] = listen_on(spec.address)
         except OSError as fault:
             why = "address in use" if fault.errno == errno.EADDRINUSE else fault.strerror or str(fault)
             faults.append(f"fleet.listen: {spec.address[0]}:{spec.address[1]} for {spec.name}: {why}")
--- a/cottonspread/net/connection_transfer.py
+++ b/cottonspread/net/connection_transfer.py
@@ -28,18 +28,18 @@
         """The thread: transfers the connections put into `orders`, one at a time."""
         while True:
             order = self.orders.get()
-            self.post(ev.Passed(order.conn, *self.send(order)))
+            self.post(ev.TransferDone(order.conn, *self.send(order)))
 
     def send(self, order):
         """Transfers one connection: (whether the successor has it; if not, whether it was busy reading)."""
         workers = order.client.worker, order.host.worker
         gatherers = [worker.gatherer for worker in workers]
-        if None in gatherers or not lines.let_go(gatherers):
+        if None in gatherers or not lines.try_release(gatherers):
             return False, True
         try:
             socket.send_fds(
                 self.sock,
-                [handover.pack_connection(order.standing)],
+                [handover.pack_connection(order.connection)],
                 [worker.sock.fileno() for worker in workers],
             )
             taken = self.sock.recv(1) == ACCEPTED
@@ -47,7 +47,7 @@
             log.warning("passing", extra={"pairs": {"why": fault}})
             taken = False
         for worker in workers if not taken else ():
-            if worker.gatherer.take_back():
+            if worker.gatherer.reclaim():
                 worker.orders.put(ev.Read(worker.end))
         return taken, False
 
--- a/cottonspread/net/node.py
+++ b/cottonspread/net/node.py
@@ -20,7 +20,7 @@
 from cottonspread.net.admission import Admission
 from cottonspread.net.closing import Closer
 from cottonspread.net.pool import BufferPool
-from cottonspread.net.reducer import WAITING_PART, Reducer
+from cottonspread.net.reducer import PENDING_CLIENTS_DIVISOR, Reducer
 
 log = logging.getLogger("cottonspread.node")
 
@@ -192,19 +192,22 @@
 
     def is_serving(self):
         """Whether connections are accepted and there is a server to send them to."""
-        return self.reducer.listed and not self.reducer.stopping and self.admission is not None
+        return self.reducer.has_hosts and not self.reducer.stopping and self.admission is not None
 
     def answer_command(self, command):
         """Answers an operator's command. Runs in the thread of that address, so it must not block."""
         if command == "health":
             return b"200 yes\n" if self.is_serving() else b"400 no\n"
         if command == "counters":
-            return b"200 the figures\n%sEOF\n" % self.reducer.counters.text(len(self.reducer.by_id)).encode()
+            return (
+                b"200 the figures\n%sEOF\n"
+                % self.reducer.counters.text(len(self.reducer.calls_by_id)).encode()
+            )
         if command not in ("quiesce", "resume"):
             return b"400 known calls: health, counters, quiesce, resume\n"
         if self.reducer.stopping:
             return b"400 stopping\n"
-        self.post_urgent(ev.DrainAsked(command == "quiesce"))
+        self.post_urgent(ev.DrainRequested(command == "quiesce"))
         return b"200 draining\n" if command == "quiesce" else b"200 serving\n"
 
     def post_urgent(self, event):
@@ -230,31 +233,31 @@
     def inherit_state(self, state):
         """Takes over the state of the previous process. Called before `start_accepting`."""
         self.limit_sockets(state.room)
-        self.post(ev.Inherited(state))
+        self.post(ev.StateInherited(state))
 
     def limit_sockets(self, limit):
         """Limits the sockets while two processes share the limits of one; None: no other process any more."""
-        self.max_sockets = self.reducer.most_ends = min(
+        self.max_sockets = self.reducer.max_sockets = min(
             limit or self.max_sockets_alone, self.max_sockets_alone
         )
 
     def hand_over_state(self, wait=0.5):
         """The state for a successor, or None if the reducer does not answer in time."""
         reply = queue.SimpleQueue()
-        self.post_urgent(ev.HandOverAsked(reply.put))
+        self.post_urgent(ev.HandOverRequested(reply.put))
         try:
             state = reply.get(timeout=wait)
         except queue.Empty:
             return None
-        self.max_sockets = self.reducer.most_ends
+        self.max_sockets = self.reducer.max_sockets
         return state
 
     def reload(self, endpoints, resource_limits, names, host_protocol, begin):
         """Applies another configuration; the list, calls and connections stay."""
-        begin = reloadable(begin, self.reducer.begin)
+        begin = reloadable(begin, self.reducer.config)
         renamed = (names.zones, names.kinds) != (self.discovery.names.zones, self.discovery.names.kinds)
         self.discovery.names = names
-        self.post_urgent(ev.Retuned(begin, names, host_protocol))
+        self.post_urgent(ev.SettingsReloaded(begin, names, host_protocol))
         with self.limiter_lock:
             self.admission_limiter.target = admission_target(begin)
         self.change_discovery(endpoints.discovery, renamed)
@@ -264,14 +267,14 @@
 
         Returns whether it did.
         """
-        ends = ev.End(True), ev.End(False)
+        ends = ev.ConnectionEnd(True), ev.ConnectionEnd(False)
         for end, sock in zip(ends, (client, host), strict=True):
             if not self.workers.start_worker(end, sock):
                 for left in (client, host):
                     left.close()
                 return False
         reply = queue.SimpleQueue()
-        self.post(ev.Adopted(*ends, standing, reply.put))
+        self.post(ev.TransferOffered(*ends, standing, reply.put))
         taken = reply.get()  # without a timeout: only the reducer knows whether it took the connection
         if taken:  # its share of the socket limit comes with it
             self.limit_sockets(self.max_sockets + 2)
@@ -288,7 +291,7 @@
         if successor:
             self.connection_sender = connection_transfer.ConnectionSender(successor, self.post)
             workers.start_thread(self.connection_sender.run, stack=workers.LARGE_STACK_SIZE)
-        self.post(ev.StopAsked(handed, successor is not None))
+        self.post(ev.StopRequested(handed, successor is not None))
 
     def ping(self, wait=1.0):
         """Whether the reducer and the workers answer a PING, sent like a client's over a socket pair."""
@@ -296,11 +299,11 @@
         with ours:
             ours.settimeout(wait)
             theirs.setsockopt(socket.SOL_SOCKET, socket.SO_RCVTIMEO, workers.RCVTIMEO)
-            end = ev.End(True)
+            end = ev.ConnectionEnd(True)
             if not self.workers.start_worker(end, theirs):
                 theirs.close()
                 return False
-            self.post(ev.Came(end))
+            self.post(ev.ClientAccepted(end))
             try:
                 ours.sendall(lines.PING + b"\r\n")
                 return ours.recv(16) == lines.PONG
@@ -312,17 +315,17 @@
         reducer, ended = self.reducer, dict(self.end_reasons)
         return {
             "steps": self.steps,
-            "listed": reducer.listed,
+            "listed": reducer.has_hosts,
             "list": self.discovery.version,
             "connections": len(reducer.conns),
-            "calls": len(reducer.by_id),
+            "calls": len(reducer.calls_by_id),
             "ended": sum(n for reason, n in ended.items() if reason not in NO_CALL_REASONS),
             "bad": sum(n for reason, n in ended.items() if reason in FAILURE_REASONS),
         }
 
     def stop(self):
         """Asks the node to end, ahead of all queued events: the platform's time limit has started."""
-        self.post_urgent(ev.StopAsked())
+        self.post_urgent(ev.StopRequested())
 
     def join(self, wait=None):
         """Waits up to `wait` seconds, or for ever, until the node has ended; returns whether it has."""
@@ -338,7 +341,7 @@
                 at, event = self.next_event(left)
             now = self.clock.now()
             at = getattr(event, "at", 0) or at or now
-            if isinstance(event, ev.Got) and event.end.client and event.end.conn.opening is None:
+            if isinstance(event, ev.LinesRead) and event.end.is_client and event.end.conn.request is None:
                 with self.limiter_lock:
                     self.admission_limiter.record_wait(now, now - at)
             for effect in self.step(event, at):
@@ -365,15 +368,15 @@
 
     def execute(self, effect):
         """Executes one effect of the reducer."""
-        if isinstance(effect, ev.Say):
+        if isinstance(effect, ev.Log):
             if effect.event == "closed":
                 self.end_reasons[effect.pairs["reason"]] += 1
             log.log(logging.getLevelName(effect.level.upper()), effect.event, extra={"pairs": effect.pairs})
         elif isinstance(effect, ev.FollowList):
             self.discovery.enabled.set()
-        elif isinstance(effect, ev.Pass):
+        elif isinstance(effect, ev.Transfer):
             self.connection_sender.orders.put(effect)
-        elif isinstance(effect, ev.Stop):
+        elif isinstance(effect, ev.Exit):
             self.close_all()
         else:
             self.workers.execute(effect)
@@ -391,7 +394,7 @@
                 self.refuse_unknown()
         self.refuse_unknown()
         self.unblock_posters()
-        self.workers.execute(ev.Quit())
+        self.workers.execute(ev.DiscardUnread())
         self.closer.stop()
         self.workers.write_queue.put(None)  # the last answers are sent before the process may exit
 
@@ -410,9 +413,9 @@
                 event = self.events.get_nowait()[1]
             except queue.Empty:
                 break
-            if isinstance(event, ev.Came) and event.end.worker is not None:
-                self.workers.execute(ev.Write(event.end, lines.busy(self.reducer.retry_after())))
-                self.workers.execute(ev.Finish(event.end))
+            if isinstance(event, ev.ClientAccepted) and event.end.worker is not None:
+                self.workers.execute(ev.Write(event.end, lines.busy_line(self.reducer.retry_after())))
+                self.workers.execute(ev.ShutdownWrite(event.end))
 
     # The methods of `admission.AdmissionHandler`
 
@@ -421,7 +424,7 @@
         descriptors.
         """
         return min(
-            self.max_sockets // WAITING_PART,
+            self.max_sockets // PENDING_CLIENTS_DIVISOR,
             self.max_sockets + SPARE_DESCRIPTORS // 4 - len(self.workers.live),
         )
 
@@ -434,13 +437,13 @@
         if not self.may_admit(first):
             self.refuse(client.sock, "node-late")
             return
-        end = ev.End(True)
+        end = ev.ConnectionEnd(True)
         # Counts clients that the reducer does not know yet: a burst of hundreds would exceed the limit.
         room = len(self.workers.live) < self.max_sockets + SPARE_DESCRIPTORS // 4
         if not room or not self.workers.start_worker(end, client.sock):
             self.refuse(client.sock, "no-room-at-all", 0)
             return
-        self.post(ev.Came(end, client.accepted_at))
+        self.post(ev.ClientAccepted(end, client.accepted_at))
 
     def may_admit(self, first):
         """Whether the node is fast enough for another call. A PING is always admitted: a load balancer in
@@ -459,13 +462,13 @@
         """
         after = self.reducer.retry_after() if retry_after is None else retry_after
         try:
-            sock.send(lines.busy(after), socket.MSG_DONTWAIT)
+            sock.send(lines.busy_line(after), socket.MSG_DONTWAIT)
             sock.shutdown(socket.SHUT_WR)
         except OSError:
             pass
         with contextlib.suppress(OSError):  # the line has not arrived yet
             self.reducer.counters.count_refused_on_accept(
-                lines.type_named(sock.recv(4096, socket.MSG_DONTWAIT))
+                lines.traffic_type_name(sock.recv(4096, socket.MSG_DONTWAIT))
             )
         self.closer.add(sock)
         self.end_reasons[reason] += 1
--- a/cottonspread/net/workers.py
+++ b/cottonspread/net/workers.py
@@ -85,15 +85,15 @@
                     self.read()
                     if isinstance(order, ev.Read)
                     else self.discard_input()
-                    if isinstance(order, ev.Drain)
+                    if isinstance(order, ev.DiscardInput)
                     else self.connect(order)
                 )
             except Exception:  # a bug of ours: log it and end the connection
                 log.exception("fault", extra={"pairs": {"while": type(order).__name__}})
                 result = (
-                    ev.Connected(self.end, False)
+                    ev.ConnectDone(self.end, False)
                     if isinstance(order, ev.Connect)
-                    else ev.Over(self.end, "fault")
+                    else ev.ReadEnded(self.end, "fault")
                 )
             if result is not None:
                 self.post(result)
@@ -102,30 +102,30 @@
         """Connects to a host; returns the event for the reducer."""
         sock = self.sock
         try:
-            sock.settimeout(max(0.001, order.wait / 1e6))
+            sock.settimeout(max(0.001, order.timeout / 1e6))
             sock.connect(order.address)
             prepare(sock)
-            return ev.Connected(self.end, True)
+            return ev.ConnectDone(self.end, True)
         except OSError as fault:
-            return ev.Connected(self.end, False, errno.errorcode.get(fault.errno, type(fault).__name__))
+            return ev.ConnectDone(self.end, False, errno.errorcode.get(fault.errno, type(fault).__name__))
 
     def read(self):
         """Reads whole lines, blocking; returns the event for the reducer, None if the socket was released."""
         if self.gatherer is None:
-            self.gatherer = lines.Gatherer(self.sock, self.pool, PARTIAL_LINE_TIMEOUT)
+            self.gatherer = lines.LineReader(self.sock, self.pool, PARTIAL_LINE_TIMEOUT)
         try:
-            data = self.gatherer.lines()
+            data = self.gatherer.read_lines()
             return (
-                ev.Got(self.end, data, self.gatherer.filled > 0, self.clock() - self.gatherer.age)
+                ev.LinesRead(self.end, data, self.gatherer.filled > 0, self.clock() - self.gatherer.age)
                 if data
-                else (ev.Over(self.end, "end"))
+                else (ev.ReadEnded(self.end, "end"))
             )
         except lines.SocketReleasedError:
             return None
         except lines.LineError as fault:
-            return ev.Over(self.end, str(fault))
+            return ev.ReadEnded(self.end, str(fault))
         except OSError:
-            return ev.Over(self.end, "reset")
+            return ev.ReadEnded(self.end, "reset")
 
     def discard_input(self):
         """Discards input until the other side closes, at a limited rate so that a flooding peer costs little
@@ -150,7 +150,7 @@
                 look.poll(CUT_TIMEOUT_MS)
         except OSError:
             pass
-        return ev.Over(self.end, "end")
+        return ev.ReadEnded(self.end, "end")
 
     def discard_unread(self):
         """Discards input that has already arrived. Called from another thread as the process ends."""
@@ -210,15 +210,15 @@
         """
         began, data = time.monotonic(), b""
         try:
-            with socket.create_connection(order.address, timeout=order.wait / 1e6) as sock:
+            with socket.create_connection(order.address, timeout=order.timeout / 1e6) as sock:
                 sock.sendall(lines.STATS)
-                while not data.endswith(b"\n") and len(data) < lines.LONGEST_REPORT:
-                    sock.settimeout(max(0.001, order.wait / 1e6 - (time.monotonic() - began)))
-                    got = sock.recv(lines.LONGEST_REPORT)
+                while not data.endswith(b"\n") and len(data) < lines.MAX_REPORT_BYTES:
+                    sock.settimeout(max(0.001, order.timeout / 1e6 - (time.monotonic() - began)))
+                    got = sock.recv(lines.MAX_REPORT_BYTES)
                     if not got:
                         raise ConnectionResetError
                     data += got
-            ending, report = lines.read_report(data)
+            ending, report = lines.parse_probe_answer(data)
         except TimeoutError:
             ending, report = Ending.TIMEOUT, {}
         except OSError as fault:
@@ -230,15 +230,15 @@
                 errno.EADDRNOTAVAIL,
             )
             ending, report = Ending.FULL if ours else Ending.CONNECT_FAILED, {}
-        self.post(ev.Asked(order.host, ending, report, round((time.monotonic() - began) * 1e6)))
+        self.post(ev.ProbeDone(order.host, ending, report, round((time.monotonic() - began) * 1e6)))
 
     def execute(self, effect):
         """Passes an effect of the reducer to the thread that executes it."""
-        if isinstance(effect, ev.Ask):
+        if isinstance(effect, ev.Probe):
             try:
                 start_thread(self.probe, effect)
             except RuntimeError:  # no thread available; posted by the writer thread, see below
-                self.write_queue.put(ev.Asked(effect.host, Ending.FULL, {}))
+                self.write_queue.put(ev.ProbeDone(effect.host, Ending.FULL, {}))
             return
         if isinstance(effect, ev.Connect):
             try:
@@ -246,15 +246,15 @@
             except OSError as fault:
                 # Posted by the writer thread: the reducer's thread must not block on its own event queue.
                 self.write_queue.put(
-                    ev.Connected(effect.end, False, errno.errorcode.get(fault.errno, "socket"))
+                    ev.ConnectDone(effect.end, False, errno.errorcode.get(fault.errno, "socket"))
                 )
                 return
             if not self.start_worker(effect.end, sock):
                 sock.close()
-                self.write_queue.put(ev.Connected(effect.end, False, "no-thread"))
+                self.write_queue.put(ev.ConnectDone(effect.end, False, "no-thread"))
                 return
             effect.end.worker.orders.put(effect)
-        elif isinstance(effect, (ev.Read, ev.Drain)):
+        elif isinstance(effect, (ev.Read, ev.DiscardInput)):
             if effect.end.worker is not None:
                 effect.end.worker.orders.put(effect)
         else:
@@ -267,10 +267,10 @@
             if effect is None:  # the node has ended
                 self.on_all_written()
                 return
-            if isinstance(effect, (ev.Connected, ev.Asked)):
+            if isinstance(effect, (ev.ConnectDone, ev.ProbeDone)):
                 self.post(effect)
                 continue
-            if isinstance(effect, ev.Quit):
+            if isinstance(effect, ev.DiscardUnread):
                 for worker in list(self.live):
                     worker.discard_unread()
                 continue
@@ -281,23 +281,23 @@
                 self.execute_write(worker, effect)
             except (OSError, RuntimeError):  # the other side has closed, or no thread is available
                 if isinstance(effect, ev.Write):
-                    self.post(ev.Written(effect.end, False))
+                    self.post(ev.WriteDone(effect.end, False))
 
     def execute_write(self, worker, effect):
         """Executes one write-side order of an end: data to send, or how to end the connection."""
         if isinstance(effect, ev.Write):
-            why = self.reason_not_to_start(effect) if effect.attempt else ""
+            why = self.reason_not_to_start(effect) if effect.first_line else ""
             if why:
-                self.post(ev.Written(effect.end, False, why=why))
+                self.post(ev.WriteDone(effect.end, False, skip_reason=why))
             else:
                 self.write(worker.sock, effect)
         elif isinstance(effect, ev.Free):  # behind the others: no order may meet a number used again
-            if worker.gatherer is not None and worker.gatherer.gone:
+            if worker.gatherer is not None and worker.gatherer.released:
                 worker.sock.close()  # its thread is blocked in a read until input for the new owner arrives
             worker.orders.put(effect)
-        elif isinstance(effect, ev.Finish):
+        elif isinstance(effect, ev.ShutdownWrite):
             worker.sock.shutdown(socket.SHUT_WR)
-        elif effect.broken:
+        elif effect.reset:
             worker.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
             worker.sock.shutdown(socket.SHUT_RD)  # wakes its reader; the reset is sent by the close
         else:
@@ -315,7 +315,7 @@
                 return "client-gone"
         except OSError:  # just closed
             return "client-gone"
-        return "too-late" if effect.by and self.clock() >= effect.by else ""
+        return "too-late" if effect.send_by and self.clock() >= effect.send_by else ""
 
     def write(self, sock, effect):
         """Sends data without blocking; what the socket does not accept is left to a new thread."""
@@ -324,7 +324,7 @@
         except BlockingIOError:
             sent = 0
         if sent == len(effect.data):
-            self.post(ev.Written(effect.end, True, self.clock()))
+            self.post(ev.WriteDone(effect.end, True, self.clock()))
         else:  # a slow peer must not block the others
             start_thread(self.write_blocking, sock, effect, sent)
 
@@ -335,4 +335,4 @@
             ok = True
         except OSError:
             ok = False
-        self.post(ev.Written(effect.end, ok, self.clock()))
+        self.post(ev.WriteDone(effect.end, ok, self.clock()))
