--- a/cottonspread/net/admission.py
+++ b/cottonspread/net/admission.py
@@ -18,7 +18,7 @@
 from typing import Protocol
 
 from cottonspread.net import pool, workers
-from cottonspread.net.departure import COMING
+from cottonspread.net.drain import LATE_ARRIVAL_TIME
 from cottonspread.net.reducer import FIRST_LINE_TIMEOUT
 
 log = logging.getLogger("cottonspread.node")
@@ -205,7 +205,7 @@
 
     def refuse_overdue(self):
         """Refuses clients that have waited too long."""
-        timeout = COMING if self.handler.stopping() else FIRST_LINE_TIMEOUT
+        timeout = LATE_ARRIVAL_TIME if self.handler.stopping() else FIRST_LINE_TIMEOUT
         for client in self.pending.remove_overdue(self.clock(), timeout):
             self.refuse(client, "no-first-line")
 
--- a/cottonspread/net/reducer.py
+++ b/cottonspread/net/reducer.py
@@ -22,7 +22,7 @@
 from cottonspread.net import events as ev
 from cottonspread.net import lines
 from cottonspread.net.active_set import ActiveSet, connection_is_active, host_is_active
-from cottonspread.net.departure import COMING, Departure
+from cottonspread.net.drain import LATE_ARRIVAL_TIME, DrainController
 from cottonspread.net.message_delays import ConnectionSignals, MessageDelays
 from cottonspread.policy import Balancer
 
@@ -131,7 +131,7 @@
         self.probing = set()  # hosts with a probe under way whose end the module waits for
         self.probes = 0
         self.counters = Counters(())
-        self.has_hosts, self.departure = False, Departure(self)
+        self.has_hosts, self.drain_controller = False, DrainController(self)
         # a successor takes standing connections; the one on its way there
         self.transfers_enabled, self.passing = False, None
         # those that wait for it, and those on which something was under way
@@ -147,8 +147,8 @@
             ev.ListReceived: self.list_received,
             ev.ListFailed: self.list_failed,
             ev.ProbeDone: self.asked,
-            ev.StopRequested: self.departure.stop,
-            ev.DrainRequested: self.departure.drain,
+            ev.StopRequested: self.drain_controller.stop,
+            ev.DrainRequested: self.drain_controller.drain,
             ev.SettingsReloaded: self.retuned,
             ev.ReloadRejected: self.not_retuned,
             ev.StateInherited: self.inherit,
@@ -174,17 +174,17 @@
     @property
     def stopping(self):
         """Since when the process ends; 0: it does not."""
-        return self.departure.stopping
+        return self.drain_controller.stopping
 
     @property
     def draining(self):
         """Since when the operators have the node drained; 0: it takes calls."""
-        return self.departure.draining
+        return self.drain_controller.draining
 
     @property
     def stopped(self):
         """Whether the end of the process was asked for."""
-        return self.departure.stopped
+        return self.drain_controller.stopped
 
     def step(self, now, event, at=0):
         """Everything that `event` and the passing of time ask for. `at`: when it happened; 0: now."""
@@ -310,7 +310,11 @@
             return
         if first.rstrip(b"\r") == lines.PING:
             conn.pings += 1
-            if self.has_hosts and not self.departure.draining and not self.departure.turns_away(conn):
+            if (
+                self.has_hosts
+                and not self.drain_controller.draining
+                and not self.drain_controller.refusal_reason(conn)
+            ):
                 self.write(conn.client, lines.PONG)
             else:
                 self.dismiss(conn, "not-ready")
@@ -345,7 +349,7 @@
         conn.guard = self.event_time + wait
         left = max(0, wait - lain - min(self.own.recent_max(self.now), (wait - lain) // 4))
         # Two descriptors for every call, and some left to answer with: at the edge a call is turned away.
-        turned = self.departure.turns_away(conn)
+        turned = self.drain_controller.refusal_reason(conn)
         if turned or self.open_sockets + 1 > self.max_sockets:
             self.finish(conn, turned or "no-room", lines.busy_line(self.retry_after()))
             return
@@ -427,7 +431,7 @@
         if (
             conn.answered
             or conn.up
-            or self.departure.hurries()
+            or self.drain_controller.answers_due()
             or until <= self.now
             or leg.number >= conn.max_legs
             or out
@@ -549,7 +553,7 @@
         leg.host.legs[leg], leg.stood = None, self.next_number()
         if leg.host.message_delays.undecided():  # from connections that stood there before
             self.active_hosts.add(leg.host)
-        self.departure.stands(leg.conn)
+        self.drain_controller.on_established(leg.conn)
 
     def leave_host(self, leg):
         host = leg.host
@@ -707,7 +711,7 @@
         elif (
             self.probes * PROBES_PART >= self.max_sockets
             or self.open_sockets + 2 > self.max_sockets
-            or self.departure.hurries()
+            or self.drain_controller.answers_due()
         ):
             self.queue_event(io.ProbeEnded(name, Ending.FULL))
         else:
@@ -930,16 +934,16 @@
                 conn.request is None
                 and not conn.reason
                 and self.now - conn.heard_of - late
-                > (COMING if self.departure.stopping else FIRST_LINE_TIMEOUT)
+                > (LATE_ARRIVAL_TIME if self.drain_controller.stopping else FIRST_LINE_TIMEOUT)
             ):
                 self.dismiss(conn, "ping" if conn.pings else "no-first-line")
             for leg in conn.legs:
                 if leg.end is not None:
                     self.sweep_end(leg.end)
         self.counters.hosts_down = self.balancer.membership.count_unavailable(self.now)
-        if self.departure.stopping:
+        if self.drain_controller.stopping:
             self.transfer(self.busy)
-            self.departure.stop_when_done()
+            self.drain_controller.stop_when_done()
 
     def sweep_end(self, end):
         if end.freed:
@@ -1028,7 +1032,7 @@
         self.ended_ids.update(dict.fromkeys(e.state.ids))
         self.queue_event(io.Inherited(e.state.records, e.state.sent))
         if e.state.draining:
-            self.departure.drain(ev.DrainRequested(True))
+            self.drain_controller.drain(ev.DrainRequested(True))
 
     def hand_over(self, e):
         """The room that is free is shared with the successor until one of the two is alone."""
@@ -1039,7 +1043,7 @@
                 self.balancer,
                 self.now,
                 room=free // 2,
-                draining=bool(self.departure.draining),
+                draining=bool(self.drain_controller.draining),
                 ids=tuple(self.calls_by_id),
             )
         )
@@ -1103,7 +1107,7 @@
         """
         one = e.connection
         number = self.names.types.get(one.type)
-        if number is None or one.id in self.calls_by_id or self.departure.stopping:
+        if number is None or one.id in self.calls_by_id or self.drain_controller.stopping:
             for end in (e.client, e.host):
                 end.freed = True
                 self.effects.append(ev.Free(end))
