--- a/tests/crossings/standins.py
+++ b/tests/crossings/standins.py
@@ -1,5 +1,5 @@
-"""Stand-ins for the crossing tests: a list, hosts and clients on loopback that wait
-for the test's word, never for a time.
+"""Stubs for the race condition tests: discovery, hosts and clients on loopback. They wait for signals from
+the test, never for a fixed time.
 """
 
 import itertools
@@ -21,9 +21,10 @@
 
 
 class Agent:
-    """The list.
+    """A discovery server.
 
-    Calls are answered from the book, or by the next of `scripted`, functions of a `Call`, or all by `always`.
+    A request is answered by the next of `scripted` (functions of a `Call`), else by `always` if it is set,
+    else from the list.
     """
 
     def __init__(self, *names, version=1):
@@ -88,7 +89,7 @@
                     except queue.Empty:
                         script = self.always or (lambda call: call.say(ok(self.answer(call.path))))
                     script(call)
-        except (OSError, ValueError):  # the node was first
+        except (OSError, ValueError):  # the node closed the connection
             pass
 
 
@@ -106,17 +107,17 @@
 
     def reset(self):
         self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
-        self.file.close()  # or the socket stays open for it
+        self.file.close()  # the file would keep the socket open
         self.sock.close()
 
     def hold(self):
-        """Until the node has given it up."""
+        """Never answers; returns when the node has closed the connection."""
         while self.sock.recv(4096):
             pass
 
 
 class Host:
-    """One server. Each connection waits in `came` until the test takes it."""
+    """A server. Connections wait in the listener's queue until the test accepts them with `take`."""
 
     def __init__(self, name):
         self.listener = socket.create_server(("127.0.0.1", 0), backlog=512)
@@ -139,7 +140,7 @@
         return Peer(sock)
 
     def waits(self):
-        """Whether somebody is there whom the test has not taken."""
+        """Whether a connection is waiting to be accepted."""
         return bool(select.select([self.listener], [], [], 0)[0])
 
     def close(self):
@@ -147,7 +148,7 @@
 
 
 class Peer:
-    """One side of a connection, as the test has it."""
+    """The test's side of a connection."""
 
     def __init__(self, sock):
         sock.settimeout(WAIT)
@@ -161,11 +162,11 @@
         return self.file.readline().rstrip(b"\r\n")
 
     def rest(self):
-        """All that comes, to the end."""
+        """Everything received until the end of the connection."""
         return self.file.read()
 
     def end(self):
-        """Half of it: nothing more is sent from here."""
+        """Shuts down the sending side."""
         self.sock.shutdown(socket.SHUT_WR)
 
     def close(self, how="close"):
@@ -178,14 +179,14 @@
         self.sock.close()
 
     def broken(self):
-        """Whether a reset has come: on loopback it is here when the send that brought it returns."""
+        """Whether a reset was received. On loopback it has arrived when the send that caused it returns."""
         look = select.poll()
         look.register(self.sock, 0)
         return any(ready & select.POLLERR for _, ready in look.poll(0))
 
 
 class Gate:
-    """Holds whoever comes until the test opens it. `here`: somebody waits."""
+    """Blocks threads until the test sets `open`. `here` is set once a thread waits."""
 
     def __init__(self):
         self.here, self.open = threading.Event(), threading.Event()
@@ -196,8 +197,8 @@
 
 
 def hold_connects(monkeypatch, which=lambda nth: True):
-    """The node hears of a connection to a host, of those that `which(nth)` names,
-    once the gate that is returned opens.
+    """Delays the results of the connection attempts to hosts for which `which(nth)` is true until the
+    returned gate opens.
     """
     gate, connect, numbers = Gate(), workers.Worker.connect, itertools.count(1)
 
@@ -267,9 +268,7 @@
 
 
 class Seen:
-    """What a node's reducer was told, in order: the test waits for a kind of event to
-    have been dealt with.
-    """
+    """Records the events that a node's reducer has handled, so that a test can wait for one."""
 
     def __init__(self, node):
         self.told, self.new = [], threading.Condition()
@@ -293,7 +292,7 @@
 
 @contextmanager
 def running(agent, before=lambda node: None, **more):
-    """A node that knows the list, unless `known` was given: then the test waits for what it wants."""
+    """A running node, stopped at the end."""
     node = Node(*config.read_node(settings(agent, **more), {}))
     node.seen = Seen(node)
     before(node)
@@ -306,7 +305,7 @@
 
 
 def until(true, what):
-    """For what no event tells: looked at until it holds."""
+    """Polls until the condition is true, for what no event reports."""
     gate = threading.Event()
     for _ in range(WAIT * 200):
         if true():
@@ -316,7 +315,7 @@
 
 
 def serve(hosts):
-    """The next attempt, wherever it goes."""
+    """Accepts the next attempt at any of the hosts and reads its first line."""
     until(lambda: any(h.waits() for h in hosts), "nobody came")
     peer = next(h for h in hosts if h.waits()).take()
     peer.line = peer.hear()
@@ -324,7 +323,7 @@
 
 
 def standing(node, hosts):
-    """A connection that is up: its client's side and its host's."""
+    """Opens a connection: (the client's side, the host's side)."""
     one = client(node, opening(1))
     peer = serve(hosts)
     peer.say(b"UP r")
--- a/tests/crossings/test_closing.py
+++ b/tests/crossings/test_closing.py
@@ -1,5 +1,5 @@
-"""Ends of connections against bytes that come just then: no last line is lost to a
-reset, and no descriptor is kept for long.
+"""Closing connections while the other side is still sending: no last line is lost to a reset, and no
+descriptor is kept for long.
 """
 
 import socket
@@ -13,7 +13,7 @@
 
 
 def told_the_end(peer, word):
-    """The last line came, then the end; and nothing that is sent after it brings a reset."""
+    """The last line arrives, then the end, and sending more does not cause a reset."""
     assert peer.hear().startswith(word) and peer.hear() == b""
     for _ in range(3):
         peer.say(b"M 1 " + b"x" * 900)
@@ -40,7 +40,7 @@
 
 
 def test_a_client_turned_away_at_the_door_may_send_its_line_just_then(agent):
-    """The door is for calls: one that says nothing is told the end when its time is over."""
+    """Overload protection applies to calls: a client that sends nothing is closed after its timeout."""
     with running(agent, lambda node: setattr(node.admission_limiter, "admits", lambda now: False)) as node:
         listed(node)
         told_the_end(client(node), b"BUSY")
@@ -52,7 +52,7 @@
 def test_a_request_that_crosses_the_end_of_a_resting_connection_is_answered_and_not_sent_on(
     hosts, agent, monkeypatch
 ):
-    """The node closes one who said nothing; its line is here before the close, or right after it."""
+    """The node closes a silent client, whose first line arrives just before the close or just after."""
     gate = Gate()
     monkeypatch.setattr(admission, "FIRST_LINE_TIMEOUT", 100_000)
 
@@ -60,7 +60,7 @@
         refuse = node.refuse
 
         def held(*told):
-            gate.wait()  # it is decided, and the word and the end wait
+            gate.wait()  # the decision is made, BUSY and the close are not sent yet
             refuse(*told)
 
         node.refuse = held
@@ -76,7 +76,7 @@
 
 
 def test_a_request_that_crosses_the_end_of_a_connection_that_rests_after_a_ping(hosts, agent, monkeypatch):
-    """The same where the reducer knows the client already."""
+    """The same for a client that the reducer knows already."""
     gate = Gate()
     monkeypatch.setattr(reducer, "FIRST_LINE_TIMEOUT", 100_000)
 
@@ -85,7 +85,7 @@
 
         def held(effect):
             if isinstance(effect, ev.Write) and effect.data.startswith(b"BUSY"):
-                gate.wait()  # the word and the end wait, the reducer has decided
+                gate.wait()  # the reducer has decided, BUSY and the close are not sent yet
             finish(effect)
 
         node.workers.execute = held
@@ -146,9 +146,8 @@
             assert client(node, b"PING").hear() == b"PONG"
         thread.join(10)
         assert stop.is_set(), "still read after a second and more"
-        until(
-            lambda: node.end_reasons["garbled"] + node.end_reasons["early-line"] == 1, "kept"
-        )  # as its lines were read
+        # which of the two depends on how its lines were read
+        until(lambda: node.end_reasons["garbled"] + node.end_reasons["early-line"] == 1, "kept")
 
 
 def test_the_closer_keeps_no_more_than_it_may_and_nobody_for_good(monkeypatch):
@@ -162,7 +161,7 @@
         one.step()
     assert len(one.open_sockets) == 3 and [ours.fileno() < 0 for ours, _ in pairs] == [True] * 5 + [False] * 3
     for _, theirs in pairs[5:]:
-        theirs.sendall(b"x" * 100)  # they stay and speak
+        theirs.sendall(b"x" * 100)  # they stay open and send
     until(lambda: one.step() and not one.open_sockets, "kept for good")
     one.stop()
     assert not one.step()
@@ -198,8 +197,8 @@
 
 
 def test_a_descriptor_that_is_used_again_meets_no_order_for_the_one_before(hosts, agent):
-    """Connections come and go while others are set up: each client hears its
-    own host's receipt and no one else's.
+    """Connections open and close while others are set up: each client gets the answer to its own call and
+    never another's.
     """
     with running(agent) as node:
         listed(node)
@@ -235,7 +234,7 @@
 
 
 def test_peers_are_told_a_reset_as_a_reset(hosts, agent):
-    """When one side breaks, so does the other: a host that resets is no host that ended."""
+    """A reset from one side reaches the other as a reset, not as a normal end."""
     with running(agent) as node:
         listed(node)
         one, peer = standing(node, hosts)
--- a/tests/crossings/test_floods.py
+++ b/tests/crossings/test_floods.py
@@ -1,5 +1,5 @@
-"""Descriptors and bad input: idle clients fill them, clients send much and go, and
-every parser meets bytes of any kind.
+"""Resource exhaustion and bad input: idle clients use up the descriptors, clients send a lot and leave, and
+every parser gets arbitrary bytes.
 """
 
 import contextlib
@@ -21,15 +21,15 @@
 
 
 def call(address, word):
-    with socket.create_connection(address, timeout=1) as sock:  # as long as an operator waits
+    with socket.create_connection(address, timeout=1) as sock:  # operators wait that long
         sock.sendall(word + b"\n")
         return sock.makefile("rb").read()
 
 
 @pytest.mark.parametrize("known", (False, True))
 def test_idle_clients_that_fill_the_descriptors_keep_nobody_out(hosts, known):
-    """While discovery is down, also before the first list: list, hosts and operators are reached,
-    and clients served, once it is back.
+    """While discovery is down, also before the first list. Once it is back the node reaches discovery and
+    hosts, answers operators and serves clients.
     """
     agent, back = Agent().list(*hosts), threading.Event()
 
@@ -49,7 +49,7 @@
         listed(node, 1)
         for n in range(5):
             assert call(operators, b"health") == b"200 yes\n"
-            # some of the crowd stand in the queue before it, and it comes again as clients do
+            # idle clients are ahead of it in the listener's queue, and like any client it tries again
             for _ in range(100):
                 one = client(node, opening(n))
                 until(
@@ -76,8 +76,8 @@
 
 
 def test_a_crowd_that_says_nothing_takes_no_step_of_the_reducer(hosts, agent):
-    """Two hundred connect and say nothing or half a line: no thread and no event each, for whoever has a
-    whole line would wait behind them.
+    """Two hundred clients connect and send nothing or half a line. They cost no thread and no event each: a
+    client with a whole line would wait behind them.
     """
     with running(agent, sockets=96) as node:
         listed(node)
@@ -250,7 +250,9 @@
 
 
 def test_a_bad_answer_that_was_read_to_its_last_byte_is_no_closed_connection():
-    """What came was read up, so nothing lay there: the call went again, and said that nobody listens."""
+    """The response was read completely, so the buffer was empty: the request was wrongly sent again, and the
+    error said that the connection was refused.
+    """
     ours, theirs = socket.socketpair()
     theirs.sendall(b"HTTP/1.1 200 OK\r\nno colon\r\n")
     http = HttpClient(("127.0.0.1", 1), 1)
@@ -340,8 +342,8 @@
 
 
 def test_names_may_hold_what_a_name_may_hold(hosts):
-    """Another customer's: types, zones and tenants with dots, slashes, colons, plus
-    signs, percent signs, and numbers alone.
+    """Names of types, zones and tenants may contain dots, slashes, colons, plus signs and percent signs, or
+    be plain numbers.
     """
     agent = Agent().list(*hosts)
     names = ["7", "a.b/c:d", "x%20y", "gr\u00fc\u00df", "=", "c"]
--- a/tests/crossings/test_handover.py
+++ b/tests/crossings/test_handover.py
@@ -1,6 +1,6 @@
-"""A standing connection on its way from one process to the next, and one side dies at each step.
+"""Transfer of an established connection between processes, where the sender dies at each step.
 
-Beside `tests/test_succession.py`.
+See also `tests/test_succession.py`.
 """
 
 import contextlib
@@ -16,17 +16,17 @@
 
 
 def on_its_way(message, fds=2):
-    """What the successor does with a message whose sender is dead by then: ((client, host) as it
-    took them or None, their other sides).
+    """What the successor does with a message whose sender has died: (the connections it accepted, the other
+    sides of the two sockets).
     """
     ours, theirs = socket.socketpair()
     ends = [socket.socketpair() for _ in range(2)]
     socket.send_fds(theirs, [message], [end.fileno() for end, _ in ends][:fds])
     theirs.close()
     for end, _ in ends:
-        end.close()  # the dead one's copies
+        end.close()  # the dead sender's copies
     taken = []
-    with ours, contextlib.suppress(OSError):  # nobody hears the answer
+    with ours, contextlib.suppress(OSError):  # nobody receives the answer
         connection_transfer.receive_connections(
             ours, lambda standing, client, host: taken.append((standing, client, host)) or True
         )
@@ -48,7 +48,7 @@
 @pytest.mark.parametrize("cut", (1, len(STANDING) // 2, len(STANDING) - 2))
 @pytest.mark.parametrize("fds", (2, 1))
 def test_one_that_was_cut_off_is_nobodys_and_ends(cut, fds):
-    """The sender died in the middle of it: the sockets that came are closed, and both sides see the end."""
+    """The sender died while sending: the received sockets are closed, and both sides see the end."""
     taken, others = on_its_way(STANDING[:cut], fds)
     assert not taken
     for other in others:
--- a/tests/crossings/test_list.py
+++ b/tests/crossings/test_list.py
@@ -1,8 +1,8 @@
-"""The list's calls against silence, resets, cuts, refusals and SIGHUP: whatever
-failed, a change is heard of in its time.
+"""Requests to discovery that hang, are reset, cut off or refused, and SIGHUP: whatever failed, a change of
+the list is known in time.
 
-The times are a tenth of the real ones (`scaled`), so a bound of 6 s is 0.6 s here;
-`benchmarks/crossings/list_clock.py` measures the real.
+All times are a tenth of the real ones (`scaled`), so a bound of 6 s is 0.6 s here;
+`benchmarks/crossings/list_clock.py` measures the real ones.
 """
 
 import json
@@ -30,7 +30,7 @@
 from cottonspread.net.http import HttpClient
 
 TOLD = 6.0 / 10
-ROOM = 0.25  # for a machine that is busy with other tests; the bound itself is reckoned below
+ROOM = 0.25  # seconds, for a machine that is busy with other tests; the bound itself is computed below
 
 
 @pytest.fixture
@@ -51,19 +51,17 @@
 
 
 def test_the_longest_way_of_a_change_lies_under_6_s_with_room_for_a_late_node():
-    """A call that went silent just before, the pause after it, and a
-    connection and an answer that take their time.
-    """
+    """A request that hung just before, the retry delay, then a slow connection and a slow response."""
     one = discovery.Discovery
     longest_call = max(one.WATCH_TIMEOUT_MS / 1000 + one.WATCH_MARGIN, one.FULL_LIST_TIMEOUT)
     pushed = longest_call + one.MAX_RETRY_DELAY + one.CONNECT_TIMEOUT
-    asked = 4.5 + one.CONNECT_TIMEOUT  # from the begin of a call that failed: Membership.MAX_POLL_GAP
+    asked = 4.5 + one.CONNECT_TIMEOUT  # from the start of a request that failed: Membership.MAX_POLL_GAP
     assert max(pushed, asked) <= 5.0
     assert longest_call < 4.5
 
 
 def watching(agent):
-    """The next watch that is out."""
+    """The next watch request."""
     while True:
         call = agent.calls.get(timeout=WAIT)
         if "since=" in call.path:
@@ -116,7 +114,7 @@
 @pytest.mark.parametrize("fault", FAULTS, ids=lambda f: f.__name__)
 @pytest.mark.parametrize("times", (1, 2))
 def test_a_change_after_a_call_that_failed_is_heard_of_in_its_time(hosts, agent, scaled, fault, times):
-    """The change comes once the fault has struck; from then on the list can be reached."""
+    """The change is made once the fault has occurred; from then on discovery is reachable."""
     struck = threading.Semaphore(0)
 
     def script(call):
@@ -127,7 +125,7 @@
         listed(node)
         for _ in range(times):
             agent.scripted.put(script)
-        agent.change(hosts[1], "Ready")  # ends the watch that is out: the next call meets the fault
+        agent.change(hosts[1], "Ready")  # ends the current watch: the next request meets the fault
         for _ in range(times):
             assert struck.acquire(timeout=WAIT)
         began = time.monotonic()
@@ -135,7 +133,7 @@
         listed(node, agent.version)
         assert time.monotonic() - began < TOLD + ROOM
         assert all(e.update.entries for e in node.seen.told if isinstance(e, ev.ListReceived)), (
-            "nobody is ever dropped on a bad word"
+            "a bad response must not remove any server"
         )
         one = client(node, opening(1))
         peer = hosts[1].take()
@@ -166,7 +164,7 @@
     def drips(call):
         for byte in ok(agent.whole()):
             call.say(bytes([byte]))
-            time.sleep(0.01)  # slower than any call may take; nothing is concluded from it
+            time.sleep(0.01)  # slower than any request may take; no assertion depends on this time
 
     agent.scripted.put(drips)
     with running(agent) as node:
@@ -175,7 +173,7 @@
 
 
 def test_an_entry_cut_off_in_the_middle_changes_nothing(hosts, agent, scaled):
-    """An answer that ends inside an entry, with a length that fits: no half of a list is believed."""
+    """A response that ends inside an entry, with a matching length: no part of it is applied."""
     whole = json.dumps(agent.whole()).encode()
     for cut in range(1, len(whole), 37):
         body = whole[:cut]
@@ -192,8 +190,8 @@
 
 
 def test_a_new_process_asks_before_it_believes_what_it_knew(hosts, agent):
-    """What the agent has counts from the first moment: a call that came before its
-    first answer went to a host that drained.
+    """Discovery's list is authoritative from the start: a call that came before its first response went to a
+    draining host.
     """
     gate = threading.Event()
     agent.list(hosts[0], lifecycle="Terminating")
@@ -234,7 +232,7 @@
 def test_sighup_moves_the_list_at_once_whatever_the_call_to_the_old_one_does(
     hosts, agent, fault, monkeypatch
 ):
-    """In the middle of a call that hangs, of a pause after failures (a minute here), and twice."""
+    """During a hanging request, during a retry delay (a minute here), and twice in a row."""
     monkeypatch.setattr(discovery.Discovery, "RETRY_DELAY", 60.0)
     monkeypatch.setattr(discovery.Discovery, "MAX_RETRY_DELAY", 60.0)
     extra, struck = Host("s-3"), threading.Event()
@@ -249,7 +247,7 @@
         agent.scripted.put(script)
         agent.change(hosts[1], "Ready")
         assert struck.wait(WAIT)
-        if fault is refused:  # now it pauses
+        if fault is refused:  # the retry delay has begun
             node.seen.wait(ev.ListFailed)
         node.change_discovery(second.address)
         node.change_discovery(third.address)
@@ -262,9 +260,7 @@
 
 
 def test_a_503_on_a_kept_connection_is_one_call_and_not_two(hosts, agent, scaled):
-    """It was taken for a connection that had been closed meanwhile: a discovery
-    that turned calls away got each twice.
-    """
+    """A 503 was taken for a connection closed while idle: an overloaded discovery got each request twice."""
     paths, struck = [], threading.Event()
 
     def script(call):
@@ -284,7 +280,9 @@
 
 
 def test_a_list_that_is_asked_for_is_asked_in_time_and_no_more_than_it_costs(hosts, scaled):
-    """After a failed call the module says when; a watch that was answered goes on as one."""
+    """After a failed request the policy sets the time of the next; after an answered watch the next one
+    follows at once.
+    """
     agent = Agent().list(*hosts)
     with running(agent, settings=SETTINGS | {"MembershipMode": "ask", "AskEvery": 10_000}) as node:
         listed(node)
@@ -296,8 +294,8 @@
 
 
 def test_a_reload_between_its_two_halves_does_not_give_the_new_list_up(hosts, agent, monkeypatch):
-    """The list's thread moves on right behind the first half of `follow`: the new address was
-    given up in place of the old, for good.
+    """The list's thread switches right after the first half of `change_address`: the request to the new
+    address was aborted in place of the old one, and the new address was never used again.
     """
     second, made, follow = (
         Agent(version=40).list(hosts[1]),
@@ -324,8 +322,8 @@
 
 
 def test_a_reload_asks_the_new_list_at_once_while_the_next_time_to_ask_is_far(hosts):
-    """Where lists are asked for, a call that failed is followed by a wait that
-    the module chooses: here it never ends.
+    """Where lists are polled, a failed request is followed by a delay that the policy chooses: here it never
+    ends.
     """
     old, new = Agent().list(hosts[0]), Agent(version=40).list(*hosts)
     old.always = refused
@@ -340,8 +338,8 @@
 
 
 def test_a_reset_in_a_call_gives_the_next_one_no_longer_time(monkeypatch):
-    """A silence, a reset just before its time was up and a second silence were waited out
-    one behind the other: 6 s and a pause.
+    """A hang, a reset just before the timeout and a second hang were waited out one after the other: 6 s and
+    a retry delay.
     """
     clock = Clock()
     monkeypatch.setattr(http, "time", clock)
@@ -370,7 +368,7 @@
 
 
 class Clock:
-    """Stands still until the test moves it."""
+    """A clock that only the test advances."""
 
     now = 0.0
 
@@ -380,8 +378,8 @@
 
 @pytest.mark.parametrize("answered", (1, 6))
 def test_a_silence_after_watches_that_were_answered_is_a_silence(hosts, agent, scaled, answered):
-    """Late in a connection's life, with a drain right behind it: the watch is
-    opened anew, on a connection of its own.
+    """A watch hangs on an old connection, and a server starts draining: the watch is repeated on a new
+    connection.
     """
     silences = []
 
@@ -423,15 +421,15 @@
 
 
 def moved(host, other):
-    """Another server stands under its name by now."""
+    """Another server has taken over its name."""
     return [ready(host, hostPort="127.0.0.1:1"), ready(other)]
 
 
 @pytest.mark.parametrize("kind", (without, drains, moved), ids=lambda kind: kind.__name__)
 @pytest.mark.parametrize("reload", (False, True), ids=("watch", "reload"))
 def test_a_whole_list_in_the_midst_of_an_attempt_is_kept_to(hosts, agent, monkeypatch, kind, reload):
-    """The answer to a watch is the whole list, or a reload brings it, while a connection
-    comes up: nothing goes where it led.
+    """A full list arrives, as the response to a watch or after a reload, while a connection is being set up:
+    nothing is sent to the old server.
     """
     gate = hold_connects(monkeypatch, lambda nth: nth == 1)
     with running(agent) as node:
@@ -446,7 +444,7 @@
             node.change_discovery(second.address)
         else:
             agent.scripted.put(lambda call: (setattr(agent, "version", 40), call.say(whole)))
-            agent.change(other, "Ready")  # ends the watch that is out
+            agent.change(other, "Ready")  # ends the current watch
         listed(node, 40)
         gate.open.set()
         assert first.take().rest() == b""
--- a/tests/crossings/test_one_process.py
+++ b/tests/crossings/test_one_process.py
@@ -1,5 +1,5 @@
-"""What the bench refuses: a node that serves is one process of any number of
-threads, and starts no other program.
+"""The platform's rule that a serving node is one process, with any number of threads, and starts no other
+program.
 """
 
 import json
--- a/tests/crossings/test_shutdown.py
+++ b/tests/crossings/test_shutdown.py
@@ -1,5 +1,5 @@
-"""SIGTERM against whatever is under way: what was taken is answered, nothing read after it
-is sent on, and the end comes in time.
+"""SIGTERM during calls in any state: accepted calls are answered, nothing read afterwards is sent on, and the
+process ends in time.
 """
 
 import json
@@ -43,7 +43,7 @@
 
 
 def at_the_end(monkeypatch, node, what):
-    """`what` happens after the reducer's last step, before anything is closed."""
+    """Calls `what` after the reducer's last step, before anything is closed."""
     finish = node.close_all
 
     def finishing():
@@ -54,13 +54,13 @@
 
 
 def test_a_connection_in_the_listeners_queue_at_the_end_is_turned_away(agent, monkeypatch):
-    """Nobody accepts any more, and its first line lies there whole."""
+    """Its whole first line has arrived, but no thread accepts connections any more."""
     late, gate = [], Gate()
     with running(agent) as node:
         listed(node)
 
         def what():
-            gate.here.wait(WAIT)  # the accepting thread is held: two more stay in the queue
+            gate.here.wait(WAIT)  # the accepting thread is blocked: two more stay in the queue
             late.extend(client(node, opening(n)) for n in (2, 3))
             gate.open.set()
 
@@ -114,7 +114,7 @@
         until(lambda: node.admission.pending, "not there")
         node.stop()
         assert one.hear().startswith(b"BUSY") and one.hear() == b""
-        one.say(opening(1))  # the moment of the close: not sent on, and no reset
+        one.say(opening(1))  # at the moment of the close: not sent on, and no reset
         assert not one.broken()
         assert node.join(WAIT)
 
@@ -187,14 +187,14 @@
         assert node.join(WAIT)
         assert node.clock.now() - began < (GUARD + 700) * 1000
         one.close()
-        for worker in list(node.workers.live):  # in a process of its own the kernel does that
+        for worker in list(node.workers.live):  # the kernel does this when a real process exits
             worker.sock.close()
         peer.close()
         thread.join(WAIT)
 
 
 def test_sigterm_goes_before_all_that_waits(agent):
-    """Behind 4,096 events it came as late as they took, and the platform's time ran."""
+    """Behind 4,096 queued events it was handled too late for the platform's time limit."""
     gate = Gate()
 
     def before(node):
@@ -212,7 +212,7 @@
         asked = threading.Thread(target=node.stop)
         asked.start()
         asked.join(WAIT)
-        assert not asked.is_alive(), "the one who asks is held up"
+        assert not asked.is_alive(), "stop() blocks"
         gate.open.set()
         node.seen.wait(ev.StopRequested)
         told = node.seen.told
@@ -250,7 +250,7 @@
 
 
 def test_a_signal_during_the_start_is_no_end_by_force(agent, tmp_path, monkeypatch):
-    """It came before anybody listened for it, and the process was killed by it."""
+    """It came before the handler was installed, and the process was killed by it."""
     file, read = tmp_path / "node.json", command.ActiveConfiguration.read
     file.write_text(settings(agent))
 
@@ -272,8 +272,8 @@
 
 
 def test_a_whole_process_with_calls_in_flight_ends_with_0_and_in_time(hosts, agent, tmp_path):
-    """Resting, half said, in set-up, standing, and one that comes with the signal; each
-    has its last line, and none a reset.
+    """Clients that are silent, have sent half a line, are in setup, are established, or connect with the
+    signal: each gets its last line, and none a reset.
     """
     free = socket.create_server(("127.0.0.1", 0))
     address = free.getsockname()
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -1,4 +1,4 @@
-"""The operators' address: the calls, bad input, callers who never finish; and the figures as text."""
+"""The operators' address: commands, bad input, callers who never finish; and the metrics as text."""
 
 import queue
 import re
@@ -16,7 +16,7 @@
 
 
 def call(address, said, end=False):
-    """What an operator's call brings back, to the end of the connection."""
+    """Sends an operator's command and returns everything received until the end of the connection."""
     with socket.create_connection(address, timeout=WAIT) as sock:
         sock.sendall(said)
         if end:
@@ -27,7 +27,7 @@
 
 @pytest.fixture
 def door():
-    """The address alone, answering each word with itself."""
+    """A server of the operators' address without a node, which echoes each command."""
     one = admin.Admin(("127.0.0.1", 0), lambda word: b"200 " + word.encode() + b"\n")
     thread = threading.Thread(target=one.run, daemon=True)
     thread.start()
@@ -68,8 +68,8 @@
 
 
 def test_callers_who_never_finish_keep_nobody_out(door):
-    """They are turned out for a new one when all places are taken: with their time limit
-    alone the thirteenth waited two seconds.
+    """At the limit the oldest caller is evicted for a new one: with the timeout alone the thirteenth caller
+    waited two seconds.
     """
     silent = [socket.create_connection(door[1], timeout=WAIT) for _ in range(3 * admin.MAX_CALLERS)]
     for sock in silent:
@@ -161,7 +161,7 @@
 
 
 def until(address, said, want):
-    """Asks until the answer is the one wanted: an order's effect comes a moment after its answer."""
+    """Repeats the command until the answer is as wanted: a command takes effect shortly after its answer."""
     while not want(answer := call(address, said)):
         pass
     return answer
@@ -191,7 +191,7 @@
 
 
 def test_operators_are_answered_while_the_reducer_does_nothing_and_its_queue_is_full(operated, monkeypatch):
-    """A call that went by the reducer's queue waited for as long as the node was busy."""
+    """A command that went through the reducer's queue waited as long as the node was busy."""
     node, address, operators = operated
     until(operators, b"health\n", lambda a: a == b"200 yes\n")
     go, held = threading.Event(), threading.Event()
@@ -213,7 +213,7 @@
     assert not node.reducer.draining
     monkeypatch.setitem(node.reducer.handlers, ev.Tick, lambda event: None)
     go.set()
-    until(address, b"PING\r\n", lambda a: a.startswith(b"ERR"))  # the order went before all that waited
+    until(address, b"PING\r\n", lambda a: a.startswith(b"ERR"))  # quiesce overtook the queued events
 
 
 def test_a_node_without_the_key_has_no_such_address(service):  # noqa: F811
--- a/tests/test_drill.py
+++ b/tests/test_drill.py
@@ -1,4 +1,4 @@
-"""The bench's front: framing, odd input, and nodes kept apart."""
+"""The simulator's adapter: framing, invalid input, and nodes that share nothing."""
 
 import io as stdio
 import json
@@ -38,7 +38,7 @@
 
 
 def test_a_report_with_odd_values_is_still_the_probes_answer():
-    """The whole line was dropped for one value, and the call that waited for the probe was never answered."""
+    """One invalid value made the whole line be dropped, and the call that waited for the probe hung."""
     settings = CONFIG | {
         "Balancers": 9,
         "Limits": {"MostLegs": 2, "Probes": True},
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -1,4 +1,4 @@
-"""The parsers, the configuration, and a whole node on loopback with stand-ins for servers and discovery."""
+"""Parsers, configuration, and a whole node on loopback with the example's servers and discovery."""
 
 import importlib.util
 import io as stdio
@@ -29,7 +29,7 @@
 EXAMPLES = Path(__file__).parent.parent / "examples"
 NODE = (EXAMPLES / "node.json").read_text()
 WAIT = 10
-USUAL = 40_000  # the mean load told
+USUAL = 40_000  # the mean of the reported loads
 
 
 def pair():
@@ -76,7 +76,9 @@
 
 
 def test_the_table_of_descriptors_has_its_size_before_there_are_threads():
-    """It grew under them, and whoever opened the next one, the reducer too, waited 10 to 25 ms."""
+    """When the table grew later, the thread that opened the next descriptor, the reducer's too, waited 10 to
+    25 ms.
+    """
     grow_descriptor_table(3000)
     size = next(
         line for line in Path("/proc/self/status").read_text().splitlines() if line.startswith("FDSize")
@@ -88,7 +90,9 @@
 
 
 def test_words_on_messages_are_told_from_loads():
-    """A jammed host's words taken for loads made its connections weigh nothing, and no jam was seen."""
+    """Delay reports of a congested host were read as loads: its connections then counted as almost idle, and
+    the congestion went unnoticed.
+    """
     notes, heard = MessageDelays(slow_threshold=17_000), ConnectionSignals()
     told = []
     for at, value in (
@@ -109,7 +113,7 @@
 
 
 def test_a_word_of_many_seconds_needs_a_silence_to_be_believed():
-    """A load that falls on a host's second would else be taken for a hang."""
+    """A load report that arrives at the host's reporting second would otherwise be taken for a hang."""
     notes, heard = MessageDelays(slow_threshold=17_000), ConnectionSignals(load=40_000)
     assert notes.classify(5_000_000, heard, 14_236.5, 0, USUAL) is None
     assert notes.confirmed_claim(5_050_000, 0) is None
@@ -119,14 +123,14 @@
 
 
 def test_a_load_told_in_a_silence_stays_a_load():
-    """One of 250,419 became a word of 250 s, and its connection lost its load."""
+    """A load of 250,419 was read as a delay of 250 s, and its connection lost its load."""
     notes = MessageDelays(slow_threshold=17_000)
     assert notes.classify(5_000_000, ConnectionSignals(load=200_000), 250_419, 0, USUAL) is None
     assert notes.confirmed_claim(5_500_000, 500_000) is None
 
 
 def test_a_word_that_grows_by_the_time_passed_is_a_hang():
-    """Lines are two seconds apart, so that a silence can be late to tell."""
+    """The host's lines are two seconds apart, so a silence may be noticed late."""
     notes, heard, other = (
         MessageDelays(slow_threshold=17_000),
         ConnectionSignals(load=40_000),
@@ -139,8 +143,8 @@
 
 
 def test_a_light_load_is_no_jam():
-    """A connection that fell to 380 us a second was taken for a host whose
-    messages take 380 ms: all were moved.
+    """A connection whose load fell to 380 us per second was taken for a host whose messages take 380 ms, and
+    all its connections were moved.
     """
     notes, heard = MessageDelays(slow_threshold=17_000), ConnectionSignals(load=2_212)
     assert notes.classify(5_000_000, heard, 379.956, 0, USUAL) == 0
@@ -150,7 +154,7 @@
 
 
 def test_a_host_met_just_now_may_have_piled_up_anything():
-    """Words of 1.4 to 3 s from a slow host were taken for loads, and it was sent call after call."""
+    """Delays of 1.4 to 3 s reported by a slow host were read as loads, and it kept getting calls."""
     notes, heard = MessageDelays(slow_threshold=17_000, connected_since=2_200_000), ConnectionSignals()
     assert notes.classify(2_200_000, heard, 297_243, 0, USUAL) is None
     heard.load = 297_243
@@ -159,9 +163,10 @@
 
 
 def test_the_first_line_of_a_connection_may_be_a_word():
-    """Its load is told only when it works; taken for a load, the word of a jammed host was lost."""
+    """A connection reports load only when it is used; read as a load, a congested host's delay was lost."""
     notes, fresh = MessageDelays(slow_threshold=17_000), ConnectionSignals()
-    assert notes.classify(7_380_000, fresh, 2784.4, 0, USUAL) == 0  # small for a load: not told as one yet
+    # small for a load: not reported as one yet
+    assert notes.classify(7_380_000, fresh, 2784.4, 0, USUAL) == 0
     assert notes.classify(8_380_500, fresh, 2114.3, 0, USUAL) == 2_114_300 and not notes.misread_loads
     assert notes.classify(8_400_000, ConnectionSignals(), 52_000, 0, USUAL) is None
 
@@ -177,7 +182,7 @@
         assert notes.classify(at * 1000, light, value, 0, USUAL) == delay
         light.load = value
     assert notes.misread_loads == [(light, 820), (light, 700)]
-    # the beat is known now: the next time one word tells
+    # the reporting second is known now: from here on one report suffices
     assert notes.classify(4_001_000, light, 9.5, 0, USUAL) == 9_500 and not notes.reported_delay
     assert notes.classify(9_002_000, light, 310, 0, USUAL) == 310_000
 
@@ -207,7 +212,7 @@
 
 
 def test_a_probe_is_answered_whatever_the_host_does():
-    """Calls wait for it: one that never ended would hold them until their guard time."""
+    """Calls wait for probes: one that never ended would hold them until their guard time."""
     answers = Answers(b"PONG x0:0.5\r\n", b"ERR\r\n", b"", b"x" * 5000)
     assert [(e.ending, e.report) for e in (probe(answers.address) for _ in range(4))] == [
         (io.Ending.OK, {"x0": 0.5}),
@@ -222,8 +227,8 @@
 
 
 def test_a_list_whose_weights_move_is_not_saved_at_each_word(tmp_path):
-    """Each second a write and an fsync; and a successor took weights under load for the
-    sizes to begin with.
+    """Otherwise there is a write and an fsync each second, and a successor starts with weights under load in
+    place of the servers' sizes.
     """
     one = {"instanceId": "s-1", "lifecycle": "Ready", "weight": 3.0}
     for moving, kept in ((True, 3.0), (False, 0.2)):
@@ -240,7 +245,7 @@
 
 
 class Answers:
-    """One listening socket that gives each connection the next of `answers`."""
+    """A listening socket that sends the next of `answers` on each connection."""
 
     def __init__(self, *answers):
         self.listener = socket.create_server(("127.0.0.1", 0))
@@ -341,7 +346,7 @@
     ),
 )
 def test_an_entry_that_cannot_be_read_costs_its_own_news_alone(bad):
-    """One such entry among sixty, and the whole list was turned down, for good."""
+    """One invalid entry among sixty made the node reject the whole list, and every later one."""
     names = config.Names({}, {"here": 0}, {}, {})
 
     def read(*instances, before=None):
@@ -356,10 +361,10 @@
     now, addresses, unread = read(
         instance("a", startedAtMs=9), instance("b", **bad), instance("c", **bad), before=before
     )
-    # never told before: not there yet
+    # an invalid entry of an unknown server is left out
     assert now["a"].started == 9000 and now["b"] == first["b"] and "c" not in now
     assert unread.keys() == {"b", "c"} and addresses.keys() == {"a", "b"}
-    if "lifecycle" not in bad:  # that nothing may go there any more is heard all the same
+    if "lifecycle" not in bad:  # draining or gone is applied all the same
         for word, state in (("Terminating", io.HostState.DRAINING), ("Gone", io.HostState.GONE)):
             now, addresses, unread = read(
                 instance("a"), instance("b", **bad | {"lifecycle": word}), before=before
@@ -380,7 +385,7 @@
         ("b", io.HostState.UP),
     ]
     assert unread.keys() == {"a again", "None"} and addresses["a"] == addresses["b"] == ("10.1.0.18", 8080)
-    long = "b" * 100  # named whole, or what is kept on disk would not know it
+    long = "b" * 100  # reported in full, so that the entry can be left out of the saved list
     assert discovery.read_list(said | {"instances": [instance(long, weight="x")]}, names)[3].keys() == {long}
     assert discovery.read_list(said | {"instances": []}, names)[1:] == (
         io.ListUpdate(io.ListUpdateKind.FULL, 3, ()),
@@ -412,7 +417,7 @@
     )
     monkeypatch.setattr(discovery.time, "sleep", lambda _: None)
     one.enabled.set()
-    start_thread(one.run, stack=LARGE_STACK_SIZE)  # with less, JSON nested deep ended the whole process
+    start_thread(one.run, stack=LARGE_STACK_SIZE)  # with less, deeply nested JSON crashed the process
     told = [heard.get(timeout=WAIT) for _ in range(4)]
     one.stop()
     assert [e.update.version for e in told] == [41, 43, 44, 45] and len(failed) == 4
@@ -425,7 +430,7 @@
 
 @pytest.mark.parametrize("known, first", ((True, "/api/targets?since=41&"), (False, "/api/targets")))
 def test_a_known_list_is_watched_from_its_version_on_and_not_asked_for_anew(known, first, monkeypatch):
-    """One call in place of two: a fleet that began anew had neither answered."""
+    """One request instead of two: when a whole fleet restarted, neither was answered."""
     heard, paths = queue.Queue(), []
     answers = Answers(listing(42, not known))
     one = discovery.Discovery(
@@ -441,9 +446,9 @@
 
 
 def test_a_new_address_is_believed_at_once_whatever_its_version(monkeypatch):
-    """A lower one was asked three times, and each word of it came with a failure."""
+    """A lower version was fetched three times before it was accepted, and each fetch counted as a failure."""
     heard, failed = queue.Queue(), []
-    first = Answers(listing(41))  # and then a watch that nobody answers
+    first = Answers(listing(41))  # then a watch that is never answered
     second = Answers(listing(7), listing(8, False, "Terminating"))
     one = discovery.Discovery(
         first.address,
@@ -467,7 +472,7 @@
 @pytest.mark.parametrize(
     "settings, probed, moving",
     [
-        ({}, False, False),  # the old shape, where nothing is said
+        ({}, False, False),  # old settings, without these keys
         (
             {"Limits": {"Probes": True}, "LoadReport": {"How": "none", "Names": []}, "Weights": "nominal"},
             False,
@@ -606,26 +611,26 @@
 
 
 def discovery_of(servers):
-    """Where the toy servers' discovery listens."""
+    """Starts the toy servers' discovery and returns its address."""
     listener = socket.create_server(("127.0.0.1", 0))
     threading.Thread(target=servers.accept, args=(listener, servers.discover), daemon=True).start()
     return listener.getsockname()
 
 
 def test_the_examples_discovery_bears_a_node_that_is_killed(toy):
-    """Its thread ended with an exception that nobody caught, whenever a node was killed in its watch."""
+    """Its thread ended with an uncaught exception whenever a node was killed during a watch."""
     with socket.create_server(("127.0.0.1", 0)) as listener:
         node = socket.create_connection(listener.getsockname())
         theirs = listener.accept()[0]
     node.sendall(b"GET /list HTTP/1.1\r\n\r\n" * 2)
     node.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
-    node.close()  # a reset, as the kernel sends for a process that is killed with bytes unread
+    node.close()  # a reset, as the kernel sends for a process that is killed with unread input
     toy.Toy(1).discover(theirs)
 
 
 @pytest.fixture
 def service(monkeypatch, toy):
-    """A node, with the example's toy servers and discovery."""
+    """A running node with the example's toy servers and discovery."""
     servers = toy.Toy(2)
     endpoints, resource_limits, names, host_protocol, begin, known = config.read_node(NODE, {})
     endpoints = config.Endpoints("n1", ("127.0.0.1", 0), discovery_of(servers))
@@ -670,7 +675,9 @@
 
 @pytest.mark.parametrize("waiting", [0, 4])
 def test_nobody_waits_for_room_at_a_node_that_has_ended(monkeypatch, waiting):
-    """The writer did, behind the last answers to over two thousand clients: the process never ended."""
+    """The writer thread blocked on the full queue after the last answers to over two thousand clients, and
+    the process never ended.
+    """
     monkeypatch.setattr("cottonspread.net.node.EVENT_QUEUE_SIZE", 4)
     place, *rest = config.read_node(NODE, {})
     node = Node(replace(place, operator=None), *rest)
@@ -711,8 +718,8 @@
 
 
 def test_the_log_says_listening_before_a_thread_can_say_anything(monkeypatch):
-    """The list's first word stood before it now and then, and whoever waited
-    for the two in turn waited for ever.
+    """The first list was sometimes logged before it, and a script that waited for the two lines in order
+    waited for ever.
     """
     said, logger = [], logging.getLogger("cottonspread.node")
     monkeypatch.setattr(workers, "start_thread", lambda target, *args, **more: said.append("a thread"))
@@ -725,7 +732,7 @@
 
 
 def test_sighup_follows_the_new_discovery_and_a_faulty_file_changes_nothing(toy, tmp_path, monkeypatch):
-    """It ended the process; and a watch at the old address kept the node from the new one for seconds."""
+    """SIGHUP killed the process; and a watch at the old address delayed the new one for seconds."""
     first, second, said, rest, early = toy.Toy(1), toy.Toy(2), queue.Queue(), [], []
 
     class Said(logging.Handler):
@@ -733,7 +740,7 @@
             said.put((record.getMessage(), getattr(record, "pairs", {})))
 
     def wait_for(event, **pairs):
-        """The first such line that was not waited for yet: what threads say may come in any order."""
+        """The first matching line not returned before: lines of different threads come in any order."""
         while True:
             for line in early:
                 if line[0] == event and pairs.items() <= line[1].items():
--- a/tests/test_succession.py
+++ b/tests/test_succession.py
@@ -1,5 +1,5 @@
-"""Retuning and replacing a process: configuration files that lost something, hand-over
-files, and whole processes on loopback.
+"""Reloads and process takeover: incomplete configuration files, handover files, and whole processes on
+loopback.
 """
 
 import copy
@@ -43,11 +43,11 @@
 )
 
 
-# A new file is taken whole or not at all
+# A new file is applied as a whole or not at all
 
 
 def keys(values, path=()):
-    """The way to every key of a JSON value."""
+    """The path of every key of a JSON value."""
     for key in values if isinstance(values, dict) else range(len(values)):
         if isinstance(values, dict):
             yield (*path, key)
@@ -68,7 +68,7 @@
 
 
 class Told:
-    """In a node's place: what it is told."""
+    """Stands in for a node and records the calls."""
 
     def __init__(self):
         self.events, self.reloads = [], []
@@ -84,8 +84,8 @@
     "path", [p for p in keys(WHOLE) if p[-1] not in OWN], ids=lambda p: ".".join(map(str, p))
 )
 def test_a_file_that_lost_a_key_changes_nothing(path, tmp_path, monkeypatch, caplog):
-    """A default in the place of a lost key is half a change; the environment in
-    the place of a lost address an old one.
+    """A default in place of a missing key would apply half a change, and the environment in place of a
+    missing address an old one.
     """
     monkeypatch.setenv("PROXY_DISCOVERY", "127.0.0.1:1")
     file, node = tmp_path / "node.json", Told()
@@ -181,7 +181,7 @@
     assert caplog.records[-1].pairs["at_next_start"] == "listen,limits"
 
 
-# Hand-over
+# Handover
 
 GOOD = handover.HandoverState(7, True, ("a", "b"), (("k", "s-1"),), (("s-1", 5, 2),))
 
@@ -248,7 +248,7 @@
 
 
 class Process:
-    """`serve` beside others of the same name, with the listening socket that all share."""
+    """A `serve` process; several of the same name share one listening socket."""
 
     def __init__(self, folder, listener, discovery_at, **more):
         with socket.create_server(("127.0.0.1", 0)) as free:
@@ -287,7 +287,7 @@
         return self.log.read().decode()
 
     def says(self, text):
-        """The log is written by a thread of its own, a moment later."""
+        """Waits for a text in the log, which a separate thread writes with a short delay."""
         by = time.monotonic() + WAIT
         while text not in self.said():
             assert time.monotonic() < by, self.said()
@@ -318,7 +318,9 @@
 
 
 def standing(address, count):
-    """So many clients, one after the other: servers that have answered nothing get four set-ups at once."""
+    """Opens `count` connections, one after the other: a server that has not answered yet gets at most four
+    call setups at a time.
+    """
     clients = []
     for n in range(count):
         clients.append(open_call(address, b"a%d" % n, b"g%d" % n))
@@ -327,7 +329,7 @@
 
 
 def test_a_process_is_replaced_and_nobody_is_turned_back_unheard(platform):
-    """The second process found its address taken and ended."""
+    """The second process failed to bind its address and exited."""
     begin, address = platform
     first = begin().ready()
     stands = standing(address, 6)
@@ -352,7 +354,7 @@
     done.set()
     crowd.join(WAIT)
     assert len(came) > 10 and all(answer.startswith(b"UP ") for answer in came)
-    for n, client in enumerate(stands):  # who stood goes on standing, at the process that is left
+    for n, client in enumerate(stands):  # established connections go on at the second process
         client.say(b"still here %d" % n)
         assert client.hear() == b"still here %d" % n
     assert open_call(address, b"a0").hear() == b"ERR"
@@ -369,7 +371,7 @@
     first = begin().ready()
     stands = standing(address, 12)
     begin().ready()
-    said, done = [[] for _ in range(6)], threading.Event()  # half of them talk without a pause
+    said, done = [[] for _ in range(6)], threading.Event()  # half of them send without a pause
 
     def talk(client, heard):
         n = 0
@@ -390,13 +392,13 @@
         one.join(WAIT)
     passed = first.said().count("reason=handed-over")
     assert passed + sum(b"MOVE" in heard for heard in said) == 12 and passed >= 6
-    for heard in said:  # one that was never idle when looked at is moved
+    for heard in said:  # a connection that was never idle when checked is moved
         ours = heard[: heard.index(b"MOVE")] if b"MOVE" in heard else heard
         assert ours == [b"line %d" % n for n in range(len(ours))]
 
 
 def test_a_successor_that_is_told_to_end_in_the_midst_of_passing_cuts_nobody_off(platform):
-    """Some connections are passed on, some are not idle yet, and both processes end."""
+    """Some connections have been transferred and some are not idle yet when both processes stop."""
     begin, address = platform
     first = begin().ready()
     stands = standing(address, 12)
@@ -479,11 +481,11 @@
     listener.close()
 
 
-# Connections on their way
+# Connections in transfer
 
 
 def test_an_idle_reader_lets_go_and_leaves_what_comes_then_to_the_next(service_ends):
-    """Two readers of one socket split its lines."""
+    """Two processes reading one socket would split its lines."""
     (ours, gatherer), done = service_ends, threading.Event()
     started = threading.Thread(
         target=lambda: (pytest.raises(lines.SocketReleasedError, gatherer.read_lines), done.set()),
@@ -502,7 +504,7 @@
 
 def test_a_reader_in_the_midst_of_a_line_does_not_let_go(service_ends):
     ours, gatherer = service_ends
-    assert not lines.try_release([gatherer])  # nobody reads there
+    assert not lines.try_release([gatherer])  # no thread is reading it
     other = lines.LineReader(gatherer.sock, BufferPool(), 1)
     other.idle = True
     assert not lines.try_release([other, gatherer]) and not other.released
@@ -577,7 +579,7 @@
     first = begin().ready()
     first.process.kill()
     first.process.wait(WAIT)
-    second = begin(discovery="127.0.0.1:1").ready()  # nobody tells it a list
+    second = begin(discovery="127.0.0.1:1").ready()  # discovery does not answer
     assert second.says("alone=True") and open_call(address, b"a1").hear().startswith(b"UP ")
 
 
