--- a/tests/crossings/test_closing.py
+++ b/tests/crossings/test_closing.py
@@ -32,14 +32,14 @@
         (opening(2) + b"\r\nM 1 ab", b"ERR"),
     ],
 )
-def test_what_is_no_first_line_is_answered_and_read_to_its_end(agent, first, word):
+def test_an_invalid_first_line_is_answered_and_input_is_read_to_the_end(agent, first, word):
     with running(agent) as node:
         listed(node)
         told_the_end(client(node, first), word)
         until(lambda: not node.reducer.conns, "kept")
 
 
-def test_a_client_turned_away_at_the_door_may_send_its_line_just_then(agent):
+def test_a_client_refused_on_accept_may_send_its_line_at_that_moment(agent):
     """Overload protection applies to calls: a client that sends nothing is closed after its timeout."""
     with running(agent, lambda node: setattr(node.admission_limiter, "admits", lambda now: False)) as node:
         listed(node)
@@ -49,7 +49,7 @@
         assert node.end_reasons["node-late"] == 1 and node.end_reasons["no-first-line"] == 1
 
 
-def test_a_request_that_crosses_the_end_of_a_resting_connection_is_answered_and_not_sent_on(
+def test_a_request_sent_while_an_idle_connection_is_closed_is_answered_and_not_forwarded(
     hosts, agent, monkeypatch
 ):
     """The node closes a silent client, whose first line arrives just before the close or just after."""
@@ -75,7 +75,7 @@
         assert not any(host.waits() for host in hosts)
 
 
-def test_a_request_that_crosses_the_end_of_a_connection_that_rests_after_a_ping(hosts, agent, monkeypatch):
+def test_a_request_sent_while_a_connection_idle_after_a_ping_is_closed(hosts, agent, monkeypatch):
     """The same for a client that the reducer knows already."""
     gate = Gate()
     monkeypatch.setattr(reducer, "FIRST_LINE_TIMEOUT", 100_000)
@@ -115,7 +115,7 @@
         assert peer.rest() == b""
 
 
-def test_a_standing_client_that_sends_what_is_no_line_has_an_end_that_can_be_read(hosts, agent):
+def test_an_established_client_that_sends_an_invalid_line_sees_a_clean_end(hosts, agent):
     with running(agent) as node:
         listed(node)
         one = client(node, opening(1))
@@ -127,7 +127,7 @@
         assert peer.rest() == b""
 
 
-def test_one_that_sends_at_full_speed_and_stays_is_given_up_and_holds_nobody_up(agent):
+def test_a_client_that_floods_and_never_closes_is_cut_off_and_blocks_no_other(agent):
     with running(agent) as node:
         listed(node)
         flood = client(node, b"HELLO")
@@ -150,7 +150,7 @@
         until(lambda: node.end_reasons["garbled"] + node.end_reasons["early-line"] == 1, "kept")
 
 
-def test_the_closer_keeps_no_more_than_it_may_and_nobody_for_good(monkeypatch):
+def test_the_closer_respects_its_limit_and_keeps_no_socket_for_ever(monkeypatch):
     monkeypatch.setattr(closing, "TIMEOUT", 0.05)
     one = closing.Closer(lambda: 3)
     pairs = [socket.socketpair() for _ in range(8)]
@@ -167,7 +167,7 @@
     assert not one.step()
 
 
-def test_a_second_answer_that_comes_late_meets_a_closed_attempt(hosts, agent):
+def test_a_late_second_answer_finds_the_attempt_closed(hosts, agent):
     with running(agent) as node:
         listed(node)
         one = client(node, opening(1, "once"))
@@ -180,7 +180,7 @@
 
 
 @pytest.mark.parametrize("answer", (b"UP r\r\n", b""))
-def test_an_answer_that_never_ends_is_given_up(hosts, agent, answer):
+def test_an_endless_answer_is_cut_off(hosts, agent, answer):
     with running(agent) as node:
         listed(node)
         one = client(node, opening(1, "once"))
@@ -196,7 +196,7 @@
         until(lambda: not node.reducer.open_sockets, "a descriptor is kept")
 
 
-def test_a_descriptor_that_is_used_again_meets_no_order_for_the_one_before(hosts, agent):
+def test_a_reused_descriptor_gets_no_order_meant_for_the_previous_one(hosts, agent):
     """Connections open and close while others are set up: each client gets the answer to its own call and
     never another's.
     """
@@ -233,7 +233,7 @@
         assert {said for n, said, _ in heard if said != b"UP %08x" % n} <= {b"BUSY"}
 
 
-def test_peers_are_told_a_reset_as_a_reset(hosts, agent):
+def test_a_reset_reaches_the_other_side_as_a_reset(hosts, agent):
     """A reset from one side reaches the other as a reset, not as a normal end."""
     with running(agent) as node:
         listed(node)
--- a/tests/crossings/test_floods.py
+++ b/tests/crossings/test_floods.py
@@ -27,7 +27,7 @@
 
 
 @pytest.mark.parametrize("known", (False, True))
-def test_idle_clients_that_fill_the_descriptors_keep_nobody_out(hosts, known):
+def test_idle_clients_that_use_up_the_descriptors_do_not_lock_others_out(hosts, known):
     """While discovery is down, also before the first list. Once it is back the node reaches discovery and
     hosts, answers operators and serves clients.
     """
@@ -75,7 +75,7 @@
         until(lambda: not node.reducer.conns and not node.workers.live, "a descriptor is kept")
 
 
-def test_a_crowd_that_says_nothing_takes_no_step_of_the_reducer(hosts, agent):
+def test_silent_clients_cost_no_step_of_the_reducer(hosts, agent):
     """Two hundred clients connect and send nothing or half a line. They cost no thread and no event each: a
     client with a whole line would wait behind them.
     """
@@ -96,7 +96,7 @@
         peer.close()
 
 
-def test_clients_that_send_much_and_go_leave_nothing_behind(hosts, agent):
+def test_clients_that_send_a_lot_and_leave_are_cleaned_up(hosts, agent):
     with running(agent) as node:
         listed(node)
         for n in range(60):
@@ -118,7 +118,7 @@
 
 
 @pytest.mark.parametrize("size", (1, 2, 3))
-def test_a_first_line_in_pieces_is_a_first_line(hosts, agent, size):
+def test_a_first_line_may_arrive_in_pieces(hosts, agent, size):
     with running(agent) as node:
         listed(node)
         one, line = client(node), opening(1) + b"\r\n"
@@ -144,7 +144,7 @@
         lambda t: LINE[: t[0]] + t[1] + LINE[t[0] :]
     )
 )
-def test_any_first_line_is_read_or_turned_down(line):
+def test_any_first_line_is_parsed_or_rejected(line):
     try:
         read = lines.parse_open(line.split(b"\n")[0] + b"\n", NAMES.types, {}, True, 10_000_000)
         assert 0 <= read.wait <= 10_000_000 and read.type == 0 and not set(read.id) & set(" \r\n\0")
@@ -154,7 +154,7 @@
 
 @profile(max_examples=300, deadline=None)
 @given(st.binary(max_size=60), st.binary(max_size=10))
-def test_any_answer_of_a_host_is_up_or_some_ending(line, rest):
+def test_any_answer_of_a_host_is_up_or_an_ending(line, rest):
     ending = lines.parse_answer(line, rest)
     assert ending is None or isinstance(ending, type(lines.ENDINGS[b"BYE"]))
     assert lines.parse_load(line) is None or lines.parse_load(line) >= 0
@@ -163,7 +163,7 @@
 
 @profile(max_examples=100, deadline=None)
 @given(st.lists(st.integers(1, 30), max_size=12), st.binary(max_size=60))
-def test_lines_are_gathered_alike_however_they_are_cut(cuts, tail):
+def test_lines_are_read_the_same_however_they_are_split(cuts, tail):
     data = b"OPEN a b c=d,d=1\r\nM 1 \x00\xff\r\n" + tail.replace(b"\n", b"") + b"\r\n"
     ours, theirs = socket.socketpair()
     with ours, theirs:
@@ -205,7 +205,7 @@
 
 @profile(max_examples=300, deadline=None)
 @given(JSON, JSON)
-def test_any_json_is_a_list_or_turned_down(said, instance):
+def test_any_json_is_a_list_or_rejected(said, instance):
     for one in (
         said,
         {
@@ -228,7 +228,7 @@
 
 @profile(max_examples=60, deadline=None)
 @given(st.binary(max_size=200) | st.binary(max_size=60).map(lambda rest: b"HTTP/1.1 200 OK\r\n" + rest))
-def test_any_answer_of_discovery_is_a_body_or_a_failure(answer):
+def test_any_response_of_discovery_is_a_body_or_an_error(answer):
     listener = socket.create_server(("127.0.0.1", 0))
 
     def serve():
@@ -249,7 +249,7 @@
     listener.close()
 
 
-def test_a_bad_answer_that_was_read_to_its_last_byte_is_no_closed_connection():
+def test_a_malformed_response_read_completely_is_not_retried():
     """The response was read completely, so the buffer was empty: the request was wrongly sent again, and the
     error said that the connection was refused.
     """
@@ -262,7 +262,7 @@
     theirs.close()
 
 
-def test_a_head_that_never_ends_is_given_up_by_its_size():
+def test_an_endless_response_head_is_rejected_by_its_size():
     ours, theirs = socket.socketpair()
     http = HttpClient(("127.0.0.1", 1), 1)
     http.sock = ours
@@ -285,7 +285,7 @@
 
 
 @pytest.mark.parametrize("line", [b"\x00" * 100, b"\xff" * 300, b"health\x00", b"health health", b"x" * 5000])
-def test_operators_calls_of_any_kind_are_answered(agent, line):
+def test_any_operators_command_is_answered(agent, line):
     with running(agent, operator="127.0.0.1:0") as node:
         listed(node)
         address = node.admin.listener.getsockname()
@@ -311,9 +311,7 @@
         {"Step": -1},
     ],
 )
-def test_settings_that_make_no_sense_stop_the_start_and_change_nothing_at_sighup(
-    agent, tmp_path, capsys, change
-):
+def test_invalid_settings_stop_the_start_and_change_nothing_at_sighup(agent, tmp_path, capsys, change):
     file = tmp_path / "node.json"
     whole = {
         "name": "n",
@@ -341,7 +339,7 @@
         assert node.reducer.config is begin and len(node.seen.told) > told_before
 
 
-def test_names_may_hold_what_a_name_may_hold(hosts):
+def test_names_may_contain_any_allowed_character(hosts):
     """Names of types, zones and tenants may contain dots, slashes, colons, plus signs and percent signs, or
     be plain numbers.
     """
--- a/tests/crossings/test_handover.py
+++ b/tests/crossings/test_handover.py
@@ -33,7 +33,7 @@
     return taken, [other for _, other in ends]
 
 
-def test_one_that_was_sent_whole_is_the_successors_though_the_sender_died():
+def test_a_connection_sent_completely_is_the_successors_even_if_the_sender_died():
     taken, others = on_its_way(STANDING)
     ((standing, *mine),) = taken
     assert standing.id == "id"
@@ -47,7 +47,7 @@
 
 @pytest.mark.parametrize("cut", (1, len(STANDING) // 2, len(STANDING) - 2))
 @pytest.mark.parametrize("fds", (2, 1))
-def test_one_that_was_cut_off_is_nobodys_and_ends(cut, fds):
+def test_a_connection_sent_partly_is_closed(cut, fds):
     """The sender died while sending: the received sockets are closed, and both sides see the end."""
     taken, others = on_its_way(STANDING[:cut], fds)
     assert not taken
@@ -57,7 +57,7 @@
         other.close()
 
 
-def test_a_whole_message_without_both_sockets_is_turned_down():
+def test_a_complete_message_without_both_sockets_is_rejected():
     taken, others = on_its_way(STANDING, 1)
     assert not taken
     for other in others:
--- a/tests/crossings/test_list.py
+++ b/tests/crossings/test_list.py
@@ -50,7 +50,7 @@
         )
 
 
-def test_the_longest_way_of_a_change_lies_under_6_s_with_room_for_a_late_node():
+def test_the_worst_case_delay_of_a_change_is_below_6_s_with_a_margin_for_the_node():
     """A request that hung just before, the retry delay, then a slow connection and a slow response."""
     one = discovery.Discovery
     longest_call = max(one.WATCH_TIMEOUT_MS / 1000 + one.WATCH_MARGIN, one.FULL_LIST_TIMEOUT)
@@ -113,7 +113,7 @@
 
 @pytest.mark.parametrize("fault", FAULTS, ids=lambda f: f.__name__)
 @pytest.mark.parametrize("times", (1, 2))
-def test_a_change_after_a_call_that_failed_is_heard_of_in_its_time(hosts, agent, scaled, fault, times):
+def test_a_change_after_a_failed_request_is_known_in_time(hosts, agent, scaled, fault, times):
     """The change is made once the fault has occurred; from then on discovery is reachable."""
     struck = threading.Semaphore(0)
 
@@ -160,7 +160,7 @@
         assert {e.host for e in node.reducer.entries.values()} == {"s-1", "s-2"}
 
 
-def test_a_list_slower_than_the_wait_is_given_up_and_asked_for_again(hosts, agent, scaled):
+def test_a_list_slower_than_the_timeout_is_requested_again(hosts, agent, scaled):
     def drips(call):
         for byte in ok(agent.whole()):
             call.say(bytes([byte]))
@@ -172,7 +172,7 @@
         assert len(node.reducer.entries) == 2
 
 
-def test_an_entry_cut_off_in_the_middle_changes_nothing(hosts, agent, scaled):
+def test_a_response_cut_off_inside_an_entry_changes_nothing(hosts, agent, scaled):
     """A response that ends inside an entry, with a matching length: no part of it is applied."""
     whole = json.dumps(agent.whole()).encode()
     for cut in range(1, len(whole), 37):
@@ -189,7 +189,7 @@
         assert all(len(e.update.entries) in (0, 2) for e in heard)
 
 
-def test_a_new_process_asks_before_it_believes_what_it_knew(hosts, agent):
+def test_a_new_process_asks_discovery_before_it_uses_its_initial_list(hosts, agent):
     """Discovery's list is authoritative from the start: a call that came before its first response went to a
     draining host.
     """
@@ -216,7 +216,7 @@
 
 
 @pytest.mark.parametrize("fault", (silent, reset, refused, garbage), ids=lambda f: f.__name__)
-def test_a_new_process_serves_from_what_it_knew_while_discovery_is_down(hosts, agent, scaled, fault):
+def test_a_new_process_uses_its_initial_list_while_discovery_is_down(hosts, agent, scaled, fault):
     agent.always = fault
     with running(agent, known=[hosts[0].entry | {"lifecycle": "Ready"}]) as node:
         until(lambda: node.reducer.has_hosts, "not ready")
@@ -229,7 +229,7 @@
 
 
 @pytest.mark.parametrize("fault", [silent, half_body, refused], ids=lambda f: f.__name__)
-def test_sighup_moves_the_list_at_once_whatever_the_call_to_the_old_one_does(
+def test_sighup_switches_discovery_at_once_whatever_the_request_to_the_old_one_does(
     hosts, agent, fault, monkeypatch
 ):
     """During a hanging request, during a retry delay (a minute here), and twice in a row."""
@@ -259,7 +259,7 @@
     extra.close()
 
 
-def test_a_503_on_a_kept_connection_is_one_call_and_not_two(hosts, agent, scaled):
+def test_a_503_on_a_reused_connection_is_not_retried(hosts, agent, scaled):
     """A 503 was taken for a connection closed while idle: an overloaded discovery got each request twice."""
     paths, struck = [], threading.Event()
 
@@ -279,7 +279,7 @@
         listed(node, agent.version)
 
 
-def test_a_list_that_is_asked_for_is_asked_in_time_and_no_more_than_it_costs(hosts, scaled):
+def test_a_polled_list_is_requested_in_time_and_not_more_often_than_needed(hosts, scaled):
     """After a failed request the policy sets the time of the next; after an answered watch the next one
     follows at once.
     """
@@ -293,7 +293,7 @@
         assert not any(isinstance(e, ev.ListFailed) for e in node.seen.told)
 
 
-def test_a_reload_between_its_two_halves_does_not_give_the_new_list_up(hosts, agent, monkeypatch):
+def test_a_thread_switch_during_a_reload_does_not_abort_the_new_address(hosts, agent, monkeypatch):
     """The list's thread switches right after the first half of `change_address`: the request to the new
     address was aborted in place of the old one, and the new address was never used again.
     """
@@ -321,7 +321,7 @@
         listed(node, 41)
 
 
-def test_a_reload_asks_the_new_list_at_once_while_the_next_time_to_ask_is_far(hosts):
+def test_a_reload_requests_the_new_list_at_once_even_if_the_next_poll_is_far(hosts):
     """Where lists are polled, a failed request is followed by a delay that the policy chooses: here it never
     ends.
     """
@@ -337,7 +337,7 @@
         listed(node, 40)
 
 
-def test_a_reset_in_a_call_gives_the_next_one_no_longer_time(monkeypatch):
+def test_a_retry_after_a_reset_does_not_extend_the_timeout(monkeypatch):
     """A hang, a reset just before the timeout and a second hang were waited out one after the other: 6 s and
     a retry delay.
     """
@@ -377,7 +377,7 @@
 
 
 @pytest.mark.parametrize("answered", (1, 6))
-def test_a_silence_after_watches_that_were_answered_is_a_silence(hosts, agent, scaled, answered):
+def test_a_watch_that_hangs_after_answered_ones_times_out_and_is_repeated(hosts, agent, scaled, answered):
     """A watch hangs on an old connection, and a server starts draining: the watch is repeated on a new
     connection.
     """
@@ -427,7 +427,7 @@
 
 @pytest.mark.parametrize("kind", (without, drains, moved), ids=lambda kind: kind.__name__)
 @pytest.mark.parametrize("reload", (False, True), ids=("watch", "reload"))
-def test_a_whole_list_in_the_midst_of_an_attempt_is_kept_to(hosts, agent, monkeypatch, kind, reload):
+def test_a_full_list_received_during_an_attempt_is_respected(hosts, agent, monkeypatch, kind, reload):
     """A full list arrives, as the response to a watch or after a reload, while a connection is being set up:
     nothing is sent to the old server.
     """
--- a/tests/crossings/test_one_process.py
+++ b/tests/crossings/test_one_process.py
@@ -26,12 +26,12 @@
 """
 
 
-def test_run_ends_in_one_process():
+def test_the_deploy_command_runs_one_process():
     run = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["run"]
     assert run.split()[0] == "exec" and not set(run) & set(";&|")
 
 
-def test_a_process_that_serves_reloads_and_stops_starts_no_other(hosts, agent, tmp_path):
+def test_a_process_that_serves_reloads_and_stops_starts_no_other_process(hosts, agent, tmp_path):
     free = socket.create_server(("127.0.0.1", 0))
     address = free.getsockname()
     free.close()
--- a/tests/crossings/test_shutdown.py
+++ b/tests/crossings/test_shutdown.py
@@ -53,7 +53,7 @@
     monkeypatch.setattr(node, "close_all", finishing)
 
 
-def test_a_connection_in_the_listeners_queue_at_the_end_is_turned_away(agent, monkeypatch):
+def test_a_connection_in_the_listeners_queue_at_the_end_is_refused(agent, monkeypatch):
     """Its whole first line has arrived, but no thread accepts connections any more."""
     late, gate = [], Gate()
     with running(agent) as node:
@@ -87,7 +87,7 @@
             clean_end(one, b"BUSY")
 
 
-def test_a_connection_that_the_reducer_does_not_know_at_the_end_is_turned_away(agent, monkeypatch):
+def test_a_connection_that_the_reducer_does_not_know_at_the_end_is_refused(agent, monkeypatch):
     late = []
     with running(agent) as node:
         listed(node)
@@ -106,7 +106,7 @@
 
 
 @pytest.mark.parametrize("said", (b"", b"OPEN 0000"))
-def test_one_that_rests_or_has_said_half_a_line_is_told_the_end(agent, said):
+def test_a_silent_client_or_one_with_half_a_line_is_told_of_the_end(agent, said):
     with running(agent) as node:
         listed(node)
         one = client(node)
@@ -119,7 +119,7 @@
         assert node.join(WAIT)
 
 
-def test_what_is_read_after_the_stop_is_not_sent_on_and_what_was_read_before_is_answered(hosts, agent):
+def test_lines_read_after_the_stop_are_not_forwarded_and_earlier_calls_are_answered(hosts, agent):
     with running(agent) as node:
         listed(node)
         before = client(node, opening(1))
@@ -149,7 +149,7 @@
         assert peer.rest() == b""
 
 
-def test_a_call_whose_connection_does_not_come_up_is_turned_away_at_the_end_as_never_sent(
+def test_a_call_whose_connection_is_not_established_is_refused_at_the_end_as_never_sent(
     hosts, agent, monkeypatch
 ):
     gate = hold_connects(monkeypatch)
@@ -164,7 +164,7 @@
         assert node.join(WAIT)
 
 
-def test_an_answer_held_by_a_slow_peer_does_not_keep_the_process_past_its_time(hosts, agent):
+def test_an_answer_to_a_slow_peer_does_not_delay_the_end_of_the_process(hosts, agent):
     with running(agent) as node:
         listed(node)
         one, peer = standing(node, hosts)
@@ -193,7 +193,7 @@
         thread.join(WAIT)
 
 
-def test_sigterm_goes_before_all_that_waits(agent):
+def test_sigterm_overtakes_queued_events(agent):
     """Behind 4,096 queued events it was handled too late for the platform's time limit."""
     gate = Gate()
 
@@ -225,7 +225,7 @@
         )
 
 
-def test_twice_with_a_reload_and_a_drain_in_between_it_ends_as_once(hosts, agent):
+def test_two_stops_with_a_reload_and_a_drain_in_between_end_like_one(hosts, agent):
     with running(agent) as node:
         listed(node)
         one, peer = standing(node, hosts)
@@ -249,7 +249,7 @@
         assert node.clock.now() - began < (GUARD + 700) * 1000
 
 
-def test_a_signal_during_the_start_is_no_end_by_force(agent, tmp_path, monkeypatch):
+def test_a_signal_during_the_start_does_not_kill_the_process(agent, tmp_path, monkeypatch):
     """It came before the handler was installed, and the process was killed by it."""
     file, read = tmp_path / "node.json", command.ActiveConfiguration.read
     file.write_text(settings(agent))
@@ -271,7 +271,7 @@
             signal.signal(number, what)
 
 
-def test_a_whole_process_with_calls_in_flight_ends_with_0_and_in_time(hosts, agent, tmp_path):
+def test_a_process_with_calls_in_progress_exits_with_0_and_in_time(hosts, agent, tmp_path):
     """Clients that are silent, have sent half a line, are in setup, are established, or connect with the
     signal: each gets its last line, and none a reset.
     """
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -50,11 +50,11 @@
         (b"x" * 400 + b"\n", b"400"),
     ],
 )
-def test_one_line_has_one_answer_and_all_else_400(door, said, answer):
+def test_one_line_gets_one_answer_and_anything_else_gets_400(door, said, answer):
     assert call(door[1], said).startswith(answer)
 
 
-def test_half_a_line_and_an_end_is_400_and_nothing_is_nothing(door):
+def test_an_incomplete_line_gets_400_and_no_input_gets_no_answer(door):
     assert call(door[1], b"heal", end=True).startswith(b"400")
     assert call(door[1], b"", end=True) == b""
 
@@ -67,7 +67,7 @@
         assert sock.makefile("rb").read() == b"200 health\n"
 
 
-def test_callers_who_never_finish_keep_nobody_out(door):
+def test_idle_callers_do_not_lock_others_out(door):
     """At the limit the oldest caller is evicted for a new one: with the timeout alone the thirteenth caller
     waited two seconds.
     """
@@ -78,14 +78,14 @@
     assert len(door[0].callers) <= admin.MAX_CALLERS
 
 
-def test_a_line_that_never_ends_is_closed_after_its_time(door, monkeypatch):
+def test_an_incomplete_line_is_closed_after_the_timeout(door, monkeypatch):
     monkeypatch.setattr(admin, "LINE_TIMEOUT", 0.05)
     with socket.create_connection(door[1], timeout=WAIT) as sock:
         sock.sendall(b"heal")
         assert sock.makefile("rb").read().startswith(b"400")
 
 
-def test_a_fault_of_ours_costs_one_call():
+def test_an_internal_error_fails_only_one_command():
     said = iter([RuntimeError("broken"), b"200 yes\n"])
 
     def answer(word):
@@ -104,7 +104,7 @@
 # Counters
 
 
-def test_every_type_known_has_its_figures_zero_included_and_names_are_escaped():
+def test_every_known_type_has_its_counters_even_at_zero_and_names_are_escaped():
     counters = Counters(["plain", 'a"b\\c\nd'])
     counters.count_answer("busy", "plain")
     counters.count_refused_on_accept("plain")
@@ -142,7 +142,7 @@
         (b"OPEN 01 02 c=\xff\n", "\ufffd"),
     ],
 )
-def test_the_type_of_a_call_turned_away_at_the_door_is_read(line, name):
+def test_the_type_of_a_call_refused_on_accept_is_read(line, name):
     assert lines.traffic_type_name(line) == name
 
 
@@ -167,7 +167,7 @@
     return answer
 
 
-def test_a_node_is_asked_drained_and_resumed(operated):
+def test_a_node_answers_operators_and_is_drained_and_resumed(operated):
     node, address, operators = operated
     until(operators, b"health\n", lambda a: a == b"200 yes\n")
     client = Client(address, b"OPEN 01 02 c=chat,d=2000,g=0a")
@@ -221,7 +221,7 @@
     assert node.endpoints.operator is None and node.admin is None
 
 
-def test_the_descriptors_of_the_address_are_set_aside():
+def test_the_descriptors_of_the_address_are_reserved():
     resource_limits = config.ResourceLimits(192, 256)
     assert (
         socket_limit(resource_limits) - socket_limit(resource_limits, ("127.0.0.1", 1))
--- a/tests/test_drill.py
+++ b/tests/test_drill.py
@@ -31,13 +31,13 @@
     return code, sink.getvalue().splitlines(), said
 
 
-def test_a_call_is_routed_and_unknown_words_are_skipped():
+def test_a_call_is_routed_and_unknown_messages_are_skipped():
     code, out, said = play(*batch(1, *BEGIN, CALL, "novelty\tX=1"))
     assert code == 0 and said == []
     assert out == ["by\tNode=3", "route\tCall=11\tUntil=1301.500\tHost=10.0.0.1:7000", "end\tserial=1"]
 
 
-def test_a_report_with_odd_values_is_still_the_probes_answer():
+def test_a_load_report_with_invalid_values_still_answers_the_probe():
     """One invalid value made the whole line be dropped, and the call that waited for the probe hung."""
     settings = CONFIG | {
         "Balancers": 9,
@@ -54,7 +54,7 @@
         assert any(line.startswith("route\tCall=11") for line in out), odd
 
 
-def test_an_unreadable_line_is_named_and_the_batch_still_answered():
+def test_an_invalid_line_is_reported_and_the_batch_still_answered():
     code, out, said = play(
         *batch(1, *BEGIN),
         *batch(
@@ -69,7 +69,7 @@
     assert [line.partition(":")[0] for line in said] == ["batch 2 line 2", "batch 2 line 3"]
 
 
-def test_broken_framing_ends_with_one_line_and_a_code():
+def test_invalid_framing_ends_with_one_message_and_an_exit_code():
     for lines in (
         ["instance\tNode=1"],
         ["clock\tNow=1\tserial=1"],
@@ -81,7 +81,7 @@
     assert play(*batch(1))[:2] == (0, ["end\tserial=1"])
 
 
-def test_senseless_settings_are_refused_in_plain_words():
+def test_invalid_settings_are_rejected_with_a_message():
     for change in (
         {"TrafficTypes": []},
         {"Step": -1},
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -89,7 +89,7 @@
 # MessageDelays
 
 
-def test_words_on_messages_are_told_from_loads():
+def test_delay_reports_are_distinguished_from_load_reports():
     """Delay reports of a congested host were read as loads: its connections then counted as almost idle, and
     the congestion went unnoticed.
     """
@@ -112,7 +112,7 @@
     assert told == [None, 18_500, 294_800, None, 349_700, 9_900, 0, 20_100]
 
 
-def test_a_word_of_many_seconds_needs_a_silence_to_be_believed():
+def test_a_delay_of_many_seconds_is_accepted_only_with_a_matching_silence():
     """A load report that arrives at the host's reporting second would otherwise be taken for a hang."""
     notes, heard = MessageDelays(slow_threshold=17_000), ConnectionSignals(load=40_000)
     assert notes.classify(5_000_000, heard, 14_236.5, 0, USUAL) is None
@@ -122,14 +122,14 @@
     assert notes.classify(6_000_000, heard, 14_986.5, 500_000, USUAL) == 14_986_500
 
 
-def test_a_load_told_in_a_silence_stays_a_load():
+def test_a_load_reported_during_a_silence_stays_a_load():
     """A load of 250,419 was read as a delay of 250 s, and its connection lost its load."""
     notes = MessageDelays(slow_threshold=17_000)
     assert notes.classify(5_000_000, ConnectionSignals(load=200_000), 250_419, 0, USUAL) is None
     assert notes.confirmed_claim(5_500_000, 500_000) is None
 
 
-def test_a_word_that_grows_by_the_time_passed_is_a_hang():
+def test_a_delay_that_grows_with_time_is_a_hang():
     """The host's lines are two seconds apart, so a silence may be noticed late."""
     notes, heard, other = (
         MessageDelays(slow_threshold=17_000),
@@ -142,7 +142,7 @@
     assert notes.classify(6_001_000, heard, 14_986.5, 0, USUAL) == 14_986_500
 
 
-def test_a_light_load_is_no_jam():
+def test_a_light_load_is_not_congestion():
     """A connection whose load fell to 380 us per second was taken for a host whose messages take 380 ms, and
     all its connections were moved.
     """
@@ -153,7 +153,7 @@
     assert notes.classify(9_001_000, heard, 441.2, 0, USUAL) == 441_200
 
 
-def test_a_host_met_just_now_may_have_piled_up_anything():
+def test_a_new_host_may_report_a_long_delay_at_once():
     """Delays of 1.4 to 3 s reported by a slow host were read as loads, and it kept getting calls."""
     notes, heard = MessageDelays(slow_threshold=17_000, connected_since=2_200_000), ConnectionSignals()
     assert notes.classify(2_200_000, heard, 297_243, 0, USUAL) is None
@@ -162,7 +162,7 @@
     assert notes.classify(3_381_000, heard, 1820.216, 0, USUAL) == 1_820_216
 
 
-def test_the_first_line_of_a_connection_may_be_a_word():
+def test_the_first_report_on_a_connection_may_be_a_delay():
     """A connection reports load only when it is used; read as a load, a congested host's delay was lost."""
     notes, fresh = MessageDelays(slow_threshold=17_000), ConnectionSignals()
     # small for a load: not reported as one yet
@@ -171,7 +171,7 @@
     assert notes.classify(8_400_000, ConnectionSignals(), 52_000, 0, USUAL) is None
 
 
-def test_three_words_on_one_beat_are_known_by_that_and_the_load_is_set_right():
+def test_three_reports_at_the_same_second_are_recognised_as_delays_and_the_load_is_corrected():
     notes, light = MessageDelays(slow_threshold=17_000), ConnectionSignals(load=700)
     for at, value, delay in (
         (1_000, 2245.1, None),
@@ -201,7 +201,7 @@
         (b"", (io.Ending.FULL, {})),
     ],
 )
-def test_a_load_report_is_read_and_what_is_no_number_left_out(line, told):
+def test_a_load_report_is_read_and_invalid_numbers_are_skipped(line, told):
     assert lines.parse_probe_answer(line) == told
 
 
@@ -226,7 +226,7 @@
     assert probe(Answers().closed()).ending is io.Ending.CONNECT_FAILED
 
 
-def test_a_list_whose_weights_move_is_not_saved_at_each_word(tmp_path):
+def test_a_list_with_live_weights_is_not_saved_at_each_change(tmp_path):
     """Otherwise there is a write and an fsync each second, and a successor starts with weights under load in
     place of the servers' sizes.
     """
@@ -268,7 +268,7 @@
     return b"HTTP/1.1 200 OK\r\n%sContent-Length: %d\r\n\r\n%s" % (extra, len(body), body)
 
 
-def test_answers_are_read_in_each_form():
+def test_responses_are_read_in_each_transfer_encoding():
     chunked = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2;x=y\r\nde\r\n0\r\n\r\n"
     to_the_end = b"HTTP/1.0 200 OK\r\n\r\nabcde"
     for answer in (chunked, to_the_end, ok(b"abcde"), b"HTTP/1.1 100 Continue\r\n\r\n" + ok(b"abcde")):
@@ -286,12 +286,12 @@
         b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n",
     ],
 )
-def test_no_answer_is_made_of_a_bad_one(answer):
+def test_a_malformed_response_is_an_error(answer):
     with pytest.raises((ResponseError, OSError)):
         HttpClient(Answers(answer).address, 1).get("/", WAIT)
 
 
-def test_a_call_that_hangs_is_given_up():
+def test_a_request_that_hangs_times_out():
     listener = socket.create_server(("127.0.0.1", 0))
     with pytest.raises(TimeoutError):
         HttpClient(listener.getsockname(), 1).get("/", 0.05)
@@ -345,7 +345,7 @@
         {"zone": ["a"]},
     ),
 )
-def test_an_entry_that_cannot_be_read_costs_its_own_news_alone(bad):
+def test_an_invalid_entry_does_not_affect_other_entries(bad):
     """One invalid entry among sixty made the node reject the whole list, and every later one."""
     names = config.Names({}, {"here": 0}, {}, {})
 
@@ -372,7 +372,7 @@
             assert now["b"].state is state and ("b" in addresses) is (state is io.HostState.DRAINING)
 
 
-def test_a_list_with_a_doubled_id_takes_the_later_word_and_one_without_servers_is_a_list():
+def test_of_two_entries_with_one_id_the_later_wins_and_an_empty_list_is_valid():
     names = config.Names({}, {"here": 0}, {}, {})
     said = {
         "generation": 3,
@@ -397,7 +397,7 @@
             discovery.read_list(said | broken, names)
 
 
-def test_the_last_good_list_outlives_garbage_and_older_versions(monkeypatch):
+def test_the_last_valid_list_is_kept_after_garbage_and_older_versions(monkeypatch):
     names, heard, failed = config.Names({}, {"here": 0}, {}, {}), queue.Queue(), []
     answers = Answers(
         listing(41),
@@ -429,7 +429,7 @@
 
 
 @pytest.mark.parametrize("known, first", ((True, "/api/targets?since=41&"), (False, "/api/targets")))
-def test_a_known_list_is_watched_from_its_version_on_and_not_asked_for_anew(known, first, monkeypatch):
+def test_a_known_list_is_watched_from_its_version_on_without_a_full_request(known, first, monkeypatch):
     """One request instead of two: when a whole fleet restarted, neither was answered."""
     heard, paths = queue.Queue(), []
     answers = Answers(listing(42, not known))
@@ -445,7 +445,7 @@
     assert len(paths) == 1 and paths[0].startswith(first) and (known or paths[0] == first)
 
 
-def test_a_new_address_is_believed_at_once_whatever_its_version(monkeypatch):
+def test_a_new_address_is_accepted_at_once_whatever_its_version(monkeypatch):
     """A lower version was fetched three times before it was accepted, and each fetch counted as a failure."""
     heard, failed = queue.Queue(), []
     first = Answers(listing(41))  # then a watch that is never answered
@@ -500,13 +500,13 @@
     assert (begin.probes_report_load, begin.dynamic_weights) == (probed, moving)
 
 
-def test_the_nines_reach_the_module_and_an_unknown_part_of_the_goal_is_skipped():
+def test_the_availability_goal_reaches_the_balancer_and_unknown_goal_keys_are_skipped():
     assert config.read_begin(WITH_TYPE, 1).availability == io.AvailabilityGoal(0, 3)
     begin = config.read_begin(WITH_TYPE | {"Goal": {"NinesPart": 0.2, "NinesFull": 2, "Odd": "x"}}, 1)
     assert begin.availability == io.AvailabilityGoal(0.2, 2)
 
 
-def test_check_says_which_shape_the_settings_have(tmp_path, capsys):
+def test_check_prints_how_weights_and_loads_are_used(tmp_path, capsys):
     file = tmp_path / "node.json"
     for settings, said in (
         ({}, "are fixed sizes, host load not requested"),
@@ -553,7 +553,7 @@
         ({"known": {"instances": []}}, "known"),
     ],
 )
-def test_faulty_configuration_stops_the_start_and_names_its_key(change, key, tmp_path, capsys, monkeypatch):
+def test_invalid_configuration_stops_the_start_and_names_its_key(change, key, tmp_path, capsys, monkeypatch):
     for variable in ("PROXY_NAME", "PROXY_LISTEN", "PROXY_DISCOVERY"):
         monkeypatch.delenv(variable, raising=False)
     file = tmp_path / "node.json"
@@ -563,7 +563,7 @@
     assert said.startswith(f"cottonspread: {key}: ") and said.count("\n") == 1
 
 
-def test_a_missing_file_and_an_address_in_use_are_said_in_one_line(tmp_path, capsys):
+def test_a_missing_file_and_an_address_in_use_are_reported_in_one_line(tmp_path, capsys):
     assert cli.main(["serve", "--config", str(tmp_path / "none.json")]) == 2
     taken = socket.create_server(("127.0.0.1", 0))
     file = tmp_path / "node.json"
@@ -617,7 +617,7 @@
     return listener.getsockname()
 
 
-def test_the_examples_discovery_bears_a_node_that_is_killed(toy):
+def test_the_examples_discovery_survives_a_killed_node(toy):
     """Its thread ended with an uncaught exception whenever a node was killed during a watch."""
     with socket.create_server(("127.0.0.1", 0)) as listener:
         node = socket.create_connection(listener.getsockname())
@@ -674,7 +674,7 @@
 
 
 @pytest.mark.parametrize("waiting", [0, 4])
-def test_nobody_waits_for_room_at_a_node_that_has_ended(monkeypatch, waiting):
+def test_no_thread_blocks_on_the_event_queue_of_a_node_that_has_ended(monkeypatch, waiting):
     """The writer thread blocked on the full queue after the last answers to over two thousand clients, and
     the process never ended.
     """
@@ -695,7 +695,7 @@
     assert not any(thread.is_alive() for thread in posted)
 
 
-def test_a_fault_in_the_decisions_is_logged_with_its_trace_and_costs_one_connection(service, monkeypatch):
+def test_a_bug_in_the_policy_is_logged_with_its_traceback_and_fails_one_connection(service, monkeypatch):
     node, address = service
     said = stdio.StringIO()
     handler = logging.StreamHandler(said)
@@ -717,7 +717,7 @@
     assert "event=fault" in said.getvalue() and "decisions broken" in said.getvalue()
 
 
-def test_the_log_says_listening_before_a_thread_can_say_anything(monkeypatch):
+def test_listening_is_logged_before_any_thread_can_log(monkeypatch):
     """The first list was sometimes logged before it, and a script that waited for the two lines in order
     waited for ever.
     """
@@ -786,7 +786,7 @@
     assert rest == [b"UP ", ["kept", "why"], ["discovery", "types"], 2, b"still here"]
 
 
-def test_the_last_answers_go_out_before_the_node_is_done():
+def test_the_last_answers_are_sent_before_the_node_is_done():
     node = Node(*config.read_node(NODE, {}))
     ours, theirs = socket.socketpair()
     end = ev.ConnectionEnd(True)
--- a/tests/test_succession.py
+++ b/tests/test_succession.py
@@ -83,7 +83,7 @@
 @pytest.mark.parametrize(
     "path", [p for p in keys(WHOLE) if p[-1] not in OWN], ids=lambda p: ".".join(map(str, p))
 )
-def test_a_file_that_lost_a_key_changes_nothing(path, tmp_path, monkeypatch, caplog):
+def test_a_file_with_a_missing_key_changes_nothing(path, tmp_path, monkeypatch, caplog):
     """A default in place of a missing key would apply half a change, and the environment in place of a
     missing address an old one.
     """
@@ -132,7 +132,7 @@
         (changed(lambda v: v.update(discovery="there")), "discovery"),
     ],
 )
-def test_a_file_that_makes_no_sense_changes_nothing_and_the_log_names_its_key(text, key, tmp_path, caplog):
+def test_an_invalid_file_changes_nothing_and_the_log_names_its_key(text, key, tmp_path, caplog):
     file, node = tmp_path / "node.json", Told()
     file.write_text(json.dumps(WHOLE))
     active = ActiveConfiguration(str(file))
@@ -147,7 +147,7 @@
     ]
 
 
-def test_what_only_referenced_types_need_is_asked_of_them_alone():
+def test_keys_that_only_keyed_types_need_are_required_only_of_them():
     more = WHOLE["settings"]["TrafficTypes"][1]
     config.check_no_key_missing(
         [more], [more, {key: more[key] for key in more if key not in OWN} | {"Effect": "safe"}]
@@ -159,7 +159,7 @@
             )
 
 
-def test_types_may_be_added_dropped_and_changed_and_what_cannot_change_is_said(tmp_path, caplog):
+def test_types_may_be_added_dropped_and_changed_and_fixed_settings_are_logged(tmp_path, caplog):
     file, node = tmp_path / "node.json", Told()
     file.write_text(json.dumps(WHOLE))
     active = ActiveConfiguration(str(file))
@@ -186,7 +186,7 @@
 GOOD = handover.HandoverState(7, True, ("a", "b"), (("k", "s-1"),), (("s-1", 5, 2),))
 
 
-def test_a_hand_over_is_read_as_it_was_written_and_only_by_who_asked():
+def test_a_handover_file_is_read_as_written_and_only_by_the_requester():
     text = handover.pack(GOOD, "me")
     assert handover.unpack(text, "me") == GOOD and handover.unpack(text, "other") is None
 
@@ -206,7 +206,7 @@
         "[" * 100_000,
     ],
 )
-def test_a_hand_over_that_cannot_be_read_is_a_start_without_it(text, tmp_path, caplog):
+def test_a_process_starts_without_an_invalid_handover_file(text, tmp_path, caplog):
     parts = list(config.read_node(NODE, {}))
     takeover = Takeover(parts, str(tmp_path))
     takeover.token = "me"
@@ -222,14 +222,16 @@
 
 
 @pytest.mark.parametrize("text", ["", "{", "[1]", '{"generation": 1, "instances": [{}]}'])
-def test_a_saved_list_that_cannot_be_read_is_a_start_without_it(text, tmp_path):
+def test_a_process_starts_without_an_invalid_saved_list(text, tmp_path):
     parts = list(config.read_node(NODE, {}))
     Path(tmp_path / "cottonspread-n1.list").write_text(text)
     Takeover(parts, str(tmp_path))
     assert parts[-1] == config.read_node(NODE, {})[-1]
 
 
-def test_an_inherited_descriptor_that_is_no_listening_socket_stops_the_start(monkeypatch, capsys, tmp_path):
+def test_an_inherited_descriptor_that_is_not_a_listening_socket_stops_the_start(
+    monkeypatch, capsys, tmp_path
+):
     file = tmp_path / "node.json"
     file.write_text(NODE)
     connected, other = socket.socketpair()
@@ -328,7 +330,7 @@
     return clients
 
 
-def test_a_process_is_replaced_and_nobody_is_turned_back_unheard(platform):
+def test_a_process_is_replaced_and_no_client_is_refused(platform):
     """The second process failed to bind its address and exited."""
     begin, address = platform
     first = begin().ready()
@@ -366,7 +368,7 @@
     assert first.said().count("reason=handed-over") >= 6 and "moved" not in first.said()
 
 
-def test_lines_that_cross_the_passing_on_come_through_once_and_in_order(platform):
+def test_lines_sent_during_the_transfer_arrive_once_and_in_order(platform):
     begin, address = platform
     first = begin().ready()
     stands = standing(address, 12)
@@ -397,7 +399,7 @@
         assert ours == [b"line %d" % n for n in range(len(ours))]
 
 
-def test_a_successor_that_is_told_to_end_in_the_midst_of_passing_cuts_nobody_off(platform):
+def test_a_successor_stopped_during_the_transfer_loses_no_connection(platform):
     """Some connections have been transferred and some are not idle yet when both processes stop."""
     begin, address = platform
     first = begin().ready()
@@ -443,7 +445,7 @@
     assert client.hear() == b"more" and first.says("reason=handed-over")
 
 
-def test_a_successor_that_has_ended_leaves_its_predecessor_to_move_the_clients(platform):
+def test_when_the_successor_has_exited_the_predecessor_moves_the_clients(platform):
     begin, address = platform
     first = begin().ready()
     (client,) = standing(address, 1)
@@ -454,7 +456,7 @@
     assert client.hear() == b"MOVE" and client.hear() == b"" and first.process.wait(WAIT) == 0
 
 
-def test_a_successor_that_hangs_holds_up_one_connection_and_the_others_are_moved(platform):
+def test_a_hanging_successor_delays_one_connection_and_the_others_are_moved(platform):
     begin, address = platform
     first = begin().ready()
     stands = standing(address, 4)
@@ -470,7 +472,7 @@
 
 
 @pytest.mark.parametrize("folder", ["short", "a" * 90])
-def test_a_socket_is_reached_however_long_its_folder_is_called(folder, tmp_path):
+def test_a_socket_is_reachable_in_a_folder_with_a_long_name(folder, tmp_path):
     (tmp_path / folder).mkdir()
     where = str(tmp_path / folder / "cottonspread-n1.heir")
     with short_socket_path(where) as path:
@@ -484,7 +486,7 @@
 # Connections in transfer
 
 
-def test_an_idle_reader_lets_go_and_leaves_what_comes_then_to_the_next(service_ends):
+def test_an_idle_reader_releases_its_socket_and_leaves_later_input_to_the_next(service_ends):
     """Two processes reading one socket would split its lines."""
     (ours, gatherer), done = service_ends, threading.Event()
     started = threading.Thread(
@@ -502,7 +504,7 @@
     assert gatherer.read_lines() == b"here again\r\n"
 
 
-def test_a_reader_in_the_midst_of_a_line_does_not_let_go(service_ends):
+def test_a_reader_in_the_middle_of_a_line_does_not_release_its_socket(service_ends):
     ours, gatherer = service_ends
     assert not lines.try_release([gatherer])  # no thread is reading it
     other = lines.LineReader(gatherer.sock, BufferPool(), 1)
@@ -510,7 +512,7 @@
     assert not lines.try_release([other, gatherer]) and not other.released
 
 
-def test_a_reader_that_is_taken_back_before_anything_came_goes_on(service_ends):
+def test_a_reader_reclaimed_before_any_input_goes_on_reading(service_ends):
     (ours, gatherer), heard = service_ends, []
     reader = threading.Thread(target=lambda: heard.append(gatherer.read_lines()), daemon=True)
     reader.start()
@@ -533,7 +535,7 @@
 STANDING = handover.OpenConnection("id1", "chat", "s-1", 5, 6, "k", None, 0, 7.5, (1, 2))
 
 
-def test_a_standing_connection_is_read_as_it_was_written():
+def test_an_established_connection_is_read_as_written():
     assert handover.unpack_connection(handover.pack_connection(STANDING)) == STANDING
 
 
@@ -549,7 +551,7 @@
         handover.pack_connection(STANDING).replace(b'"began": 5', b'"began": null'),
     ],
 )
-def test_a_standing_connection_that_cannot_be_read_is_left_where_it_is(line):
+def test_an_invalid_transfer_message_leaves_the_connection_with_the_sender(line):
     ours, theirs = socket.socketpair(socket.AF_UNIX)
     one, other = socket.socketpair()
     taker = threading.Thread(
@@ -574,7 +576,7 @@
     assert open_call(address, b"a1").hear().startswith(b"UP ") and first.process.poll() is None
 
 
-def test_a_process_that_is_killed_is_followed_by_one_that_starts_from_its_list(platform):
+def test_after_a_kill_the_next_process_starts_with_the_saved_list(platform):
     begin, address = platform
     first = begin().ready()
     first.process.kill()
@@ -583,7 +585,7 @@
     assert second.says("alone=True") and open_call(address, b"a1").hear().startswith(b"UP ")
 
 
-def test_a_predecessor_that_does_not_answer_keeps_nobody_from_serving(platform):
+def test_a_hanging_predecessor_does_not_keep_the_successor_from_serving(platform):
     begin, address = platform
     first = begin().ready()
     first.process.send_signal(signal.SIGSTOP)
@@ -594,7 +596,7 @@
         first.process.send_signal(signal.SIGCONT)
 
 
-def test_sighup_brings_types_to_a_node_that_serves(platform, tmp_path):
+def test_sighup_changes_the_types_of_a_serving_node(platform, tmp_path):
     begin, address = platform
     one = begin().ready()
     stands = open_call(address, b"a1")
