--- a/benchmarks/crossings/list_clock.py
+++ b/benchmarks/crossings/list_clock.py
@@ -14,31 +14,32 @@
 ROOT = Path(__file__).parent.parent.parent
 sys.path[:0] = [str(ROOT), str(ROOT / "tests" / "crossings")]
 
-from standins import SETTINGS, Agent, Host, listed, running  # noqa: E402
+from stubs import SETTINGS, Host, ListServer, running, wait_for_list  # noqa: E402
 from test_list import FAULTS  # noqa: E402
 
 
 def measure(fault, failures, poll):
     """Returns the seconds from a change, after `failures` failed requests, until the node has it."""
     hosts = [Host("s-1"), Host("s-2")]
-    agent, failed = Agent().list(*hosts), threading.Semaphore(0)
+    list_server, failed = ListServer().add(*hosts), threading.Semaphore(0)
 
     def fail_request(call):
         failed.release()
         fault(call)
 
     settings = {"settings": SETTINGS | {"MembershipMode": "ask", "AskEvery": 10_000}} if poll else {}
-    with running(agent, **settings) as node:
-        listed(node)
+    with running(list_server, **settings) as node:
+        wait_for_list(node)
         for _ in range(failures):
-            agent.scripted.put(fail_request)
-        agent.change(hosts[1], "Ready")
+            list_server.scripted.put(fail_request)
+        list_server.change(hosts[1], "Ready")
         for _ in range(failures):
             failed.acquire()
         started = time.monotonic()
-        agent.change(hosts[0], "Terminating")
+        list_server.change(hosts[0], "Terminating")
         while not any(
-            getattr(getattr(e, "listed", None), "version", 0) == agent.version for e in list(node.seen.told)
+            getattr(getattr(e, "listed", None), "version", 0) == list_server.version
+            for e in list(node.seen.events)
         ):
             time.sleep(0.001)
         return time.monotonic() - started
--- a/tests/crossings/conftest.py
+++ b/tests/crossings/conftest.py
@@ -5,7 +5,7 @@
 
 sys.path.insert(0, str(Path(__file__).parent))
 
-from standins import Agent, Host  # noqa: E402
+from stubs import Host, ListServer  # noqa: E402
 
 
 @pytest.fixture
@@ -17,5 +17,5 @@
 
 
 @pytest.fixture
-def agent(hosts):
-    return Agent().list(*hosts)
+def list_server(hosts):
+    return ListServer().add(*hosts)
--- a/tests/crossings/standins.py
+++ b/tests/crossings/stubs.py
@@ -20,16 +20,16 @@
 RESET = struct.pack("ii", 1, 0)
 
 
-class Agent:
+class ListServer:
     """A discovery server.
 
-    A request is answered by the next of `scripted` (functions of a `Call`), else by `always` if it is set,
-    else from the list.
+    A request is answered by the next of `scripted` (functions of a `Request`), else by `default_script` if it
+    is set, else from the list.
     """
 
     def __init__(self, *names, version=1):
-        self.changed, self.version, self.entries, self.news = threading.Condition(), version, {}, []
-        self.scripted, self.calls, self.always = queue.SimpleQueue(), queue.SimpleQueue(), None
+        self.changed, self.version, self.entries, self.changes = threading.Condition(), version, {}, []
+        self.scripted, self.requests, self.default_script = queue.SimpleQueue(), queue.SimpleQueue(), None
         self.listener = socket.create_server(("127.0.0.1", 0))
         self.address = self.listener.getsockname()
         threading.Thread(target=self.accept, daemon=True).start()
@@ -42,7 +42,7 @@
                 return
             threading.Thread(target=self.serve, args=(sock,), daemon=True).start()
 
-    def list(self, *hosts, lifecycle="Ready"):
+    def add(self, *hosts, lifecycle="Ready"):
         for host in hosts:
             self.entries[host.name] = host.entry | {"lifecycle": lifecycle}
         return self
@@ -51,10 +51,10 @@
         with self.changed:
             self.version += 1
             self.entries[host.name] = host.entry | {"lifecycle": lifecycle}
-            self.news.append((self.version, host.name))
+            self.changes.append((self.version, host.name))
             self.changed.notify_all()
 
-    def whole(self):
+    def full_list(self):
         return {
             "generation": self.version,
             "reset": True,
@@ -64,12 +64,12 @@
     def answer(self, path):
         with self.changed:
             if "since=" not in path:
-                return self.whole()
+                return self.full_list()
             since = int(path.split("since=")[1].split("&")[0])
             self.changed.wait_for(lambda: self.version != since, int(path.split("timeout_ms=")[1]) / 1000)
             if since > self.version:
-                return self.whole()
-            names = {name for version, name in self.news if version > since}
+                return self.full_list()
+            names = {name for version, name in self.changes if version > since}
             return {
                 "generation": self.version,
                 "reset": False,
@@ -82,13 +82,15 @@
                 while line := file.readline():
                     while file.readline().strip():
                         pass
-                    call = Call(sock, file, line.split()[1].decode())
-                    self.calls.put(call)
+                    request = Request(sock, file, line.split()[1].decode())
+                    self.requests.put(request)
                     try:
                         script = self.scripted.get_nowait()
                     except queue.Empty:
-                        script = self.always or (lambda call: call.say(ok(self.answer(call.path))))
-                    script(call)
+                        script = self.default_script or (
+                            lambda request: request.send(ok(self.answer(request.path)))
+                        )
+                    script(request)
         except (OSError, ValueError):  # the node closed the connection
             pass
 
@@ -98,11 +100,11 @@
     return b"HTTP/1.1 200 OK\r\n%sContent-Length: %d\r\n\r\n%s" % (extra, len(body), body)
 
 
-class Call:
+class Request:
     def __init__(self, sock, file, path):
         self.sock, self.file, self.path = sock, file, path
 
-    def say(self, data):
+    def send(self, data):
         self.sock.sendall(data)
 
     def reset(self):
@@ -117,7 +119,7 @@
 
 
 class Host:
-    """A server. Connections wait in the listener's queue until the test accepts them with `take`."""
+    """A server. Connections wait in the listener's queue until the test accepts them with `accept`."""
 
     def __init__(self, name):
         self.listener = socket.create_server(("127.0.0.1", 0), backlog=512)
@@ -135,11 +137,11 @@
             },
         )
 
-    def take(self):
+    def accept(self):
         sock, _ = self.listener.accept()
         return Peer(sock)
 
-    def waits(self):
+    def has_connection(self):
         """Whether a connection is waiting to be accepted."""
         return bool(select.select([self.listener], [], [], 0)[0])
 
@@ -154,14 +156,14 @@
         sock.settimeout(WAIT)
         self.sock, self.file = sock, sock.makefile("rb")
 
-    def say(self, *lines):
+    def send_lines(self, *lines):
         self.sock.sendall(b"".join(line + b"\r\n" for line in lines))
 
-    def hear(self):
+    def read_line(self):
         """The next line; b"" at the end of the connection."""
         return self.file.readline().rstrip(b"\r\n")
 
-    def rest(self):
+    def read_all(self):
         """Everything received until the end of the connection."""
         return self.file.read()
 
@@ -186,17 +188,17 @@
 
 
 class Gate:
-    """Blocks threads until the test sets `open`. `here` is set once a thread waits."""
+    """Blocks threads until the test sets `open`. `reached` is set once a thread waits."""
 
     def __init__(self):
-        self.here, self.open = threading.Event(), threading.Event()
+        self.reached, self.open = threading.Event(), threading.Event()
 
     def wait(self):
-        self.here.set()
+        self.reached.set()
         assert self.open.wait(WAIT)
 
 
-def hold_connects(monkeypatch, which=lambda nth: True):
+def delay_connects(monkeypatch, which=lambda nth: True):
     """Delays the results of the connection attempts to hosts for which `which(nth)` is true until the
     returned gate opens.
     """
@@ -212,18 +214,18 @@
     return gate
 
 
-def listed(node, version=None):
+def wait_for_list(node, version=None):
     node.seen.wait(ev.ListReceived, lambda e: e.update.entries and version in (None, e.update.version))
 
 
 def client(node, *lines):
     peer = Peer(socket.create_connection(node.listener.getsockname(), timeout=WAIT))
     if lines:
-        peer.say(*lines)
+        peer.send_lines(*lines)
     return peer
 
 
-def opening(n, kind="plain", wait=2000, **more):
+def open_line(n, kind="plain", wait=2000, **more):
     return b"OPEN %08x k%d c=%s,d=%d" % (n, n, kind.encode(), wait) + b"".join(
         b",%s=%s" % (k.encode(), str(v).encode()) for k, v in more.items()
     )
@@ -252,12 +254,12 @@
 }
 
 
-def settings(agent, known=(), sockets=512, **more):
+def settings(list_server, known=(), sockets=512, **more):
     return json.dumps(
         {
             "name": "n1",
             "listen": "127.0.0.1:0",
-            "discovery": "{}:{}".format(*agent.address),
+            "discovery": "{}:{}".format(*list_server.address),
             "seed": "7",
             "limits": {"memory_mb": 192, "sockets": sockets},
             "known": {"generation": 0, "reset": True, "instances": list(known)},
@@ -267,17 +269,17 @@
     )
 
 
-class Seen:
+class EventRecorder:
     """Records the events that a node's reducer has handled, so that a test can wait for one."""
 
     def __init__(self, node):
-        self.told, self.new = [], threading.Condition()
+        self.events, self.new = [], threading.Condition()
         step = node.step
 
         def watched(event, at=0):
             effects = step(event, at)
             with self.new:
-                self.told.append(event)
+                self.events.append(event)
                 self.new.notify_all()
             return effects
 
@@ -285,16 +287,16 @@
 
     def wait(self, kind, test=lambda event: True):
         with self.new:
-            assert self.new.wait_for(lambda: any(isinstance(e, kind) and test(e) for e in self.told), WAIT), (
-                f"no {kind.__name__}"
-            )
+            assert self.new.wait_for(
+                lambda: any(isinstance(e, kind) and test(e) for e in self.events), WAIT
+            ), f"no {kind.__name__}"
 
 
 @contextmanager
-def running(agent, before=lambda node: None, **more):
+def running(list_server, before=lambda node: None, **more):
     """A running node, stopped at the end."""
-    node = Node(*config.read_node(settings(agent, **more), {}))
-    node.seen = Seen(node)
+    node = Node(*config.read_node(settings(list_server, **more), {}))
+    node.seen = EventRecorder(node)
     before(node)
     node.start()
     try:
@@ -304,7 +306,7 @@
         assert node.join(WAIT)
 
 
-def until(true, what):
+def wait_until(true, what):
     """Polls until the condition is true, for what no event reports."""
     gate = threading.Event()
     for _ in range(WAIT * 200):
@@ -316,16 +318,16 @@
 
 def serve(hosts):
     """Accepts the next attempt at any of the hosts and reads its first line."""
-    until(lambda: any(h.waits() for h in hosts), "nobody came")
-    peer = next(h for h in hosts if h.waits()).take()
-    peer.line = peer.hear()
+    wait_until(lambda: any(h.has_connection() for h in hosts), "nobody came")
+    peer = next(h for h in hosts if h.has_connection()).accept()
+    peer.line = peer.read_line()
     return peer
 
 
-def standing(node, hosts):
+def establish(node, hosts):
     """Opens a connection: (the client's side, the host's side)."""
-    one = client(node, opening(1))
+    one = client(node, open_line(1))
     peer = serve(hosts)
-    peer.say(b"UP r")
-    assert one.hear() == b"UP r"
+    peer.send_lines(b"UP r")
+    assert one.read_line() == b"UP r"
     return one, peer
--- a/tests/crossings/test_attempts.py
+++ b/tests/crossings/test_attempts.py
@@ -5,7 +5,7 @@
 import threading
 
 import pytest
-from standins import Gate, client, hold_connects, listed, opening, running, serve, until
+from stubs import Gate, client, delay_connects, open_line, running, serve, wait_for_list, wait_until
 
 from cottonspread.net import events as ev
 from cottonspread.net import workers
@@ -13,9 +13,11 @@
 
 
 @pytest.mark.parametrize("how", ("close", "reset", "half"))
-def test_nothing_is_sent_for_a_client_that_left_while_its_connection_came_up(hosts, agent, how, monkeypatch):
+def test_nothing_is_sent_for_a_client_that_left_while_its_connection_came_up(
+    hosts, list_server, how, monkeypatch
+):
     """Its end lay in the queue behind much else: here the reducer never hears of it in time."""
-    gate, kept = hold_connects(monkeypatch), threading.Event()
+    gate, kept = delay_connects(monkeypatch), threading.Event()
 
     def before(node):
         post = node.workers.post
@@ -27,25 +29,25 @@
 
         node.workers.post = late
 
-    with running(agent, before) as node:
-        listed(node)
-        one = client(node, opening(1))
-        assert gate.here.wait(10)
+    with running(list_server, before) as node:
+        wait_for_list(node)
+        one = client(node, open_line(1))
+        assert gate.reached.wait(10)
         one.close(how)
-        until(
+        wait_until(
             lambda: any(workers.peer_closed(w.sock) for w in list(node.workers.live) if w.end.is_client),
             "the client's end is not here",
         )
         gate.open.set()
-        first = next(host for host in hosts if host.waits())
-        assert first.take().rest() == b"", "sent for nobody"
+        first = next(host for host in hosts if host.has_connection())
+        assert first.accept().read_all() == b"", "sent for nobody"
         node.seen.wait(ev.WriteDone, lambda e: e.skip_reason == "client-gone")
         kept.set()
-        until(lambda: node.end_reasons["left-in-setup"] == 1, "not ended")
-        assert not any(host.waits() for host in hosts)
+        wait_until(lambda: node.end_reasons["left-in-setup"] == 1, "not ended")
+        assert not any(host.has_connection() for host in hosts)
 
 
-def test_a_burst_of_clients_that_leave_at_once_sends_nothing(hosts, agent):
+def test_a_burst_of_clients_that_leave_at_once_sends_nothing(hosts, list_server):
     """Hundreds came, said their line and left while the node was busy with something else."""
     gate, told = Gate(), threading.Semaphore(0)
 
@@ -60,19 +62,19 @@
 
         node.workers.post = counted
 
-    with running(agent, before, sockets=1024) as node:
-        listed(node)
+    with running(list_server, before, sockets=1024) as node:
+        wait_for_list(node)
         node.post_urgent(ev.ReloadRejected())
-        assert gate.here.wait(10)
-        many = [client(node, opening(n)) for n in range(150)]
-        until(lambda: len(node.workers.live) == len(many), "not all accepted")
+        assert gate.reached.wait(10)
+        many = [client(node, open_line(n)) for n in range(150)]
+        wait_until(lambda: len(node.workers.live) == len(many), "not all accepted")
         for one in many:
             one.close()
         gate.open.set()
-        until(lambda: sum(node.end_reasons.values()) == len(many), "not all ended")
+        wait_until(lambda: sum(node.end_reasons.values()) == len(many), "not all ended")
         for host in hosts:
-            while host.waits():
-                assert host.take().rest() == b""
+            while host.has_connection():
+                assert host.accept().read_all() == b""
         # as many as set-ups are let go at once
         assert node.end_reasons["left-in-setup"] >= 8 and node.end_reasons.keys() <= {
             "left-in-setup",
@@ -81,46 +83,49 @@
 
 
 def test_nothing_is_sent_to_a_host_that_was_told_to_drain_while_the_connection_came_up(
-    hosts, agent, monkeypatch
+    hosts, list_server, monkeypatch
 ):
-    gate = hold_connects(monkeypatch, lambda nth: nth == 1)
-    with running(agent) as node:
-        listed(node)
-        one = client(node, opening(1))
-        assert gate.here.wait(10)
-        first, other = sorted(hosts, key=lambda h: not h.waits())
-        agent.change(first, "Terminating")
-        listed(node, 2)
+    gate = delay_connects(monkeypatch, lambda nth: nth == 1)
+    with running(list_server) as node:
+        wait_for_list(node)
+        one = client(node, open_line(1))
+        assert gate.reached.wait(10)
+        first, other = sorted(hosts, key=lambda h: not h.has_connection())
+        list_server.change(first, "Terminating")
+        wait_for_list(node, 2)
         gate.open.set()
-        assert first.take().rest() == b""
-        peer = other.take()
-        assert peer.hear().startswith(b"OPEN 00000001 ")
-        peer.say(b"UP r")
-        assert one.hear() == b"UP r"
+        assert first.accept().read_all() == b""
+        peer = other.accept()
+        assert peer.read_line().startswith(b"OPEN 00000001 ")
+        peer.send_lines(b"UP r")
+        assert one.read_line() == b"UP r"
         peer.close()
 
 
-def test_a_marked_call_is_not_sent_again_once_its_repeats_are_forgotten(hosts, agent, monkeypatch):
+def test_a_marked_call_is_not_sent_again_once_its_repeats_are_forgotten(hosts, list_server, monkeypatch):
     """Decided on in time, its second connection comes up after it. The window for repeats is 400 ms."""
-    gate = hold_connects(monkeypatch, lambda nth: nth == 2)
-    with running(agent) as node:
-        listed(node)
-        one = client(node, opening(1, "marked"))
+    gate = delay_connects(monkeypatch, lambda nth: nth == 2)
+    with running(list_server) as node:
+        wait_for_list(node)
+        one = client(node, open_line(1, "marked"))
         first = next(
             h
             for h in hosts
-            if until(lambda: any(h.waits() for h in hosts), "nobody came") is None and h.waits()
+            if wait_until(lambda: any(h.has_connection() for h in hosts), "nobody came") is None
+            and h.has_connection()
         )
-        peer = first.take()
+        peer = first.accept()
         began = node.clock.now()
-        assert peer.hear().startswith(b"OPEN ")
+        assert peer.read_line().startswith(b"OPEN ")
         peer.close("reset")
-        assert gate.here.wait(10)
-        until(lambda: node.clock.now() - began > 450_000, "time stands still")
+        assert gate.reached.wait(10)
+        wait_until(lambda: node.clock.now() - began > 450_000, "time stands still")
         gate.open.set()
         other = next(h for h in hosts if h is not first)
-        assert other.take().rest() == b""
-        assert one.hear().startswith(b"BUSY")  # repeats are known to all hosts: to come again is harmless
+        assert other.accept().read_all() == b""
+        assert one.read_line().startswith(
+            b"BUSY"
+        )  # repeats are known to all hosts: to come again is harmless
 
 
 @pytest.mark.parametrize(
@@ -138,45 +143,45 @@
     ],
 )
 def test_a_call_that_must_not_run_twice_goes_again_only_where_it_is_known_not_to_have_run(
-    hosts, agent, answer, ran
+    hosts, list_server, answer, ran
 ):
-    with running(agent) as node:
-        listed(node)
-        one = client(node, opening(1, "once"))
-        until(lambda: any(h.waits() for h in hosts), "nobody came")
-        first, other = sorted(hosts, key=lambda h: not h.waits())
-        peer = first.take()
-        assert peer.hear().startswith(b"OPEN ")
+    with running(list_server) as node:
+        wait_for_list(node)
+        one = client(node, open_line(1, "once"))
+        wait_until(lambda: any(h.has_connection() for h in hosts), "nobody came")
+        first, other = sorted(hosts, key=lambda h: not h.has_connection())
+        peer = first.accept()
+        assert peer.read_line().startswith(b"OPEN ")
         peer.sock.sendall(answer)
         peer.end()
         if ran:
-            assert one.hear() == b"ERR" and one.hear() == b""
-            assert not other.waits()
+            assert one.read_line() == b"ERR" and one.read_line() == b""
+            assert not other.has_connection()
         else:
-            second = other.take()
-            assert second.hear().startswith(b"OPEN ")
-            second.say(b"UP r")
-            assert one.hear() == b"UP r"
+            second = other.accept()
+            assert second.read_line().startswith(b"OPEN ")
+            second.send_lines(b"UP r")
+            assert one.read_line() == b"UP r"
             second.close()
         peer.close()
 
 
-def test_a_refused_connection_is_known_not_to_have_run(hosts, agent):
+def test_a_refused_connection_is_known_not_to_have_run(hosts, list_server):
     hosts[0].close()
-    with running(agent) as node:
-        listed(node)
+    with running(list_server) as node:
+        wait_for_list(node)
         for n in range(3):  # in turn the dead one comes first for one of them
-            one = client(node, opening(n, "once"))
-            peer = hosts[1].take()
-            assert peer.hear().startswith(b"OPEN ")
-            peer.say(b"UP r")
-            assert one.hear() == b"UP r"
+            one = client(node, open_line(n, "once"))
+            peer = hosts[1].accept()
+            assert peer.read_line().startswith(b"OPEN ")
+            peer.send_lines(b"UP r")
+            assert one.read_line() == b"UP r"
             one.close()
-            assert peer.rest() == b""
+            assert peer.read_all() == b""
         assert node.reducer.counters.answers["success", "once"] == 3
 
 
-def test_an_answer_that_lies_in_the_queue_at_the_deadline_gives_one_final_answer(hosts, agent):
+def test_an_answer_that_lies_in_the_queue_at_the_deadline_gives_one_final_answer(hosts, list_server):
     """The time-out and the answer meet: whichever comes first, the client hears one word,
     and the host's connection ends with it.
     """
@@ -185,61 +190,61 @@
     def before(node):
         node.reducer.handlers[ev.ReloadRejected] = lambda e: gate.wait()
 
-    with running(agent, before) as node:
-        listed(node)
-        one = client(node, opening(1, "once", wait=300))
+    with running(list_server, before) as node:
+        wait_for_list(node)
+        one = client(node, open_line(1, "once", wait=300))
         peer = serve(hosts)
         assert peer.line.startswith(b"OPEN ")
         node.post_urgent(ev.ReloadRejected())
-        assert gate.here.wait(10)
+        assert gate.reached.wait(10)
         began = node.clock.now()
-        peer.say(b"UP r")
-        until(lambda: node.clock.now() - began > 400_000, "time stands still")
+        peer.send_lines(b"UP r")
+        wait_until(lambda: node.clock.now() - began > 400_000, "time stands still")
         gate.open.set()
-        said = one.hear()
+        said = one.read_line()
         assert said in (b"UP r", b"ERR", b"BUSY")
         if said != b"UP r":
-            assert one.hear() == b"" and peer.rest() == b""
+            assert one.read_line() == b"" and peer.read_all() == b""
 
 
 @pytest.mark.parametrize("kind", ("plain", "once", "marked"))
-def test_a_host_killed_right_behind_its_accept_was_never_asked(hosts, agent, monkeypatch, kind):
+def test_a_host_killed_right_behind_its_accept_was_never_asked(hosts, list_server, monkeypatch, kind):
     """The connection is up and is reset before the first byte: nothing ran, so also a call
     that must not run twice goes elsewhere.
     """
-    gate = hold_connects(monkeypatch, lambda nth: nth == 1)
-    with running(agent) as node:
-        listed(node)
-        one = client(node, opening(1, kind))
-        assert gate.here.wait(10)
-        first, other = sorted(hosts, key=lambda h: not h.waits())
-        first.take().close("reset")
+    gate = delay_connects(monkeypatch, lambda nth: nth == 1)
+    with running(list_server) as node:
+        wait_for_list(node)
+        one = client(node, open_line(1, kind))
+        assert gate.reached.wait(10)
+        first, other = sorted(hosts, key=lambda h: not h.has_connection())
+        first.accept().close("reset")
         gate.open.set()
-        peer = other.take()
-        assert peer.hear().startswith(b"OPEN 00000001 ")
-        peer.say(b"UP r")
-        assert one.hear() == b"UP r"
+        peer = other.accept()
+        assert peer.read_line().startswith(b"OPEN 00000001 ")
+        peer.send_lines(b"UP r")
+        assert one.read_line() == b"UP r"
         peer.close()
 
 
 @pytest.mark.parametrize("how", ("reset", "half"))
-def test_a_host_killed_over_a_line_that_it_has_not_read_may_have_run_it(hosts, agent, how):
+def test_a_host_killed_over_a_line_that_it_has_not_read_may_have_run_it(hosts, list_server, how):
     """Its machine had taken the whole line: a call that must not run twice is
     answered as failed, and stays where it was.
     """
-    with running(agent) as node:
-        listed(node)
-        one = client(node, opening(1, "once"))
-        until(lambda: any(h.waits() for h in hosts), "nobody came")
-        first, other = sorted(hosts, key=lambda h: not h.waits())
-        peer = first.take()
+    with running(list_server) as node:
+        wait_for_list(node)
+        one = client(node, open_line(1, "once"))
+        wait_until(lambda: any(h.has_connection() for h in hosts), "nobody came")
+        first, other = sorted(hosts, key=lambda h: not h.has_connection())
+        peer = first.accept()
         node.seen.wait(ev.WriteDone, lambda e: not e.end.is_client)
         peer.close(how)
-        assert one.hear() == b"ERR" and one.hear() == b""
-        assert not other.waits()
+        assert one.read_line() == b"ERR" and one.read_line() == b""
+        assert not other.has_connection()
 
 
-def test_a_client_killed_right_behind_its_accept_leaves_nothing_behind(hosts, agent, monkeypatch):
+def test_a_client_killed_right_behind_its_accept_leaves_nothing_behind(hosts, list_server, monkeypatch):
     """Its reset, or its line and then the reset, is here before the node looks at the connection at all."""
     gate, accepted = Gate(), Admission.on_accepted
 
@@ -248,28 +253,28 @@
         accepted(admission, sock)
 
     monkeypatch.setattr(Admission, "on_accepted", held)
-    with running(agent) as node:
-        listed(node)
-        many = [client(node) if n % 2 else client(node, opening(n)) for n in range(20)]
-        assert gate.here.wait(10)
+    with running(list_server) as node:
+        wait_for_list(node)
+        many = [client(node) if n % 2 else client(node, open_line(n)) for n in range(20)]
+        assert gate.reached.wait(10)
         for one in many:
             one.close("reset")
         gate.open.set()
-        last = client(node, opening(99))  # behind them in the listener's queue: they have all been accepted
+        last = client(node, open_line(99))  # behind them in the listener's queue: they have all been accepted
         while not (peer := serve(hosts)).line:  # a connection was begun, and nothing sent on it
             pass
         assert peer.line.startswith(b"OPEN 00000063 "), "sent for nobody"
-        peer.say(b"UP r")
-        assert last.hear() == b"UP r"
+        peer.send_lines(b"UP r")
+        assert last.read_line() == b"UP r"
         last.close()
-        assert peer.rest() == b""
-        until(lambda: not node.reducer.conns and not node.workers.live, "a descriptor is kept")
+        assert peer.read_all() == b""
+        wait_until(lambda: not node.reducer.conns and not node.workers.live, "a descriptor is kept")
         for host in hosts:
-            while host.waits():
-                assert host.take().rest() == b""
+            while host.has_connection():
+                assert host.accept().read_all() == b""
 
 
-def test_every_call_is_answered_whatever_its_hosts_do(hosts, agent):
+def test_every_call_is_answered_whatever_its_hosts_do(hosts, list_server):
     """Sixty calls at hosts that say nothing, break, refuse, say nonsense or half a line: each has one last
     line, and in its time, which the node counts itself (`overdue`).
     """
@@ -278,11 +283,11 @@
     def play(host):
         while not stop.is_set():
             try:
-                peer = host.take()
+                peer = host.accept()
             except OSError:
                 return
             held.append(peer)
-            line = peer.hear()
+            line = peer.read_line()
             said = (
                 (None, b"", b"BUSY\r\n", b"\x00\xff\r\n", b"UP", b"ERR\r\n")[len(held) % 6] if line else b""
             )
@@ -295,18 +300,18 @@
     threads = [threading.Thread(target=play, args=(host,), daemon=True) for host in hosts]
     for thread in threads:
         thread.start()
-    with running(agent) as node:
-        listed(node)
+    with running(list_server) as node:
+        wait_for_list(node)
         many = [
-            client(node, opening(n, ("plain", "once", "marked")[n % 3], wait=300 + 40 * (n % 10)))
+            client(node, open_line(n, ("plain", "once", "marked")[n % 3], wait=300 + 40 * (n % 10)))
             for n in range(60)
         ]
         for one in many:
-            assert one.hear().split()[:1] in ([b"BUSY"], [b"ERR"])
-            assert one.hear() == b""
+            assert one.read_line().split()[:1] in ([b"BUSY"], [b"ERR"])
+            assert one.read_line() == b""
             one.close()
         assert sum(node.end_reasons.values()) <= 60 and not node.end_reasons["overdue"]
-        until(lambda: sum(node.end_reasons.values()) == 60, "not all ended")
+        wait_until(lambda: sum(node.end_reasons.values()) == 60, "not all ended")
         assert not node.end_reasons["overdue"]
     stop.set()
     for host in hosts:
--- a/tests/crossings/test_closing.py
+++ b/tests/crossings/test_closing.py
@@ -6,17 +6,17 @@
 import threading
 
 import pytest
-from standins import Gate, Peer, client, listed, opening, running, serve, standing, until
+from stubs import Gate, Peer, client, establish, open_line, running, serve, wait_for_list, wait_until
 
 from cottonspread.net import admission, closing, reducer
 from cottonspread.net import events as ev
 
 
-def told_the_end(peer, word):
+def expect_clean_end(peer, word):
     """The last line arrives, then the end, and sending more does not cause a reset."""
-    assert peer.hear().startswith(word) and peer.hear() == b""
+    assert peer.read_line().startswith(word) and peer.read_line() == b""
     for _ in range(3):
-        peer.say(b"M 1 " + b"x" * 900)
+        peer.send_lines(b"M 1 " + b"x" * 900)
         assert not peer.broken(), "closed over what came just then"
     peer.close()
 
@@ -25,32 +25,34 @@
     "first, word",
     [
         (b"HELLO", b"ERR"),
-        (opening(1, "none"), b"ERR"),
+        (open_line(1, "none"), b"ERR"),
         (b"x" * 4200, b"ERR"),
         (b"OPEN \x00 k c=plain,d=9", b"ERR"),
         (b"OPEN \xc3\xa9 k c=plain,d=9", b"ERR"),
-        (opening(2) + b"\r\nM 1 ab", b"ERR"),
+        (open_line(2) + b"\r\nM 1 ab", b"ERR"),
     ],
 )
-def test_an_invalid_first_line_is_answered_and_input_is_read_to_the_end(agent, first, word):
-    with running(agent) as node:
-        listed(node)
-        told_the_end(client(node, first), word)
-        until(lambda: not node.reducer.conns, "kept")
+def test_an_invalid_first_line_is_answered_and_input_is_read_to_the_end(list_server, first, word):
+    with running(list_server) as node:
+        wait_for_list(node)
+        expect_clean_end(client(node, first), word)
+        wait_until(lambda: not node.reducer.conns, "kept")
 
 
-def test_a_client_refused_on_accept_may_send_its_line_at_that_moment(agent):
+def test_a_client_refused_on_accept_may_send_its_line_at_that_moment(list_server):
     """Overload protection applies to calls: a client that sends nothing is closed after its timeout."""
-    with running(agent, lambda node: setattr(node.admission_limiter, "admits", lambda now: False)) as node:
-        listed(node)
-        told_the_end(client(node), b"BUSY")
-        told_the_end(client(node, opening(1)), b"BUSY")
-        until(lambda: not node.closer.open_sockets, "kept")
+    with running(
+        list_server, lambda node: setattr(node.admission_limiter, "admits", lambda now: False)
+    ) as node:
+        wait_for_list(node)
+        expect_clean_end(client(node), b"BUSY")
+        expect_clean_end(client(node, open_line(1)), b"BUSY")
+        wait_until(lambda: not node.closer.open_sockets, "kept")
         assert node.end_reasons["node-late"] == 1 and node.end_reasons["no-first-line"] == 1
 
 
 def test_a_request_sent_while_an_idle_connection_is_closed_is_answered_and_not_forwarded(
-    hosts, agent, monkeypatch
+    hosts, list_server, monkeypatch
 ):
     """The node closes a silent client, whose first line arrives just before the close or just after."""
     gate = Gate()
@@ -65,17 +67,17 @@
 
         node.refuse = held
 
-    with running(agent, before) as node:
-        listed(node)
+    with running(list_server, before) as node:
+        wait_for_list(node)
         one = client(node)
-        assert gate.here.wait(10)
-        one.say(opening(1))
+        assert gate.reached.wait(10)
+        one.send_lines(open_line(1))
         gate.open.set()
-        told_the_end(one, b"BUSY")
-        assert not any(host.waits() for host in hosts)
+        expect_clean_end(one, b"BUSY")
+        assert not any(host.has_connection() for host in hosts)
 
 
-def test_a_request_sent_while_a_connection_idle_after_a_ping_is_closed(hosts, agent, monkeypatch):
+def test_a_request_sent_while_a_connection_idle_after_a_ping_is_closed(hosts, list_server, monkeypatch):
     """The same for a client that the reducer knows already."""
     gate = Gate()
     monkeypatch.setattr(reducer, "FIRST_LINE_TIMEOUT", 100_000)
@@ -90,46 +92,46 @@
 
         node.workers.execute = held
 
-    with running(agent, before) as node:
-        listed(node)
+    with running(list_server, before) as node:
+        wait_for_list(node)
         one = client(node, b"PING")
-        assert one.hear() == b"PONG"
-        assert gate.here.wait(10)
-        one.say(opening(1))
+        assert one.read_line() == b"PONG"
+        assert gate.reached.wait(10)
+        one.send_lines(open_line(1))
         gate.open.set()
-        told_the_end(one, b"BUSY")
-        assert not any(host.waits() for host in hosts)
+        expect_clean_end(one, b"BUSY")
+        assert not any(host.has_connection() for host in hosts)
 
 
-def test_a_client_that_is_moved_may_still_be_sending(hosts, agent):
-    with running(agent) as node:
-        listed(node)
-        one = client(node, opening(1))
-        until(lambda: any(h.waits() for h in hosts), "nobody came")
-        host = next(h for h in hosts if h.waits())
+def test_a_client_that_is_moved_may_still_be_sending(hosts, list_server):
+    with running(list_server) as node:
+        wait_for_list(node)
+        one = client(node, open_line(1))
+        wait_until(lambda: any(h.has_connection() for h in hosts), "nobody came")
+        host = next(h for h in hosts if h.has_connection())
         peer = serve([host])
-        peer.say(b"UP r")
-        assert one.hear() == b"UP r"
-        agent.change(host, "Terminating")
-        told_the_end(one, b"MOVE")
-        assert peer.rest() == b""
+        peer.send_lines(b"UP r")
+        assert one.read_line() == b"UP r"
+        list_server.change(host, "Terminating")
+        expect_clean_end(one, b"MOVE")
+        assert peer.read_all() == b""
 
 
-def test_an_established_client_that_sends_an_invalid_line_sees_a_clean_end(hosts, agent):
-    with running(agent) as node:
-        listed(node)
-        one = client(node, opening(1))
+def test_an_established_client_that_sends_an_invalid_line_sees_a_clean_end(hosts, list_server):
+    with running(list_server) as node:
+        wait_for_list(node)
+        one = client(node, open_line(1))
         peer = serve(hosts)
-        peer.say(b"UP r", b"M 1 ab")
-        assert (one.hear(), one.hear()) == (b"UP r", b"M 1 ab")
-        one.say(b"x" * 5000)
-        assert one.hear() == b"" and not one.broken()
-        assert peer.rest() == b""
+        peer.send_lines(b"UP r", b"M 1 ab")
+        assert (one.read_line(), one.read_line()) == (b"UP r", b"M 1 ab")
+        one.send_lines(b"x" * 5000)
+        assert one.read_line() == b"" and not one.broken()
+        assert peer.read_all() == b""
 
 
-def test_a_client_that_floods_and_never_closes_is_cut_off_and_blocks_no_other(agent):
-    with running(agent) as node:
-        listed(node)
+def test_a_client_that_floods_and_never_closes_is_cut_off_and_blocks_no_other(list_server):
+    with running(list_server) as node:
+        wait_for_list(node)
         flood = client(node, b"HELLO")
         stop = threading.Event()
 
@@ -143,11 +145,11 @@
         thread = threading.Thread(target=send)
         thread.start()
         for _ in range(20):
-            assert client(node, b"PING").hear() == b"PONG"
+            assert client(node, b"PING").read_line() == b"PONG"
         thread.join(10)
         assert stop.is_set(), "still read after a second and more"
         # which of the two depends on how its lines were read
-        until(lambda: node.end_reasons["garbled"] + node.end_reasons["early-line"] == 1, "kept")
+        wait_until(lambda: node.end_reasons["garbled"] + node.end_reasons["early-line"] == 1, "kept")
 
 
 def test_the_closer_respects_its_limit_and_keeps_no_socket_for_ever(monkeypatch):
@@ -162,28 +164,28 @@
     assert len(one.open_sockets) == 3 and [ours.fileno() < 0 for ours, _ in pairs] == [True] * 5 + [False] * 3
     for _, theirs in pairs[5:]:
         theirs.sendall(b"x" * 100)  # they stay open and send
-    until(lambda: one.step() and not one.open_sockets, "kept for good")
+    wait_until(lambda: one.step() and not one.open_sockets, "kept for good")
     one.stop()
     assert not one.step()
 
 
-def test_a_late_second_answer_finds_the_attempt_closed(hosts, agent):
-    with running(agent) as node:
-        listed(node)
-        one = client(node, opening(1, "once"))
+def test_a_late_second_answer_finds_the_attempt_closed(hosts, list_server):
+    with running(list_server) as node:
+        wait_for_list(node)
+        one = client(node, open_line(1, "once"))
         peer = serve(hosts)
-        peer.say(b"ERR")
-        assert one.hear() == b"ERR"
+        peer.send_lines(b"ERR")
+        assert one.read_line() == b"ERR"
         peer.sock.sendall(b"UP r\r\n" * 10)
-        assert one.hear() == b""
-        until(lambda: not node.reducer.open_sockets, "a descriptor is kept")
+        assert one.read_line() == b""
+        wait_until(lambda: not node.reducer.open_sockets, "a descriptor is kept")
 
 
 @pytest.mark.parametrize("answer", (b"UP r\r\n", b""))
-def test_an_endless_answer_is_cut_off(hosts, agent, answer):
-    with running(agent) as node:
-        listed(node)
-        one = client(node, opening(1, "once"))
+def test_an_endless_answer_is_cut_off(hosts, list_server, answer):
+    with running(list_server) as node:
+        wait_for_list(node)
+        one = client(node, open_line(1, "once"))
         peer = serve(hosts)
         peer.sock.sendall(answer)
         try:
@@ -191,35 +193,35 @@
                 peer.sock.sendall(b"x" * 4096)
         except OSError:
             pass
-        assert one.rest() in (b"ERR\r\n", b"UP r\r\n")
+        assert one.read_all() in (b"ERR\r\n", b"UP r\r\n")
         one.close()
-        until(lambda: not node.reducer.open_sockets, "a descriptor is kept")
+        wait_until(lambda: not node.reducer.open_sockets, "a descriptor is kept")
 
 
-def test_a_reused_descriptor_gets_no_order_meant_for_the_previous_one(hosts, agent):
+def test_a_reused_descriptor_gets_no_order_meant_for_the_previous_one(hosts, list_server):
     """Connections open and close while others are set up: each client gets the answer to its own call and
     never another's.
     """
-    with running(agent) as node:
-        listed(node)
+    with running(list_server) as node:
+        wait_for_list(node)
 
         def serve(host):
             while True:
                 try:
-                    peer = host.take()
+                    peer = host.accept()
                 except OSError:
                     return
-                line = peer.hear()
+                line = peer.read_line()
                 if line:
-                    peer.say(b"UP " + line.split()[1], b"BYE")
+                    peer.send_lines(b"UP " + line.split()[1], b"BYE")
                 peer.close()
 
         for host in hosts:
             threading.Thread(target=serve, args=(host,), daemon=True).start()
 
         def call(n):
-            one = client(node, opening(n))
-            heard.append((n, one.hear(), one.hear()))
+            one = client(node, open_line(n))
+            heard.append((n, one.read_line(), one.read_line()))
             one.close("reset" if n % 2 else "close")
 
         heard = []
@@ -233,12 +235,12 @@
         assert {said for n, said, _ in heard if said != b"UP %08x" % n} <= {b"BUSY"}
 
 
-def test_a_reset_reaches_the_other_side_as_a_reset(hosts, agent):
+def test_a_reset_reaches_the_other_side_as_a_reset(hosts, list_server):
     """A reset from one side reaches the other as a reset, not as a normal end."""
-    with running(agent) as node:
-        listed(node)
-        one, peer = standing(node, hosts)
+    with running(list_server) as node:
+        wait_for_list(node)
+        one, peer = establish(node, hosts)
         peer.close("reset")
         with pytest.raises(ConnectionResetError):
-            one.hear()
+            one.read_line()
         assert isinstance(one, Peer)
--- a/tests/crossings/test_floods.py
+++ b/tests/crossings/test_floods.py
@@ -11,7 +11,7 @@
 from hypothesis import given
 from hypothesis import settings as profile
 from hypothesis import strategies as st
-from standins import SETTINGS, WAIT, Agent, client, listed, opening, running, serve, until
+from stubs import SETTINGS, WAIT, ListServer, client, open_line, running, serve, wait_for_list, wait_until
 
 from cottonspread import cli, config
 from cottonspread.net import discovery, lines
@@ -31,74 +31,74 @@
     """While discovery is down, also before the first list. Once it is back the node reaches discovery and
     hosts, answers operators and serves clients.
     """
-    agent, back = Agent().list(*hosts), threading.Event()
+    list_server, back = ListServer().add(*hosts), threading.Event()
 
     def down(one):
         assert back.wait(WAIT)
         one.reset()
 
     for _ in range(2):
-        agent.scripted.put(down)
+        list_server.scripted.put(down)
     more = {"known": [hosts[0].entry | {"lifecycle": "Ready"}]} if known else {}
-    with running(agent, sockets=96, operator="127.0.0.1:0", **more) as node:
+    with running(list_server, sockets=96, operator="127.0.0.1:0", **more) as node:
         operators = node.admin.listener.getsockname()
         idle = [client(node) for _ in range(300)]
         assert call(operators, b"counters").startswith(b"200 ")
         assert len(node.workers.live) <= node.max_sockets + 32
         back.set()
-        listed(node, 1)
+        wait_for_list(node, 1)
         for n in range(5):
             assert call(operators, b"health") == b"200 yes\n"
             # idle clients are ahead of it in the listener's queue, and like any client it tries again
             for _ in range(100):
-                one = client(node, opening(n))
-                until(
+                one = client(node, open_line(n))
+                wait_until(
                     lambda: (
-                        any(h.waits() for h in hosts)
+                        any(h.has_connection() for h in hosts)
                         or node.end_reasons["no-room-at-all"]
                         or node.end_reasons["rejected"]
                     ),
                     "not dealt with",
                 )
-                if any(h.waits() for h in hosts):
+                if any(h.has_connection() for h in hosts):
                     break
                 node.end_reasons.clear()
                 one.close()
-            peer = next(h for h in hosts if h.waits()).take()
-            assert peer.hear().startswith(b"OPEN ")
-            peer.say(b"UP r")
-            assert one.hear() == b"UP r"
+            peer = next(h for h in hosts if h.has_connection()).accept()
+            assert peer.read_line().startswith(b"OPEN ")
+            peer.send_lines(b"UP r")
+            assert one.read_line() == b"UP r"
             one.close()
-            assert peer.rest() == b""
+            assert peer.read_all() == b""
         for one in idle:
             one.close()
-        until(lambda: not node.reducer.conns and not node.workers.live, "a descriptor is kept")
+        wait_until(lambda: not node.reducer.conns and not node.workers.live, "a descriptor is kept")
 
 
-def test_silent_clients_cost_no_step_of_the_reducer(hosts, agent):
+def test_silent_clients_cost_no_step_of_the_reducer(hosts, list_server):
     """Two hundred clients connect and send nothing or half a line. They cost no thread and no event each: a
     client with a whole line would wait behind them.
     """
-    with running(agent, sockets=96) as node:
-        listed(node)
+    with running(list_server, sockets=96) as node:
+        wait_for_list(node)
         crowd = [client(node) for _ in range(200)]
         for one in crowd[::2]:
             one.sock.sendall(b"OPEN half-")
-        usual = client(node, opening(1))
+        usual = client(node, open_line(1))
         peer = serve(hosts)
-        peer.say(b"UP r")
-        assert usual.hear() == b"UP r"
-        came = [event for event in node.seen.told if isinstance(event, ev.ClientAccepted)]
+        peer.send_lines(b"UP r")
+        assert usual.read_line() == b"UP r"
+        came = [event for event in node.seen.events if isinstance(event, ev.ClientAccepted)]
         assert len(came) == 1
-        assert client(node, b"PING").hear() == b"PONG"
+        assert client(node, b"PING").read_line() == b"PONG"
         for one in crowd:
             one.close()
         peer.close()
 
 
-def test_clients_that_send_a_lot_and_leave_are_cleaned_up(hosts, agent):
-    with running(agent) as node:
-        listed(node)
+def test_clients_that_send_a_lot_and_leave_are_cleaned_up(hosts, list_server):
+    with running(list_server) as node:
+        wait_for_list(node)
         for n in range(60):
             one = client(node)
             with contextlib.suppress(OSError):
@@ -106,34 +106,34 @@
                     [
                         b"x" * 20_000,
                         b"OPEN\r\n" * 3000,
-                        opening(n) + b"\r\n" + b"M 1 ab\r\n" * 2000,
+                        open_line(n) + b"\r\n" + b"M 1 ab\r\n" * 2000,
                         b"PING\r\n" * 500,
                     ][n % 4]
                 )
             one.close("reset" if n % 3 else "close")
-        until(lambda: not node.reducer.conns and not node.workers.live, "a descriptor is kept")
-        assert not any(h.waits() and h.take().rest() for h in hosts)
+        wait_until(lambda: not node.reducer.conns and not node.workers.live, "a descriptor is kept")
+        assert not any(h.has_connection() and h.accept().read_all() for h in hosts)
         one = client(node, b"PING")
-        assert one.hear() == b"PONG"
+        assert one.read_line() == b"PONG"
 
 
 @pytest.mark.parametrize("size", (1, 2, 3))
-def test_a_first_line_may_arrive_in_pieces(hosts, agent, size):
-    with running(agent) as node:
-        listed(node)
-        one, line = client(node), opening(1) + b"\r\n"
+def test_a_first_line_may_arrive_in_pieces(hosts, list_server, size):
+    with running(list_server) as node:
+        wait_for_list(node)
+        one, line = client(node), open_line(1) + b"\r\n"
         for at in range(0, len(line), size):
             one.sock.sendall(line[at : at + size])
-        until(lambda: any(h.waits() for h in hosts), "nobody came")
-        peer = next(h for h in hosts if h.waits()).take()
-        assert peer.hear().startswith(b"OPEN 00000001 ")
+        wait_until(lambda: any(h.has_connection() for h in hosts), "nobody came")
+        peer = next(h for h in hosts if h.has_connection()).accept()
+        assert peer.read_line().startswith(b"OPEN 00000001 ")
         for at in range(0, 6, size):
             peer.sock.sendall(b"UP r\r\n"[at : at + size])
-        assert one.hear() == b"UP r"
+        assert one.read_line() == b"UP r"
         peer.close()
 
 
-LINE = opening(1) + b"\r\n"
+LINE = open_line(1) + b"\r\n"
 NAMES = config.Names({"plain": 0}, {"here": 0}, {}, {})
 
 
@@ -285,9 +285,9 @@
 
 
 @pytest.mark.parametrize("line", [b"\x00" * 100, b"\xff" * 300, b"health\x00", b"health health", b"x" * 5000])
-def test_any_operators_command_is_answered(agent, line):
-    with running(agent, operator="127.0.0.1:0") as node:
-        listed(node)
+def test_any_operators_command_is_answered(list_server, line):
+    with running(list_server, operator="127.0.0.1:0") as node:
+        wait_for_list(node)
         address = node.admin.listener.getsockname()
         assert call(address, line).startswith(b"400 ")
         assert call(address, b"health") == b"200 yes\n"
@@ -311,21 +311,21 @@
         {"Step": -1},
     ],
 )
-def test_invalid_settings_stop_the_start_and_change_nothing_at_sighup(agent, tmp_path, capsys, change):
+def test_invalid_settings_stop_the_start_and_change_nothing_at_sighup(list_server, tmp_path, capsys, change):
     file = tmp_path / "node.json"
     whole = {
         "name": "n",
         "listen": "127.0.0.1:0",
-        "discovery": "{}:{}".format(*agent.address),
+        "discovery": "{}:{}".format(*list_server.address),
         "settings": SETTINGS | change,
     }
     file.write_text(json.dumps(whole))
     assert cli.main(["check", "--config", str(file)]) == 2
     said = capsys.readouterr().err
     assert said.startswith("cottonspread: settings.") and said.count("\n") == 1
-    with running(agent) as node:
-        listed(node)
-        begin, told_before = node.reducer.config, len(node.seen.told)
+    with running(list_server) as node:
+        wait_for_list(node)
+        begin, told_before = node.reducer.config, len(node.seen.events)
         active = type(
             "Force",
             (),
@@ -336,27 +336,28 @@
         )()
         cli.node.reload(node, active)
         node.seen.wait(ev.ReloadRejected)
-        assert node.reducer.config is begin and len(node.seen.told) > told_before
+        assert node.reducer.config is begin and len(node.seen.events) > told_before
 
 
 def test_names_may_contain_any_allowed_character(hosts):
     """Names of types, zones and tenants may contain dots, slashes, colons, plus signs and percent signs, or
     be plain numbers.
     """
-    agent = Agent().list(*hosts)
+    list_server = ListServer().add(*hosts)
     names = ["7", "a.b/c:d", "x%20y", "gr\u00fc\u00df", "=", "c"]
     types = [SETTINGS["TrafficTypes"][0] | {"Name": name} for name in names]
     tenants = [{"Name": name, "Share": 0.1} for name in ("0", "t=1", "a b")]
     with running(
-        agent, settings=SETTINGS | {"TrafficTypes": types, "Zones": ["here", "z 1", "1"], "Orgs": tenants}
+        list_server,
+        settings=SETTINGS | {"TrafficTypes": types, "Zones": ["here", "z 1", "1"], "Orgs": tenants},
     ) as node:
-        listed(node)
+        wait_for_list(node)
         for n, name in enumerate(["7", "a.b/c:d", "x%20y", "c"]):
-            one = client(node, opening(n, name, t="0"))
-            until(lambda: any(h.waits() for h in hosts), f"{name} was not sent on")
-            peer = next(h for h in hosts if h.waits()).take()
-            assert f"c={name}," in peer.hear().decode()
-            peer.say(b"UP r")
-            assert one.hear() == b"UP r"
+            one = client(node, open_line(n, name, t="0"))
+            wait_until(lambda: any(h.has_connection() for h in hosts), f"{name} was not sent on")
+            peer = next(h for h in hosts if h.has_connection()).accept()
+            assert f"c={name}," in peer.read_line().decode()
+            peer.send_lines(b"UP r")
+            assert one.read_line() == b"UP r"
             one.close()
-            assert peer.rest() == b""
+            assert peer.read_all() == b""
--- a/tests/crossings/test_handover.py
+++ b/tests/crossings/test_handover.py
@@ -7,7 +7,7 @@
 import socket
 
 import pytest
-from standins import WAIT
+from stubs import WAIT
 
 from cottonspread.front import handover
 from cottonspread.net import connection_transfer
--- a/tests/crossings/test_list.py
+++ b/tests/crossings/test_list.py
@@ -10,18 +10,18 @@
 import time
 
 import pytest
-from standins import (
+from stubs import (
     SETTINGS,
     WAIT,
-    Agent,
     Host,
+    ListServer,
     client,
-    hold_connects,
-    listed,
+    delay_connects,
     ok,
-    opening,
+    open_line,
     running,
-    until,
+    wait_for_list,
+    wait_until,
 )
 
 from cottonspread import interface as io
@@ -60,52 +60,52 @@
     assert longest_call < 4.5
 
 
-def watching(agent):
+def watching(list_server):
     """The next watch request."""
     while True:
-        call = agent.calls.get(timeout=WAIT)
-        if "since=" in call.path:
-            return call
+        request = list_server.requests.get(timeout=WAIT)
+        if "since=" in request.path:
+            return request
 
 
-def silent(call):
-    call.hold()
+def silent(request):
+    request.hold()
 
 
-def half_head(call):
-    call.say(b"HTTP/1.1 200 OK\r\nContent-Le")
-    call.hold()
+def half_head(request):
+    request.send(b"HTTP/1.1 200 OK\r\nContent-Le")
+    request.hold()
 
 
-def half_body(call):
-    call.say(
+def half_body(request):
+    request.send(
         ok({"generation": 2, "reset": False, "instances": [{"instanceId": "s-1", "hostPort": "x"}]})[:-20]
     )
-    call.hold()
+    request.hold()
 
 
-def reset(call):
-    call.reset()
+def reset(request):
+    request.reset()
 
 
-def ended(call):
-    call.sock.shutdown(2)
+def ended(request):
+    request.sock.shutdown(2)
 
 
-def refused(call):
-    call.say(b"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n")
+def refused(request):
+    request.send(b"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n")
 
 
-def garbage(call):
-    call.say(ok({"generation": "x"}))
+def garbage(request):
+    request.send(ok({"generation": "x"}))
 
 
-def not_http(call):
-    call.say(b"\x00\xff" * 100 + b"\r\n\r\n")
+def not_http(request):
+    request.send(b"\x00\xff" * 100 + b"\r\n\r\n")
 
 
-def older(call):
-    call.say(ok({"generation": 0, "reset": True, "instances": []}))
+def older(request):
+    request.send(ok({"generation": 0, "reset": True, "instances": []}))
 
 
 FAULTS = [silent, half_head, half_body, reset, ended, refused, garbage, not_http, older]
@@ -113,139 +113,139 @@
 
 @pytest.mark.parametrize("fault", FAULTS, ids=lambda f: f.__name__)
 @pytest.mark.parametrize("times", (1, 2))
-def test_a_change_after_a_failed_request_is_known_in_time(hosts, agent, scaled, fault, times):
+def test_a_change_after_a_failed_request_is_known_in_time(hosts, list_server, scaled, fault, times):
     """The change is made once the fault has occurred; from then on discovery is reachable."""
     struck = threading.Semaphore(0)
 
-    def script(call):
+    def script(request):
         struck.release()
-        fault(call)
+        fault(request)
 
-    with running(agent) as node:
-        listed(node)
+    with running(list_server) as node:
+        wait_for_list(node)
         for _ in range(times):
-            agent.scripted.put(script)
-        agent.change(hosts[1], "Ready")  # ends the current watch: the next request meets the fault
+            list_server.scripted.put(script)
+        list_server.change(hosts[1], "Ready")  # ends the current watch: the next request meets the fault
         for _ in range(times):
             assert struck.acquire(timeout=WAIT)
         began = time.monotonic()
-        agent.change(hosts[0], "Terminating")
-        listed(node, agent.version)
+        list_server.change(hosts[0], "Terminating")
+        wait_for_list(node, list_server.version)
         assert time.monotonic() - began < TOLD + ROOM
-        assert all(e.update.entries for e in node.seen.told if isinstance(e, ev.ListReceived)), (
+        assert all(e.update.entries for e in node.seen.events if isinstance(e, ev.ListReceived)), (
             "a bad response must not remove any server"
         )
-        one = client(node, opening(1))
-        peer = hosts[1].take()
-        assert peer.hear().startswith(b"OPEN ") and not hosts[0].waits()
+        one = client(node, open_line(1))
+        peer = hosts[1].accept()
+        assert peer.read_line().startswith(b"OPEN ") and not hosts[0].has_connection()
         peer.close()
         one.close()
 
 
 @pytest.mark.parametrize("size", (1, 7))
-def test_a_list_in_pieces_indented_and_over_many_packets_is_read(hosts, agent, size):
-    def slowly(call):
-        body = json.dumps(agent.whole(), indent=4).encode().replace(b"\n", b"\r\n")
+def test_a_list_in_pieces_indented_and_over_many_packets_is_read(hosts, list_server, size):
+    def slowly(request):
+        body = json.dumps(list_server.full_list(), indent=4).encode().replace(b"\n", b"\r\n")
         for data in (
             b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n",
             b"%x\r\n%s\r\n" % (len(body), body),
             b"0\r\n\r\n",
         ):
             for at in range(0, len(data), size):
-                call.say(data[at : at + size])
+                request.send(data[at : at + size])
 
-    agent.scripted.put(slowly)
-    with running(agent) as node:
-        listed(node)
+    list_server.scripted.put(slowly)
+    with running(list_server) as node:
+        wait_for_list(node)
         assert {e.host for e in node.reducer.entries.values()} == {"s-1", "s-2"}
 
 
-def test_a_list_slower_than_the_timeout_is_requested_again(hosts, agent, scaled):
-    def drips(call):
-        for byte in ok(agent.whole()):
-            call.say(bytes([byte]))
+def test_a_list_slower_than_the_timeout_is_requested_again(hosts, list_server, scaled):
+    def drips(request):
+        for byte in ok(list_server.full_list()):
+            request.send(bytes([byte]))
             time.sleep(0.01)  # slower than any request may take; no assertion depends on this time
 
-    agent.scripted.put(drips)
-    with running(agent) as node:
-        listed(node)
+    list_server.scripted.put(drips)
+    with running(list_server) as node:
+        wait_for_list(node)
         assert len(node.reducer.entries) == 2
 
 
-def test_a_response_cut_off_inside_an_entry_changes_nothing(hosts, agent, scaled):
+def test_a_response_cut_off_inside_an_entry_changes_nothing(hosts, list_server, scaled):
     """A response that ends inside an entry, with a matching length: no part of it is applied."""
-    whole = json.dumps(agent.whole()).encode()
+    whole = json.dumps(list_server.full_list()).encode()
     for cut in range(1, len(whole), 37):
         body = whole[:cut]
-        agent.scripted.put(
-            lambda call, body=body: call.say(
+        list_server.scripted.put(
+            lambda request, body=body: request.send(
                 b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body)
             )
         )
-    with running(agent) as node:
-        listed(node)
+    with running(list_server) as node:
+        wait_for_list(node)
         assert len(node.reducer.entries) == 2
-        heard = [e for e in node.seen.told if isinstance(e, ev.ListReceived)]
+        heard = [e for e in node.seen.events if isinstance(e, ev.ListReceived)]
         assert all(len(e.update.entries) in (0, 2) for e in heard)
 
 
-def test_a_new_process_asks_discovery_before_it_uses_its_initial_list(hosts, agent):
+def test_a_new_process_asks_discovery_before_it_uses_its_initial_list(hosts, list_server):
     """Discovery's list is authoritative from the start: a call that came before its first response went to a
     draining host.
     """
     gate = threading.Event()
-    agent.list(hosts[0], lifecycle="Terminating")
+    list_server.add(hosts[0], lifecycle="Terminating")
 
-    def late(call):
+    def late(request):
         assert gate.wait(WAIT)
-        call.say(ok(agent.whole()))
+        request.send(ok(list_server.full_list()))
 
-    agent.scripted.put(late)
-    with running(agent, known=[hosts[0].entry | {"lifecycle": "Ready"}]) as node:
-        agent.calls.get(timeout=WAIT)
-        assert client(node, b"PING").hear() == b"ERR"
-        assert client(node, opening(1)).hear().startswith(b"BUSY")
+    list_server.scripted.put(late)
+    with running(list_server, known=[hosts[0].entry | {"lifecycle": "Ready"}]) as node:
+        list_server.requests.get(timeout=WAIT)
+        assert client(node, b"PING").read_line() == b"ERR"
+        assert client(node, open_line(1)).read_line().startswith(b"BUSY")
         gate.set()
-        listed(node)
-        assert client(node, b"PING").hear() == b"PONG"
-        one = client(node, opening(2))
-        peer = hosts[1].take()
-        assert peer.hear().startswith(b"OPEN ") and not hosts[0].waits()
+        wait_for_list(node)
+        assert client(node, b"PING").read_line() == b"PONG"
+        one = client(node, open_line(2))
+        peer = hosts[1].accept()
+        assert peer.read_line().startswith(b"OPEN ") and not hosts[0].has_connection()
         peer.close()
         one.close()
 
 
 @pytest.mark.parametrize("fault", (silent, reset, refused, garbage), ids=lambda f: f.__name__)
-def test_a_new_process_uses_its_initial_list_while_discovery_is_down(hosts, agent, scaled, fault):
-    agent.always = fault
-    with running(agent, known=[hosts[0].entry | {"lifecycle": "Ready"}]) as node:
-        until(lambda: node.reducer.has_hosts, "not ready")
-        assert client(node, b"PING").hear() == b"PONG"
-        one = client(node, opening(1))
-        peer = hosts[0].take()
-        assert peer.hear().startswith(b"OPEN ")
+def test_a_new_process_uses_its_initial_list_while_discovery_is_down(hosts, list_server, scaled, fault):
+    list_server.default_script = fault
+    with running(list_server, known=[hosts[0].entry | {"lifecycle": "Ready"}]) as node:
+        wait_until(lambda: node.reducer.has_hosts, "not ready")
+        assert client(node, b"PING").read_line() == b"PONG"
+        one = client(node, open_line(1))
+        peer = hosts[0].accept()
+        assert peer.read_line().startswith(b"OPEN ")
         peer.close()
         one.close()
 
 
 @pytest.mark.parametrize("fault", [silent, half_body, refused], ids=lambda f: f.__name__)
 def test_sighup_switches_discovery_at_once_whatever_the_request_to_the_old_one_does(
-    hosts, agent, fault, monkeypatch
+    hosts, list_server, fault, monkeypatch
 ):
     """During a hanging request, during a retry delay (a minute here), and twice in a row."""
     monkeypatch.setattr(discovery.Discovery, "RETRY_DELAY", 60.0)
     monkeypatch.setattr(discovery.Discovery, "MAX_RETRY_DELAY", 60.0)
     extra, struck = Host("s-3"), threading.Event()
 
-    def script(call):
+    def script(request):
         struck.set()
-        fault(call)
+        fault(request)
 
-    second, third = Agent(version=40).list(hosts[0]), Agent(version=3).list(*hosts, extra)
-    with running(agent) as node:
-        listed(node)
-        agent.scripted.put(script)
-        agent.change(hosts[1], "Ready")
+    second, third = ListServer(version=40).add(hosts[0]), ListServer(version=3).add(*hosts, extra)
+    with running(list_server) as node:
+        wait_for_list(node)
+        list_server.scripted.put(script)
+        list_server.change(hosts[1], "Ready")
         assert struck.wait(WAIT)
         if fault is refused:  # the retry delay has begun
             node.seen.wait(ev.ListFailed)
@@ -255,50 +255,50 @@
             ev.ListReceived, lambda e: {entry.host for entry in e.update.entries} == {"s-1", "s-2", "s-3"}
         )
         third.change(hosts[0], "Terminating")
-        listed(node, 4)
+        wait_for_list(node, 4)
     extra.close()
 
 
-def test_a_503_on_a_reused_connection_is_not_retried(hosts, agent, scaled):
+def test_a_503_on_a_reused_connection_is_not_retried(hosts, list_server, scaled):
     """A 503 was taken for a connection closed while idle: an overloaded discovery got each request twice."""
     paths, struck = [], threading.Event()
 
-    def script(call):
-        paths.append(call.path)
+    def script(request):
+        paths.append(request.path)
         struck.set()
-        refused(call)
+        refused(request)
 
-    with running(agent) as node:
-        listed(node)
-        agent.scripted.put(script)
-        agent.change(hosts[1], "Ready")
+    with running(list_server) as node:
+        wait_for_list(node)
+        list_server.scripted.put(script)
+        list_server.change(hosts[1], "Ready")
         assert struck.wait(WAIT)
         node.seen.wait(ev.ListFailed)
         assert len(paths) == 1
-        agent.change(hosts[0], "Terminating")
-        listed(node, agent.version)
+        list_server.change(hosts[0], "Terminating")
+        wait_for_list(node, list_server.version)
 
 
 def test_a_polled_list_is_requested_in_time_and_not_more_often_than_needed(hosts, scaled):
     """After a failed request the policy sets the time of the next; after an answered watch the next one
     follows at once.
     """
-    agent = Agent().list(*hosts)
-    with running(agent, settings=SETTINGS | {"MembershipMode": "ask", "AskEvery": 10_000}) as node:
-        listed(node)
-        first = agent.calls.get(timeout=WAIT)
-        watch = watching(agent)
+    list_server = ListServer().add(*hosts)
+    with running(list_server, settings=SETTINGS | {"MembershipMode": "ask", "AskEvery": 10_000}) as node:
+        wait_for_list(node)
+        first = list_server.requests.get(timeout=WAIT)
+        watch = watching(list_server)
         assert "since=" not in first.path and "since=1" in watch.path
         node.seen.wait(ev.ListReceived, lambda e: e.update.entries)
-        assert not any(isinstance(e, ev.ListFailed) for e in node.seen.told)
+        assert not any(isinstance(e, ev.ListFailed) for e in node.seen.events)
 
 
-def test_a_thread_switch_during_a_reload_does_not_abort_the_new_address(hosts, agent, monkeypatch):
+def test_a_thread_switch_during_a_reload_does_not_abort_the_new_address(hosts, list_server, monkeypatch):
     """The list's thread switches right after the first half of `change_address`: the request to the new
     address was aborted in place of the old one, and the new address was never used again.
     """
     second, made, follow = (
-        Agent(version=40).list(hosts[1]),
+        ListServer(version=40).add(hosts[1]),
         threading.Event(),
         discovery.Discovery.__setattr__,
     )
@@ -307,26 +307,26 @@
         follow(self, name, value)
         if name == "target" and hasattr(self, "wake") and not made.is_set():
             made.set()
-            agent.change(hosts[0], "Ready")
-            until(lambda: self.http is value, "the thread does not move")
+            list_server.change(hosts[0], "Ready")
+            wait_until(lambda: self.http is value, "the thread does not move")
 
-    with running(agent) as node:
-        listed(node)
+    with running(list_server) as node:
+        wait_for_list(node)
         monkeypatch.setattr(discovery.Discovery, "__setattr__", setting)
         node.change_discovery(second.address)
         monkeypatch.undo()
         assert made.is_set()
-        listed(node, 40)
+        wait_for_list(node, 40)
         second.change(hosts[0], "Ready")
-        listed(node, 41)
+        wait_for_list(node, 41)
 
 
 def test_a_reload_requests_the_new_list_at_once_even_if_the_next_poll_is_far(hosts):
     """Where lists are polled, a failed request is followed by a delay that the policy chooses: here it never
     ends.
     """
-    old, new = Agent().list(hosts[0]), Agent(version=40).list(*hosts)
-    old.always = refused
+    old, new = ListServer().add(hosts[0]), ListServer(version=40).add(*hosts)
+    old.default_script = refused
 
     def before(node):
         node.reducer.handlers[ev.ListFailed] = lambda e: None
@@ -334,7 +334,7 @@
     with running(old, before, settings=SETTINGS | {"MembershipMode": "ask", "AskEvery": 10_000}) as node:
         node.seen.wait(ev.ListFailed)
         node.change_discovery(new.address)
-        listed(node, 40)
+        wait_for_list(node, 40)
 
 
 def test_a_retry_after_a_reset_does_not_extend_the_timeout(monkeypatch):
@@ -343,28 +343,28 @@
     """
     clock = Clock()
     monkeypatch.setattr(http, "time", clock)
-    agent, calls = Agent(), []
+    list_server, requests = ListServer(), []
 
-    def first(call):
-        call.say(ok({}))
+    def first(request):
+        request.send(ok({}))
 
-    def second(call):
-        calls.append(call)
+    def second(request):
+        requests.append(request)
         clock.now += 2.9
-        call.reset()
+        request.reset()
 
-    def third(call):
-        calls.append(call)
+    def third(request):
+        requests.append(request)
         clock.now += 0.2
-        call.hold()
+        request.hold()
 
     for script in (first, second, third):
-        agent.scripted.put(script)
-    one = HttpClient(agent.address, 0.5)
+        list_server.scripted.put(script)
+    one = HttpClient(list_server.address, 0.5)
     one.get("/", 3.0)
     with pytest.raises(TimeoutError):
         one.get("/", 3.0)
-    assert len(calls) <= 2 and one.deadline == 3.0
+    assert len(requests) <= 2 and one.deadline == 3.0
 
 
 class Clock:
@@ -377,33 +377,35 @@
 
 
 @pytest.mark.parametrize("answered", (1, 6))
-def test_a_watch_that_hangs_after_answered_ones_times_out_and_is_repeated(hosts, agent, scaled, answered):
+def test_a_watch_that_hangs_after_answered_ones_times_out_and_is_repeated(
+    hosts, list_server, scaled, answered
+):
     """A watch hangs on an old connection, and a server starts draining: the watch is repeated on a new
     connection.
     """
     silences = []
 
-    def no_news(call):
-        call.say(ok({"generation": agent.version, "reset": False, "instances": []}))
+    def no_news(request):
+        request.send(ok({"generation": list_server.version, "reset": False, "instances": []}))
 
-    def falls_silent(call):
-        silences.append(call)
-        agent.change(hosts[0], "Terminating")
-        call.hold()
+    def falls_silent(request):
+        silences.append(request)
+        list_server.change(hosts[0], "Terminating")
+        request.hold()
 
-    with running(agent) as node:
-        listed(node)
+    with running(list_server) as node:
+        wait_for_list(node)
         for _ in range(answered):
-            agent.scripted.put(no_news)
-        agent.scripted.put(falls_silent)
-        agent.change(hosts[1], "Ready")
+            list_server.scripted.put(no_news)
+        list_server.scripted.put(falls_silent)
+        list_server.change(hosts[1], "Ready")
         node.seen.wait(
             ev.ListReceived, lambda e: any(one.state is io.HostState.DRAINING for one in e.update.entries)
         )
         assert len(silences) == 1
-        one = client(node, opening(1))
-        peer = hosts[1].take()
-        assert peer.hear().startswith(b"OPEN ") and not hosts[0].waits()
+        one = client(node, open_line(1))
+        peer = hosts[1].accept()
+        assert peer.read_line().startswith(b"OPEN ") and not hosts[0].has_connection()
         peer.close()
         one.close()
 
@@ -427,29 +429,31 @@
 
 @pytest.mark.parametrize("kind", (without, drains, moved), ids=lambda kind: kind.__name__)
 @pytest.mark.parametrize("reload", (False, True), ids=("watch", "reload"))
-def test_a_full_list_received_during_an_attempt_is_respected(hosts, agent, monkeypatch, kind, reload):
+def test_a_full_list_received_during_an_attempt_is_respected(hosts, list_server, monkeypatch, kind, reload):
     """A full list arrives, as the response to a watch or after a reload, while a connection is being set up:
     nothing is sent to the old server.
     """
-    gate = hold_connects(monkeypatch, lambda nth: nth == 1)
-    with running(agent) as node:
-        listed(node)
-        one = client(node, opening(1, "once"))
-        assert gate.here.wait(WAIT)
-        first, other = sorted(hosts, key=lambda h: not h.waits())
+    gate = delay_connects(monkeypatch, lambda nth: nth == 1)
+    with running(list_server) as node:
+        wait_for_list(node)
+        one = client(node, open_line(1, "once"))
+        assert gate.reached.wait(WAIT)
+        first, other = sorted(hosts, key=lambda h: not h.has_connection())
         whole = ok({"generation": 40, "reset": True, "instances": kind(first, other)})
         if reload:
-            second = Agent(version=40)
-            second.scripted.put(lambda call: call.say(whole))
+            second = ListServer(version=40)
+            second.scripted.put(lambda request: request.send(whole))
             node.change_discovery(second.address)
         else:
-            agent.scripted.put(lambda call: (setattr(agent, "version", 40), call.say(whole)))
-            agent.change(other, "Ready")  # ends the current watch
-        listed(node, 40)
+            list_server.scripted.put(
+                lambda request: (setattr(list_server, "version", 40), request.send(whole))
+            )
+            list_server.change(other, "Ready")  # ends the current watch
+        wait_for_list(node, 40)
         gate.open.set()
-        assert first.take().rest() == b""
-        peer = other.take()
-        assert peer.hear().startswith(b"OPEN 00000001 ")
-        peer.say(b"UP r")
-        assert one.hear() == b"UP r"
+        assert first.accept().read_all() == b""
+        peer = other.accept()
+        assert peer.read_line().startswith(b"OPEN 00000001 ")
+        peer.send_lines(b"UP r")
+        assert one.read_line() == b"UP r"
         peer.close()
--- a/tests/crossings/test_one_process.py
+++ b/tests/crossings/test_one_process.py
@@ -11,7 +11,7 @@
 import tomllib
 from pathlib import Path
 
-from standins import WAIT, Peer, opening, serve, settings
+from stubs import WAIT, Peer, open_line, serve, settings
 
 ROOT = Path(__file__).parent.parent.parent
 WATCHED = """
@@ -31,12 +31,12 @@
     assert run.split()[0] == "exec" and not set(run) & set(";&|")
 
 
-def test_a_process_that_serves_reloads_and_stops_starts_no_other_process(hosts, agent, tmp_path):
+def test_a_process_that_serves_reloads_and_stops_starts_no_other_process(hosts, list_server, tmp_path):
     free = socket.create_server(("127.0.0.1", 0))
     address = free.getsockname()
     free.close()
     file = tmp_path / "node.json"
-    file.write_text(json.dumps(json.loads(settings(agent)) | {"listen": "{}:{}".format(*address)}))
+    file.write_text(json.dumps(json.loads(settings(list_server)) | {"listen": "{}:{}".format(*address)}))
     process = subprocess.Popen(
         [sys.executable, "-c", WATCHED, "serve", "--config", str(file)],
         cwd=ROOT,
@@ -55,16 +55,16 @@
     try:
         log_until("event=list news=full")
         one = Peer(socket.create_connection(address, timeout=WAIT))
-        one.say(opening(1))
+        one.send_lines(open_line(1))
         peer = serve(hosts)
-        peer.say(b"UP r")
-        assert one.hear() == b"UP r"
+        peer.send_lines(b"UP r")
+        assert one.read_line() == b"UP r"
         process.send_signal(signal.SIGHUP)
         log_until("event=reload")
         process.send_signal(signal.SIGTERM)
         rest = threading.Thread(target=lambda: said.extend(process.stderr), daemon=True)
         rest.start()
-        assert one.hear() == b"MOVE"
+        assert one.read_line() == b"MOVE"
         assert process.wait(WAIT) == 0
         rest.join(WAIT)
         assert not [line for line in said if line.startswith("REFUSED")]
--- a/tests/crossings/test_shutdown.py
+++ b/tests/crossings/test_shutdown.py
@@ -13,20 +13,20 @@
 from pathlib import Path
 
 import pytest
-from standins import (
+from stubs import (
     TYPES,
     WAIT,
     Gate,
     Peer,
     client,
-    hold_connects,
-    listed,
-    opening,
+    delay_connects,
+    establish,
+    open_line,
     running,
     serve,
     settings,
-    standing,
-    until,
+    wait_for_list,
+    wait_until,
 )
 
 from cottonspread import cli
@@ -37,9 +37,9 @@
 GUARD = max(t["GuardTime"] for t in TYPES)
 
 
-def clean_end(peer, word):
-    assert peer.hear().startswith(word)
-    assert peer.hear() == b"" and not peer.broken()
+def expect_clean_end(peer, word):
+    assert peer.read_line().startswith(word)
+    assert peer.read_line() == b"" and not peer.broken()
 
 
 def at_the_end(monkeypatch, node, what):
@@ -53,15 +53,15 @@
     monkeypatch.setattr(node, "close_all", finishing)
 
 
-def test_a_connection_in_the_listeners_queue_at_the_end_is_refused(agent, monkeypatch):
+def test_a_connection_in_the_listeners_queue_at_the_end_is_refused(list_server, monkeypatch):
     """Its whole first line has arrived, but no thread accepts connections any more."""
     late, gate = [], Gate()
-    with running(agent) as node:
-        listed(node)
+    with running(list_server) as node:
+        wait_for_list(node)
 
         def what():
-            gate.here.wait(WAIT)  # the accepting thread is blocked: two more stay in the queue
-            late.extend(client(node, opening(n)) for n in (2, 3))
+            gate.reached.wait(WAIT)  # the accepting thread is blocked: two more stay in the queue
+            late.extend(client(node, open_line(n)) for n in (2, 3))
             gate.open.set()
 
         admits = node.admission_limiter.admits
@@ -75,7 +75,7 @@
         finish = node.close_all
 
         def finishing():
-            late.append(client(node, opening(1)))
+            late.append(client(node, open_line(1)))
             what()
             finish()
 
@@ -84,17 +84,17 @@
         assert node.join(WAIT)
         assert len(late) == 3
         for one in late:
-            clean_end(one, b"BUSY")
+            expect_clean_end(one, b"BUSY")
 
 
-def test_a_connection_that_the_reducer_does_not_know_at_the_end_is_refused(agent, monkeypatch):
+def test_a_connection_that_the_reducer_does_not_know_at_the_end_is_refused(list_server, monkeypatch):
     late = []
-    with running(agent) as node:
-        listed(node)
+    with running(list_server) as node:
+        wait_for_list(node)
 
         def what():
-            late.append(client(node, opening(1)))
-            until(
+            late.append(client(node, open_line(1)))
+            wait_until(
                 lambda: any(isinstance(e[1], ev.ClientAccepted) for e in list(node.events.queue)),
                 "not accepted",
             )
@@ -102,72 +102,72 @@
         at_the_end(monkeypatch, node, what)
         node.stop()
         assert node.join(WAIT)
-        clean_end(late[0], b"BUSY")
+        expect_clean_end(late[0], b"BUSY")
 
 
 @pytest.mark.parametrize("said", (b"", b"OPEN 0000"))
-def test_a_silent_client_or_one_with_half_a_line_is_told_of_the_end(agent, said):
-    with running(agent) as node:
-        listed(node)
+def test_a_silent_client_or_one_with_half_a_line_is_told_of_the_end(list_server, said):
+    with running(list_server) as node:
+        wait_for_list(node)
         one = client(node)
         one.sock.sendall(said)
-        until(lambda: node.admission.pending, "not there")
+        wait_until(lambda: node.admission.pending, "not there")
         node.stop()
-        assert one.hear().startswith(b"BUSY") and one.hear() == b""
-        one.say(opening(1))  # at the moment of the close: not sent on, and no reset
+        assert one.read_line().startswith(b"BUSY") and one.read_line() == b""
+        one.send_lines(open_line(1))  # at the moment of the close: not sent on, and no reset
         assert not one.broken()
         assert node.join(WAIT)
 
 
-def test_lines_read_after_the_stop_are_not_forwarded_and_earlier_calls_are_answered(hosts, agent):
-    with running(agent) as node:
-        listed(node)
-        before = client(node, opening(1))
+def test_lines_read_after_the_stop_are_not_forwarded_and_earlier_calls_are_answered(hosts, list_server):
+    with running(list_server) as node:
+        wait_for_list(node)
+        before = client(node, open_line(1))
         peer = serve(hosts)
         node.stop()
         node.seen.wait(ev.StopRequested)
-        after = client(node, opening(2))
-        clean_end(after, b"BUSY")
-        peer.say(b"UP r")
-        assert before.hear() == b"UP r"
-        clean_end(before, b"MOVE")
-        assert peer.rest() == b"" and not any(h.waits() for h in hosts)
+        after = client(node, open_line(2))
+        expect_clean_end(after, b"BUSY")
+        peer.send_lines(b"UP r")
+        assert before.read_line() == b"UP r"
+        expect_clean_end(before, b"MOVE")
+        assert peer.read_all() == b"" and not any(h.has_connection() for h in hosts)
         assert node.join(WAIT)
 
 
 @pytest.mark.parametrize("kind, word", (("plain", b"BUSY"), ("once", b"ERR")))
-def test_calls_at_hosts_that_hang_are_answered_before_the_end(hosts, agent, kind, word):
-    with running(agent) as node:
-        listed(node)
-        one = client(node, opening(1, kind))
+def test_calls_at_hosts_that_hang_are_answered_before_the_end(hosts, list_server, kind, word):
+    with running(list_server) as node:
+        wait_for_list(node)
+        one = client(node, open_line(1, kind))
         peer = serve(hosts)
         began = node.clock.now()
         node.stop()
-        clean_end(one, word)
+        expect_clean_end(one, word)
         assert node.join(WAIT)
         assert node.clock.now() - began < (GUARD + 700) * 1000
-        assert peer.rest() == b""
+        assert peer.read_all() == b""
 
 
 def test_a_call_whose_connection_is_not_established_is_refused_at_the_end_as_never_sent(
-    hosts, agent, monkeypatch
+    hosts, list_server, monkeypatch
 ):
-    gate = hold_connects(monkeypatch)
-    with running(agent) as node:
-        listed(node)
-        one = client(node, opening(1, "once"))
-        assert gate.here.wait(WAIT)
+    gate = delay_connects(monkeypatch)
+    with running(list_server) as node:
+        wait_for_list(node)
+        one = client(node, open_line(1, "once"))
+        assert gate.reached.wait(WAIT)
         node.stop()
-        clean_end(one, b"BUSY")
+        expect_clean_end(one, b"BUSY")
         gate.open.set()
         assert serve(hosts).line == b""
         assert node.join(WAIT)
 
 
-def test_an_answer_to_a_slow_peer_does_not_delay_the_end_of_the_process(hosts, agent):
-    with running(agent) as node:
-        listed(node)
-        one, peer = standing(node, hosts)
+def test_an_answer_to_a_slow_peer_does_not_delay_the_end_of_the_process(hosts, list_server):
+    with running(list_server) as node:
+        wait_for_list(node)
+        one, peer = establish(node, hosts)
 
         def flood():
             try:
@@ -178,7 +178,7 @@
 
         thread = threading.Thread(target=flood)
         thread.start()
-        until(
+        wait_until(
             lambda: any(t.name.endswith("write_blocking") for t in threading.enumerate()),
             "it took everything",
         )
@@ -193,17 +193,17 @@
         thread.join(WAIT)
 
 
-def test_sigterm_overtakes_queued_events(agent):
+def test_sigterm_overtakes_queued_events(list_server):
     """Behind 4,096 queued events it was handled too late for the platform's time limit."""
     gate = Gate()
 
     def before(node):
         node.reducer.handlers[ev.ReloadRejected] = lambda e: gate.wait()
 
-    with running(agent, before) as node:
-        listed(node)
+    with running(list_server, before) as node:
+        wait_for_list(node)
         node.post_urgent(ev.ReloadRejected())
-        assert gate.here.wait(WAIT)
+        assert gate.reached.wait(WAIT)
         while True:
             try:
                 node.events.put_nowait((0, ev.Tick()))
@@ -215,7 +215,7 @@
         assert not asked.is_alive(), "stop() blocks"
         gate.open.set()
         node.seen.wait(ev.StopRequested)
-        told = node.seen.told
+        told = node.seen.events
         assert (
             sum(
                 isinstance(e, ev.Tick)
@@ -225,10 +225,10 @@
         )
 
 
-def test_two_stops_with_a_reload_and_a_drain_in_between_end_like_one(hosts, agent):
-    with running(agent) as node:
-        listed(node)
-        one, peer = standing(node, hosts)
+def test_two_stops_with_a_reload_and_a_drain_in_between_end_like_one(hosts, list_server):
+    with running(list_server) as node:
+        wait_for_list(node)
+        one, peer = establish(node, hosts)
         began = node.clock.now()
         node.stop()
         node.seen.wait(ev.StopRequested)
@@ -243,16 +243,16 @@
         node.change_discovery(node.endpoints.discovery, True)
         node.stop()
         node.post_urgent(ev.DrainRequested(False))
-        clean_end(one, b"MOVE")
+        expect_clean_end(one, b"MOVE")
         one.close()
         assert node.join(WAIT)
         assert node.clock.now() - began < (GUARD + 700) * 1000
 
 
-def test_a_signal_during_the_start_does_not_kill_the_process(agent, tmp_path, monkeypatch):
+def test_a_signal_during_the_start_does_not_kill_the_process(list_server, tmp_path, monkeypatch):
     """It came before the handler was installed, and the process was killed by it."""
     file, read = tmp_path / "node.json", command.ActiveConfiguration.read
-    file.write_text(settings(agent))
+    file.write_text(settings(list_server))
 
     def reading(active):
         assert signal.getsignal(signal.SIGTERM) not in (signal.SIG_DFL, signal.SIG_IGN), (
@@ -271,7 +271,7 @@
             signal.signal(number, what)
 
 
-def test_a_process_with_calls_in_progress_exits_with_0_and_in_time(hosts, agent, tmp_path):
+def test_a_process_with_calls_in_progress_exits_with_0_and_in_time(hosts, list_server, tmp_path):
     """Clients that are silent, have sent half a line, are in setup, are established, or connect with the
     signal: each gets its last line, and none a reset.
     """
@@ -279,7 +279,7 @@
     address = free.getsockname()
     free.close()
     file = tmp_path / "node.json"
-    file.write_text(json.dumps(json.loads(settings(agent)) | {"listen": "{}:{}".format(*address)}))
+    file.write_text(json.dumps(json.loads(settings(list_server)) | {"listen": "{}:{}".format(*address)}))
     process = subprocess.Popen(
         [sys.executable, "-m", "cottonspread", "serve", "--config", str(file)],
         cwd=ROOT,
@@ -289,7 +289,7 @@
 
     def come(*lines):
         peer = Peer(socket.create_connection(address, timeout=WAIT))
-        peer.say(*lines)
+        peer.send_lines(*lines)
         return peer
 
     try:
@@ -297,21 +297,21 @@
             if "event=list news=full" in line:
                 break
         threading.Thread(target=process.stderr.read, daemon=True).start()
-        stands, resting, half = come(opening(1)), come(), come()
+        stands, resting, half = come(open_line(1)), come(), come()
         resting.sock.sendall(b"")
         half.sock.sendall(b"OPEN 0")
         peer = serve(hosts)
-        peer.say(b"UP r")
-        assert stands.hear() == b"UP r"
-        hangs = come(opening(2, "once"))
+        peer.send_lines(b"UP r")
+        assert stands.read_line() == b"UP r"
+        hangs = come(open_line(2, "once"))
         other = serve(hosts)
         process.send_signal(signal.SIGTERM)
-        late = come(opening(3))
+        late = come(open_line(3))
         process.send_signal(signal.SIGTERM)
         for one, word in ((late, b"BUSY"), (half, b"BUSY"), (stands, b"MOVE"), (hangs, b"ERR")):
-            assert one.hear().startswith(word), word
-            assert one.hear() == b""
-        assert other.rest() == b"" and peer.rest() == b""
+            assert one.read_line().startswith(word), word
+            assert one.read_line() == b""
+        assert other.read_all() == b"" and peer.read_all() == b""
         assert process.wait((GUARD + 700) / 1000) == 0
     finally:
         process.kill()
