--- a/benchmarks/crossings/list_clock.py
+++ b/benchmarks/crossings/list_clock.py
@@ -38,7 +38,7 @@
         started = time.monotonic()
         list_server.change(hosts[0], "Terminating")
         while not any(
-            getattr(getattr(e, "listed", None), "version", 0) == list_server.version
+            getattr(getattr(e, "update", None), "version", 0) == list_server.version
             for e in list(node.seen.events)
         ):
             time.sleep(0.001)
