--- a/cottonspread/net/events.py
+++ b/cottonspread/net/events.py
@@ -1,4 +1,7 @@
-"""What the workers tell the reducer (events) and what it asks of them (effects). Types only."""
+"""The events that the workers report to the reducer, and the effects that it asks them to carry out.
+
+Types only. Times and time spans are microseconds of the reducer's clock.
+"""
 
 from dataclasses import dataclass
 
@@ -7,18 +10,22 @@
 
 @dataclass(eq=False, slots=True)
 class ConnectionEnd:
-    """One end of a connection, a client's or a host's, as the reducer knows it."""
+    """One socket of a proxied connection, the client's or the host's, as the reducer sees it.
+
+    Closing has two steps: a shutdown starts it (`closing_since`), and once the other side has ended too and
+    no read or write is pending, the socket is freed (`freed`).
+    """
 
     is_client: bool
-    conn: object = None  # the connection it belongs to
-    leg: object = None  # of a host's end: its leg
-    worker: object = None  # the workers' own, not the reducer's
-    connected: bool = False  # of a host's end: it came up
-    read_pending: bool = False  # an order to read is out
-    writing_since: int = 0  # when the order to write that is out was given; 0: none is
-    closing_since: int = 0  # when it was closed from here; 0: it is not
-    shutdown_when_written: bool = False  # to be closed once what is being written is out
-    input_ended: bool = False  # nothing more comes from it
+    conn: object = None  # the connection that it belongs to
+    leg: object = None  # its leg, if it is a host's socket
+    worker: object = None  # belongs to the workers; the reducer only checks whether it is set
+    connected: bool = False  # the connect succeeded; hosts' sockets only
+    read_pending: bool = False  # a `Read` or `DiscardInput` has not been answered yet
+    writing_since: int = 0  # when the pending `Write` was issued; 0: no write is pending
+    closing_since: int = 0  # when this side started to close it, or last repeated the shutdown; 0: never
+    shutdown_when_written: bool = False  # to be closed once the pending write is done
+    input_ended: bool = False  # no more input will come
     freed: bool = False
 
 
@@ -27,14 +34,16 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientAccepted:
-    """A client has connected."""
+    """A client's connection was accepted."""
 
     end: ConnectionEnd
-    accepted_at: int = 0  # when it was accepted; 0: now
+    accepted_at: int = 0  # 0: now
 
 
 @dataclass(frozen=True, slots=True)
 class ConnectDone:
+    """The result of a `Connect`."""
+
     end: ConnectionEnd
     ok: bool
     error: str = ""
@@ -42,25 +51,31 @@
 
 @dataclass(frozen=True, slots=True)
 class LinesRead:
-    """Whole lines, as they came."""
+    """The result of a `Read`: one or more complete lines, unchanged."""
 
     end: ConnectionEnd
     data: bytes
-    more_follows: bool = False  # part of a further line is there already
-    at: int = 0  # when the kernel had it; 0: not known
+    more_follows: bool = False  # part of a further line has arrived already
+    at: int = 0  # when the kernel received it; 0: not known
 
 
 @dataclass(frozen=True, slots=True)
 class WriteDone:
+    """The result of a `Write`."""
+
     end: ConnectionEnd
     ok: bool
     at: int = 0  # when the kernel took it; 0: not known
-    skip_reason: str = ""  # an attempt of which nothing was sent: "client-gone" or "too-late"
+    skip_reason: str = ""  # why an attempt's first line was not sent at all: "client-gone" or "too-late"
 
 
 @dataclass(frozen=True, slots=True)
 class ReadEnded:
-    """Nothing more comes: the other side ended ("end"), broke ("reset") or sent what is no line."""
+    """A `Read` or `DiscardInput` ended without a line.
+
+    `cause`: "end" if the other side closed the connection, "reset" if it was reset, "fault" after an internal
+    error, or the reason code of a malformed line, which ends in "-line"; more input may follow after that.
+    """
 
     end: ConnectionEnd
     cause: str
@@ -68,15 +83,15 @@
 
 @dataclass(frozen=True, slots=True)
 class ListReceived:
-    """Discovery has spoken."""
+    """An update of the host list from discovery."""
 
     update: io.ListUpdate
-    addresses: dict
+    addresses: dict  # by host
 
 
 @dataclass(frozen=True, slots=True)
 class ProbeDone:
-    """A probe is over. `report`: the host's load report, by name."""
+    """The result of a `Probe`. `report`: the values of the host's load report by name."""
 
     host: object
     ending: io.Ending
@@ -86,15 +101,17 @@
 
 @dataclass(frozen=True, slots=True)
 class ListFailed:
-    took: int = 0  # microseconds that the call was out
+    """A request to discovery failed."""
+
+    took: int = 0  # how long the request took
 
 
 @dataclass(frozen=True, slots=True)
 class StopRequested:
-    """SIGTERM. `has_successor`: a successor takes what comes from now on; what was taken
-    before is answered as ever.
+    """SIGTERM.
 
-    `transfer_connections`: it takes standing connections too.
+    `has_successor`: another process accepts new connections from now on; clients accepted before are still
+    served. `transfer_connections`: that process takes over established connections too.
     """
 
     has_successor: bool = False
@@ -103,9 +120,9 @@
 
 @dataclass(frozen=True, slots=True)
 class TransferDone:
-    """What became of a `Transfer`: the successor has the connection, or not; then it is read here as before.
+    """The result of a `Transfer`. Unless the successor `accepted` the connection, it is read here as before.
 
-    `retry`: it was just being read.
+    `retry`: the connection was being read at that moment, so it may be offered again.
     """
 
     conn: object
@@ -115,26 +132,24 @@
 
 @dataclass(frozen=True, slots=True)
 class TransferOffered:
-    """A standing connection from the process before this one, which has let go
-    of it once `reply` is called with True.
-    """
+    """The previous process offers an established connection; it gives it up once `reply(True)` is called."""
 
     client: ConnectionEnd
     host: ConnectionEnd
-    connection: object
+    connection: object  # `front.handover.OpenConnection`
     reply: object
 
 
 @dataclass(frozen=True, slots=True)
 class DrainRequested:
-    """By the operators: the node is to be drained, or (`on` is false) to serve again."""
+    """The operators ask the node to drain, or with `on` false to serve again."""
 
     on: bool
 
 
 @dataclass(frozen=True, slots=True)
 class SettingsReloaded:
-    """SIGHUP with a file that is in order."""
+    """SIGHUP, with a valid configuration file."""
 
     config: io.NodeConfig
     names: object
@@ -143,26 +158,26 @@
 
 @dataclass(frozen=True, slots=True)
 class ReloadRejected:
-    """SIGHUP with one that is not: nothing changes."""
+    """SIGHUP, with an invalid configuration file: nothing changes."""
 
 
 @dataclass(frozen=True, slots=True)
 class StateInherited:
-    """From the process that this one replaces."""
+    """State handed over by the process that this one replaces (`front.handover.HandoverState`)."""
 
     state: object
 
 
 @dataclass(frozen=True, slots=True)
 class HandOverRequested:
-    """By a successor of this process, which may hold `room` connections while both are there."""
+    """A successor of this process asks for its state. While both run, they share the limit on connections."""
 
-    reply: object  # called with what is handed over
+    reply: object  # called with the `front.handover.HandoverState`
 
 
 @dataclass(frozen=True, slots=True)
 class Tick:
-    """Only time has passed."""
+    """Nothing happened, but time has passed."""
 
 
 # Effects
@@ -170,6 +185,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Connect:
+    """Connect to a host; answered by `ConnectDone`."""
+
     end: ConnectionEnd
     address: tuple
     timeout: int
@@ -177,9 +194,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Probe:
-    """Probe a host on a connection of its own; `ProbeDone` comes within `timeout` microseconds
-    or little more.
-    """
+    """Ask a host for its load on a connection of its own; `ProbeDone` follows within about `timeout`."""
 
     host: object
     address: tuple
@@ -188,22 +203,26 @@
 
 @dataclass(frozen=True, slots=True)
 class Read:
+    """Read lines; answered by `LinesRead` or `ReadEnded`."""
+
     end: ConnectionEnd
 
 
 @dataclass(frozen=True, slots=True)
 class Write:
+    """Write data; answered by `WriteDone`."""
+
     end: ConnectionEnd
     data: bytes
-    first_line: bool = False  # the first line of an attempt: it goes out only while its client is there
-    send_by: int = 0  # and not later than this; 0: whenever
+    first_line: bool = False  # it is an attempt's first line, sent only while the client is still connected
+    send_by: int = 0  # do not start to send it after this time; 0: no limit
 
 
 @dataclass(frozen=True, slots=True)
 class DiscardInput:
-    """Read to the other side's end and drop what comes: `ReadEnded` follows.
+    """Read and discard input until the other side closes; answered by `ReadEnded`.
 
-    For an end that was closed from here.
+    For a socket that this side has started to close.
     """
 
     end: ConnectionEnd
@@ -211,14 +230,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ShutdownWrite:
-    """End the sending; the other side is read until it ends too."""
+    """Shut down the sending direction (half-close); input is read until the other side closes too."""
 
     end: ConnectionEnd
 
 
 @dataclass(frozen=True, slots=True)
 class Shutdown:
-    """End both directions now; `reset` as a reset."""
+    """Shut down both directions now; with `reset` the other side gets a connection reset."""
 
     end: ConnectionEnd
     reset: bool = False
@@ -226,36 +245,38 @@
 
 @dataclass(frozen=True, slots=True)
 class DiscardUnread:
-    """The process is about to end and closes all sockets: what lies unread on them is taken, behind all that
-    was written. Over unread bytes a close is a reset, which takes the last line with it.
+    """Discard the unread input of all sockets, after all pending writes: the process is about to exit.
+
+    Closing a socket with unread input sends a reset, which can destroy the last line on its way to the other
+    side.
     """
 
 
 @dataclass(frozen=True, slots=True)
 class Free:
-    """Give the socket back: nothing is out on this end any more."""
+    """Close the socket and end its thread; no read or write is pending on it."""
 
     end: ConnectionEnd
 
 
 @dataclass(frozen=True, slots=True)
 class Transfer:
-    """Pass a connection on which nothing is under way to the successor; `TransferDone` comes."""
+    """Offer an idle established connection to the successor; answered by `TransferDone`."""
 
     conn: object
     client: ConnectionEnd
     host: ConnectionEnd
-    connection: object
+    connection: object  # `front.handover.OpenConnection`
 
 
 @dataclass(frozen=True, slots=True)
 class FollowList:
-    pass
+    """Start, or resume, following discovery's host list."""
 
 
 @dataclass(frozen=True, slots=True)
 class Log:
-    """A log line."""
+    """Write a log line."""
 
     event: str
     pairs: dict
@@ -264,4 +285,4 @@
 
 @dataclass(frozen=True, slots=True)
 class Exit:
-    """The node is done."""
+    """The node has shut down; the process may exit."""
