--- a/benchmarks/crossings/mutants.py
+++ b/benchmarks/crossings/mutants.py
@@ -39,8 +39,8 @@
     (
         "the look at the host before the first byte",
         "net/reducer.py",
-        "if (\n            entry is None\n            or entry.state is not io.HostState.UP\n"
-        "            or server is None\n            or server.address != leg.address\n        ):",
+        "if entry is None or entry.state is not io.HostState.UP or host is None "
+        "or host.address != leg.address:",
         "if False:",
         [
             f"{ATTEMPTS}::test_nothing_is_sent_to_a_host_that_was_told_to_drain_while_the_connection_came_up",
@@ -51,8 +51,8 @@
     (
         "the address in that look",
         "net/reducer.py",
-        "            or server is None\n            or server.address != leg.address\n",
-        "            or server is None\n",
+        "host is None or host.address != leg.address:",
+        "host is None:",
         [f"{SCENARIO}[late_connect]"],
     ),
     (
@@ -68,7 +68,7 @@
     (
         "an attempt not begun never ran",
         "net/reducer.py",
-        "if not leg.begun and leg.conn.request.held_by is None:",
+        "if not leg.write_issued and leg.conn.request.held_by is None:",
         "if False:",
         [
             f"{SCENARIO}[never_begun]",
@@ -136,8 +136,8 @@
     (
         "an answer to a line too long",
         "net/reducer.py",
-        '        if how.endswith("-line"):\n            self.leave(',
-        "        if False:\n            self.leave(",
+        '        if cause.endswith("-line"):\n            self.abandon(',
+        "        if False:\n            self.abandon(",
         [f"{CLOSING}::test_what_is_no_first_line_is_answered_and_read_to_its_end"],
     ),
     (
@@ -157,8 +157,8 @@
     (
         "a reset told as one",
         "net/reducer.py",
-        '        if how == "reset":\n            self.cut(conn.client, broken=True)',
-        '        if how == "reset":\n            self.close(conn.client)',
+        '        if cause == "reset":\n            self.shut_down(conn.client, reset=True)',
+        '        if cause == "reset":\n            self.close(conn.client)',
         [f"{CLOSING}::test_peers_are_told_a_reset_as_a_reset"],
     ),
     (
@@ -348,13 +348,13 @@
         "a first line whose last byte is not out",
         "net/reducer.py",
         "        elif not end.leg.written:\n            self.end_leg(end.leg, Ending.CONNECT_FAILED)",
-        '        elif not end.leg.written:\n            self.host_over(end.leg, "reset")',
+        '        elif not end.leg.written:\n            self.host_ended(end.leg, "reset")',
         [f"{ATTEMPTS}::test_a_host_killed_right_behind_its_accept_was_never_asked"],
     ),
     (
         "a first line that is out",
         "net/reducer.py",
-        '            self.end_leg(leg, Ending.ERROR if how.endswith("-line") else Ending.RESET)',
+        '            self.end_leg(leg, Ending.ERROR if cause.endswith("-line") else Ending.RESET)',
         "            self.end_leg(leg, Ending.CONNECT_FAILED)",
         [f"{ATTEMPTS}::test_a_host_killed_over_a_line_that_it_has_not_read_may_have_run_it"],
     ),
--- a/cottonspread/net/active_set.py
+++ b/cottonspread/net/active_set.py
@@ -39,4 +39,4 @@
 
 def host_is_active(host):
     """Whether a line sent to the host awaits its echo, or a reported delay is still undecided."""
-    return bool(host.legs) and (bool(host.waiting.members) or host.message_delays.undecided())
+    return bool(host.legs) and (bool(host.awaiting_echo.members) or host.message_delays.undecided())
--- a/cottonspread/net/lines.py
+++ b/cottonspread/net/lines.py
@@ -20,8 +20,8 @@
 WORD, NUMBER = re.compile(r"[!-~]{1,64}"), re.compile(r"[0-9]+")
 
 
-SO_TIMESTAMPNS, STAMP, STAMP_ROOM = 35, struct.Struct("qq"), 64
-OLDEST = 20_000_000  # microseconds; a larger age means that the wall clock was set after the kernel's stamp
+SO_TIMESTAMPNS, STAMP, STAMP_BUFFER = 35, struct.Struct("qq"), 64
+MAX_AGE = 20_000_000  # microseconds; a larger age means that the wall clock was set after the kernel's stamp
 
 
 class LineError(ValueError):
@@ -37,7 +37,7 @@
         if (level, kind) == (socket.SOL_SOCKET, SO_TIMESTAMPNS):
             seconds, rest = STAMP.unpack(value)
             passed = (time.time_ns() - seconds * 1_000_000_000 - rest) // 1000
-            return passed if 0 <= passed < OLDEST else 0
+            return passed if 0 <= passed < MAX_AGE else 0
     return 0
 
 
@@ -52,9 +52,9 @@
     socket, so the socket can be handed to another process then without losing input.
     """
 
-    def __init__(self, sock, pool, half_line_wait):
-        self.sock, self.pool, self.wait = sock, pool, half_line_wait
-        self.buffer, self.filled, self.since, self.age = None, 0, 0.0, 0
+    def __init__(self, sock, pool, partial_line_timeout):
+        self.sock, self.pool, self.partial_line_timeout = sock, pool, partial_line_timeout
+        self.buffer, self.filled, self.partial_since, self.age = None, 0, 0.0, 0
         self.lock, self.idle, self.released = threading.Lock(), False, False
 
     def read_lines(self):
@@ -69,13 +69,13 @@
                 if self.buffer is None:
                     if not self.peek():
                         return b""
-                    self.buffer, self.since = self.pool.acquire(), time.monotonic()
+                    self.buffer, self.partial_since = self.pool.acquire(), time.monotonic()
                 got, stamps, _, _ = self.sock.recvmsg_into(
-                    [memoryview(self.buffer)[self.filled :]], STAMP_ROOM
+                    [memoryview(self.buffer)[self.filled :]], STAMP_BUFFER
                 )
                 self.age = age(stamps)
             except BlockingIOError:  # SO_RCVTIMEO has expired
-                if self.buffer is None or time.monotonic() - self.since < self.wait:
+                if self.buffer is None or time.monotonic() - self.partial_since < self.partial_line_timeout:
                     continue
                 raise LineError("half-line") from None
             if not got:
@@ -87,7 +87,7 @@
                 self.filled -= end
                 if self.filled:
                     self.buffer[: self.filled] = self.buffer[end : end + self.filled]
-                    self.since = time.monotonic()
+                    self.partial_since = time.monotonic()
                 else:
                     self.drop()
                 return whole
@@ -119,17 +119,17 @@
             self.buffer, self.filled = None, 0
 
 
-def try_release(gatherers):
+def try_release(readers):
     """Makes the given readers leave their sockets alone, if all of them are idle; returns whether they were.
 
     Must not be called from several threads at once.
     """
     with contextlib.ExitStack() as locks:
-        for one in gatherers:
+        for one in readers:
             locks.enter_context(one.lock)
-        if not all(one.idle for one in gatherers):
+        if not all(one.idle for one in readers):
             return False
-        for one in gatherers:
+        for one in readers:
             one.released = True
         return True
 
@@ -141,7 +141,7 @@
     line: bytes  # unchanged, as received
     id: str
     type: int
-    wait: int  # microseconds that the client waits for an answer; 0: not given
+    timeout: int  # microseconds that the client waits for an answer; 0: not given
     key: str = None
     group: str = None
     tenant: int = 0
--- a/cottonspread/net/logfmt.py
+++ b/cottonspread/net/logfmt.py
@@ -7,7 +7,7 @@
 import queue
 import time
 
-QUEUE = 4096  # log records that may wait to be written
+QUEUE_SIZE = 4096  # log records that may wait to be written
 
 
 def pair(key, value):
@@ -52,7 +52,7 @@
         return json.dumps(self.pairs(record), default=str)
 
 
-class Queued(logging.handlers.QueueHandler):
+class DroppingQueueHandler(logging.handlers.QueueHandler):
     """Passes records to the writing thread through a bounded queue.
 
     A slow reader of the log does not block the threads that log: records that do not fit are dropped.
@@ -79,9 +79,9 @@
     logging.raiseExceptions = (
         False  # on a full disk lines are lost, without tracebacks that could not be written either
     )
-    records = queue.Queue(QUEUE)
+    records = queue.Queue(QUEUE_SIZE)
     root = logging.getLogger("cottonspread")
-    root.handlers, root.propagate = [Queued(records)], False
+    root.handlers, root.propagate = [DroppingQueueHandler(records)], False
     root.setLevel(level)
     listener = logging.handlers.QueueListener(records, handler)
     listener.start()
--- a/cottonspread/net/message_delays.py
+++ b/cottonspread/net/message_delays.py
@@ -13,49 +13,51 @@
 from dataclasses import dataclass, field
 
 SECOND = 1_000_000
-SLOP = SECOND // 30  # how far a word may stray from its second
-DOUBT = 2 * SECOND  # how long a claim may wait for a silence that confirms it
-MOST = 60 * SECOND  # no word on messages is larger
-CHAIN = 2 * SECOND + 2 * SLOP  # three words a second apart are known for words, whatever their size
-HELD = 64  # lines under way whose times are kept
+TOLERANCE = SECOND // 30  # how far a word may stray from its second
+CLAIM_TIMEOUT = 2 * SECOND  # how long a claim may wait for a silence that confirms it
+MAX_DELAY = 60 * SECOND  # no word on messages is larger
+CHAIN_TIME = 2 * SECOND + 2 * TOLERANCE  # three words a second apart are known for words, whatever their size
+MAX_AWAITING_ECHO = 64  # lines under way whose times are kept
 
 
 @dataclass(eq=False)
 class ConnectionSignals:
     """What one connection has told."""
 
-    waiting: deque = field(default_factory=lambda: deque(maxlen=HELD))  # when lines without an echo were sent
+    awaiting_echo: deque = field(
+        default_factory=lambda: deque(maxlen=MAX_AWAITING_ECHO)
+    )  # when lines without an echo were sent
     load: float = 0.0  # last told; 0: not yet
 
-    def sent(self, now, count):
-        self.waiting.extend([now] * min(count, HELD))
+    def line_sent(self, now, count):
+        self.awaiting_echo.extend([now] * min(count, MAX_AWAITING_ECHO))
 
-    def written(self, ordered, at):
+    def line_written(self, ordered, at):
         """The lines ordered out at `ordered` went out at `at`: what the order lay here is not the host's."""
-        for n, sent in enumerate(self.waiting):
+        for n, sent in enumerate(self.awaiting_echo):
             if sent == ordered:
-                self.waiting[n] = max(sent, at)
+                self.awaiting_echo[n] = max(sent, at)
 
-    def echoed(self):
+    def echo_received(self):
         """An echo has come: when its line was sent, None if no line was out."""
-        return self.waiting.popleft() if self.waiting else None
+        return self.awaiting_echo.popleft() if self.awaiting_echo else None
 
-    def oldest(self, after):
+    def oldest_after(self, after):
         """When the oldest line that has no echo was sent, of those sent after `after`;
         None if there is none.
         """
-        return next((sent for sent in self.waiting if sent > after), None)
+        return next((sent for sent in self.awaiting_echo if sent > after), None)
 
 
 @dataclass(eq=False)
-class Line:
+class LoadLine:
     """A LOAD line that may yet turn out to be a word on messages."""
 
     when: int
-    took: int  # what messages take, if it is one
+    delay: int  # what messages take, if it is one
     signals: ConnectionSignals
-    before: float  # the load of its connection before it
-    held: bool  # not told as a load yet: it is small for one
+    previous_load: float  # the load of its connection before it
+    withheld: bool  # not told as a load yet: it is small for one
 
 
 @dataclass(eq=False)
@@ -64,17 +66,17 @@
 
     slow_threshold: int  # shorter is no news: a third of the shortest message target
     connected_since: int = -10 * SECOND  # since when connections of this node stand there
-    answered: int = -1  # when the latest line that got its echo was sent, on any connection
-    told_at: int = -SECOND  # by silence or a late echo: the last word passed on
-    over: bool = False  # and it was over the threshold
-    word_at: int = -1  # the host's own words on its messages: the last
+    last_echoed: int = -1  # when the latest line that got its echo was sent, on any connection
+    reported_at: int = -SECOND  # by silence or a late echo: the last word passed on
+    reported_slow: bool = False  # and it was over the threshold
+    last_delay_at: int = -1  # the host's own words on its messages: the last
     reported_delay: int = 0  # what it said, 0 once it is back under
-    beat: int = -1  # a time at which a word came: others come whole seconds from it; -1: not known
-    alone: Line = None  # a first word believed by its size alone: the next second will tell
+    report_phase: int = -1  # a time at which a word came: others come whole seconds from it; -1: not known
+    unconfirmed: LoadLine = None  # a first word believed by its size alone: the next second will tell
     candidates: deque = field(default_factory=lambda: deque(maxlen=32))  # of the last two seconds
     # (connection, its load before): told as loads, and were words
     misread_loads: list = field(default_factory=list)
-    # Each a hang or a load: (when, took, connection, its load before, silence needed to believe it).
+    # Each a hang or a load: (when, delay, connection, its load before, silence needed to believe it).
     claims: deque = field(default_factory=lambda: deque(maxlen=8))
 
     def undecided(self):
@@ -89,7 +91,7 @@
         out = [
             (sent, n, one)
             for n, one in enumerate(connections)
-            if (sent := one.signals.oldest(self.answered)) is not None
+            if (sent := one.signals.oldest_after(self.last_echoed)) is not None
         ]
         sent, _, one = min(out, default=(now, 0, None))
         return now - sent, one
@@ -98,94 +100,94 @@
         """What messages take if `LOAD value` is a word on them, None if it is a load, 0 if that is not clear
         yet. `waited`: how long the host has been silent; `usual`: the mean of the loads told.
         """
-        took, slow = round(value * 1000), self.slow_threshold
-        if took > MOST:  # in a silence it would be believed, and the load be lost
+        delay, slow = round(value * 1000), self.slow_threshold
+        if delay > MAX_DELAY:  # in a silence it would be believed, and the load be lost
             return None
-        line = Line(now, took, signals, signals.load, value < (signals.load or usual) / 4)
+        line = LoadLine(now, delay, signals, signals.load, value < (signals.load or usual) / 4)
         # What is piled up grows by the second at most, or the host answers nothing: then its echoes stop too.
         # A host met just now may have piled up anything before.
-        grown = took <= (self.reported_delay or slow) + SECOND
-        fits = grown or waited > slow or line.held and now - self.connected_since <= SECOND + SLOP
-        due = self.beat >= 0 and one_second(now - self.beat)
-        if due and (took > slow or self.reported_delay) and fits:
-            return self.accept_delay(now, took)
-        if any(line.held and other.held or self.follows(other) for other in self.before(line)):
-            return self.accept_delay(now, took)
+        grown = delay <= (self.reported_delay or slow) + SECOND
+        fits = grown or waited > slow or line.withheld and now - self.connected_since <= SECOND + TOLERANCE
+        due = self.report_phase >= 0 and is_whole_seconds(now - self.report_phase)
+        if due and (delay > slow or self.reported_delay) and fits:
+            return self.accept_delay(now, delay)
+        if any(line.withheld and other.withheld or self.follows(other) for other in self.predecessors(line)):
+            return self.accept_delay(now, delay)
         if any(
-            one_second(now - when) and abs(took - claimed - now + when) <= SLOP
+            is_whole_seconds(now - when) and abs(delay - claimed - now + when) <= TOLERANCE
             for when, claimed, *_ in self.claims
         ):
-            return self.accept_delay(now, took)  # grown by just the time passed: it answers nothing
+            return self.accept_delay(now, delay)  # grown by just the time passed: it answers nothing
         # The module does nothing yet on a first word so small; and loads don't fall so deep at once.
         if (
-            self.beat < 0
-            and line.held
-            and took > slow
+            self.report_phase < 0
+            and line.withheld
+            and delay > slow
             and fits
-            and (took < 12 * slow or value < signals.load / 100)
+            and (delay < 12 * slow or value < signals.load / 100)
         ):
-            taken = self.accept_delay(now, took)
-            self.alone = line
+            taken = self.accept_delay(now, delay)
+            self.unconfirmed = line
             return taken
-        if not grown and (self.beat < 0 or due):
-            self.claims.append((now, took, signals, signals.load, 3 * slow if due else SECOND // 2))
+        if not grown and (self.report_phase < 0 or due):
+            self.claims.append((now, delay, signals, signals.load, 3 * slow if due else SECOND // 2))
         self.candidates.append(line)
-        return 0 if line.held else None
+        return 0 if line.withheld else None
 
-    def before(self, line):
+    def predecessors(self, line):
         """The lines of a second before that `line` may be the next word after."""
         return [
             other
             for other in self.candidates
-            if abs(line.when - other.when - SECOND) <= SLOP
-            and other.took > self.slow_threshold
-            and line.took <= other.took + SECOND
+            if abs(line.when - other.when - SECOND) <= TOLERANCE
+            and other.delay > self.slow_threshold
+            and line.delay <= other.delay + SECOND
         ]
 
     def follows(self, line):
-        return any(self.before(line))
+        return any(self.predecessors(line))
 
-    def accept_delay(self, now, took):
-        self.word_at = self.beat = now
-        self.reported_delay, self.alone = took if took > self.slow_threshold else 0, None
+    def accept_delay(self, now, delay):
+        self.last_delay_at = self.report_phase = now
+        self.reported_delay, self.unconfirmed = delay if delay > self.slow_threshold else 0, None
         self.claims.clear()
         # the first load last
-        for line in reversed([line for line in self.candidates if one_second(now - line.when)]):
+        for line in reversed([line for line in self.candidates if is_whole_seconds(now - line.when)]):
             self.candidates.remove(line)
-            if not line.held and line.before:
-                self.misread_loads.append((line.signals, line.before))
-        return took
+            if not line.withheld and line.previous_load:
+                self.misread_loads.append((line.signals, line.previous_load))
+        return delay
 
     def confirmed_claim(self, now, waited):
         """A claim that a silence bears out: (what messages take, the connection, its load
         before), else None.
         """
-        while self.claims and now - self.claims[0][0] > DOUBT:
+        while self.claims and now - self.claims[0][0] > CLAIM_TIMEOUT:
             self.claims.popleft()
-        for when, took, signals, load, silence in self.claims:
+        for when, delay, signals, load, silence in self.claims:
             if waited >= silence:
-                self.accept_delay(when, took)
-                return took + now - when, signals, load
+                self.accept_delay(when, delay)
+                return delay + now - when, signals, load
         return None
 
     def resolved_loads(self, now):
         """What turned out to be loads: (connection, load) of each that was not told yet."""
         found = []
         # Words come each second until messages are quick again: one with none after it was a load after all.
-        if self.reported_delay and now - self.word_at > SECOND + SECOND // 2:
-            if self.alone:
-                found.append(self.alone)
-                self.beat = -1
-            self.reported_delay, self.alone = 0, None
-        while self.candidates and now - self.candidates[0].when > CHAIN:
+        if self.reported_delay and now - self.last_delay_at > SECOND + SECOND // 2:
+            if self.unconfirmed:
+                found.append(self.unconfirmed)
+                self.report_phase = -1
+            self.reported_delay, self.unconfirmed = 0, None
+        while self.candidates and now - self.candidates[0].when > CHAIN_TIME:
             self.candidates.popleft()
         for line in self.candidates:
-            if line.held and now - line.when > SECOND + 2 * SLOP:
-                line.held = False
+            if line.withheld and now - line.when > SECOND + 2 * TOLERANCE:
+                line.withheld = False
                 found.append(line)
-        return [(line.signals, line.took / 1000) for line in found]
+        return [(line.signals, line.delay / 1000) for line in found]
 
 
-def one_second(span):
+def is_whole_seconds(span):
     """Whether that is a whole number of seconds, as near as such words come."""
-    return (span + SLOP) % SECOND <= 2 * SLOP and span > SLOP
+    return (span + TOLERANCE) % SECOND <= 2 * TOLERANCE and span > TOLERANCE
--- a/cottonspread/net/reducer.py
+++ b/cottonspread/net/reducer.py
@@ -31,19 +31,19 @@
 ECHO_CHECK_INTERVAL = SECOND // 10  # how often it is looked whose echoes stay out
 FIRST_LINE_TIMEOUT = 2 * SECOND  # for a client's first line, checks before it included
 PENDING_CLIENTS_DIVISOR = 5  # one part in so many of all ends, at most, is clients without a first line
-LONGEST_WAIT = 10  # times the longest guard time: a client that says it waits longer is wrong
-LINGER = SECOND  # what the other side gets to end its half of a closed connection
-LINGERING_FROM = 10  # nobody is waited for so once all ends but one part in so many are taken
-HANG = SECOND // 2  # no pause of a sound host is so long
-ENDED_IDS = 2000  # ids of ended calls that are remembered
-STUCK = 3 * SECOND  # a peer that takes nothing for so long is given up
+MAX_WAIT_FACTOR = 10  # times the longest guard time: a client that says it waits longer is wrong
+LINGER_TIMEOUT = SECOND  # what the other side gets to end its half of a closed connection
+LINGER_RESERVE_DIVISOR = 10  # nobody is waited for so once all ends but one part in so many are taken
+HANG_DELAY = SECOND // 2  # no pause of a sound host is so long
+MAX_ENDED_IDS = 2000  # ids of ended calls that are remembered
+WRITE_TIMEOUT = 3 * SECOND  # a peer that takes nothing for so long is given up
 # A host that echoes nothing is left before the 7 s that a client bears. They count from when it stopped, and
 # the next line may be two seconds later.
-SILENT = 9 * SECOND // 2
-STANDING_WAIT = 40 * SECOND  # for a connection that was open before the start
-PROBE_WAIT = SECOND // 4  # a host that takes longer to tell its load is no place for a new call
+ECHO_TIMEOUT = 9 * SECOND // 2
+REATTACH_TIMEOUT = 40 * SECOND  # for a connection that was open before the start
+PROBE_TIMEOUT = SECOND // 4  # a host that takes longer to tell its load is no place for a new call
 NOT_LISTED = io.Entry(None, state=io.HostState.GONE)
-PROBES_PART = 4  # one part in so many of all ends, at most, is probes: each has a thread and a descriptor
+PROBES_DIVISOR = 4  # one part in so many of all ends, at most, is probes: each has a thread and a descriptor
 
 
 @dataclass(eq=False)
@@ -53,16 +53,16 @@
     conn: "Conn"
     number: int
     host: "Host"
-    until: int
-    by: int = 0  # its first byte may go out until then; 0: while the call is open
+    deadline: int
+    send_by: int = 0  # its first byte may go out until then; 0: while the call is open
     address: tuple = None  # where it was dialled
     end: ev.ConnectionEnd = None
-    begun: bool = False  # its first line has been given to the workers
+    write_issued: bool = False  # its first line has been given to the workers
     written: bool = False  # its first line's last byte is out
     up: bool = False
     ended: bool = False
-    farewell: Ending = None  # what the host said on its way out
-    stood: int = 0  # the later it came to stand, the higher
+    announced_ending: Ending = None  # what the host said on its way out
+    established_order: int = 0  # the later it came to stand, the higher
     signals: ConnectionSignals = field(default_factory=ConnectionSignals)
 
 
@@ -82,13 +82,13 @@
     legs: list = field(default_factory=list)
     answered: bool = False  # the final answer is given, or the client is gone
     up: bool = False
-    asked: str = ""  # to be moved: the reason code
+    move_reason: str = ""  # to be moved: the reason code
     reason: str = ""  # why it ended; "" while it stands
-    setup: int = 0
+    setup_time: int = 0
     pings: int = 0
     counted: bool = False  # its final answer, among the figures
-    number: int = 0  # the later it came, the higher
-    heard_of: int = 0  # when the reducer was told of it
+    order: int = 0  # the later it came, the higher
+    registered_at: int = 0  # when the reducer was told of it
 
 
 @dataclass(eq=False)
@@ -99,11 +99,13 @@
     message_delays: MessageDelays
     address: tuple = None
     legs: dict = field(default_factory=dict)  # standing
-    number: int = 0  # the later it was first heard of, the higher
-    waiting: ActiveSet = None  # those of its legs on which a line may wait for its echo
+    order: int = 0  # the later it was first heard of, the higher
+    awaiting_echo: ActiveSet = None  # those of its legs on which a line may wait for its echo
 
     def __post_init__(self):
-        self.waiting = ActiveSet(lambda leg: leg in self.legs and leg.signals.waiting, attrgetter("stood"))
+        self.awaiting_echo = ActiveSet(
+            lambda leg: leg in self.legs and leg.signals.awaiting_echo, attrgetter("established_order")
+        )
 
 
 class Reducer:
@@ -116,57 +118,57 @@
             max_sockets,
         )
         self.balancer = balancer(now, config)
-        self.own = Lateness()
+        self.lateness = Lateness()
         self.hosts, self.entries, self.conns, self.open_sockets = {}, {}, {}, 0
         self.awaiting_first_line = {}  # clients without a sound first line, the oldest first
         self.lingering = {}  # clients that were told the end and have not gone yet, the oldest first
         # calls that are open, and ended ones, by the client's word for them
         self.calls_by_id, self.ended_ids = {}, {}
-        self.timers, self.stamp = [], 0
-        number = attrgetter("number")
+        self.timers, self.last_sequence = [], 0
+        order = attrgetter("order")
         self.active_conns, self.active_hosts = (
-            ActiveSet(connection_is_active, number),
-            ActiveSet(host_is_active, number),
+            ActiveSet(connection_is_active, order),
+            ActiveSet(host_is_active, order),
         )
         self.probing = set()  # hosts with a probe under way whose end the module waits for
         self.probes = 0
         self.counters = Counters(())
         self.has_hosts, self.departure = False, Departure(self)
         # a successor takes standing connections; the one on its way there
-        self.transfers_enabled, self.passing = False, None
+        self.transfers_enabled, self.transferring = False, None
         # those that wait for it, and those on which something was under way
-        self.to_pass, self.busy = deque(), []
-        self.usual = 0.0  # mean of the loads told
-        self.tune(config)
+        self.transfer_queue, self.transfer_retries = deque(), []
+        self.mean_load = 0.0  # mean of the loads told
+        self.apply_config(config)
         self.handlers = {
-            ev.ClientAccepted: self.came,
-            ev.ConnectDone: self.connected,
-            ev.LinesRead: self.got,
-            ev.WriteDone: self.wrote,
-            ev.ReadEnded: self.over,
+            ev.ClientAccepted: self.client_accepted,
+            ev.ConnectDone: self.connect_done,
+            ev.LinesRead: self.lines_read,
+            ev.WriteDone: self.write_done,
+            ev.ReadEnded: self.read_ended,
             ev.ListReceived: self.list_received,
             ev.ListFailed: self.list_failed,
-            ev.ProbeDone: self.asked,
+            ev.ProbeDone: self.probe_done,
             ev.StopRequested: self.departure.stop,
             ev.DrainRequested: self.departure.drain,
-            ev.SettingsReloaded: self.retuned,
-            ev.ReloadRejected: self.not_retuned,
-            ev.StateInherited: self.inherit,
-            ev.HandOverRequested: self.hand_over,
-            ev.TransferDone: self.passed,
-            ev.TransferOffered: self.adopt,
+            ev.SettingsReloaded: self.settings_reloaded,
+            ev.ReloadRejected: self.reload_rejected,
+            ev.StateInherited: self.state_inherited,
+            ev.HandOverRequested: self.hand_over_requested,
+            ev.TransferDone: self.transfer_done,
+            ev.TransferOffered: self.transfer_offered,
             ev.Tick: lambda e: None,
         }
         self.call_later(SWEEP_INTERVAL, self.sweep)
-        self.call_later(ECHO_CHECK_INTERVAL, self.listen)
+        self.call_later(ECHO_CHECK_INTERVAL, self.check_echoes)
         for action in self.balancer.actions():
-            self.do(action)
+            self.perform(action)
         if not config.server_list.polled:
             self.effects.append(ev.FollowList())
 
-    def tune(self, config):
+    def apply_config(self, config):
         self.config = config
-        self.longest_wait = LONGEST_WAIT * max(t.guard_time for t in config.types)
+        self.max_wait = MAX_WAIT_FACTOR * max(t.guard_time for t in config.types)
         targets = [t.message_target for t in config.types if t.message_target]
         self.slow_threshold = min(targets, default=SECOND) // 3
         self.counters.add_types(t.name for t in config.types)
@@ -190,7 +192,7 @@
         """Everything that `event` and the passing of time ask for. `at`: when it happened; 0: now."""
         self.now = max(now, self.now)
         self.event_time = min(at or self.now, self.now)
-        self.own.record(self.now, self.now - min(self.event_time, self.due()))
+        self.lateness.record(self.now, self.now - min(self.event_time, self.due()))
         self.run_balancer()  # what a fault left over
         while self.timers and self.timers[0][0] <= self.now:
             what, args = heapq.heappop(self.timers)[2:]
@@ -205,8 +207,8 @@
         """A step has raised: the connection it was about ends, the others go on."""
         conn = getattr(getattr(event, "end", None), "conn", None)
         if conn is not None and not conn.reason:
-            self.leave(conn, "fault")
-            self.finish(conn, "fault", lines.ERR)
+            self.abandon(conn, "fault")
+            self.end_call(conn, "fault", lines.ERR)
         out, self.effects = self.effects, []
         return out
 
@@ -215,16 +217,16 @@
         return self.timers[0][0] if self.timers else self.now + SECOND
 
     def call_at(self, when, what, *args):
-        self.stamp += 1
-        heapq.heappush(self.timers, (when, self.stamp, what, args))
+        self.last_sequence += 1
+        heapq.heappush(self.timers, (when, self.last_sequence, what, args))
 
     def call_later(self, span, what, *args):
         self.call_at(self.now + span, what, *args)
 
-    def next_number(self):
+    def next_order(self):
         """Numbers rise in the order in which they are given out."""
-        self.stamp += 1
-        return self.stamp
+        self.last_sequence += 1
+        return self.last_sequence
 
     # The module
 
@@ -235,16 +237,16 @@
         """One event after the other, each with its actions: what an action leads to is told after it."""
         while self.balancer_events:
             for action in self.balancer.handle(self.now, self.balancer_events.popleft()):
-                self.do(action)
+                self.perform(action)
 
-    def do(self, action):
+    def perform(self, action):
         match action:
             case io.Send():
-                self.send(action.call, action.host, action.deadline, action.send_by)
+                self.start_leg(action.call, action.host, action.deadline, action.send_by)
             case io.Reject():
-                self.answer(action.call, lines.busy_line(action.retry_after), "rejected")
+                self.final_answer(action.call, lines.busy_line(action.retry_after), "rejected")
             case io.Release():
-                self.answer(action.call, lines.ERR, "released")
+                self.final_answer(action.call, lines.ERR, "released")
             case io.Cancel():
                 self.end_leg(action.call.legs[action.leg], Ending.CANCELLED)
             case io.Move():
@@ -262,9 +264,9 @@
 
     # Clients
 
-    def came(self, e):
+    def client_accepted(self, e):
         self.open_sockets += 1
-        conn = Conn(e.end, e.accepted_at or self.now, heard_of=self.now, number=self.next_number())
+        conn = Conn(e.end, e.accepted_at or self.now, registered_at=self.now, order=self.next_order())
         e.end.conn = conn
         self.conns[conn] = None
         self.active_conns.add(conn)
@@ -273,9 +275,9 @@
         while len(self.awaiting_first_line) >= max(2, self.max_sockets // PENDING_CLIENTS_DIVISOR):
             self.dismiss(next(iter(self.awaiting_first_line)), "no-first-line")
         # Who was told the end and does not go keeps a descriptor for a moment, and never the last ones.
-        room = self.max_sockets * (LINGERING_FROM - 1) // LINGERING_FROM - self.open_sockets
+        room = self.max_sockets * (LINGER_RESERVE_DIVISOR - 1) // LINGER_RESERVE_DIVISOR - self.open_sockets
         for end in list(islice(self.lingering, max(0, 1 - room))):
-            self.cut(end)
+            self.shut_down(end)
         self.awaiting_first_line[conn] = None
         self.read(e.end)
 
@@ -286,11 +288,11 @@
         """
         self.awaiting_first_line.pop(conn, None)
         harmless = reason in ("no-first-line", "ping", "stopping")
-        self.finish(
+        self.end_call(
             conn, conn.reason or reason, lines.busy_line(self.retry_after()) if harmless else lines.ERR
         )
 
-    def got(self, e):
+    def lines_read(self, e):
         e.end.read_pending = False
         if e.end.closing_since or e.end.shutdown_when_written:
             self.read(e.end)  # read to its end, and dropped
@@ -316,82 +318,82 @@
                 self.dismiss(conn, "not-ready")
             return
         try:
-            opening = lines.parse_open(
+            request = lines.parse_open(
                 first + b"\n",
                 self.names.types,
                 self.names.tenants,
                 self.config.groups_share_work,
-                self.longest_wait,
+                self.max_wait,
             )
         except lines.LineError as fault:
             self.dismiss(conn, str(fault))
             return
         # Ids are new with every connection. Hosts answer one that is open already, here or at another node,
         # with ERR: every host that was asked looked broken for it, and each such leg costs a host work.
-        if opening.id in self.calls_by_id or opening.id in self.ended_ids:
+        if request.id in self.calls_by_id or request.id in self.ended_ids:
             self.dismiss(conn, "id-in-use")
             return
         conn.request, conn.type, conn.max_legs = (
-            opening,
-            self.config.types[opening.type],
+            request,
+            self.config.types[request.type],
             self.config.legs.max_legs,
         )
         self.awaiting_first_line.pop(conn, None)
-        self.calls_by_id[opening.id] = conn
-        wait = opening.wait if opening.held_by is None else STANDING_WAIT
+        self.calls_by_id[request.id] = conn
+        wait = request.timeout if request.held_by is None else REATTACH_TIMEOUT
         # Its time runs from when the line was here, and what this node may be late
         # with the answer is not the call's.
         lain = self.now - self.event_time
         conn.guard = self.event_time + wait
-        left = max(0, wait - lain - min(self.own.recent_max(self.now), (wait - lain) // 4))
+        left = max(0, wait - lain - min(self.lateness.recent_max(self.now), (wait - lain) // 4))
         # Two descriptors for every call, and some left to answer with: at the edge a call is turned away.
         turned = self.departure.turns_away(conn)
         if turned or self.open_sockets + 1 > self.max_sockets:
-            self.finish(conn, turned or "no-room", lines.busy_line(self.retry_after()))
+            self.end_call(conn, turned or "no-room", lines.busy_line(self.retry_after()))
             return
-        host = self.hosts.get(opening.held_by)
-        if opening.held_by is not None and (host is None or host.address is None):
-            self.finish(conn, "held-by-unknown", lines.ERR)
+        host = self.hosts.get(request.held_by)
+        if request.held_by is not None and (host is None or host.address is None):
+            self.end_call(conn, "held-by-unknown", lines.ERR)
             return
         self.read(conn.client)  # to notice when it leaves
         self.call_at(conn.guard + self.config.tick, self.overdue, conn)
         self.queue_event(
             io.CallArrived(
                 conn,
-                opening.type,
+                request.type,
                 left,
-                opening.key,
-                opening.group,
-                opening.tenant,
-                opening.load,
-                opening.returned,
-                opening.held_by,
+                request.key,
+                request.group,
+                request.tenant,
+                request.load,
+                request.returned,
+                request.held_by,
             )
         )
         if host is not None:
-            self.open_leg(Leg(conn, len(conn.legs), host, conn.guard), STANDING_WAIT // 4)
+            self.open_leg(Leg(conn, len(conn.legs), host, conn.guard), REATTACH_TIMEOUT // 4)
 
     def retry_after(self):
         return self.config.legs.max_retry_after // 2 if self.config.legs.may_retry_after else 0
 
     def client_lines(self, conn, data):
         if not conn.up:  # see `first_line`
-            self.leave(conn, "early-line")
+            self.abandon(conn, "early-line")
             self.dismiss(conn, "early-line")
             return
         leg = conn.legs[-1]
-        leg.signals.sent(self.now, data.count(b"\n"))
-        self.wait_for_echo(leg)
+        leg.signals.line_sent(self.now, data.count(b"\n"))
+        self.expect_echo(leg)
         self.write(leg.end, data)
 
     def overdue(self, conn):
         """The module's answer did not come in time: visible, for it breaks a rule."""
         if not conn.answered and not conn.up:
             self.effects.append(ev.Log("overdue", {"call": conn.request.id}, "error"))
-            self.leave(conn, "overdue")
-            self.finish(conn, "overdue", lines.ERR)
+            self.abandon(conn, "overdue")
+            self.end_call(conn, "overdue", lines.ERR)
 
-    def leave(self, conn, reason):
+    def abandon(self, conn, reason):
         """The call is over for its client, whatever the module may still wish for."""
         if conn.answered:
             return
@@ -401,34 +403,34 @@
         for leg in conn.legs:
             self.end_leg(leg, Ending.CANCELLED)
 
-    def answer(self, conn, line, reason):
+    def final_answer(self, conn, line, reason):
         """The module's final answer."""
         if not conn.answered:
             conn.answered = True
-            self.finish(conn, reason, line)
+            self.end_call(conn, reason, line)
 
-    def finish(self, conn, reason, line=None):
+    def end_call(self, conn, reason, line=None):
         """A last line for the client, then the end of its connection."""
         conn.reason = conn.reason or reason
         conn.answered = True
         if conn.type and not conn.counted:
             conn.counted = True
             self.counters.count_answer("busy" if line.startswith(b"BUSY") else "failure", conn.type.name)
-        self.closed_id(conn)
+        self.retire_id(conn)
         if line and not conn.client.writing_since:
             self.write(conn.client, line)
         self.close(conn.client)
 
     # Legs
 
-    def send(self, conn, name, until, by):
-        leg = Leg(conn, len(conn.legs), self.host(name), until, by)
+    def start_leg(self, conn, name, deadline, send_by):
+        leg = Leg(conn, len(conn.legs), self.host(name), deadline, send_by)
         out = [other for other in conn.legs if not other.ended]
         if (
             conn.answered
             or conn.up
             or self.departure.hurries()
-            or until <= self.now
+            or deadline <= self.now
             or leg.number >= conn.max_legs
             or out
             and not self.config.legs.parallel_legs
@@ -440,17 +442,17 @@
             conn.legs.append(leg)
             self.end_leg(leg, Ending.CONNECT_FAILED)
             return
-        self.open_leg(leg, min(self.host_protocol.connect_timeout, until - self.now))
+        self.open_leg(leg, min(self.host_protocol.connect_timeout, deadline - self.now))
 
     def open_leg(self, leg, wait):
-        conn, host, until, leg.address = leg.conn, leg.host, leg.until, leg.host.address
+        conn, host, deadline, leg.address = leg.conn, leg.host, leg.deadline, leg.host.address
         conn.legs.append(leg)
         leg.end = ev.ConnectionEnd(False, conn, leg)
         self.open_sockets += 1
         self.effects.append(ev.Connect(leg.end, host.address, wait))
-        self.call_at(until, self.time_out, leg)
+        self.call_at(deadline, self.leg_timed_out, leg)
 
-    def time_out(self, leg, waited=False):
+    def leg_timed_out(self, leg, waited=False):
         """What this node may have been late with itself is not the host's: the answer may lie here unread.
 
         It is waited for so much longer; where the guard time allows no more, the leg is
@@ -458,19 +460,19 @@
         """
         if leg.up or leg.ended:
             return
-        late, last = self.own.recent_max(self.now), leg.conn.guard - 2 * self.config.tick
-        if not waited and late and leg.until + late <= last:
-            self.call_at(leg.until + late, self.time_out, leg, True)
+        late, last = self.lateness.recent_max(self.now), leg.conn.guard - 2 * self.config.tick
+        if not waited and late and leg.deadline + late <= last:
+            self.call_at(leg.deadline + late, self.leg_timed_out, leg, True)
         elif not waited and late and self.now < last:
-            self.call_at(last, self.call_off, leg)
+            self.call_at(last, self.cancel_leg, leg)
         else:
             self.end_leg(leg, Ending.TIMEOUT if waited or not late else Ending.CANCELLED)
 
-    def call_off(self, leg):
+    def cancel_leg(self, leg):
         if not leg.up:
             self.end_leg(leg, Ending.CANCELLED)
 
-    def connected(self, e):
+    def connect_done(self, e):
         leg, e.end.connected = e.end.leg, e.ok
         if not e.ok:
             e.end.input_ended = True
@@ -481,20 +483,22 @@
         elif leg.ended:
             e.end.input_ended = True  # given up while it came up: nothing was sent
             self.free(e.end)
-        elif why := self.too_late(leg):
+        elif why := self.reason_not_to_send(leg):
             e.end.input_ended = True
             self.free(e.end)
-            self.not_begun(leg, why)
+            self.leg_not_sent(leg, why)
         else:
-            opening, leg.begun = leg.conn.request, True
+            request, leg.write_issued = leg.conn.request, True
             line = (
-                opening.line if not opening.wait else lines.open_for_host(opening.line, leg.until - self.now)
+                request.line
+                if not request.timeout
+                else lines.open_for_host(request.line, leg.deadline - self.now)
             )
             leg.end.writing_since = self.now or 1
             self.active_conns.add(leg.conn)
-            self.effects.append(ev.Write(leg.end, line, first_line=True, send_by=leg.by))
+            self.effects.append(ev.Write(leg.end, line, first_line=True, send_by=leg.send_by))
 
-    def too_late(self, leg):
+    def reason_not_to_send(self, leg):
         """The one look before an attempt's first line goes out: why it must not, or "".
 
         What a connection was dialled for may have passed while it came up: its host drains, is gone or is
@@ -502,17 +506,12 @@
         """
         if leg.conn.request.held_by is not None:  # it stands there already
             return ""
-        entry, server = self.entries.get(leg.host.name), self.hosts.get(leg.host.name)
-        if (
-            entry is None
-            or entry.state is not io.HostState.UP
-            or server is None
-            or server.address != leg.address
-        ):
+        entry, host = self.entries.get(leg.host.name), self.hosts.get(leg.host.name)
+        if entry is None or entry.state is not io.HostState.UP or host is None or host.address != leg.address:
             return "host-drains"
-        return "too-late" if leg.by and self.now >= leg.by else ""
+        return "too-late" if leg.send_by and self.now >= leg.send_by else ""
 
-    def not_begun(self, leg, why):
+    def leg_not_sent(self, leg, why):
         """Its connection came up and nothing was sent on it, so the call may go
         elsewhere; too late, it may go nowhere.
         """
@@ -520,38 +519,38 @@
             self.effects.append(ev.Log("not-sent", {"host": leg.host.name, "why": why}))
         self.end_leg(leg, Ending.CONNECT_FAILED if why == "host-drains" else Ending.NOT_SENT)
 
-    def end_leg(self, leg, ending, broken=False):
+    def end_leg(self, leg, ending, reset=False):
         """What comes late from an ended leg is dropped."""
         if leg.ended:
             return
         # A leg that was given up before its line went to the workers cannot have run: a call that must not
         # run twice was answered as failed, though it had never been sent.
-        if not leg.begun and leg.conn.request.held_by is None:
+        if not leg.write_issued and leg.conn.request.held_by is None:
             ending = {Ending.TIMEOUT: Ending.CONNECT_FAILED, Ending.CANCELLED: Ending.NOT_SENT}.get(
                 ending, ending
             )
         leg.ended = True
-        self.leave_host(leg)
+        self.detach_from_host(leg)
         conn = leg.conn
         closed = conn.answered or conn.up or conn.request.held_by is not None
         self.queue_event(io.LegEnded(conn, leg.number, ending, closed))
         if leg.end is not None:
-            self.cut(leg.end, broken)
+            self.shut_down(leg.end, reset)
         if closed and not conn.answered and not conn.up:  # one open before the start, not found again
-            self.finish(conn, "held-by-lost", lines.ERR)
+            self.end_call(conn, "held-by-lost", lines.ERR)
 
-    def stand(self, leg):
+    def leg_established(self, leg):
         """Its connection is up: its host is listened to, and it is moved with
         the others where they are moved off.
         """
         if not leg.host.legs:
             leg.host.message_delays.connected_since = self.now
-        leg.host.legs[leg], leg.stood = None, self.next_number()
+        leg.host.legs[leg], leg.established_order = None, self.next_order()
         if leg.host.message_delays.undecided():  # from connections that stood there before
             self.active_hosts.add(leg.host)
         self.departure.stands(leg.conn)
 
-    def leave_host(self, leg):
+    def detach_from_host(self, leg):
         host = leg.host
         host.legs.pop(leg, None)
         if not host.legs and host.address is None and self.hosts.get(host.name) is host:
@@ -559,7 +558,7 @@
 
     def host_lines(self, leg, data):
         if leg.up:
-            self.pass_on(leg, data)
+            self.forward(leg, data)
             return
         first, _, rest = data.partition(b"\n")
         ending = lines.parse_answer(first, rest)
@@ -570,39 +569,39 @@
             # Its host may have been called gone meanwhile, and taken back: watched under
             # another's name it would be silent unheard.
             leg.host = self.host(leg.host.name)
-            conn.setup = self.now - conn.accepted_at
-            self.stand(leg)
+            conn.setup_time = self.now - conn.accepted_at
+            self.leg_established(leg)
             if self.transfers_enabled:
-                self.busy.append(conn)
+                self.transfer_retries.append(conn)
             if conn.request.held_by is None:
                 self.queue_event(io.LegAccepted(conn, leg.number, 0))
-            self.pass_on(leg, data, len(first) + 1)
+            self.forward(leg, data, len(first) + 1)
         elif ending is Ending.OK:  # it ran, and to its end
             conn.answered = True
             self.end_leg(leg, ending)
-            self.finish(conn, "completed-at-once", first + b"\n")
+            self.end_call(conn, "completed-at-once", first + b"\n")
         else:
             self.end_leg(leg, ending)
 
-    def pass_on(self, leg, data, skip=0):
+    def forward(self, leg, data, skip=0):
         """Lines of a host that is up, on to the client unchanged; some of them tell something."""
         for line in data[skip:].splitlines(keepends=True):
             load = lines.parse_load(line)
             if load is not None:
-                self.load_line(leg, load)
+                self.load_reported(leg, load)
             elif line.rstrip(b"\r\n") in lines.ENDINGS:
-                leg.farewell = lines.ENDINGS[line.rstrip(b"\r\n")]
+                leg.announced_ending = lines.ENDINGS[line.rstrip(b"\r\n")]
             else:
-                self.echo(leg, leg.signals.echoed(), self.event_time)
+                self.echo_received(leg, leg.signals.echo_received(), self.event_time)
         self.write(leg.conn.client, data)
 
     # What messages take
 
-    def wait_for_echo(self, leg):
-        leg.host.waiting.add(leg)
+    def expect_echo(self, leg):
+        leg.host.awaiting_echo.add(leg)
         self.active_hosts.add(leg.host)
 
-    def load_line(self, leg, value):
+    def load_reported(self, leg, value):
         notes = leg.host.message_delays
         self.active_hosts.add(leg.host)  # what is made of it may change as time passes
         if self.host_protocol.sends_delay and self.host_protocol.load_may_be_delay:
@@ -613,32 +612,32 @@
                     self.now,
                     leg.signals,
                     value,
-                    notes.silence(self.now, leg.host.waiting.active())[0],
-                    self.usual,
+                    notes.silence(self.now, leg.host.awaiting_echo.active())[0],
+                    self.mean_load,
                 )
                 if self.host_protocol.sends_load
                 else notes.accept_delay(self.now, round(value * 1000))
             )
-            self.tell_loads(leg.host, notes.misread_loads)
+            self.report_loads(leg.host, notes.misread_loads)
             notes.misread_loads.clear()
             if delay:
                 self.queue_event(io.DelayReported(leg.conn, delay))
             if delay is not None:
                 return
-        self.tell_load(leg, value)
+        self.report_load(leg, value)
 
-    def tell_load(self, leg, value):
+    def report_load(self, leg, value):
         leg.signals.load = value
-        self.usual += (value - self.usual) / 50 if self.usual else value
+        self.mean_load += (value - self.mean_load) / 50 if self.mean_load else value
         if self.host_protocol.sends_load:
             self.queue_event(io.LoadReported(leg.conn, value))
 
-    def tell_loads(self, host, loads):
+    def report_loads(self, host, loads):
         for heard, load in loads:
             for leg in [leg for leg in host.legs if leg.signals is heard]:
-                self.tell_load(leg, load)
+                self.report_load(leg, load)
 
-    def echo(self, leg, sent, back):
+    def echo_received(self, leg, sent, back):
         """A late echo is told once a second, and the first one that is back in time.
 
         `back`: when it was here.
@@ -646,30 +645,30 @@
         notes = leg.host.message_delays
         if sent is None or not self.host_protocol.sends_delay:
             return
-        notes.answered = max(notes.answered, sent)
+        notes.last_echoed = max(notes.last_echoed, sent)
         delay = max(0, back - sent)
         late = delay > self.slow_threshold
         if (
             late
-            and self.now - notes.told_at >= SECOND
-            or notes.over
+            and self.now - notes.reported_at >= SECOND
+            or notes.reported_slow
             and not late
             and not notes.reported_delay
-            and (notes.silence(self.now, leg.host.waiting.active())[0] <= self.slow_threshold)
+            and (notes.silence(self.now, leg.host.awaiting_echo.active())[0] <= self.slow_threshold)
         ):
-            self.tell_delay(leg, delay, late)
+            self.report_delay(leg, delay, late)
 
-    def tell_delay(self, leg, delay, over):
-        leg.host.message_delays.told_at, leg.host.message_delays.over = self.now, over
+    def report_delay(self, leg, delay, over):
+        leg.host.message_delays.reported_at, leg.host.message_delays.reported_slow = self.now, over
         self.queue_event(io.DelayReported(leg.conn, delay))
 
-    def listen(self):
+    def check_echoes(self):
         """A host that echoes nothing tells by that alone what its messages take, at least."""
-        self.call_later(ECHO_CHECK_INTERVAL, self.listen)
-        late = self.own.recent_max(self.now)  # an echo may have lain here so long
+        self.call_later(ECHO_CHECK_INTERVAL, self.check_echoes)
+        late = self.lateness.recent_max(self.now)  # an echo may have lain here so long
         for host in [host for host in self.active_hosts.active() if host.legs]:
             # A client that takes nothing keeps its host from being read, which is no silence of the host's.
-            heard = [leg for leg in host.waiting.active() if not leg.conn.client.writing_since]
+            heard = [leg for leg in host.awaiting_echo.active() if not leg.conn.client.writing_since]
             waited, leg = host.message_delays.silence(self.now, heard)
             waited = max(0, waited - late)
             loads = host.message_delays.resolved_loads(self.now)
@@ -680,18 +679,21 @@
             )
             if claim:  # what was taken for a load was none
                 loads.append(claim[1:])
-            self.tell_loads(host, loads)
+            self.report_loads(host, loads)
             if claim:
-                self.tell_delay(leg, claim[0], True)
+                self.report_delay(leg, claim[0], True)
             # The first word on a silence, then one at half a second, by which the module knows a hang, and
             # then one a second.
             elif self.host_protocol.sends_delay and waited >= 3 * self.slow_threshold:
                 # how long it was silent at the last word
-                told = host.message_delays.told_at - (self.now - waited)
-                if self.now - host.message_delays.told_at >= SECOND or 0 <= told < HANG <= waited:
-                    self.tell_delay(leg, waited, True)
+                told = host.message_delays.reported_at - (self.now - waited)
+                if self.now - host.message_delays.reported_at >= SECOND or 0 <= told < HANG_DELAY <= waited:
+                    self.report_delay(leg, waited, True)
             for leg in heard:
-                if leg.signals.waiting and self.now - leg.signals.waiting[0] - min(late, SECOND) > SILENT:
+                if (
+                    leg.signals.awaiting_echo
+                    and self.now - leg.signals.awaiting_echo[0] - min(late, SECOND) > ECHO_TIMEOUT
+                ):
                     self.move(leg.conn, "silent-host")
 
     # Probes
@@ -705,7 +707,7 @@
         if host.address is None:
             self.queue_event(io.ProbeEnded(name, Ending.CONNECT_FAILED))
         elif (
-            self.probes * PROBES_PART >= self.max_sockets
+            self.probes * PROBES_DIVISOR >= self.max_sockets
             or self.open_sockets + 2 > self.max_sockets
             or self.departure.hurries()
         ):
@@ -714,79 +716,79 @@
             self.probing.add(name)
             self.probes += 1
             self.open_sockets += 1
-            self.effects.append(ev.Probe(name, host.address, PROBE_WAIT))
+            self.effects.append(ev.Probe(name, host.address, PROBE_TIMEOUT))
 
-    def asked(self, e):
+    def probe_done(self, e):
         self.probes -= 1
         self.open_sockets -= 1
         if e.host in self.probing:
             self.probing.discard(e.host)
             # A node that was late itself may have left the answer lying: no word on the host.
-            late = e.ending is Ending.TIMEOUT and self.own.recent_max(self.now)
+            late = e.ending is Ending.TIMEOUT and self.lateness.recent_max(self.now)
             self.queue_event(probe_ended(e.host, Ending.FULL if late else e.ending, e.waited, e.report))
 
     # Ends and moves
 
     def move(self, conn, reason):
         """The client is to come again. Between two lines only: what is being written goes out first."""
-        if not conn.up or conn.reason or conn.asked:
+        if not conn.up or conn.reason or conn.move_reason:
             return
-        conn.asked = reason
-        if not conn.client.writing_since and conn is not self.passing:
+        conn.move_reason = reason
+        if not conn.client.writing_since and conn is not self.transferring:
             self.move_now(conn)
 
     def move_now(self, conn):
         leg = conn.legs[-1]
         conn.answered = True
-        self.finish(conn, conn.asked, lines.MOVE)
+        self.end_call(conn, conn.move_reason, lines.MOVE)
         self.end_leg(leg, Ending.CANCELLED)
 
-    def over(self, e):
+    def read_ended(self, e):
         end, conn = e.end, e.end.conn
         # after what is no line more may come
         end.read_pending, end.input_ended = False, not e.cause.endswith("-line")
         if not end.closing_since and not end.shutdown_when_written:
             if end.is_client:
-                self.client_over(conn, e.cause)
+                self.client_ended(conn, e.cause)
             else:
-                self.host_over(end.leg, e.cause)
+                self.host_ended(end.leg, e.cause)
         if not end.input_ended:
             self.read(end)
         elif not end.writing_since:
             self.free(end)
 
-    def client_over(self, conn, how):
-        broken = how == "reset"
+    def client_ended(self, conn, cause):
+        reset = cause == "reset"
         # it is still there: what it sent is answered, and it is not cut off over unread bytes
-        if how.endswith("-line"):
-            self.leave(conn, "client-" + how if conn.up else how)
+        if cause.endswith("-line"):
+            self.abandon(conn, "client-" + cause if conn.up else cause)
             if conn.up:
                 self.close(conn.client)
             else:
-                self.dismiss(conn, how)
+                self.dismiss(conn, cause)
             return
         if conn.up:
-            conn.reason = conn.reason or ("client-end" if how == "end" else "client-" + how)
+            conn.reason = conn.reason or ("client-end" if cause == "end" else "client-" + cause)
             conn.answered = True
-            self.end_leg(conn.legs[-1], Ending.CANCELLED, broken)
+            self.end_leg(conn.legs[-1], Ending.CANCELLED, reset)
         elif conn.request is not None:
-            self.leave(conn, "left-in-setup")
+            self.abandon(conn, "left-in-setup")
         conn.reason = conn.reason or (
-            "ping" if conn.pings else "no-first-line" if how in ("end", "reset") else how
+            "ping" if conn.pings else "no-first-line" if cause in ("end", "reset") else cause
         )
-        self.cut(conn.client)
+        self.shut_down(conn.client)
 
-    def host_over(self, leg, how):
+    def host_ended(self, leg, cause):
         conn = leg.conn
         if not leg.up:
-            self.end_leg(leg, Ending.ERROR if how.endswith("-line") else Ending.RESET)
+            self.end_leg(leg, Ending.ERROR if cause.endswith("-line") else Ending.RESET)
             return
         codes = {Ending.OK: "completed", Ending.CANCELLED: "host-moved"}
         conn.answered = True
-        conn.reason = conn.reason or codes.get(leg.farewell, "host-" + how)
-        self.end_leg(leg, leg.farewell or Ending.RESET)
-        if how == "reset":
-            self.cut(conn.client, broken=True)
+        conn.reason = conn.reason or codes.get(leg.announced_ending, "host-" + cause)
+        self.end_leg(leg, leg.announced_ending or Ending.RESET)
+        if cause == "reset":
+            self.shut_down(conn.client, reset=True)
         else:
             self.close(conn.client)
 
@@ -803,7 +805,7 @@
             self.active_conns.add(end.conn)
             self.effects.append(ev.Write(end, data))
 
-    def wrote(self, e):
+    def write_done(self, e):
         end, conn = e.end, e.end.conn
         first = e.ok and not end.is_client and not end.leg.written
         if first:  # also if the leg has ended meanwhile: its host has the line
@@ -812,11 +814,11 @@
         if (
             end.is_client
             and conn.up
-            and self.now - end.writing_since - self.own.recent_max(self.now) > self.slow_threshold
+            and self.now - end.writing_since - self.lateness.recent_max(self.now) > self.slow_threshold
         ):
-            conn.legs[-1].signals.waiting.clear()  # echoes were late for want of a reader
+            conn.legs[-1].signals.awaiting_echo.clear()  # echoes were late for want of a reader
         elif not end.is_client and end.leg.up and e.at:
-            end.leg.signals.written(end.writing_since, e.at)
+            end.leg.signals.line_written(end.writing_since, e.at)
         end.writing_since = 0
         if end.input_ended:
             self.free(end)
@@ -827,30 +829,30 @@
         elif not e.ok:
             self.write_failed(end, e.skip_reason)
         else:
-            self.read_on(end, first)
+            self.read_next(end, first)
 
     def write_failed(self, end, why):
         """`why`: the reason if an attempt's first line was not begun, else ""."""
         conn = end.conn
         if end.is_client:
-            self.client_over(conn, "reset")
+            self.client_ended(conn, "reset")
         elif why == "client-gone":  # its own end comes as well, perhaps behind much else
-            self.client_over(conn, "end")
+            self.client_ended(conn, "end")
         elif why:
-            self.not_begun(end.leg, why)
+            self.leg_not_sent(end.leg, why)
         elif not end.leg.written:
             self.end_leg(end.leg, Ending.CONNECT_FAILED)
         else:
-            self.host_over(end.leg, "reset")
+            self.host_ended(end.leg, "reset")
 
-    def read_on(self, end, first):
+    def read_next(self, end, first):
         """What was written is out: whose lines are read next. `first`: it was an attempt's first line."""
         conn = end.conn
         if first:
             self.read(end)
         elif not end.is_client:
             self.read(conn.client)  # the next lines only once these are out: nothing piles up here
-        elif conn.asked and not conn.reason:
+        elif conn.move_reason and not conn.reason:
             self.move_now(conn)
         elif conn.up:
             self.read(conn.legs[-1].end)
@@ -874,14 +876,14 @@
             self.lingering[end] = None
         self.read(end)
 
-    def cut(self, end, broken=False):
+    def shut_down(self, end, reset=False):
         if end.freed:
             return
         end.closing_since = end.closing_since or self.now
         self.active_conns.add(end.conn)
         self.lingering.pop(end, None)
         if end.worker is not None:
-            self.effects.append(ev.Shutdown(end, broken))
+            self.effects.append(ev.Shutdown(end, reset))
         # Its end is noticed by reading: one that was waiting for the other side to take its lines was never
         # given back.
         if end.is_client or end.connected:
@@ -899,14 +901,14 @@
         if end.is_client:
             self.conns.pop(end.conn, None)
             self.awaiting_first_line.pop(end.conn, None)
-            self.closed_id(end.conn)
+            self.retire_id(end.conn)
             self.effects.append(ev.Log("closed", self.summary(end.conn)))
 
-    def closed_id(self, conn):
+    def retire_id(self, conn):
         if conn.request and self.calls_by_id.get(conn.request.id) is conn:
             del self.calls_by_id[conn.request.id]
             self.ended_ids[conn.request.id] = None
-            if len(self.ended_ids) > ENDED_IDS:
+            if len(self.ended_ids) > MAX_ENDED_IDS:
                 del self.ended_ids[next(iter(self.ended_ids))]
 
     def summary(self, conn):
@@ -917,46 +919,46 @@
         if leg:
             pairs["host"] = leg.host.name
         if conn.up:
-            pairs["setup_ms"] = conn.setup / 1000
+            pairs["setup_ms"] = conn.setup_time / 1000
         return pairs
 
     def sweep(self):
         """What waits too long, looked at four times a second."""
         self.call_later(SWEEP_INTERVAL, self.sweep)
-        late = self.own.recent_max(self.now)
+        late = self.lateness.recent_max(self.now)
         for conn in self.active_conns.active():
-            self.sweep_end(conn.client)
+            self.check_end(conn.client)
             if (
                 conn.request is None
                 and not conn.reason
-                and self.now - conn.heard_of - late
+                and self.now - conn.registered_at - late
                 > (COMING if self.departure.stopping else FIRST_LINE_TIMEOUT)
             ):
                 self.dismiss(conn, "ping" if conn.pings else "no-first-line")
             for leg in conn.legs:
                 if leg.end is not None:
-                    self.sweep_end(leg.end)
+                    self.check_end(leg.end)
         self.counters.hosts_down = self.balancer.membership.count_unavailable(self.now)
         if self.departure.stopping:
-            self.transfer(self.busy)
+            self.transfer(self.transfer_retries)
             self.departure.stop_when_done()
 
-    def sweep_end(self, end):
+    def check_end(self, end):
         if end.freed:
             return
         if (
             end.writing_since
-            and self.now - end.writing_since - self.own.recent_max(self.now) > STUCK
+            and self.now - end.writing_since - self.lateness.recent_max(self.now) > WRITE_TIMEOUT
             and not end.closing_since
         ):
             self.effects.append(ev.Log("stuck", {"client": end.is_client}, "warning"))
             if end.is_client:
-                self.client_over(end.conn, "stuck")
+                self.client_ended(end.conn, "stuck")
             elif end.leg.up:
                 self.move(end.conn, "host-stuck")
             else:
-                self.host_over(end.leg, "stuck")
-        elif end.closing_since and self.now - end.closing_since > LINGER:
+                self.host_ended(end.leg, "stuck")
+        elif end.closing_since and self.now - end.closing_since > LINGER_TIMEOUT:
             end.closing_since = self.now
             self.effects.append(ev.Shutdown(end))
 
@@ -964,7 +966,7 @@
 
     def host(self, name):
         if name not in self.hosts:
-            self.hosts[name] = Host(name, MessageDelays(self.slow_threshold), number=self.next_number())
+            self.hosts[name] = Host(name, MessageDelays(self.slow_threshold), order=self.next_order())
         return self.hosts[name]
 
     def list_received(self, e):
@@ -984,10 +986,10 @@
             gone |= self.hosts.keys() - e.addresses.keys()
         for name in gone:
             self.entries.pop(name, None)
-            server = self.hosts.get(name)  # None: gone before it was ever heard of
-            if server is not None:
-                server.address = None
-                if not server.legs:
+            host = self.hosts.get(name)  # None: gone before it was ever heard of
+            if host is not None:
+                host.address = None
+                if not host.legs:
                     del self.hosts[name]
         self.counters.hosts_listed = len(self.entries)
         if new or gone or e.update.kind is not io.ListUpdateKind.CHANGES:
@@ -1008,29 +1010,29 @@
 
     # Other settings, and the next process
 
-    def retuned(self, e):
+    def settings_reloaded(self, e):
         """All at once.
 
         Clients that stand and calls that are open keep the type, and the
         limit on legs, that they opened under.
         """
         self.names, self.host_protocol = e.names, e.host_protocol
-        self.tune(e.config)
+        self.apply_config(e.config)
         for host in self.hosts.values():
             host.message_delays.slow_threshold = self.slow_threshold
         self.counters.reconfig_ok += 1
         self.queue_event(io.Reconfigured(e.config))
 
-    def not_retuned(self, e):
+    def reload_rejected(self, e):
         self.counters.reconfig_failed += 1
 
-    def inherit(self, e):
+    def state_inherited(self, e):
         self.ended_ids.update(dict.fromkeys(e.state.ids))
         self.queue_event(io.Inherited(e.state.records, e.state.sent))
         if e.state.draining:
             self.departure.drain(ev.DrainRequested(True))
 
-    def hand_over(self, e):
+    def hand_over_requested(self, e):
         """The room that is free is shared with the successor until one of the two is alone."""
         free = max(0, self.max_sockets - self.open_sockets)
         self.max_sockets -= free // 2
@@ -1046,58 +1048,58 @@
 
     def transfer(self, conns):
         """These standing connections are for a successor, if there is one."""
-        self.to_pass.extend(conns)
-        self.busy.clear()
-        self.pass_next()
+        self.transfer_queue.extend(conns)
+        self.transfer_retries.clear()
+        self.transfer_next()
 
-    def pass_next(self):
+    def transfer_next(self):
         """One after the other to the successor: between two lines, with nothing under way on either side."""
-        while self.to_pass and self.passing is None:
-            conn = self.to_pass.popleft()
+        while self.transfer_queue and self.transferring is None:
+            conn = self.transfer_queue.popleft()
             leg, ends = conn.legs[-1], (conn.client, conn.legs[-1].end)
-            if conn.reason or conn.asked:
+            if conn.reason or conn.move_reason:
                 continue
-            if leg.farewell or any(end.writing_since or not end.read_pending for end in ends):
-                self.busy.append(conn)
+            if leg.announced_ending or any(end.writing_since or not end.read_pending for end in ends):
+                self.transfer_retries.append(conn)
                 continue
-            opening, self.passing = conn.request, conn
+            request, self.transferring = conn.request, conn
             self.effects.append(
                 ev.Transfer(
                     conn,
                     *ends,
                     handover.OpenConnection(
-                        opening.id,
+                        request.id,
                         conn.type.name,
                         leg.host.name,
                         conn.accepted_at,
-                        conn.setup,
-                        opening.key,
-                        opening.group,
-                        opening.tenant,
+                        conn.setup_time,
+                        request.key,
+                        request.group,
+                        request.tenant,
                         leg.signals.load,
-                        tuple(leg.signals.waiting),
+                        tuple(leg.signals.awaiting_echo),
                     ),
                 )
             )
 
-    def passed(self, e):
-        conn, self.passing = e.conn, None
+    def transfer_done(self, e):
+        conn, self.transferring = e.conn, None
         if e.accepted:
             leg = conn.legs[-1]
             conn.answered, conn.reason, leg.ended = True, "handed-over", True
-            self.leave_host(leg)
+            self.detach_from_host(leg)
             self.queue_event(io.LegEnded(conn, leg.number, Ending.OK, True))
             self.max_sockets -= 2  # its room goes with it
             for end in (leg.end, conn.client):
                 end.read_pending, end.input_ended = False, True
                 self.free(end)
-        elif conn.asked:  # meanwhile
+        elif conn.move_reason:  # meanwhile
             self.move_now(conn)
         elif e.retry:
-            self.busy.append(conn)
-        self.pass_next()
+            self.transfer_retries.append(conn)
+        self.transfer_next()
 
-    def adopt(self, e):
+    def transfer_offered(self, e):
         """It goes on here as if it had been opened here, under the type of the same
         name; it was counted where it was opened.
         """
@@ -1109,18 +1111,18 @@
                 self.effects.append(ev.Free(end))
             e.reply(False)
             return
-        opening = lines.OpenRequest(
+        request = lines.OpenRequest(
             b"", one.id, number, 0, one.key, one.group, one.tenant, one.load, held_by=one.host
         )
         conn = Conn(
             e.client,
             one.began,
-            opening,
+            request,
             self.config.types[number],
             up=True,
-            setup=one.setup,
+            setup_time=one.setup,
             counted=True,
-            number=self.next_number(),
+            order=self.next_order(),
         )
         leg = Leg(
             conn,
@@ -1128,19 +1130,19 @@
             self.host(one.host),
             0,
             end=e.host,
-            begun=True,
+            write_issued=True,
             written=True,
             up=True,
             signals=ConnectionSignals(load=one.load),
         )
-        leg.signals.waiting.extend(one.waiting)
+        leg.signals.awaiting_echo.extend(one.waiting)
         conn.legs.append(leg)
         e.client.conn = e.host.conn = conn
         e.host.leg, e.host.connected = leg, True
         self.conns[conn] = None
-        self.stand(leg)
+        self.leg_established(leg)
         if one.waiting:
-            self.wait_for_echo(leg)
+            self.expect_echo(leg)
         self.ended_ids.pop(one.id, None)  # the predecessor told it with the others that were open
         self.calls_by_id[one.id] = conn
         self.open_sockets += 2
@@ -1148,7 +1150,7 @@
             io.CallArrived(conn, number, 0, one.key, one.group, one.tenant, one.load, held_by=one.host)
         )
         if one.load:
-            self.tell_load(leg, one.load)
+            self.report_load(leg, one.load)
         for end in (e.client, e.host):
             self.read(end)
         self.effects.append(ev.Log("adopted", {"call": one.id, "type": one.type, "host": one.host}))
