--- a/cottonspread/net/reducer.py
+++ b/cottonspread/net/reducer.py
@@ -1,10 +1,11 @@
-"""The one reducer: (what a node is in, time, event) to effects.
+"""The node's state machine: turns (state, time, event) into effects.
 
-It owns all state, the Balancer and the timers.
+It owns all state of the node, including the balancer and the timers. It uses no sockets, clock, files or
+threads; the workers carry out the effects in order.
 
-It touches no socket, clock, file or thread; the workers carry out the effects in their order. It decides
-nothing about servers: it tells the module what happened and does what the module asks for. What stands here
-are the duties of a front: when a leg has ended, when a line may go on, what is told when.
+It makes no decisions about hosts: it reports to the balancer what happened and carries out the balancer's
+actions. What is decided here is the front's part: when a leg has ended, when lines may be forwarded and when
+something is reported. Times and time spans are microseconds.
 """
 
 import heapq
@@ -28,79 +29,76 @@
 
 SECOND = 1_000_000
 SWEEP_INTERVAL = SECOND // 4
-ECHO_CHECK_INTERVAL = SECOND // 10  # how often it is looked whose echoes stay out
-FIRST_LINE_TIMEOUT = 2 * SECOND  # for a client's first line, checks before it included
-PENDING_CLIENTS_DIVISOR = 5  # one part in so many of all ends, at most, is clients without a first line
-MAX_WAIT_FACTOR = 10  # times the longest guard time: a client that says it waits longer is wrong
-LINGER_TIMEOUT = SECOND  # what the other side gets to end its half of a closed connection
-LINGER_RESERVE_DIVISOR = 10  # nobody is waited for so once all ends but one part in so many are taken
-HANG_DELAY = SECOND // 2  # no pause of a sound host is so long
+ECHO_CHECK_INTERVAL = SECOND // 10  # how often hosts are checked for missing echoes
+FIRST_LINE_TIMEOUT = 2 * SECOND  # for a client's first line, including the PINGs before it
+PENDING_CLIENTS_DIVISOR = 5  # at most 1 / this of all sockets may be clients without a first line
+MAX_WAIT_FACTOR = 10  # times the longest guard time; a client that claims to wait longer is in error
+LINGER_TIMEOUT = SECOND  # for the other side to close its half of a closed connection
+LINGER_RESERVE_DIVISOR = 10  # no lingering once fewer than 1 / this of all sockets are left
+HANG_DELAY = SECOND // 2  # a healthy host never pauses that long
 MAX_ENDED_IDS = 2000  # ids of ended calls that are remembered
-WRITE_TIMEOUT = 3 * SECOND  # a peer that takes nothing for so long is given up
-# A host that echoes nothing is left before the 7 s that a client bears. They count from when it stopped, and
-# the next line may be two seconds later.
+WRITE_TIMEOUT = 3 * SECOND  # a peer that reads nothing for so long is given up
+# A client tolerates 7 s without an echo, counted from the last one, and its next line may be sent up to 2 s
+# later. Its connection is moved away from a silent host before that.
 ECHO_TIMEOUT = 9 * SECOND // 2
-REATTACH_TIMEOUT = 40 * SECOND  # for a connection that was open before the start
-PROBE_TIMEOUT = SECOND // 4  # a host that takes longer to tell its load is no place for a new call
+REATTACH_TIMEOUT = 40 * SECOND  # for a connection that was open before this process started
+PROBE_TIMEOUT = SECOND // 4  # a host that answers later is not a good target for a new call
 NOT_LISTED = io.Entry(None, state=io.HostState.GONE)
-PROBES_DIVISOR = 4  # one part in so many of all ends, at most, is probes: each has a thread and a descriptor
+PROBES_DIVISOR = 4  # at most 1 / this of all sockets may be probes: each takes a thread and a descriptor
 
 
 @dataclass(eq=False)
 class Leg:
-    """One connection to a host."""
+    """A connection to a host, for one call."""
 
     conn: "Conn"
-    number: int
+    number: int  # index in `Conn.legs`
     host: "Host"
-    deadline: int
-    send_by: int = 0  # its first byte may go out until then; 0: while the call is open
-    address: tuple = None  # where it was dialled
+    deadline: int  # for the host's answer
+    send_by: int = 0  # do not start to send the first line after this time; 0: while the call is open
+    address: tuple = None  # that it was connected to
     end: ev.ConnectionEnd = None
-    write_issued: bool = False  # its first line has been given to the workers
-    written: bool = False  # its first line's last byte is out
-    up: bool = False
+    write_issued: bool = False  # the first line was passed to the workers
+    written: bool = False  # the first line was written completely
+    up: bool = False  # the host accepted the call (UP)
     ended: bool = False
-    announced_ending: Ending = None  # what the host said on its way out
-    established_order: int = 0  # the later it came to stand, the higher
+    announced_ending: Ending = None  # from the host's last line (BYE, MOVE or BUSY)
+    established_order: int = 0  # rises in the order in which legs are established
     signals: ConnectionSignals = field(default_factory=ConnectionSignals)
 
 
 @dataclass(eq=False)
 class Conn:
-    """One client's connection, from its first line to its end.
-
-    It is also the call's id towards the module.
-    """
+    """A client's connection and its call. The object is also the call's id for the balancer."""
 
     client: ev.ConnectionEnd
     accepted_at: int
     request: lines.OpenRequest = None
-    type: io.TrafficType = None  # the one it opened under, whatever the settings become
-    max_legs: int = 1  # as they were then
-    guard: int = 0
+    type: io.TrafficType = None  # as configured when the call was opened; later reloads do not change it
+    max_legs: int = 1  # likewise
+    guard: int = 0  # the end of its guard time
     legs: list = field(default_factory=list)
-    answered: bool = False  # the final answer is given, or the client is gone
-    up: bool = False
-    move_reason: str = ""  # to be moved: the reason code
-    reason: str = ""  # why it ended; "" while it stands
+    answered: bool = False  # it had its final answer, or its client has left
+    up: bool = False  # established: a host accepted the call
+    move_reason: str = ""  # reason code if the client is to be moved; "" if not
+    reason: str = ""  # reason code of its end; "" while it is open
     setup_time: int = 0
-    pings: int = 0
-    counted: bool = False  # its final answer, among the figures
-    order: int = 0  # the later it came, the higher
-    registered_at: int = 0  # when the reducer was told of it
+    pings: int = 0  # received before the first line
+    counted: bool = False  # its answer is included in the counters
+    order: int = 0  # rises in the order of arrival
+    registered_at: int = 0  # when the reducer learned of it
 
 
 @dataclass(eq=False)
 class Host:
-    """What a front keeps of a host: its address, and what its messages take."""
+    """What a front end knows of a host: its address, its legs and the delay of its messages."""
 
     name: object
     message_delays: MessageDelays
     address: tuple = None
-    legs: dict = field(default_factory=dict)  # standing
-    order: int = 0  # the later it was first heard of, the higher
-    awaiting_echo: ActiveSet = None  # those of its legs on which a line may wait for its echo
+    legs: dict = field(default_factory=dict)  # established legs, used as an ordered set
+    order: int = 0  # rises in the order in which hosts are first seen
+    awaiting_echo: ActiveSet = None  # legs on which a line may be waiting for its echo
 
     def __post_init__(self):
         self.awaiting_echo = ActiveSet(
@@ -109,6 +107,11 @@
 
 
 class Reducer:
+    """The state of a node; `step` advances it.
+
+    The handlers of events are named after the events.
+    """
+
     def __init__(self, now, config, names, host_protocol, max_sockets, balancer=Balancer):
         self.now, self.event_time, self.effects, self.balancer_events = now, now, [], deque()
         self.config, self.names, self.host_protocol, self.max_sockets = (
@@ -120,9 +123,9 @@
         self.balancer = balancer(now, config)
         self.lateness = Lateness()
         self.hosts, self.entries, self.conns, self.open_sockets = {}, {}, {}, 0
-        self.awaiting_first_line = {}  # clients without a sound first line, the oldest first
-        self.lingering = {}  # clients that were told the end and have not gone yet, the oldest first
-        # calls that are open, and ended ones, by the client's word for them
+        self.awaiting_first_line = {}  # clients without a valid first line, the oldest first
+        self.lingering = {}  # closed clients that have not closed their half yet, the oldest first
+        # open calls and recently ended ones, by the id that the client gave
         self.calls_by_id, self.ended_ids = {}, {}
         self.timers, self.last_sequence = [], 0
         order = attrgetter("order")
@@ -130,15 +133,15 @@
             ActiveSet(connection_is_active, order),
             ActiveSet(host_is_active, order),
         )
-        self.probing = set()  # hosts with a probe under way whose end the module waits for
-        self.probes = 0
+        self.probing = set()  # hosts with a running probe whose result the balancer waits for
+        self.probes = 0  # that are running
         self.counters = Counters(())
         self.has_hosts, self.departure = False, Departure(self)
-        # a successor takes standing connections; the one on its way there
+        # whether a successor takes over connections, and the connection that it is being offered now
         self.transfers_enabled, self.transferring = False, None
-        # those that wait for it, and those on which something was under way
+        # connections still to be offered, and those that were busy when it was their turn
         self.transfer_queue, self.transfer_retries = deque(), []
-        self.mean_load = 0.0  # mean of the loads told
+        self.mean_load = 0.0  # moving average of the reported loads
         self.apply_config(config)
         self.handlers = {
             ev.ClientAccepted: self.client_accepted,
@@ -167,6 +170,7 @@
             self.effects.append(ev.FollowList())
 
     def apply_config(self, config):
+        """Sets what is derived from the configuration."""
         self.config = config
         self.max_wait = MAX_WAIT_FACTOR * max(t.guard_time for t in config.types)
         targets = [t.message_target for t in config.types if t.message_target]
@@ -175,25 +179,28 @@
 
     @property
     def stopping(self):
-        """Since when the process ends; 0: it does not."""
+        """When the shutdown of the process began; 0: it has not."""
         return self.departure.stopping
 
     @property
     def draining(self):
-        """Since when the operators have the node drained; 0: it takes calls."""
+        """When the operators began to drain the node; 0: it is not draining."""
         return self.departure.draining
 
     @property
     def stopped(self):
-        """Whether the end of the process was asked for."""
+        """Whether the process was told to exit (`Exit`)."""
         return self.departure.stopped
 
     def step(self, now, event, at=0):
-        """Everything that `event` and the passing of time ask for. `at`: when it happened; 0: now."""
+        """Runs the timers that are due, handles `event` and returns the effects.
+
+        `at`: when the event happened; 0: now.
+        """
         self.now = max(now, self.now)
         self.event_time = min(at or self.now, self.now)
         self.lateness.record(self.now, self.now - min(self.event_time, self.due()))
-        self.run_balancer()  # what a fault left over
+        self.run_balancer()  # events left over from a step that raised
         while self.timers and self.timers[0][0] <= self.now:
             what, args = heapq.heappop(self.timers)[2:]
             what(*args)
@@ -204,7 +211,7 @@
         return out
 
     def after_fault(self, event):
-        """A step has raised: the connection it was about ends, the others go on."""
+        """Ends the connection that the event was about, after `step` raised; returns the effects."""
         conn = getattr(getattr(event, "end", None), "conn", None)
         if conn is not None and not conn.reason:
             self.abandon(conn, "fault")
@@ -213,33 +220,40 @@
         return out
 
     def due(self):
-        """When `step` is to be called even if nothing happens."""
+        """When `step` must be called next even if nothing happens."""
         return self.timers[0][0] if self.timers else self.now + SECOND
 
     def call_at(self, when, what, *args):
+        """Calls `what(*args)` at the given time."""
         self.last_sequence += 1
         heapq.heappush(self.timers, (when, self.last_sequence, what, args))
 
     def call_later(self, span, what, *args):
+        """Calls `what(*args)` after the given time span."""
         self.call_at(self.now + span, what, *args)
 
     def next_order(self):
-        """Numbers rise in the order in which they are given out."""
+        """A number greater than all earlier ones."""
         self.last_sequence += 1
         return self.last_sequence
 
-    # The module
+    # The balancer
 
     def queue_event(self, event):
+        """Queues an event for the balancer; `run_balancer` delivers it."""
         self.balancer_events.append(event)
 
     def run_balancer(self):
-        """One event after the other, each with its actions: what an action leads to is told after it."""
+        """Delivers the queued events one by one, each with the actions that it leads to.
+
+        Events caused by these actions are queued behind the others.
+        """
         while self.balancer_events:
             for action in self.balancer.handle(self.now, self.balancer_events.popleft()):
                 self.perform(action)
 
     def perform(self, action):
+        """Carries out an action of the balancer."""
         match action:
             case io.Send():
                 self.start_leg(action.call, action.host, action.deadline, action.send_by)
@@ -260,21 +274,23 @@
             case io.Log():
                 self.effects.append(ev.Log("decision", {"text": action.text}))
             case _:
-                raise TypeError(f"this front has no way to do {action!r}")
+                raise TypeError(f"action not supported by this front end: {action!r}")
 
     # Clients
 
     def client_accepted(self, e):
+        """Registers a new client, and frees descriptors if they are running out."""
         self.open_sockets += 1
         conn = Conn(e.end, e.accepted_at or self.now, registered_at=self.now, order=self.next_order())
         e.end.conn = conn
         self.conns[conn] = None
         self.active_conns.add(conn)
-        # Hundreds that connect and say nothing held every descriptor, and usual clients found no room. A
-        # usual client's line comes on the heels of its connection, so the oldest of those without one goes.
+        # Hundreds of clients that connected and sent nothing used up all descriptors, and regular clients
+        # were turned away. A regular client sends its first line at once, so the oldest client without one
+        # is dismissed.
         while len(self.awaiting_first_line) >= max(2, self.max_sockets // PENDING_CLIENTS_DIVISOR):
             self.dismiss(next(iter(self.awaiting_first_line)), "no-first-line")
-        # Who was told the end and does not go keeps a descriptor for a moment, and never the last ones.
+        # Lingering clients may keep their descriptors for a while, but not the last free ones.
         room = self.max_sockets * (LINGER_RESERVE_DIVISOR - 1) // LINGER_RESERVE_DIVISOR - self.open_sockets
         for end in list(islice(self.lingering, max(0, 1 - room))):
             self.shut_down(end)
@@ -282,9 +298,10 @@
         self.read(e.end)
 
     def dismiss(self, conn, reason):
-        """The end of one that is no usual client.
+        """Ends the connection of a client without a valid first line.
 
-        Who said nothing may be saying it just now: to come again is harmless.
+        One that has sent nothing gets BUSY rather than ERR: its line may be on the way just now, and nothing
+        has run, so it may safely try again.
         """
         self.awaiting_first_line.pop(conn, None)
         harmless = reason in ("no-first-line", "ping", "stopping")
@@ -293,9 +310,10 @@
         )
 
     def lines_read(self, e):
+        """Passes the lines to the handler for their source and for the state of the connection."""
         e.end.read_pending = False
         if e.end.closing_since or e.end.shutdown_when_written:
-            self.read(e.end)  # read to its end, and dropped
+            self.read(e.end)  # closing: the input is discarded up to its end
         elif not e.end.is_client:
             self.host_lines(e.end.leg, e.data)
         elif e.end.conn.request is None:
@@ -304,9 +322,9 @@
             self.client_lines(e.end.conn, e.data)
 
     def first_line(self, conn, data, more):
+        """Handles a client's PING, or its OPEN, which starts a call."""
         first, _, rest = data.partition(b"\n")
-        # Who sends on before the answer is no client of ours; its lines
-        # would reach a host as a usual client's.
+        # A client must not send more before it has an answer: a host would take these lines for regular ones.
         if rest or more:
             self.dismiss(conn, "early-line")
             return
@@ -328,8 +346,8 @@
         except lines.LineError as fault:
             self.dismiss(conn, str(fault))
             return
-        # Ids are new with every connection. Hosts answer one that is open already, here or at another node,
-        # with ERR: every host that was asked looked broken for it, and each such leg costs a host work.
+        # Each connection must have a new id. Hosts answer ERR to an id that is already open, at this node or
+        # another: every host that was tried looked broken, and each such leg costs a host work.
         if request.id in self.calls_by_id or request.id in self.ended_ids:
             self.dismiss(conn, "id-in-use")
             return
@@ -341,12 +359,12 @@
         self.awaiting_first_line.pop(conn, None)
         self.calls_by_id[request.id] = conn
         wait = request.timeout if request.held_by is None else REATTACH_TIMEOUT
-        # Its time runs from when the line was here, and what this node may be late
-        # with the answer is not the call's.
+        # The client's time runs from when its line arrived. The balancer gets less than is left of it, since
+        # this node may itself be late with the answer.
         lain = self.now - self.event_time
         conn.guard = self.event_time + wait
         left = max(0, wait - lain - min(self.lateness.recent_max(self.now), (wait - lain) // 4))
-        # Two descriptors for every call, and some left to answer with: at the edge a call is turned away.
+        # A call takes two descriptors, and some must remain to answer with: at the limit it is refused.
         turned = self.departure.turns_away(conn)
         if turned or self.open_sockets + 1 > self.max_sockets:
             self.end_call(conn, turned or "no-room", lines.busy_line(self.retry_after()))
@@ -355,7 +373,7 @@
         if request.held_by is not None and (host is None or host.address is None):
             self.end_call(conn, "held-by-unknown", lines.ERR)
             return
-        self.read(conn.client)  # to notice when it leaves
+        self.read(conn.client)  # to notice when the client leaves
         self.call_at(conn.guard + self.config.tick, self.overdue, conn)
         self.queue_event(
             io.CallArrived(
@@ -374,10 +392,12 @@
             self.open_leg(Leg(conn, len(conn.legs), host, conn.guard), REATTACH_TIMEOUT // 4)
 
     def retry_after(self):
+        """Microseconds after which a client that is refused should come back; 0: not told."""
         return self.config.legs.max_retry_after // 2 if self.config.legs.may_retry_after else 0
 
     def client_lines(self, conn, data):
-        if not conn.up:  # see `first_line`
+        """Forwards a client's lines to the host of its call."""
+        if not conn.up:  # a line before the answer, as in `first_line`
             self.abandon(conn, "early-line")
             self.dismiss(conn, "early-line")
             return
@@ -387,14 +407,14 @@
         self.write(leg.end, data)
 
     def overdue(self, conn):
-        """The module's answer did not come in time: visible, for it breaks a rule."""
+        """Logs an error and ends the call if the balancer has not answered it within its guard time."""
         if not conn.answered and not conn.up:
             self.effects.append(ev.Log("overdue", {"call": conn.request.id}, "error"))
             self.abandon(conn, "overdue")
             self.end_call(conn, "overdue", lines.ERR)
 
     def abandon(self, conn, reason):
-        """The call is over for its client, whatever the module may still wish for."""
+        """Ends the legs of a call that its client has given up or that cannot go on."""
         if conn.answered:
             return
         conn.answered, conn.reason = True, conn.reason or reason
@@ -404,13 +424,13 @@
             self.end_leg(leg, Ending.CANCELLED)
 
     def final_answer(self, conn, line, reason):
-        """The module's final answer."""
+        """Sends the balancer's final answer, unless the call already has one."""
         if not conn.answered:
             conn.answered = True
             self.end_call(conn, reason, line)
 
     def end_call(self, conn, reason, line=None):
-        """A last line for the client, then the end of its connection."""
+        """Sends the client a last line and closes its connection. `reason`: unless one was set before."""
         conn.reason = conn.reason or reason
         conn.answered = True
         if conn.type and not conn.counted:
@@ -424,6 +444,7 @@
     # Legs
 
     def start_leg(self, conn, name, deadline, send_by):
+        """Starts the leg that the balancer asks for, or ends it at once if it must not start any more."""
         leg = Leg(conn, len(conn.legs), self.host(name), deadline, send_by)
         out = [other for other in conn.legs if not other.ended]
         if (
@@ -438,13 +459,14 @@
             conn.legs.append(leg)
             self.end_leg(leg, Ending.NOT_SENT)
             return
-        if leg.host.address is None:  # listed nowhere any more
+        if leg.host.address is None:  # it is no longer listed
             conn.legs.append(leg)
             self.end_leg(leg, Ending.CONNECT_FAILED)
             return
         self.open_leg(leg, min(self.host_protocol.connect_timeout, deadline - self.now))
 
     def open_leg(self, leg, wait):
+        """Connects to the leg's host. `wait`: the time-out of the connect."""
         conn, host, deadline, leg.address = leg.conn, leg.host, leg.deadline, leg.host.address
         conn.legs.append(leg)
         leg.end = ev.ConnectionEnd(False, conn, leg)
@@ -453,10 +475,11 @@
         self.call_at(deadline, self.leg_timed_out, leg)
 
     def leg_timed_out(self, leg, waited=False):
-        """What this node may have been late with itself is not the host's: the answer may lie here unread.
+        """Ends a leg whose host has not answered by the deadline.
 
-        It is waited for so much longer; where the guard time allows no more, the leg is
-        called off, and the host not blamed.
+        If this node was late itself, the answer may have arrived without being read yet. Then the leg gets
+        that much more time (`waited` is set the second time); if the guard time does not allow that, the leg
+        is cancelled and the host not blamed.
         """
         if leg.up or leg.ended:
             return
@@ -469,10 +492,12 @@
             self.end_leg(leg, Ending.TIMEOUT if waited or not late else Ending.CANCELLED)
 
     def cancel_leg(self, leg):
+        """Cancels a leg without blaming its host, unless it was accepted meanwhile."""
         if not leg.up:
             self.end_leg(leg, Ending.CANCELLED)
 
     def connect_done(self, e):
+        """Sends the first line on the new connection, if it may still be sent."""
         leg, e.end.connected = e.end.leg, e.ok
         if not e.ok:
             e.end.input_ended = True
@@ -481,7 +506,7 @@
                 self.effects.append(ev.Log("connect-fails", {"host": leg.host.name, "why": e.error}))
             self.end_leg(leg, Ending.CONNECT_FAILED)
         elif leg.ended:
-            e.end.input_ended = True  # given up while it came up: nothing was sent
+            e.end.input_ended = True  # given up while it was connecting: nothing was sent
             self.free(e.end)
         elif why := self.reason_not_to_send(leg):
             e.end.input_ended = True
@@ -499,12 +524,12 @@
             self.effects.append(ev.Write(leg.end, line, first_line=True, send_by=leg.send_by))
 
     def reason_not_to_send(self, leg):
-        """The one look before an attempt's first line goes out: why it must not, or "".
+        """Why a leg's first line must not be sent now that it is connected; "" if it may be.
 
-        What a connection was dialled for may have passed while it came up: its host drains, is gone or is
-        another by now, or its repeats are not known as such any more.
+        While it was connecting, the host may have started to drain, gone or been replaced, or the time may
+        have ended in which hosts recognise a repeat of the call.
         """
-        if leg.conn.request.held_by is not None:  # it stands there already
+        if leg.conn.request.held_by is not None:  # it is open at this host already
             return ""
         entry, host = self.entries.get(leg.host.name), self.hosts.get(leg.host.name)
         if entry is None or entry.state is not io.HostState.UP or host is None or host.address != leg.address:
@@ -512,19 +537,20 @@
         return "too-late" if leg.send_by and self.now >= leg.send_by else ""
 
     def leg_not_sent(self, leg, why):
-        """Its connection came up and nothing was sent on it, so the call may go
-        elsewhere; too late, it may go nowhere.
+        """Ends a leg that was connected but on which nothing was sent.
+
+        If the host drains the call may be tried elsewhere; if it is too late, it may not be tried at all.
         """
         if not leg.ended:
             self.effects.append(ev.Log("not-sent", {"host": leg.host.name, "why": why}))
         self.end_leg(leg, Ending.CONNECT_FAILED if why == "host-drains" else Ending.NOT_SENT)
 
     def end_leg(self, leg, ending, reset=False):
-        """What comes late from an ended leg is dropped."""
+        """Ends a leg and reports it to the balancer; whatever still arrives from it is ignored."""
         if leg.ended:
             return
-        # A leg that was given up before its line went to the workers cannot have run: a call that must not
-        # run twice was answered as failed, though it had never been sent.
+        # A leg that was given up before its first line went to the workers cannot have run. Without this, a
+        # call that must not run twice was answered as failed although it had never been sent.
         if not leg.write_issued and leg.conn.request.held_by is None:
             ending = {Ending.TIMEOUT: Ending.CONNECT_FAILED, Ending.CANCELLED: Ending.NOT_SENT}.get(
                 ending, ending
@@ -536,27 +562,30 @@
         self.queue_event(io.LegEnded(conn, leg.number, ending, closed))
         if leg.end is not None:
             self.shut_down(leg.end, reset)
-        if closed and not conn.answered and not conn.up:  # one open before the start, not found again
+        if closed and not conn.answered and not conn.up:  # open before the start, the host does not know it
             self.end_call(conn, "held-by-lost", lines.ERR)
 
     def leg_established(self, leg):
-        """Its connection is up: its host is listened to, and it is moved with
-        the others where they are moved off.
+        """Adds an established leg to its host.
+
+        From now on its host's echoes are checked, and a running drain or shutdown moves its client too.
         """
         if not leg.host.legs:
             leg.host.message_delays.connected_since = self.now
         leg.host.legs[leg], leg.established_order = None, self.next_order()
-        if leg.host.message_delays.undecided():  # from connections that stood there before
+        if leg.host.message_delays.undecided():  # from earlier connections
             self.active_hosts.add(leg.host)
         self.departure.stands(leg.conn)
 
     def detach_from_host(self, leg):
+        """Removes a leg from its host, and the host if it is gone and this was its last leg."""
         host = leg.host
         host.legs.pop(leg, None)
         if not host.legs and host.address is None and self.hosts.get(host.name) is host:
-            del self.hosts[host.name]  # gone, and this was the last that stood there
+            del self.hosts[host.name]
 
     def host_lines(self, leg, data):
+        """Forwards a host's lines to the client, or handles the host's answer to the first line."""
         if leg.up:
             self.forward(leg, data)
             return
@@ -566,8 +595,8 @@
         if ending is None:
             leg.up = conn.up = conn.counted = True
             self.counters.count_answer("success", conn.type.name)
-            # Its host may have been called gone meanwhile, and taken back: watched under
-            # another's name it would be silent unheard.
+            # The host may have been removed from the list and added again meanwhile. The leg must belong to
+            # the new object: nobody checks the old one for missing echoes.
             leg.host = self.host(leg.host.name)
             conn.setup_time = self.now - conn.accepted_at
             self.leg_established(leg)
@@ -576,7 +605,7 @@
             if conn.request.held_by is None:
                 self.queue_event(io.LegAccepted(conn, leg.number, 0))
             self.forward(leg, data, len(first) + 1)
-        elif ending is Ending.OK:  # it ran, and to its end
+        elif ending is Ending.OK:  # the call has run and ended already
             conn.answered = True
             self.end_leg(leg, ending)
             self.end_call(conn, "completed-at-once", first + b"\n")
@@ -584,7 +613,10 @@
             self.end_leg(leg, ending)
 
     def forward(self, leg, data, skip=0):
-        """Lines of a host that is up, on to the client unchanged; some of them tell something."""
+        """Forwards a host's lines to the client unchanged, and evaluates loads, endings and echoes in them.
+
+        `skip`: bytes at the start that are not evaluated.
+        """
         for line in data[skip:].splitlines(keepends=True):
             load = lines.parse_load(line)
             if load is not None:
@@ -595,18 +627,20 @@
                 self.echo_received(leg, leg.signals.echo_received(), self.event_time)
         self.write(leg.conn.client, data)
 
-    # What messages take
+    # Message delays
 
     def expect_echo(self, leg):
+        """Marks a leg and its host as waiting for an echo."""
         leg.host.awaiting_echo.add(leg)
         self.active_hosts.add(leg.host)
 
     def load_reported(self, leg, value):
+        """Handles a `LOAD` line: a load, or the delay of the host's messages."""
         notes = leg.host.message_delays
-        self.active_hosts.add(leg.host)  # what is made of it may change as time passes
+        self.active_hosts.add(leg.host)  # the line may be reinterpreted later
         if self.host_protocol.sends_delay and self.host_protocol.load_may_be_delay:
-            # Where the settings say that loads are not told, such a line can only be the other note: taken
-            # for a connection's load, with which each begins elsewhere, no jam was seen at all.
+            # If hosts send no loads according to the settings, the line can only be a delay. When it was
+            # taken for the load that each connection reports first, congestion was not detected at all.
             delay = (
                 notes.classify(
                     self.now,
@@ -627,20 +661,23 @@
         self.report_load(leg, value)
 
     def report_load(self, leg, value):
+        """Records a connection's load and reports it to the balancer."""
         leg.signals.load = value
         self.mean_load += (value - self.mean_load) / 50 if self.mean_load else value
         if self.host_protocol.sends_load:
             self.queue_event(io.LoadReported(leg.conn, value))
 
     def report_loads(self, host, loads):
+        """Reports loads that were recognised late. `loads`: (signals of the connection, load)."""
         for heard, load in loads:
             for leg in [leg for leg in host.legs if leg.signals is heard]:
                 self.report_load(leg, load)
 
     def echo_received(self, leg, sent, back):
-        """A late echo is told once a second, and the first one that is back in time.
+        """Reports the delay of an echo to the balancer.
 
-        `back`: when it was here.
+        Late echoes are reported once a second, then the first one that is in time again. `sent`: when its
+        line was sent, or None; `back`: when the echo arrived.
         """
         notes = leg.host.message_delays
         if sent is None or not self.host_protocol.sends_delay:
@@ -659,15 +696,17 @@
             self.report_delay(leg, delay, late)
 
     def report_delay(self, leg, delay, over):
+        """Reports a host's message delay. `over`: it exceeds the threshold."""
         leg.host.message_delays.reported_at, leg.host.message_delays.reported_slow = self.now, over
         self.queue_event(io.DelayReported(leg.conn, delay))
 
     def check_echoes(self):
-        """A host that echoes nothing tells by that alone what its messages take, at least."""
+        """Checks all hosts for missing echoes: the time without one is a lower bound on the message delay."""
         self.call_later(ECHO_CHECK_INTERVAL, self.check_echoes)
-        late = self.lateness.recent_max(self.now)  # an echo may have lain here so long
+        late = self.lateness.recent_max(self.now)  # an echo may have been here unread for so long
         for host in [host for host in self.active_hosts.active() if host.legs]:
-            # A client that takes nothing keeps its host from being read, which is no silence of the host's.
+            # While a client reads nothing its host is not read either, so echoes are missing through no fault
+            # of the host.
             heard = [leg for leg in host.awaiting_echo.active() if not leg.conn.client.writing_since]
             waited, leg = host.message_delays.silence(self.now, heard)
             waited = max(0, waited - late)
@@ -677,15 +716,15 @@
                 if self.host_protocol.sends_delay
                 else None
             )
-            if claim:  # what was taken for a load was none
+            if claim:  # a line that was taken for a load was a delay
                 loads.append(claim[1:])
             self.report_loads(host, loads)
             if claim:
                 self.report_delay(leg, claim[0], True)
-            # The first word on a silence, then one at half a second, by which the module knows a hang, and
-            # then one a second.
+            # A silence is reported when it begins, at half a second, where the balancer recognises a hang,
+            # and then once a second.
             elif self.host_protocol.sends_delay and waited >= 3 * self.slow_threshold:
-                # how long it was silent at the last word
+                # how long the silence had lasted at the last report
                 told = host.message_delays.reported_at - (self.now - waited)
                 if self.now - host.message_delays.reported_at >= SECOND or 0 <= told < HANG_DELAY <= waited:
                     self.report_delay(leg, waited, True)
@@ -699,9 +738,9 @@
     # Probes
 
     def probe(self, name):
-        """Every one is answered: calls wait for it.
+        """Probes a host. Each probe gets a result, because calls wait for it.
 
-        One for which there is no room tells nothing of its host.
+        If there is no room for the probe, the result is FULL, which says nothing about the host.
         """
         host = self.host(name)
         if host.address is None:
@@ -719,18 +758,20 @@
             self.effects.append(ev.Probe(name, host.address, PROBE_TIMEOUT))
 
     def probe_done(self, e):
+        """Reports the result to the balancer, unless it was told to stop waiting for it."""
         self.probes -= 1
         self.open_sockets -= 1
         if e.host in self.probing:
             self.probing.discard(e.host)
-            # A node that was late itself may have left the answer lying: no word on the host.
+            # If this node was late itself, the answer may have arrived without being read yet: then the
+            # time-out says nothing about the host.
             late = e.ending is Ending.TIMEOUT and self.lateness.recent_max(self.now)
             self.queue_event(probe_ended(e.host, Ending.FULL if late else e.ending, e.waited, e.report))
 
-    # Ends and moves
+    # Moving and ending connections
 
     def move(self, conn, reason):
-        """The client is to come again. Between two lines only: what is being written goes out first."""
+        """Asks the client to reconnect (MOVE), once the line that is being written to it is out."""
         if not conn.up or conn.reason or conn.move_reason:
             return
         conn.move_reason = reason
@@ -738,14 +779,16 @@
             self.move_now(conn)
 
     def move_now(self, conn):
+        """Sends MOVE and closes the connection."""
         leg = conn.legs[-1]
         conn.answered = True
         self.end_call(conn, conn.move_reason, lines.MOVE)
         self.end_leg(leg, Ending.CANCELLED)
 
     def read_ended(self, e):
+        """Handles the end of a side's input, or a malformed line."""
         end, conn = e.end, e.end.conn
-        # after what is no line more may come
+        # more input may follow after a malformed line
         end.read_pending, end.input_ended = False, not e.cause.endswith("-line")
         if not end.closing_since and not end.shutdown_when_written:
             if end.is_client:
@@ -758,8 +801,10 @@
             self.free(end)
 
     def client_ended(self, conn, cause):
+        """Ends a connection whose client has closed or reset it, stopped reading or sent a malformed line."""
         reset = cause == "reset"
-        # it is still there: what it sent is answered, and it is not cut off over unread bytes
+        # The client is still connected: it gets an answer, and its unread input must not turn the close into
+        # a reset.
         if cause.endswith("-line"):
             self.abandon(conn, "client-" + cause if conn.up else cause)
             if conn.up:
@@ -779,6 +824,7 @@
         self.shut_down(conn.client)
 
     def host_ended(self, leg, cause):
+        """Ends a leg, and its client if established, when the host has closed or reset the connection."""
         conn = leg.conn
         if not leg.up:
             self.end_leg(leg, Ending.ERROR if cause.endswith("-line") else Ending.RESET)
@@ -795,20 +841,23 @@
     # Reading, writing, closing
 
     def read(self, end):
+        """Reads the next lines, or discards the input of a socket that is being closed."""
         if not end.read_pending and not end.input_ended:
             end.read_pending = True
             self.effects.append(ev.DiscardInput(end) if end.closing_since else ev.Read(end))
 
     def write(self, end, data):
+        """Writes data, unless the socket is freed."""
         if not end.freed:
             end.writing_since = self.now or 1
             self.active_conns.add(end.conn)
             self.effects.append(ev.Write(end, data))
 
     def write_done(self, e):
+        """Continues with what was waiting for the end of a write."""
         end, conn = e.end, e.end.conn
         first = e.ok and not end.is_client and not end.leg.written
-        if first:  # also if the leg has ended meanwhile: its host has the line
+        if first:  # also if the leg has ended meanwhile: the host has got the line
             end.leg.written = True
             self.counters.backend_calls += 1
         if (
@@ -816,7 +865,8 @@
             and conn.up
             and self.now - end.writing_since - self.lateness.recent_max(self.now) > self.slow_threshold
         ):
-            conn.legs[-1].signals.awaiting_echo.clear()  # echoes were late for want of a reader
+            # The client was slow to read, so the echoes were late through no fault of the host.
+            conn.legs[-1].signals.awaiting_echo.clear()
         elif not end.is_client and end.leg.up and e.at:
             end.leg.signals.line_written(end.writing_since, e.at)
         end.writing_since = 0
@@ -832,11 +882,11 @@
             self.read_next(end, first)
 
     def write_failed(self, end, why):
-        """`why`: the reason if an attempt's first line was not begun, else ""."""
+        """Ends what a failed write belongs to. `why`: why a first line was not sent at all, else ""."""
         conn = end.conn
         if end.is_client:
             self.client_ended(conn, "reset")
-        elif why == "client-gone":  # its own end comes as well, perhaps behind much else
+        elif why == "client-gone":  # `ReadEnded` follows too, perhaps much later
             self.client_ended(conn, "end")
         elif why:
             self.leg_not_sent(end.leg, why)
@@ -846,12 +896,12 @@
             self.host_ended(end.leg, "reset")
 
     def read_next(self, end, first):
-        """What was written is out: whose lines are read next. `first`: it was an attempt's first line."""
+        """Starts the next read after a write is done. `first`: an attempt's first line was written."""
         conn = end.conn
         if first:
             self.read(end)
         elif not end.is_client:
-            self.read(conn.client)  # the next lines only once these are out: nothing piles up here
+            self.read(conn.client)  # only now, so that no lines queue up here
         elif conn.move_reason and not conn.reason:
             self.move_now(conn)
         elif conn.up:
@@ -860,7 +910,11 @@
             self.read(end)
 
     def close(self, end):
-        """End the sending; read on to the other's end, or a reset would eat the last line."""
+        """Half-closes a connection, after a pending write.
+
+        Input is read until the other side closes too: a close with unread input would be a reset, which can
+        destroy the last line on its way.
+        """
         if end.closing_since or end.freed:
             return
         if end.writing_since:
@@ -877,6 +931,7 @@
         self.read(end)
 
     def shut_down(self, end, reset=False):
+        """Ends both directions of a connection at once."""
         if end.freed:
             return
         end.closing_since = end.closing_since or self.now
@@ -884,14 +939,15 @@
         self.lingering.pop(end, None)
         if end.worker is not None:
             self.effects.append(ev.Shutdown(end, reset))
-        # Its end is noticed by reading: one that was waiting for the other side to take its lines was never
-        # given back.
+        # The end is noticed only by reading. Without this read, a socket that was waiting for the other side
+        # to take its lines was never freed.
         if end.is_client or end.connected:
             self.read(end)
         if end.input_ended and not end.writing_since:
             self.free(end)
 
     def free(self, end):
+        """Closes a socket with nothing pending; for a client's, also ends the connection and logs it."""
         if end.freed:
             return
         end.freed = True
@@ -905,6 +961,7 @@
             self.effects.append(ev.Log("closed", self.summary(end.conn)))
 
     def retire_id(self, conn):
+        """Moves a call's id from the open to the ended ones, of which the latest are remembered."""
         if conn.request and self.calls_by_id.get(conn.request.id) is conn:
             del self.calls_by_id[conn.request.id]
             self.ended_ids[conn.request.id] = None
@@ -912,6 +969,7 @@
                 del self.ended_ids[next(iter(self.ended_ids))]
 
     def summary(self, conn):
+        """What is logged about a connection at its end."""
         leg = conn.legs[-1] if conn.legs else None
         pairs = {"reason": conn.reason or "unknown", "s": (self.now - conn.accepted_at) / SECOND}
         if conn.request:
@@ -923,7 +981,7 @@
         return pairs
 
     def sweep(self):
-        """What waits too long, looked at four times a second."""
+        """Checks the time-outs of connections, four times a second."""
         self.call_later(SWEEP_INTERVAL, self.sweep)
         late = self.lateness.recent_max(self.now)
         for conn in self.active_conns.active():
@@ -944,6 +1002,7 @@
             self.departure.stop_when_done()
 
     def check_end(self, end):
+        """Gives up a socket that has not been read from for too long, and repeats an overdue shutdown."""
         if end.freed:
             return
         if (
@@ -962,19 +1021,21 @@
             end.closing_since = self.now
             self.effects.append(ev.Shutdown(end))
 
-    # The list
+    # The host list
 
     def host(self, name):
+        """The host of that name, which is added if it is not known."""
         if name not in self.hosts:
             self.hosts[name] = Host(name, MessageDelays(self.slow_threshold), order=self.next_order())
         return self.hosts[name]
 
     def list_received(self, e):
+        """Takes over an update of the host list and passes it to the balancer."""
         for name, address in e.addresses.items():
             self.host(name).address = address
         self.has_hosts = self.has_hosts or any(entry.state is io.HostState.UP for entry in e.update.entries)
         self.queue_event(e.update)
-        # Weights that move come each second; what is said of the list is who came, left or began anew.
+        # Dynamic weights arrive every second; only hosts that were added, removed or restarted are logged.
         new = [
             entry
             for entry in e.update.entries
@@ -986,7 +1047,7 @@
             gone |= self.hosts.keys() - e.addresses.keys()
         for name in gone:
             self.entries.pop(name, None)
-            host = self.hosts.get(name)  # None: gone before it was ever heard of
+            host = self.hosts.get(name)  # None: reported gone without ever having been known
             if host is not None:
                 host.address = None
                 if not host.legs:
@@ -1005,16 +1066,16 @@
             )
 
     def list_failed(self, e):
-        if self.config.server_list.polled:  # the others are not told, and keep the last list
+        """Reports a failed request to a balancer that polls the list."""
+        if self.config.server_list.polled:  # otherwise the last list stays in use
             self.queue_event(io.ListUpdate(io.ListUpdateKind.FAILED, took=e.took))
 
-    # Other settings, and the next process
+    # Reloads and the next process
 
     def settings_reloaded(self, e):
-        """All at once.
+        """Applies other settings.
 
-        Clients that stand and calls that are open keep the type, and the
-        limit on legs, that they opened under.
+        Open calls and connections keep the traffic type and the limit on legs that they were opened with.
         """
         self.names, self.host_protocol = e.names, e.host_protocol
         self.apply_config(e.config)
@@ -1024,16 +1085,18 @@
         self.queue_event(io.Reconfigured(e.config))
 
     def reload_rejected(self, e):
+        """Counts a rejected reload."""
         self.counters.reconfig_failed += 1
 
     def state_inherited(self, e):
+        """Takes over the state of the previous process."""
         self.ended_ids.update(dict.fromkeys(e.state.ids))
         self.queue_event(io.Inherited(e.state.records, e.state.sent))
         if e.state.draining:
             self.departure.drain(ev.DrainRequested(True))
 
     def hand_over_requested(self, e):
-        """The room that is free is shared with the successor until one of the two is alone."""
+        """Hands the state to the successor, with half of the sockets that are still free."""
         free = max(0, self.max_sockets - self.open_sockets)
         self.max_sockets -= free // 2
         e.reply(
@@ -1047,13 +1110,16 @@
         )
 
     def transfer(self, conns):
-        """These standing connections are for a successor, if there is one."""
+        """Queues established connections for transfer to the successor."""
         self.transfer_queue.extend(conns)
         self.transfer_retries.clear()
         self.transfer_next()
 
     def transfer_next(self):
-        """One after the other to the successor: between two lines, with nothing under way on either side."""
+        """Offers the next idle connection to the successor, one at a time.
+
+        A connection is idle between two lines, with nothing pending on either side.
+        """
         while self.transfer_queue and self.transferring is None:
             conn = self.transfer_queue.popleft()
             leg, ends = conn.legs[-1], (conn.client, conn.legs[-1].end)
@@ -1083,25 +1149,28 @@
             )
 
     def transfer_done(self, e):
+        """Releases a connection that the successor has accepted, and offers the next one."""
         conn, self.transferring = e.conn, None
         if e.accepted:
             leg = conn.legs[-1]
             conn.answered, conn.reason, leg.ended = True, "handed-over", True
             self.detach_from_host(leg)
             self.queue_event(io.LegEnded(conn, leg.number, Ending.OK, True))
-            self.max_sockets -= 2  # its room goes with it
+            self.max_sockets -= 2  # its two sockets count for the successor now
             for end in (leg.end, conn.client):
                 end.read_pending, end.input_ended = False, True
                 self.free(end)
-        elif conn.move_reason:  # meanwhile
+        elif conn.move_reason:  # it was asked to move meanwhile
             self.move_now(conn)
         elif e.retry:
             self.transfer_retries.append(conn)
         self.transfer_next()
 
     def transfer_offered(self, e):
-        """It goes on here as if it had been opened here, under the type of the same
-        name; it was counted where it was opened.
+        """Takes over an established connection from the previous process.
+
+        It continues as if it had been opened here, with the traffic type of the same name. It is not counted
+        again.
         """
         one = e.connection
         number = self.names.types.get(one.type)
@@ -1143,7 +1212,7 @@
         self.leg_established(leg)
         if one.waiting:
             self.expect_echo(leg)
-        self.ended_ids.pop(one.id, None)  # the predecessor told it with the others that were open
+        self.ended_ids.pop(one.id, None)  # it was among the open ids that the previous process handed over
         self.calls_by_id[one.id] = conn
         self.open_sockets += 2
         self.queue_event(
