--- a/cottonspread/net/lines.py
+++ b/cottonspread/net/lines.py
@@ -53,6 +53,7 @@
     """
 
     def __init__(self, sock, pool, partial_line_timeout):
+        """`partial_line_timeout`: seconds that part of a line may wait for its end."""
         self.sock, self.pool, self.partial_line_timeout = sock, pool, partial_line_timeout
         self.buffer, self.filled, self.partial_since, self.age = None, 0, 0.0, 0
         self.lock, self.idle, self.released = threading.Lock(), False, False
--- a/cottonspread/net/logfmt.py
+++ b/cottonspread/net/logfmt.py
@@ -24,6 +24,7 @@
     """
 
     def __init__(self, node, **own):
+        """`node`: the node's name, for every line; `own`: see the class."""
         super().__init__()
         self.own = {"node": node, **own}
 
@@ -42,6 +43,7 @@
         return pairs
 
     def format(self, record):
+        """The line for a record."""
         return " ".join(pair(k, v) for k, v in self.pairs(record).items())
 
 
@@ -49,6 +51,7 @@
     """Formats a record as one JSON object per line."""
 
     def format(self, record):
+        """The line for a record."""
         return json.dumps(self.pairs(record), default=str)
 
 
@@ -59,9 +62,11 @@
     """
 
     def prepare(self, record):
+        """Leaves the record as it is: the writing thread formats it."""
         return record
 
     def enqueue(self, record):
+        """Queues the record, or drops it if the queue is full."""
         with contextlib.suppress(queue.Full):
             self.queue.put_nowait(record)
 
--- a/cottonspread/net/message_delays.py
+++ b/cottonspread/net/message_delays.py
@@ -1,92 +1,98 @@
-"""What a host's messages take, as its connections show it.
-
-Two things tell it. A line that has no echo has waited so long at least. And a `LOAD X` line may carry either
-of the simulator's two notes, for the line does not say which: the load of its connection in microseconds a
-second, or the milliseconds that a message takes at the host (seen on the bench: the same figures that the
-simulator gives as its second note came as LOAD lines, once a second, among loads a thousand times as large;
-taken for loads, they made the connections of a jammed host weigh nothing). `MessageDelays.classify`
-tells the two apart: words on messages come on the host's own beat, a second apart, and few loads are
-that small.
+"""Estimates the delay of a host's messages from what its connections show.
+
+There are two sources. The age of a line without an echo is a lower bound on the delay. And a `LOAD X` line
+may be one of two reports, without saying which: the load of its connection in microseconds a second, or the
+delay of a message at the host in milliseconds. (On the test bench, the values that the simulator gives as
+delay reports arrived as LOAD lines, once a second, among loads a thousand times as large. When they were
+taken for loads, the connections of a congested host counted as almost idle.) `MessageDelays.classify` tells
+the two apart: a host sends its delay reports at intervals of one second, and few loads are that small.
+
+Times are microseconds.
 """
 
 from collections import deque
 from dataclasses import dataclass, field
 
 SECOND = 1_000_000
-TOLERANCE = SECOND // 30  # how far a word may stray from its second
+TOLERANCE = SECOND // 30  # how far the interval between delay reports may differ from whole seconds
 CLAIM_TIMEOUT = 2 * SECOND  # how long a claim may wait for a silence that confirms it
-MAX_DELAY = 60 * SECOND  # no word on messages is larger
-CHAIN_TIME = 2 * SECOND + 2 * TOLERANCE  # three words a second apart are known for words, whatever their size
-MAX_AWAITING_ECHO = 64  # lines under way whose times are kept
+MAX_DELAY = 60 * SECOND  # no delay report is larger
+CHAIN_TIME = 2 * SECOND + 2 * TOLERANCE  # three reports one second apart are delays, whatever their size
+MAX_AWAITING_ECHO = 64  # sent lines whose times are kept, per connection
 
 
 @dataclass(eq=False)
 class ConnectionSignals:
-    """What one connection has told."""
+    """What one connection shows of its host."""
 
-    awaiting_echo: deque = field(
-        default_factory=lambda: deque(maxlen=MAX_AWAITING_ECHO)
-    )  # when lines without an echo were sent
-    load: float = 0.0  # last told; 0: not yet
+    # when the lines that have no echo yet were sent
+    awaiting_echo: deque = field(default_factory=lambda: deque(maxlen=MAX_AWAITING_ECHO))
+    load: float = 0.0  # last reported; 0: not yet
 
     def line_sent(self, now, count):
+        """Records that `count` lines are being sent."""
         self.awaiting_echo.extend([now] * min(count, MAX_AWAITING_ECHO))
 
     def line_written(self, ordered, at):
-        """The lines ordered out at `ordered` went out at `at`: what the order lay here is not the host's."""
+        """Corrects the time of lines that were to be written at `ordered` and were written at `at`.
+
+        The time in between was spent in this node, not at the host.
+        """
         for n, sent in enumerate(self.awaiting_echo):
             if sent == ordered:
                 self.awaiting_echo[n] = max(sent, at)
 
     def echo_received(self):
-        """An echo has come: when its line was sent, None if no line was out."""
+        """Records an echo; returns when its line was sent, or None if no line was waiting for one."""
         return self.awaiting_echo.popleft() if self.awaiting_echo else None
 
     def oldest_after(self, after):
-        """When the oldest line that has no echo was sent, of those sent after `after`;
-        None if there is none.
-        """
+        """When the oldest line without an echo was sent, of those sent after `after`, or None."""
         return next((sent for sent in self.awaiting_echo if sent > after), None)
 
 
 @dataclass(eq=False)
 class LoadLine:
-    """A LOAD line that may yet turn out to be a word on messages."""
+    """A LOAD line that may still turn out to be a delay report."""
 
     when: int
-    delay: int  # what messages take, if it is one
+    delay: int  # its value, taken as a delay
     signals: ConnectionSignals
     previous_load: float  # the load of its connection before it
-    withheld: bool  # not told as a load yet: it is small for one
+    withheld: bool  # not reported as a load yet, since it is small for one
 
 
 @dataclass(eq=False)
 class MessageDelays:
-    """What this node has heard of one host's messages."""
+    """What this node knows of the delay of one host's messages."""
 
-    slow_threshold: int  # shorter is no news: a third of the shortest message target
-    connected_since: int = -10 * SECOND  # since when connections of this node stand there
+    slow_threshold: int  # shorter delays are normal; a third of the shortest message target
+    connected_since: int = -10 * SECOND  # since when this node has established connections there
     last_echoed: int = -1  # when the latest line that got its echo was sent, on any connection
-    reported_at: int = -SECOND  # by silence or a late echo: the last word passed on
-    reported_slow: bool = False  # and it was over the threshold
-    last_delay_at: int = -1  # the host's own words on its messages: the last
-    reported_delay: int = 0  # what it said, 0 once it is back under
-    report_phase: int = -1  # a time at which a word came: others come whole seconds from it; -1: not known
-    unconfirmed: LoadLine = None  # a first word believed by its size alone: the next second will tell
+    # the last delay passed to the balancer that was measured by a silence or a late echo
+    reported_at: int = -SECOND
+    reported_slow: bool = False  # it was over the threshold
+    # the last delay report of the host
+    last_delay_at: int = -1
+    reported_delay: int = 0  # its value; 0 once it is below the threshold
+    report_phase: int = -1  # when a delay report came; others come whole seconds later; -1: not known
+    unconfirmed: LoadLine = None  # a first delay report accepted for its size alone; the next second decides
     candidates: deque = field(default_factory=lambda: deque(maxlen=32))  # of the last two seconds
-    # (connection, its load before): told as loads, and were words
+    # (signals of the connection, its load before) of delays that were reported as loads
     misread_loads: list = field(default_factory=list)
-    # Each a hang or a load: (when, delay, connection, its load before, silence needed to believe it).
+    # Each is a hang or a load: (when, delay, signals of the connection, its load before, silence that it
+    # takes to accept it as a hang).
     claims: deque = field(default_factory=lambda: deque(maxlen=8))
 
     def undecided(self):
-        """Whether time alone may change what is made of what was heard."""
+        """Whether the passing of time alone may change an interpretation."""
         return bool(self.reported_delay or self.candidates or self.claims)
 
     def silence(self, now, connections):
-        """How long the host has been silent, and on which of `connections` (they have `heard`): the age of
-        the oldest line without an echo, later ones on other connections without one too. One connection that
-        is dead by itself must not make its host look hung.
+        """How long the host has been silent, and the item of `connections` (with `signals`) that shows it.
+
+        It is the age of the oldest line without an echo, of those sent after the last line that got one on
+        any connection: a single dead connection must not make its host look hung.
         """
         out = [
             (sent, n, one)
@@ -97,15 +103,16 @@
         return now - sent, one
 
     def classify(self, now, signals, value, waited, usual):
-        """What messages take if `LOAD value` is a word on them, None if it is a load, 0 if that is not clear
-        yet. `waited`: how long the host has been silent; `usual`: the mean of the loads told.
+        """The delay of messages if `LOAD value` is a delay report, None if it is a load, 0 if not clear yet.
+
+        `waited`: how long the host has been silent; `usual`: the mean of the reported loads.
         """
         delay, slow = round(value * 1000), self.slow_threshold
-        if delay > MAX_DELAY:  # in a silence it would be believed, and the load be lost
+        if delay > MAX_DELAY:  # in a silence it would be accepted, and the load would be lost
             return None
         line = LoadLine(now, delay, signals, signals.load, value < (signals.load or usual) / 4)
-        # What is piled up grows by the second at most, or the host answers nothing: then its echoes stop too.
-        # A host met just now may have piled up anything before.
+        # A backlog grows by at most a second per second. A larger delay means that the host answers nothing,
+        # and then its echoes are missing too. A host that was connected just now may have any backlog.
         grown = delay <= (self.reported_delay or slow) + SECOND
         fits = grown or waited > slow or line.withheld and now - self.connected_since <= SECOND + TOLERANCE
         due = self.report_phase >= 0 and is_whole_seconds(now - self.report_phase)
@@ -117,8 +124,8 @@
             is_whole_seconds(now - when) and abs(delay - claimed - now + when) <= TOLERANCE
             for when, claimed, *_ in self.claims
         ):
-            return self.accept_delay(now, delay)  # grown by just the time passed: it answers nothing
-        # The module does nothing yet on a first word so small; and loads don't fall so deep at once.
+            return self.accept_delay(now, delay)  # grown by exactly the time passed: the host hangs
+        # The balancer does not react yet to a single delay that short, and no load falls that far at once.
         if (
             self.report_phase < 0
             and line.withheld
@@ -135,7 +142,7 @@
         return 0 if line.withheld else None
 
     def predecessors(self, line):
-        """The lines of a second before that `line` may be the next word after."""
+        """The candidates one second earlier that may be the delay report before `line`."""
         return [
             other
             for other in self.candidates
@@ -145,13 +152,15 @@
         ]
 
     def follows(self, line):
+        """Whether `line` may continue a series of delay reports."""
         return any(self.predecessors(line))
 
     def accept_delay(self, now, delay):
+        """Records a delay report, and finds earlier ones that were taken for loads; returns the delay."""
         self.last_delay_at = self.report_phase = now
         self.reported_delay, self.unconfirmed = delay if delay > self.slow_threshold else 0, None
         self.claims.clear()
-        # the first load last
+        # latest first, so that each connection ends with the load before its first misread line
         for line in reversed([line for line in self.candidates if is_whole_seconds(now - line.when)]):
             self.candidates.remove(line)
             if not line.withheld and line.previous_load:
@@ -159,8 +168,9 @@
         return delay
 
     def confirmed_claim(self, now, waited):
-        """A claim that a silence bears out: (what messages take, the connection, its load
-        before), else None.
+        """The claim that a silence confirms: (delay, signals of the connection, its load before), or None.
+
+        `waited`: how long the host has been silent.
         """
         while self.claims and now - self.claims[0][0] > CLAIM_TIMEOUT:
             self.claims.popleft()
@@ -171,9 +181,9 @@
         return None
 
     def resolved_loads(self, now):
-        """What turned out to be loads: (connection, load) of each that was not told yet."""
+        """Lines that turned out to be loads and were not reported yet: (signals of the connection, load)."""
         found = []
-        # Words come each second until messages are quick again: one with none after it was a load after all.
+        # Delay reports come every second until messages are fast again. One without a successor was a load.
         if self.reported_delay and now - self.last_delay_at > SECOND + SECOND // 2:
             if self.unconfirmed:
                 found.append(self.unconfirmed)
@@ -189,5 +199,5 @@
 
 
 def is_whole_seconds(span):
-    """Whether that is a whole number of seconds, as near as such words come."""
+    """Whether a time span is a whole number of seconds, within the tolerance of delay reports."""
     return (span + TOLERANCE) % SECOND <= 2 * TOLERANCE and span > TOLERANCE
--- a/cottonspread/net/reducer.py
+++ b/cottonspread/net/reducer.py
@@ -101,6 +101,7 @@
     awaiting_echo: ActiveSet = None  # legs on which a line may be waiting for its echo
 
     def __post_init__(self):
+        """Sets up `awaiting_echo`, which needs the object itself."""
         self.awaiting_echo = ActiveSet(
             lambda leg: leg in self.legs and leg.signals.awaiting_echo, attrgetter("established_order")
         )
@@ -113,6 +114,10 @@
     """
 
     def __init__(self, now, config, names, host_protocol, max_sockets, balancer=Balancer):
+        """`config`: an `interface.NodeConfig`; `max_sockets`: how many sockets the node may have open.
+
+        `names` and `host_protocol` are the parts of the configuration file of these names.
+        """
         self.now, self.event_time, self.effects, self.balancer_events = now, now, [], deque()
         self.config, self.names, self.host_protocol, self.max_sockets = (
             config,
