--- a/cottonspread/net/message_delays.py
+++ b/cottonspread/net/message_delays.py
@@ -33,14 +33,14 @@
         """Records that `count` lines are being sent."""
         self.awaiting_echo.extend([now] * min(count, MAX_AWAITING_ECHO))
 
-    def line_written(self, ordered, at):
-        """Corrects the time of lines that were to be written at `ordered` and were written at `at`.
+    def line_written(self, issued_at, written_at):
+        """Corrects the time of lines whose write was issued at `issued_at` and done at `written_at`.
 
         The time in between was spent in this node, not at the host.
         """
         for n, sent in enumerate(self.awaiting_echo):
-            if sent == ordered:
-                self.awaiting_echo[n] = max(sent, at)
+            if sent == issued_at:
+                self.awaiting_echo[n] = max(sent, written_at)
 
     def echo_received(self):
         """Records an echo; returns when its line was sent, or None if no line was waiting for one."""
@@ -94,27 +94,29 @@
         It is the age of the oldest line without an echo, of those sent after the last line that got one on
         any connection: a single dead connection must not make its host look hung.
         """
-        out = [
+        oldest = [
             (sent, n, one)
             for n, one in enumerate(connections)
             if (sent := one.signals.oldest_after(self.last_echoed)) is not None
         ]
-        sent, _, one = min(out, default=(now, 0, None))
+        sent, _, one = min(oldest, default=(now, 0, None))
         return now - sent, one
 
-    def classify(self, now, signals, value, waited, usual):
+    def classify(self, now, signals, value, silent_for, mean_load):
         """The delay of messages if `LOAD value` is a delay report, None if it is a load, 0 if not clear yet.
 
-        `waited`: how long the host has been silent; `usual`: the mean of the reported loads.
+        `silent_for`: how long the host has been silent; `mean_load`: the mean of the reported loads.
         """
         delay, slow = round(value * 1000), self.slow_threshold
         if delay > MAX_DELAY:  # in a silence it would be accepted, and the load would be lost
             return None
-        line = LoadLine(now, delay, signals, signals.load, value < (signals.load or usual) / 4)
+        line = LoadLine(now, delay, signals, signals.load, value < (signals.load or mean_load) / 4)
         # A backlog grows by at most a second per second. A larger delay means that the host answers nothing,
         # and then its echoes are missing too. A host that was connected just now may have any backlog.
         grown = delay <= (self.reported_delay or slow) + SECOND
-        fits = grown or waited > slow or line.withheld and now - self.connected_since <= SECOND + TOLERANCE
+        fits = (
+            grown or silent_for > slow or line.withheld and now - self.connected_since <= SECOND + TOLERANCE
+        )
         due = self.report_phase >= 0 and is_whole_seconds(now - self.report_phase)
         if due and (delay > slow or self.reported_delay) and fits:
             return self.accept_delay(now, delay)
@@ -133,9 +135,9 @@
             and fits
             and (delay < 12 * slow or value < signals.load / 100)
         ):
-            taken = self.accept_delay(now, delay)
+            accepted = self.accept_delay(now, delay)
             self.unconfirmed = line
-            return taken
+            return accepted
         if not grown and (self.report_phase < 0 or due):
             self.claims.append((now, delay, signals, signals.load, 3 * slow if due else SECOND // 2))
         self.candidates.append(line)
@@ -167,15 +169,15 @@
                 self.misread_loads.append((line.signals, line.previous_load))
         return delay
 
-    def confirmed_claim(self, now, waited):
+    def confirmed_claim(self, now, silent_for):
         """The claim that a silence confirms: (delay, signals of the connection, its load before), or None.
 
-        `waited`: how long the host has been silent.
+        `silent_for`: how long the host has been silent.
         """
         while self.claims and now - self.claims[0][0] > CLAIM_TIMEOUT:
             self.claims.popleft()
-        for when, delay, signals, load, silence in self.claims:
-            if waited >= silence:
+        for when, delay, signals, load, needed_silence in self.claims:
+            if silent_for >= needed_silence:
                 self.accept_delay(when, delay)
                 return delay + now - when, signals, load
         return None
--- a/cottonspread/net/reducer.py
+++ b/cottonspread/net/reducer.py
@@ -212,8 +212,8 @@
             self.run_balancer()
         self.handlers[type(event)](event)
         self.run_balancer()
-        out, self.effects = self.effects, []
-        return out
+        effects, self.effects = self.effects, []
+        return effects
 
     def after_fault(self, event):
         """Ends the connection that the event was about, after `step` raised; returns the effects."""
@@ -221,8 +221,8 @@
         if conn is not None and not conn.reason:
             self.abandon(conn, "fault")
             self.end_call(conn, "fault", lines.ERR)
-        out, self.effects = self.effects, []
-        return out
+        effects, self.effects = self.effects, []
+        return effects
 
     def due(self):
         """When `step` must be called next even if nothing happens."""
@@ -326,11 +326,11 @@
         else:
             self.client_lines(e.end.conn, e.data)
 
-    def first_line(self, conn, data, more):
+    def first_line(self, conn, data, more_follows):
         """Handles a client's PING, or its OPEN, which starts a call."""
         first, _, rest = data.partition(b"\n")
         # A client must not send more before it has an answer: a host would take these lines for regular ones.
-        if rest or more:
+        if rest or more_follows:
             self.dismiss(conn, "early-line")
             return
         if first.rstrip(b"\r") == lines.PING:
@@ -366,13 +366,15 @@
         wait = request.timeout if request.held_by is None else REATTACH_TIMEOUT
         # The client's time runs from when its line arrived. The balancer gets less than is left of it, since
         # this node may itself be late with the answer.
-        lain = self.now - self.event_time
+        time_in_queue = self.now - self.event_time
         conn.guard = self.event_time + wait
-        left = max(0, wait - lain - min(self.lateness.recent_max(self.now), (wait - lain) // 4))
+        time_left = max(
+            0, wait - time_in_queue - min(self.lateness.recent_max(self.now), (wait - time_in_queue) // 4)
+        )
         # A call takes two descriptors, and some must remain to answer with: at the limit it is refused.
-        turned = self.departure.turns_away(conn)
-        if turned or self.open_sockets + 1 > self.max_sockets:
-            self.end_call(conn, turned or "no-room", lines.busy_line(self.retry_after()))
+        refusal = self.departure.turns_away(conn)
+        if refusal or self.open_sockets + 1 > self.max_sockets:
+            self.end_call(conn, refusal or "no-room", lines.busy_line(self.retry_after()))
             return
         host = self.hosts.get(request.held_by)
         if request.held_by is not None and (host is None or host.address is None):
@@ -384,7 +386,7 @@
             io.CallArrived(
                 conn,
                 request.type,
-                left,
+                time_left,
                 request.key,
                 request.group,
                 request.tenant,
@@ -448,17 +450,17 @@
 
     # Legs
 
-    def start_leg(self, conn, name, deadline, send_by):
+    def start_leg(self, conn, host_name, deadline, send_by):
         """Starts the leg that the balancer asks for, or ends it at once if it must not start any more."""
-        leg = Leg(conn, len(conn.legs), self.host(name), deadline, send_by)
-        out = [other for other in conn.legs if not other.ended]
+        leg = Leg(conn, len(conn.legs), self.host(host_name), deadline, send_by)
+        running = [other for other in conn.legs if not other.ended]
         if (
             conn.answered
             or conn.up
             or self.departure.hurries()
             or deadline <= self.now
             or leg.number >= conn.max_legs
-            or out
+            or running
             and not self.config.legs.parallel_legs
         ):
             conn.legs.append(leg)
@@ -470,31 +472,31 @@
             return
         self.open_leg(leg, min(self.host_protocol.connect_timeout, deadline - self.now))
 
-    def open_leg(self, leg, wait):
-        """Connects to the leg's host. `wait`: the time-out of the connect."""
+    def open_leg(self, leg, connect_timeout):
+        """Connects to the leg's host. `connect_timeout`: the time-out of the connect."""
         conn, host, deadline, leg.address = leg.conn, leg.host, leg.deadline, leg.host.address
         conn.legs.append(leg)
         leg.end = ev.ConnectionEnd(False, conn, leg)
         self.open_sockets += 1
-        self.effects.append(ev.Connect(leg.end, host.address, wait))
+        self.effects.append(ev.Connect(leg.end, host.address, connect_timeout))
         self.call_at(deadline, self.leg_timed_out, leg)
 
-    def leg_timed_out(self, leg, waited=False):
+    def leg_timed_out(self, leg, extended=False):
         """Ends a leg whose host has not answered by the deadline.
 
         If this node was late itself, the answer may have arrived without being read yet. Then the leg gets
-        that much more time (`waited` is set the second time); if the guard time does not allow that, the leg
-        is cancelled and the host not blamed.
+        that much more time (`extended` is set the second time); if the guard time does not allow that, the
+        leg is cancelled and the host not blamed.
         """
         if leg.up or leg.ended:
             return
-        late, last = self.lateness.recent_max(self.now), leg.conn.guard - 2 * self.config.tick
-        if not waited and late and leg.deadline + late <= last:
+        late, latest = self.lateness.recent_max(self.now), leg.conn.guard - 2 * self.config.tick
+        if not extended and late and leg.deadline + late <= latest:
             self.call_at(leg.deadline + late, self.leg_timed_out, leg, True)
-        elif not waited and late and self.now < last:
-            self.call_at(last, self.cancel_leg, leg)
+        elif not extended and late and self.now < latest:
+            self.call_at(latest, self.cancel_leg, leg)
         else:
-            self.end_leg(leg, Ending.TIMEOUT if waited or not late else Ending.CANCELLED)
+            self.end_leg(leg, Ending.TIMEOUT if extended or not late else Ending.CANCELLED)
 
     def cancel_leg(self, leg):
         """Cancels a leg without blaming its host, unless it was accepted meanwhile."""
@@ -513,10 +515,10 @@
         elif leg.ended:
             e.end.input_ended = True  # given up while it was connecting: nothing was sent
             self.free(e.end)
-        elif why := self.reason_not_to_send(leg):
+        elif reason := self.reason_not_to_send(leg):
             e.end.input_ended = True
             self.free(e.end)
-            self.leg_not_sent(leg, why)
+            self.leg_not_sent(leg, reason)
         else:
             request, leg.write_issued = leg.conn.request, True
             line = (
@@ -541,14 +543,14 @@
             return "host-drains"
         return "too-late" if leg.send_by and self.now >= leg.send_by else ""
 
-    def leg_not_sent(self, leg, why):
+    def leg_not_sent(self, leg, reason):
         """Ends a leg that was connected but on which nothing was sent.
 
         If the host drains the call may be tried elsewhere; if it is too late, it may not be tried at all.
         """
         if not leg.ended:
-            self.effects.append(ev.Log("not-sent", {"host": leg.host.name, "why": why}))
-        self.end_leg(leg, Ending.CONNECT_FAILED if why == "host-drains" else Ending.NOT_SENT)
+            self.effects.append(ev.Log("not-sent", {"host": leg.host.name, "why": reason}))
+        self.end_leg(leg, Ending.CONNECT_FAILED if reason == "host-drains" else Ending.NOT_SENT)
 
     def end_leg(self, leg, ending, reset=False):
         """Ends a leg and reports it to the balancer; whatever still arrives from it is ignored."""
@@ -641,24 +643,24 @@
 
     def load_reported(self, leg, value):
         """Handles a `LOAD` line: a load, or the delay of the host's messages."""
-        notes = leg.host.message_delays
+        delays = leg.host.message_delays
         self.active_hosts.add(leg.host)  # the line may be reinterpreted later
         if self.host_protocol.sends_delay and self.host_protocol.load_may_be_delay:
             # If hosts send no loads according to the settings, the line can only be a delay. When it was
             # taken for the load that each connection reports first, congestion was not detected at all.
             delay = (
-                notes.classify(
+                delays.classify(
                     self.now,
                     leg.signals,
                     value,
-                    notes.silence(self.now, leg.host.awaiting_echo.active())[0],
+                    delays.silence(self.now, leg.host.awaiting_echo.active())[0],
                     self.mean_load,
                 )
                 if self.host_protocol.sends_load
-                else notes.accept_delay(self.now, round(value * 1000))
+                else delays.accept_delay(self.now, round(value * 1000))
             )
-            self.report_loads(leg.host, notes.misread_loads)
-            notes.misread_loads.clear()
+            self.report_loads(leg.host, delays.misread_loads)
+            delays.misread_loads.clear()
             if delay:
                 self.queue_event(io.DelayReported(leg.conn, delay))
             if delay is not None:
@@ -674,35 +676,35 @@
 
     def report_loads(self, host, loads):
         """Reports loads that were recognised late. `loads`: (signals of the connection, load)."""
-        for heard, load in loads:
-            for leg in [leg for leg in host.legs if leg.signals is heard]:
+        for signals, load in loads:
+            for leg in [leg for leg in host.legs if leg.signals is signals]:
                 self.report_load(leg, load)
 
-    def echo_received(self, leg, sent, back):
+    def echo_received(self, leg, sent_at, received_at):
         """Reports the delay of an echo to the balancer.
 
-        Late echoes are reported once a second, then the first one that is in time again. `sent`: when its
-        line was sent, or None; `back`: when the echo arrived.
+        Late echoes are reported once a second, then the first one that is in time again. `sent_at`: when its
+        line was sent, or None; `received_at`: when the echo arrived.
         """
-        notes = leg.host.message_delays
-        if sent is None or not self.host_protocol.sends_delay:
+        delays = leg.host.message_delays
+        if sent_at is None or not self.host_protocol.sends_delay:
             return
-        notes.last_echoed = max(notes.last_echoed, sent)
-        delay = max(0, back - sent)
+        delays.last_echoed = max(delays.last_echoed, sent_at)
+        delay = max(0, received_at - sent_at)
         late = delay > self.slow_threshold
         if (
             late
-            and self.now - notes.reported_at >= SECOND
-            or notes.reported_slow
+            and self.now - delays.reported_at >= SECOND
+            or delays.reported_slow
             and not late
-            and not notes.reported_delay
-            and (notes.silence(self.now, leg.host.awaiting_echo.active())[0] <= self.slow_threshold)
+            and not delays.reported_delay
+            and (delays.silence(self.now, leg.host.awaiting_echo.active())[0] <= self.slow_threshold)
         ):
             self.report_delay(leg, delay, late)
 
-    def report_delay(self, leg, delay, over):
-        """Reports a host's message delay. `over`: it exceeds the threshold."""
-        leg.host.message_delays.reported_at, leg.host.message_delays.reported_slow = self.now, over
+    def report_delay(self, leg, delay, slow):
+        """Reports a host's message delay. `slow`: it exceeds the threshold."""
+        leg.host.message_delays.reported_at, leg.host.message_delays.reported_slow = self.now, slow
         self.queue_event(io.DelayReported(leg.conn, delay))
 
     def check_echoes(self):
@@ -712,12 +714,12 @@
         for host in [host for host in self.active_hosts.active() if host.legs]:
             # While a client reads nothing its host is not read either, so echoes are missing through no fault
             # of the host.
-            heard = [leg for leg in host.awaiting_echo.active() if not leg.conn.client.writing_since]
-            waited, leg = host.message_delays.silence(self.now, heard)
-            waited = max(0, waited - late)
+            legs = [leg for leg in host.awaiting_echo.active() if not leg.conn.client.writing_since]
+            silence, leg = host.message_delays.silence(self.now, legs)
+            silence = max(0, silence - late)
             loads = host.message_delays.resolved_loads(self.now)
             claim = (
-                host.message_delays.confirmed_claim(self.now, waited)
+                host.message_delays.confirmed_claim(self.now, silence)
                 if self.host_protocol.sends_delay
                 else None
             )
@@ -728,12 +730,15 @@
                 self.report_delay(leg, claim[0], True)
             # A silence is reported when it begins, at half a second, where the balancer recognises a hang,
             # and then once a second.
-            elif self.host_protocol.sends_delay and waited >= 3 * self.slow_threshold:
+            elif self.host_protocol.sends_delay and silence >= 3 * self.slow_threshold:
                 # how long the silence had lasted at the last report
-                told = host.message_delays.reported_at - (self.now - waited)
-                if self.now - host.message_delays.reported_at >= SECOND or 0 <= told < HANG_DELAY <= waited:
-                    self.report_delay(leg, waited, True)
-            for leg in heard:
+                silence_at_report = host.message_delays.reported_at - (self.now - silence)
+                if (
+                    self.now - host.message_delays.reported_at >= SECOND
+                    or 0 <= silence_at_report < HANG_DELAY <= silence
+                ):
+                    self.report_delay(leg, silence, True)
+            for leg in legs:
                 if (
                     leg.signals.awaiting_echo
                     and self.now - leg.signals.awaiting_echo[0] - min(late, SECOND) > ECHO_TIMEOUT
@@ -834,9 +839,9 @@
         if not leg.up:
             self.end_leg(leg, Ending.ERROR if cause.endswith("-line") else Ending.RESET)
             return
-        codes = {Ending.OK: "completed", Ending.CANCELLED: "host-moved"}
+        reason_codes = {Ending.OK: "completed", Ending.CANCELLED: "host-moved"}
         conn.answered = True
-        conn.reason = conn.reason or codes.get(leg.announced_ending, "host-" + cause)
+        conn.reason = conn.reason or reason_codes.get(leg.announced_ending, "host-" + cause)
         self.end_leg(leg, leg.announced_ending or Ending.RESET)
         if cause == "reset":
             self.shut_down(conn.client, reset=True)
@@ -886,15 +891,15 @@
         else:
             self.read_next(end, first)
 
-    def write_failed(self, end, why):
-        """Ends what a failed write belongs to. `why`: why a first line was not sent at all, else ""."""
+    def write_failed(self, end, skip_reason):
+        """Ends what a failed write belongs to. `skip_reason`: see `WriteDone`."""
         conn = end.conn
         if end.is_client:
             self.client_ended(conn, "reset")
-        elif why == "client-gone":  # `ReadEnded` follows too, perhaps much later
+        elif skip_reason == "client-gone":  # `ReadEnded` follows too, perhaps much later
             self.client_ended(conn, "end")
-        elif why:
-            self.leg_not_sent(end.leg, why)
+        elif skip_reason:
+            self.leg_not_sent(end.leg, skip_reason)
         elif not end.leg.written:
             self.end_leg(end.leg, Ending.CONNECT_FAILED)
         else:
@@ -1177,55 +1182,75 @@
         It continues as if it had been opened here, with the traffic type of the same name. It is not counted
         again.
         """
-        one = e.connection
-        number = self.names.types.get(one.type)
-        if number is None or one.id in self.calls_by_id or self.departure.stopping:
+        offered = e.connection
+        type_number = self.names.types.get(offered.type)
+        if type_number is None or offered.id in self.calls_by_id or self.departure.stopping:
             for end in (e.client, e.host):
                 end.freed = True
                 self.effects.append(ev.Free(end))
             e.reply(False)
             return
         request = lines.OpenRequest(
-            b"", one.id, number, 0, one.key, one.group, one.tenant, one.load, held_by=one.host
+            b"",
+            offered.id,
+            type_number,
+            0,
+            offered.key,
+            offered.group,
+            offered.tenant,
+            offered.load,
+            held_by=offered.host,
         )
         conn = Conn(
             e.client,
-            one.began,
+            offered.began,
             request,
-            self.config.types[number],
+            self.config.types[type_number],
             up=True,
-            setup_time=one.setup,
+            setup_time=offered.setup,
             counted=True,
             order=self.next_order(),
         )
         leg = Leg(
             conn,
             0,
-            self.host(one.host),
+            self.host(offered.host),
             0,
             end=e.host,
             write_issued=True,
             written=True,
             up=True,
-            signals=ConnectionSignals(load=one.load),
+            signals=ConnectionSignals(load=offered.load),
         )
-        leg.signals.awaiting_echo.extend(one.waiting)
+        leg.signals.awaiting_echo.extend(offered.waiting)
         conn.legs.append(leg)
         e.client.conn = e.host.conn = conn
         e.host.leg, e.host.connected = leg, True
         self.conns[conn] = None
         self.leg_established(leg)
-        if one.waiting:
+        if offered.waiting:
             self.expect_echo(leg)
-        self.ended_ids.pop(one.id, None)  # it was among the open ids that the previous process handed over
-        self.calls_by_id[one.id] = conn
+        # The id was among the open ones that the previous process handed over.
+        self.ended_ids.pop(offered.id, None)
+        self.calls_by_id[offered.id] = conn
         self.open_sockets += 2
         self.queue_event(
-            io.CallArrived(conn, number, 0, one.key, one.group, one.tenant, one.load, held_by=one.host)
+            io.CallArrived(
+                conn,
+                type_number,
+                0,
+                offered.key,
+                offered.group,
+                offered.tenant,
+                offered.load,
+                held_by=offered.host,
+            )
         )
-        if one.load:
-            self.report_load(leg, one.load)
+        if offered.load:
+            self.report_load(leg, offered.load)
         for end in (e.client, e.host):
             self.read(end)
-        self.effects.append(ev.Log("adopted", {"call": one.id, "type": one.type, "host": one.host}))
+        self.effects.append(
+            ev.Log("adopted", {"call": offered.id, "type": offered.type, "host": offered.host})
+        )
         e.reply(True)
