--- a/cottonspread/net/message_delays.py
+++ b/cottonspread/net/message_delays.py
@@ -4,7 +4,7 @@
 may be one of two reports, without saying which: the load of its connection in microseconds a second, or the
 delay of a message at the host in milliseconds. (On the test bench, the values that the simulator gives as
 delay reports arrived as LOAD lines, once a second, among loads a thousand times as large. When they were
-taken for loads, the connections of a congested host counted as almost idle.) `MessageDelays.classify` tells
+taken for loads, the connections of an overloaded host counted as almost idle.) `MessageDelays.classify` tells
 the two apart: a host sends its delay reports at intervals of one second, and few loads are that small.
 
 Times are microseconds.
--- a/cottonspread/net/reducer.py
+++ b/cottonspread/net/reducer.py
@@ -4,8 +4,8 @@
 threads; the workers carry out the effects in order.
 
 It makes no decisions about hosts: it reports to the balancer what happened and carries out the balancer's
-actions. What is decided here is the front's part: when a leg has ended, when lines may be forwarded and when
-something is reported. Times and time spans are microseconds.
+actions. What is decided here is the front end's part: when a leg has ended, when lines may be forwarded and
+when something is reported. Times and time spans are microseconds.
 """
 
 import heapq
@@ -647,7 +647,7 @@
         self.active_hosts.add(leg.host)  # the line may be reinterpreted later
         if self.host_protocol.sends_delay and self.host_protocol.load_may_be_delay:
             # If hosts send no loads according to the settings, the line can only be a delay. When it was
-            # taken for the load that each connection reports first, congestion was not detected at all.
+            # taken for the load that each connection reports first, overload was not detected at all.
             delay = (
                 delays.classify(
                     self.now,
