--- a/tests/test_reducer.py
+++ b/tests/test_reducer.py
@@ -1,35 +1,37 @@
 """Plays the scenarios in tests/reducer/*.txt against the reducer, without sockets.
 
-Settings as in tests/test_scenarios.py; TIME EVENT ARGS with these events:
-  list changes|full|saved HOST[:WORD=VALUE]    discovery has spoken
-  down                                         discovery fails
-  came C                                       a client connects
-  got END TEXT [| TEXT]                        whole lines come; half: and part of one more
-  up H, fail H                                 a connect's result
-  wrote END [broken|WHY]                       a write held by `hold END` is done (not begun: WHY)
-  over END [how]                               nothing more comes
-  stop [handed] [heir]                         SIGTERM (a successor takes new ones, and standing ones)
+Settings as in tests/test_scenarios.py, and `site sockets=N` for the limit on sockets. Each line is TIME EVENT
+ARGS, with times in milliseconds and these events:
+  list changes|full|saved HOST[:WORD=VALUE]    an update of the host list
+  list_failed                                  a request to discovery fails
+  accept C                                     a client connects
+  read END TEXT [| TEXT]                       complete lines arrive; read_half: and part of one more
+  connected H, connect_failed H                the result of a connect
+  hold_write END                               writes to END are not done at once
+  written END [failed|REASON]                  a write held by `hold_write` is done (REASON: it was not sent)
+  end END [CAUSE]                              the input ends (end, reset or a malformed line)
+  stop [successor] [transfer]                  SIGTERM (a successor accepts new clients, and open connections)
   tick                                         time passes
-  passed C taken|left|again                    what became of one passed on (again: it was just being read)
-  adopt C H ID TYPE HOST [KEY [LOAD]]          a standing connection of the process before this one
-  retune WORD=VALUE .. | TYPE WORD=VALUE .. | ..
-                                               SIGHUP: other settings and traffic types; alone: a faulty file
-  handed [draining] [id=ID ..] [KEY=HOST ..]   what the process before this one hands over
-  handover                                     > handed room=N WORD ..: asked for by the next process
-  drain, resume                                as operators call
-  figures NAME=N ..                            what the node counts: success.TYPE, inflight, ..
-  asked HOST ENDING [X0]                       a probe is over, with the load told
-  asleep                                       the node stood still until now
-  at TIME got ..                               it was here since then
+  transfer_done C accepted|refused|retry       the result of a transfer (retry: C was being read just then)
+  offer C H ID TYPE HOST [KEY [LOAD]]          an open connection of the previous process
+  reload WORD=VALUE .. | TYPE WORD=VALUE .. | ..
+                                               SIGHUP: other settings and types; alone: an invalid file
+  inherit [draining] [id=ID ..] [KEY=HOST ..]  the state that the previous process hands over
+  handover                                     the next process asks for the state: > state room=N WORD ..
+  drain, resume                                as the operators request
+  counters NAME=N ..                           checks the node's counters: success.TYPE, inflight, ..
+  probe_done HOST ENDING [X0]                  a probe has ended, with the load it reported
+  stall                                        the node did not run until now
+  at TIME read ..                              the lines have been waiting since then
 What must follow:
-> ask HOST, connect H HOST, write END TEXT, finish END, cut END [broken], closed C REASON, stop
-> pass C ID TYPE HOST LINES, free END, adopted yes|no
-Ends to hosts are named h1, h2, .. as they are made. Writes are done at once unless held.
-
-The world below checks of every scenario: one order to read and one to write at a time on each end, nothing
-after an end is given back, each call exactly one final answer and in its time (unless the node stood still),
-in the end no descriptor, call or leg left, and that the node's figures are what the lines on its connections
-say.
+> probe HOST, connect H HOST, write END TEXT, half_close END, shutdown END [reset], closed C REASON, exit
+> transfer C ID TYPE HOST LINES, free END, offer accepted|refused
+The sockets to hosts are named h1, h2, .. in the order in which they are opened. Writes are done at once
+unless held.
+
+The world below checks in every scenario: at most one pending read and write per socket, nothing after a
+socket is freed, exactly one final answer per call, in time (unless the node was stalled), no socket, call or
+leg left at the end, and counters that agree with the lines on the connections.
 """
 
 from collections import Counter
@@ -59,7 +61,7 @@
             begin(site, types),
             names_of(types),
             config.HostProtocol(ms(50), "no_loads" not in site, True, "loads_only" not in site),
-            int(site.get("ends", 100)),
+            int(site.get("sockets", 100)),
         )
         self.ends, self.names, self.held, self.out = {}, {}, set(), []
         self.reading, self.writing, self.freed, self.said = set(), set(), set(), {}
@@ -75,13 +77,15 @@
             ev.Read: self.read,
             ev.DiscardInput: self.read,
             ev.Write: self.write,
-            ev.ShutdownWrite: lambda effect, end, name: self.out.append(["finish", name]),
-            ev.Shutdown: lambda effect, end, name: self.out.append(["cut", name] + ["broken"] * effect.reset),
+            ev.ShutdownWrite: lambda effect, end, name: self.out.append(["half_close", name]),
+            ev.Shutdown: lambda effect, end, name: self.out.append(
+                ["shutdown", name] + ["reset"] * effect.reset
+            ),
             ev.Free: self.free,
             ev.Transfer: self.pass_on,
             ev.Probe: self.ask,
             ev.Log: self.log,
-            ev.Exit: lambda effect, end, name: self.out.append(["stop"]),
+            ev.Exit: lambda effect, end, name: self.out.append(["exit"]),
         }
         self.perform(self.reducer.step(0, ev.Tick()))
 
@@ -136,12 +140,12 @@
         self.away = effect
         one = effect.connection
         self.out.append(
-            ["pass", self.names[effect.client], one.id, one.type, one.host, str(len(one.waiting))]
+            ["transfer", self.names[effect.client], one.id, one.type, one.host, str(len(one.waiting))]
         )
 
     def ask(self, effect, *_):
         self.asks.append(effect.host)
-        self.out.append(["ask", effect.host])
+        self.out.append(["probe", effect.host])
 
     def log(self, effect, *_):
         """Of what is logged, the ends of clients are minded."""
@@ -178,7 +182,7 @@
         return +Counter(counters.answers | {"backend_calls": counters.backend_calls})
 
     def act(self, now, verb, args):
-        while verb != "asleep" and self.reducer.due() < now:  # the loop's own calls in between
+        while verb != "stall" and self.reducer.due() < now:  # the loop's own calls in between
             self.now = max(self.now, self.reducer.due())
             self.step(ev.Tick())
         self.now, at = now, 0
@@ -201,43 +205,43 @@
         }
         self.step(ev.ListReceived(listed, {e.host: (e.host, int(ports[e.host])) for e in listed.entries}))
 
-    def on_down(self, end, args, at):
+    def on_list_failed(self, end, args, at):
         self.step(ev.ListFailed())
 
-    def on_came(self, end, args, at):
+    def on_accept(self, end, args, at):
         self.step(ev.ClientAccepted(self.named(ev.ConnectionEnd(True), args[0])))
 
-    def on_got(self, end, args, at, more=False):
+    def on_read(self, end, args, at, more=False):
         assert end in self.reading, f"nobody reads {args[0]}"
         self.reading.discard(end)
         data = "".join(text.strip() + "\r\n" for text in " ".join(args[1:]).split("|"))
         self.step(ev.LinesRead(end, data.encode(), more, at), at)
 
-    def on_half(self, end, args, at):
-        self.on_got(end, args, at, more=True)
+    def on_read_half(self, end, args, at):
+        self.on_read(end, args, at, more=True)
 
-    def on_up(self, end, args, at):
+    def on_connected(self, end, args, at):
         self.step(ev.ConnectDone(end, True))
 
-    def on_fail(self, end, args, at):
+    def on_connect_failed(self, end, args, at):
         self.step(ev.ConnectDone(end, False))
 
-    def on_hold(self, end, args, at):
+    def on_hold_write(self, end, args, at):
         self.held.add(args[0])
 
-    def on_wrote(self, end, args, at):
+    def on_written(self, end, args, at):
         self.held.discard(args[0])
-        self.written(end, len(args) == 1, "".join(args[1:]).replace("broken", ""))
+        self.written(end, len(args) == 1, "".join(args[1:]).replace("failed", ""))
 
-    def on_passed(self, end, args, at):
+    def on_transfer_done(self, end, args, at):
         effect, self.away = self.away, None
         assert effect.client is end
-        if args[1] == "taken":
+        if args[1] == "accepted":
             self.passed |= {effect.client, effect.host}
             self.reading -= self.passed
-        self.step(ev.TransferDone(effect.conn, args[1] == "taken", args[1] == "again"))
+        self.step(ev.TransferDone(effect.conn, args[1] == "accepted", args[1] == "retry"))
 
-    def on_adopt(self, end, args, at):
+    def on_offer(self, end, args, at):
         ends = self.named(ev.ConnectionEnd(True), args[0]), self.named(ev.ConnectionEnd(False), args[1])
         key, load = [*args[5:], None, 0][:2]
         self.adopted.update(ends)
@@ -247,24 +251,24 @@
                 handover.OpenConnection(
                     args[2], args[3], args[4], self.now, 0, key, key, load=float(load or 0)
                 ),
-                lambda taken: self.out.append(["adopted", "yes" if taken else "no"]),
+                lambda taken: self.out.append(["offer", "accepted" if taken else "refused"]),
             )
         )
 
-    def on_over(self, end, args, at):
+    def on_end(self, end, args, at):
         assert end in self.reading, f"nobody reads {args[0]}"
         self.reading.discard(end)
         self.step(ev.ReadEnded(end, args[1] if len(args) > 1 else "end"))
 
-    def on_asked(self, end, args, at):
+    def on_probe_done(self, end, args, at):
         self.asks.remove(args[0])
         report = {"x0": float(args[2])} if len(args) > 2 else {}
         self.step(ev.ProbeDone(args[0], io.Ending[args[1].upper()], report))
 
     def on_stop(self, end, args, at):
-        self.step(ev.StopRequested("handed" in args, "heir" in args))
+        self.step(ev.StopRequested("successor" in args, "transfer" in args))
 
-    def on_retune(self, end, args, at):
+    def on_reload(self, end, args, at):
         if not args:
             self.step(ev.ReloadRejected())
             return
@@ -272,7 +276,7 @@
         types = [traffic_type(words[0], pairs(words[1:])) for words in types]
         self.step(ev.SettingsReloaded(begin(pairs(site), types), names_of(types), self.reducer.host_protocol))
 
-    def on_handed(self, end, args, at):
+    def on_inherit(self, end, args, at):
         words = [word.partition("=")[::2] for word in args]
         self.step(
             ev.StateInherited(
@@ -290,7 +294,7 @@
             ev.HandOverRequested(
                 lambda handed: self.out.append(
                     [
-                        "handed",
+                        "state",
                         f"room={handed.room}",
                         *handed.ids,
                         *(f"{k}={h}" for k, h in handed.records),
@@ -307,7 +311,7 @@
     def on_resume(self, end, args, at):
         self.step(ev.DrainRequested(False))
 
-    def on_figures(self, end, args, at):
+    def on_counters(self, end, args, at):
         told = {
             name + "." * bool(labels) + labels[7:-2]: value
             for name, labels, value in self.reducer.counters.samples(len(self.reducer.calls_by_id))
@@ -318,25 +322,25 @@
     def on_tick(self, end, args, at):
         self.step(ev.Tick())
 
-    def on_asleep(self, end, args, at):
+    def on_stall(self, end, args, at):
         self.stood_still = True
         self.step(ev.Tick())
 
     def finish(self):
         """Everybody leaves: nothing may be left, and each call had its one answer."""
         for name in list(self.asks):
-            self.act(self.now, "asked", [name, "full"])
+            self.act(self.now, "probe_done", [name, "full"])
         if self.away:
-            self.act(self.now, "passed", [self.names[self.away.client], "left"])
+            self.act(self.now, "transfer_done", [self.names[self.away.client], "refused"])
         for _ in range(10):  # an end may bring a line, a line an end, a failure another leg
             for name in [name for name, end in self.ends.items() if end not in self.freed]:
                 end = self.ends[name]
                 if end in self.writing:
-                    self.act(self.now, "wrote", [name, "broken"])
+                    self.act(self.now, "written", [name, "failed"])
                 elif not end.is_client and not end.connected and end not in self.freed:
-                    self.act(self.now, "fail", [name])
+                    self.act(self.now, "connect_failed", [name])
                 elif end in self.reading:
-                    self.act(self.now, "over", [name])
+                    self.act(self.now, "end", [name])
         self.act(self.now + ms(60_000), "tick", [])
         assert (
             set(self.ends.values()) == self.freed and not self.reducer.conns and not self.reducer.open_sockets
@@ -401,14 +405,18 @@
     for n in range(100):
         now += ms(one_of([0, 1, 3, 40, 400, 1100]))
         world.act(now, "tick", [])
-        moves = [("came", [f"c{n}"])] * 3 + [("tick", []), ("down", [])]
+        moves = [("accept", [f"c{n}"])] * 3 + [("tick", []), ("list_failed", [])]
         moves += [("list", ["changes", f"{one_of('abc')}:state={one_of(['up', 'draining', 'gone', 'up'])}"])]
-        moves += [("stop", [[], ["heir"]][chance.below(2)])] if n > 80 else [("drain", []), ("resume", [])]
+        moves += (
+            [("stop", [[], ["transfer"]][chance.below(2)])] if n > 80 else [("drain", []), ("resume", [])]
+        )
         if world.away:
-            moves += [("passed", [world.names[world.away.client], one_of(["taken", "left", "again"])])] * 9
+            moves += [
+                ("transfer_done", [world.names[world.away.client], one_of(["accepted", "refused", "retry"])])
+            ] * 9
         moves += [
             (
-                "adopt",
+                "offer",
                 [
                     f"c{n}",
                     f"g{n}",
@@ -423,13 +431,13 @@
             if world.away and end in (world.away.client, world.away.host):
                 continue  # nobody reads there meanwhile
             if end in world.writing:
-                moves += [("wrote", [name]), ("wrote", [name, "broken"])]
+                moves += [("written", [name]), ("written", [name, "failed"])]
             elif not end.is_client and not end.freed and not end.connected:
-                moves += [("up", [name])] * 3 + [("fail", [name])]
+                moves += [("connected", [name])] * 3 + [("connect_failed", [name])]
             elif end in world.reading and end.is_client and end.conn.request is None:
                 moves += [
                     (
-                        "got",
+                        "read",
                         [
                             name,
                             one_of(
@@ -440,8 +448,8 @@
                     )
                 ] * 3
             elif end in world.reading:
-                moves += [("got", [name, one_of(SAID) if not end.is_client else f"M {n} cd"])] * 4
-                moves += [("over", [name, one_of(["end", "reset", "half-line"])]), ("hold", [name])]
+                moves += [("read", [name, one_of(SAID) if not end.is_client else f"M {n} cd"])] * 4
+                moves += [("end", [name, one_of(["end", "reset", "half-line"])]), ("hold_write", [name])]
         verb, args = one_of(moves)
         world.act(now, verb, " ".join(args).split())
     world.finish()
@@ -459,20 +467,20 @@
     world.reducer.balancer.handle = listen
     for line in (
         "0 list full a",
-        "0 came c1",
-        "0 got c1 OPEN x k c=any,d=1200",
-        "1 up h1",
-        "2 got h1 UP r",
-        "100 got c1 M 1",
-        "130 got h1 M 1",
-        "200 got c1 M 2",
-        "240 got h1 M 2",
-        "1200 got c1 M 3",
-        "1240 got h1 M 3",
-        "1300 got c1 M 4",
-        "1301 got h1 M 4",
-        "1400 got c1 M 5",
-        "1401 got h1 M 5",
+        "0 accept c1",
+        "0 read c1 OPEN x k c=any,d=1200",
+        "1 connected h1",
+        "2 read h1 UP r",
+        "100 read c1 M 1",
+        "130 read h1 M 1",
+        "200 read c1 M 2",
+        "240 read h1 M 2",
+        "1200 read c1 M 3",
+        "1240 read h1 M 3",
+        "1300 read c1 M 4",
+        "1301 read h1 M 4",
+        "1400 read c1 M 5",
+        "1401 read h1 M 5",
     ):
         time, verb, *args = line.split()
         world.act(ms(time), verb, args)
