--- a/benchmarks/crossings/mutants.py
+++ b/benchmarks/crossings/mutants.py
@@ -23,7 +23,7 @@
 SCENARIO = "tests/test_reducer.py::test_scenario"
 PIECES, DRAWN = (
     "tests/crossings/test_pieces.py",
-    "tests/test_reducer.py::test_whatever_comes_is_answered_once_and_given_back",
+    "tests/test_reducer.py::test_random_events_give_one_answer_per_call_and_free_all_sockets",
 )
 POLICY = "policy"  # the decisions: whichever of their files has the line
 
@@ -71,7 +71,7 @@
         "if not leg.write_issued and leg.conn.request.held_by is None:",
         "if False:",
         [
-            f"{SCENARIO}[never_begun]",
+            f"{SCENARIO}[never_sent]",
             f"{SHUTDOWN}::test_a_call_whose_connection_does_not_come_up_is_turned_away_at_the_end_as_never_sent",
         ],
     ),
@@ -285,7 +285,7 @@
         "net/reducer.py",
         "while len(self.awaiting_first_line) >= max(2, self.max_sockets // PENDING_CLIENTS_DIVISOR):",
         "while False:",
-        [f"{SCENARIO}[crowd]"],
+        [f"{SCENARIO}[idle_clients]"],
     ),
     (
         "the bound on clients that wait for their first line",
--- a/tests/test_reducer.py
+++ b/tests/test_reducer.py
@@ -386,7 +386,7 @@
 
 
 @pytest.mark.parametrize("seed", range(150))
-def test_whatever_comes_is_answered_once_and_given_back(seed):
+def test_random_events_give_one_answer_per_call_and_free_all_sockets(seed):
     """A hundred events drawn at random, each of which may happen; the world checks the rest."""
     chance = SeededRandom(seed)
 
@@ -455,7 +455,7 @@
     world.finish()
 
 
-def test_a_late_echo_is_told_once_a_second_and_then_the_first_in_time():
+def test_late_echoes_are_reported_once_a_second_and_then_the_first_in_time():
     world, told = World({}, [traffic_type("any", {})]), []
     handle = world.reducer.balancer.handle
 
