--- a/tests/test_reducer.py
+++ b/tests/test_reducer.py
@@ -50,7 +50,7 @@
 FILES = sorted((Path(__file__).parent / "reducer").glob("*.txt"))
 
 
-def names_of(types):
+def type_names(types):
     return config.Names({t.name: n for n, t in enumerate(types)}, {}, {}, {})
 
 
@@ -59,19 +59,19 @@
         self.reducer = Reducer(
             0,
             begin(site, types),
-            names_of(types),
+            type_names(types),
             config.HostProtocol(ms(50), "no_loads" not in site, True, "loads_only" not in site),
             int(site.get("sockets", 100)),
         )
-        self.ends, self.names, self.held, self.out = {}, {}, set(), []
-        self.reading, self.writing, self.freed, self.said = set(), set(), set(), {}
-        self.asks = []
-        self.away, self.passed = None, set()  # on its way to a successor; ends that are there
-        self.whole = set()  # hosts' ends that got a first line whole
-        self.adopted = set()  # clients that stood when they came here
+        self.ends, self.names, self.held_writes, self.out = {}, {}, set(), []
+        self.reading, self.writing, self.freed, self.answers = set(), set(), set(), {}
+        self.probes = []
+        self.transferring, self.transferred = None, set()  # on its way to a successor; ends that are there
+        self.got_first_line = set()  # hosts' ends that got a first line whole
+        self.taken_over = set()  # clients that stood when they came here
         self.now = 0
-        self.answered = {}  # when each client had its first answer
-        self.stood_still = False  # whether a node that sleeps is played
+        self.answered_at = {}  # when each client had its first answer
+        self.stalled = False  # whether a node that sleeps is played
         self.handlers = {
             ev.Connect: self.connect,
             ev.Read: self.read,
@@ -82,14 +82,14 @@
                 ["shutdown", name] + ["reset"] * effect.reset
             ),
             ev.Free: self.free,
-            ev.Transfer: self.pass_on,
-            ev.Probe: self.ask,
+            ev.Transfer: self.transfer,
+            ev.Probe: self.probe,
             ev.Log: self.log,
             ev.Exit: lambda effect, end, name: self.out.append(["exit"]),
         }
         self.perform(self.reducer.step(0, ev.Tick()))
 
-    def named(self, end, name):
+    def add_end(self, end, name):
         self.ends[name], self.names[end], end.worker = end, name, "a thread"
         return end
 
@@ -108,12 +108,16 @@
             if isinstance(effect, ev.Shutdown) and end in self.reading:  # wakes its reader
                 self.reading.discard(end)
                 self.step(ev.ReadEnded(end, "end"))
-            elif isinstance(effect, ev.Write) and end in self.writing and self.names[end] not in self.held:
+            elif (
+                isinstance(effect, ev.Write)
+                and end in self.writing
+                and self.names[end] not in self.held_writes
+            ):
                 self.written(end, True)
 
     def connect(self, effect, end, _):
         name = f"h{1 + sum(n[0] == 'h' for n in self.ends)}"
-        self.named(end, name)
+        self.add_end(end, name)
         self.out.append(["connect", name, effect.address[0]])
 
     def read(self, _, end, name):
@@ -124,60 +128,60 @@
         assert end not in self.writing, f"two writes on {name}"
         self.writing.add(end)
         if end.is_client and effect.data.split()[0] != b"PONG":
-            self.said.setdefault(name, []).append(effect.data)
-            self.answered.setdefault(name, self.now)
+            self.answers.setdefault(name, []).append(effect.data)
+            self.answered_at.setdefault(name, self.now)
         self.out += [["write", name, *line.split()] for line in effect.data.decode().splitlines()]
 
     def free(self, _, end, name):
         assert end not in self.reading and end not in self.writing, f"{name} given back in use"
         self.freed.add(end)
-        if end in self.passed:
+        if end in self.transferred:
             self.out.append(["free", name])
 
-    def pass_on(self, effect, *_):
+    def transfer(self, effect, *_):
         assert {effect.client, effect.host} <= self.reading, "passed on while nobody reads it"
-        assert not {effect.client, effect.host} & self.writing and not self.away
-        self.away = effect
+        assert not {effect.client, effect.host} & self.writing and not self.transferring
+        self.transferring = effect
         one = effect.connection
         self.out.append(
             ["transfer", self.names[effect.client], one.id, one.type, one.host, str(len(one.waiting))]
         )
 
-    def ask(self, effect, *_):
-        self.asks.append(effect.host)
+    def probe(self, effect, *_):
+        self.probes.append(effect.host)
         self.out.append(["probe", effect.host])
 
     def log(self, effect, *_):
         """Of what is logged, the ends of clients are minded."""
         if effect.event != "closed":
             return
-        told = self.said.setdefault("closed", [])
+        logged = self.answers.setdefault("closed", [])
         client = next(
             n
             for n, e in self.ends.items()
-            if e.is_client and e.conn is not None and e.freed and n not in told
+            if e.is_client and e.conn is not None and e.freed and n not in logged
         )
-        told.append(client)
+        logged.append(client)
         self.out.append(["closed", client, effect.pairs["reason"]])
 
-    def written(self, end, ok, why=""):
+    def written(self, end, ok, skip_reason=""):
         self.writing.discard(end)
         if ok and not end.is_client:
-            self.whole.add(end)
-        self.step(ev.WriteDone(end, ok, skip_reason=why))
+            self.got_first_line.add(end)
+        self.step(ev.WriteDone(end, ok, skip_reason=skip_reason))
 
-    def recount(self):
+    def expected_counters(self):
         """The figures from what went over the connections, without the node's own count."""
-        counted = Counter(backend_calls=len(self.whole - self.adopted))
+        counted = Counter(backend_calls=len(self.got_first_line - self.taken_over))
         for name, end in self.ends.items():
-            said = self.said.get(name)
-            if end.is_client and end not in self.adopted and end.conn.request and said:
+            said = self.answers.get(name)
+            if end.is_client and end not in self.taken_over and end.conn.request and said:
                 word = said[0].split()[0]
                 answer = {b"UP": "success", b"BUSY": "busy"}.get(word, "failure")
                 counted[answer, end.conn.type.name] += 1
         return +counted
 
-    def figures(self):
+    def actual_counters(self):
         counters = self.reducer.counters
         return +Counter(counters.answers | {"backend_calls": counters.backend_calls})
 
@@ -209,7 +213,7 @@
         self.step(ev.ListFailed())
 
     def on_accept(self, end, args, at):
-        self.step(ev.ClientAccepted(self.named(ev.ConnectionEnd(True), args[0])))
+        self.step(ev.ClientAccepted(self.add_end(ev.ConnectionEnd(True), args[0])))
 
     def on_read(self, end, args, at, more=False):
         assert end in self.reading, f"nobody reads {args[0]}"
@@ -227,31 +231,31 @@
         self.step(ev.ConnectDone(end, False))
 
     def on_hold_write(self, end, args, at):
-        self.held.add(args[0])
+        self.held_writes.add(args[0])
 
     def on_written(self, end, args, at):
-        self.held.discard(args[0])
+        self.held_writes.discard(args[0])
         self.written(end, len(args) == 1, "".join(args[1:]).replace("failed", ""))
 
     def on_transfer_done(self, end, args, at):
-        effect, self.away = self.away, None
+        effect, self.transferring = self.transferring, None
         assert effect.client is end
         if args[1] == "accepted":
-            self.passed |= {effect.client, effect.host}
-            self.reading -= self.passed
+            self.transferred |= {effect.client, effect.host}
+            self.reading -= self.transferred
         self.step(ev.TransferDone(effect.conn, args[1] == "accepted", args[1] == "retry"))
 
     def on_offer(self, end, args, at):
-        ends = self.named(ev.ConnectionEnd(True), args[0]), self.named(ev.ConnectionEnd(False), args[1])
+        ends = self.add_end(ev.ConnectionEnd(True), args[0]), self.add_end(ev.ConnectionEnd(False), args[1])
         key, load = [*args[5:], None, 0][:2]
-        self.adopted.update(ends)
+        self.taken_over.update(ends)
         self.step(
             ev.TransferOffered(
                 *ends,
                 handover.OpenConnection(
                     args[2], args[3], args[4], self.now, 0, key, key, load=float(load or 0)
                 ),
-                lambda taken: self.out.append(["offer", "accepted" if taken else "refused"]),
+                lambda accepted: self.out.append(["offer", "accepted" if accepted else "refused"]),
             )
         )
 
@@ -261,7 +265,7 @@
         self.step(ev.ReadEnded(end, args[1] if len(args) > 1 else "end"))
 
     def on_probe_done(self, end, args, at):
-        self.asks.remove(args[0])
+        self.probes.remove(args[0])
         report = {"x0": float(args[2])} if len(args) > 2 else {}
         self.step(ev.ProbeDone(args[0], io.Ending[args[1].upper()], report))
 
@@ -274,7 +278,9 @@
             return
         site, *types = [part.split() for part in " ".join(args).split("|")]
         types = [traffic_type(words[0], pairs(words[1:])) for words in types]
-        self.step(ev.SettingsReloaded(begin(pairs(site), types), names_of(types), self.reducer.host_protocol))
+        self.step(
+            ev.SettingsReloaded(begin(pairs(site), types), type_names(types), self.reducer.host_protocol)
+        )
 
     def on_inherit(self, end, args, at):
         words = [word.partition("=")[::2] for word in args]
@@ -323,15 +329,15 @@
         self.step(ev.Tick())
 
     def on_stall(self, end, args, at):
-        self.stood_still = True
+        self.stalled = True
         self.step(ev.Tick())
 
     def finish(self):
         """Everybody leaves: nothing may be left, and each call had its one answer."""
-        for name in list(self.asks):
+        for name in list(self.probes):
             self.act(self.now, "probe_done", [name, "full"])
-        if self.away:
-            self.act(self.now, "transfer_done", [self.names[self.away.client], "refused"])
+        if self.transferring:
+            self.act(self.now, "transfer_done", [self.names[self.transferring.client], "refused"])
         for _ in range(10):  # an end may bring a line, a line an end, a failure another leg
             for name in [name for name, end in self.ends.items() if end not in self.freed]:
                 end = self.ends[name]
@@ -347,20 +353,22 @@
         )
         assert not self.reducer.balancer.calls and not any(s.legs for s in self.reducer.hosts.values())
         for name, end in self.ends.items():
-            if end.is_client and end.conn and end.conn.request and end not in self.adopted:
-                said = self.said.get(name, [])
+            if end.is_client and end.conn and end.conn.request and end not in self.taken_over:
+                said = self.answers.get(name, [])
                 # after UP lines are only passed
                 finals = 1 if said and said[0].startswith(b"UP") else len(said)
                 gone = end.conn.reason == "left-in-setup"  # one that was handed over has its UP
                 assert finals + gone == 1, f"{name}: {said}, {end.conn.reason}"
                 in_time = (
                     gone
-                    or self.stood_still
+                    or self.stalled
                     or end.conn.request.held_by
-                    or self.answered[name] <= end.conn.guard
+                    or self.answered_at[name] <= end.conn.guard
+                )
+                assert in_time, (
+                    f"{name}: answered {self.answered_at[name] - end.conn.guard} us after its time"
                 )
-                assert in_time, f"{name}: answered {self.answered[name] - end.conn.guard} us after its time"
-        assert self.figures() == self.recount()
+        assert self.actual_counters() == self.expected_counters()
 
 
 @pytest.mark.parametrize("file", FILES, ids=lambda f: f.stem)
@@ -371,7 +379,7 @@
     play(file, start, lambda world, now, verb, args, bound: world.act(now, verb, args)).finish()
 
 
-SAID = [
+LINES = [
     "UP r",
     "BUSY",
     "ERR",
@@ -388,10 +396,10 @@
 @pytest.mark.parametrize("seed", range(150))
 def test_random_events_give_one_answer_per_call_and_free_all_sockets(seed):
     """A hundred events drawn at random, each of which may happen; the world checks the rest."""
-    chance = SeededRandom(seed)
+    rng = SeededRandom(seed)
 
-    def one_of(choices):
-        return choices[chance.below(len(choices))]
+    def choice(choices):
+        return choices[rng.below(len(choices))]
 
     world = World(
         {"moving": "0.03", "retry_after": "1000"},
@@ -403,16 +411,17 @@
     now = 0
     world.act(0, "list", ["full", "a", "b", "c"])
     for n in range(100):
-        now += ms(one_of([0, 1, 3, 40, 400, 1100]))
+        now += ms(choice([0, 1, 3, 40, 400, 1100]))
         world.act(now, "tick", [])
         moves = [("accept", [f"c{n}"])] * 3 + [("tick", []), ("list_failed", [])]
-        moves += [("list", ["changes", f"{one_of('abc')}:state={one_of(['up', 'draining', 'gone', 'up'])}"])]
-        moves += (
-            [("stop", [[], ["transfer"]][chance.below(2)])] if n > 80 else [("drain", []), ("resume", [])]
-        )
-        if world.away:
+        moves += [("list", ["changes", f"{choice('abc')}:state={choice(['up', 'draining', 'gone', 'up'])}"])]
+        moves += [("stop", [[], ["transfer"]][rng.below(2)])] if n > 80 else [("drain", []), ("resume", [])]
+        if world.transferring:
             moves += [
-                ("transfer_done", [world.names[world.away.client], one_of(["accepted", "refused", "retry"])])
+                (
+                    "transfer_done",
+                    [world.names[world.transferring.client], choice(["accepted", "refused", "retry"])],
+                )
             ] * 9
         moves += [
             (
@@ -421,14 +430,14 @@
                     f"c{n}",
                     f"g{n}",
                     f"a{n % 40}",
-                    one_of(["again", "once", "gone"]),
-                    one_of("abcd"),
+                    choice(["again", "once", "gone"]),
+                    choice("abcd"),
                     f"k{n % 5}",
                 ],
             )
         ]
         for name, end in world.ends.items():
-            if world.away and end in (world.away.client, world.away.host):
+            if world.transferring and end in (world.transferring.client, world.transferring.host):
                 continue  # nobody reads there meanwhile
             if end in world.writing:
                 moves += [("written", [name]), ("written", [name, "failed"])]
@@ -440,31 +449,31 @@
                         "read",
                         [
                             name,
-                            one_of(
+                            choice(
                                 ["PING", "HELLO", f"OPEN x{n} k{n % 5} c=once,d=900,g=g{n % 3}"]
-                                + [f"OPEN x{n} k c=again,d={one_of([500, 1200])}", "OPEN y k c=again,at=b"]
+                                + [f"OPEN x{n} k c=again,d={choice([500, 1200])}", "OPEN y k c=again,at=b"]
                             ),
                         ],
                     )
                 ] * 3
             elif end in world.reading:
-                moves += [("read", [name, one_of(SAID) if not end.is_client else f"M {n} cd"])] * 4
-                moves += [("end", [name, one_of(["end", "reset", "half-line"])]), ("hold_write", [name])]
-        verb, args = one_of(moves)
+                moves += [("read", [name, choice(LINES) if not end.is_client else f"M {n} cd"])] * 4
+                moves += [("end", [name, choice(["end", "reset", "half-line"])]), ("hold_write", [name])]
+        verb, args = choice(moves)
         world.act(now, verb, " ".join(args).split())
     world.finish()
 
 
 def test_late_echoes_are_reported_once_a_second_and_then_the_first_in_time():
-    world, told = World({}, [traffic_type("any", {})]), []
+    world, reported = World({}, [traffic_type("any", {})]), []
     handle = world.reducer.balancer.handle
 
-    def listen(now, event):
+    def record(now, event):
         if isinstance(event, io.DelayReported):
-            told.append((now // 1000, event.delay // 1000))
+            reported.append((now // 1000, event.delay // 1000))
         return handle(now, event)
 
-    world.reducer.balancer.handle = listen
+    world.reducer.balancer.handle = record
     for line in (
         "0 list full a",
         "0 accept c1",
@@ -484,4 +493,4 @@
     ):
         time, verb, *args = line.split()
         world.act(ms(time), verb, args)
-    assert told == [(130, 30), (1240, 40), (1301, 1)]
+    assert reported == [(130, 30), (1240, 40), (1301, 1)]
