--- a/tests/test_reducer.py
+++ b/tests/test_reducer.py
@@ -55,6 +55,8 @@
 
 
 class World:
+    """The clients, hosts and workers around one reducer."""
+
     def __init__(self, site, types):
         self.reducer = Reducer(
             0,
@@ -66,12 +68,15 @@
         self.ends, self.names, self.held_writes, self.out = {}, {}, set(), []
         self.reading, self.writing, self.freed, self.answers = set(), set(), set(), {}
         self.probes = []
-        self.transferring, self.transferred = None, set()  # on its way to a successor; ends that are there
-        self.got_first_line = set()  # hosts' ends that got a first line whole
-        self.taken_over = set()  # clients that stood when they came here
+        self.transferring, self.transferred = (
+            None,
+            set(),
+        )  # a `Transfer` in progress; the sockets that the successor has got
+        self.got_first_line = set()  # hosts' sockets on which a first line was written completely
+        self.taken_over = set()  # sockets of connections that the previous process opened
         self.now = 0
-        self.answered_at = {}  # when each client had its first answer
-        self.stalled = False  # whether a node that sleeps is played
+        self.answered_at = {}  # when each client got its first answer
+        self.stalled = False  # whether the scenario stalls the node
         self.handlers = {
             ev.Connect: self.connect,
             ev.Read: self.read,
@@ -100,12 +105,12 @@
         for effect in effects:
             end = getattr(effect, "end", None)
             name = self.names.get(end)
-            assert end is None or end not in self.freed, f"{effect} after {name} was given back"
+            assert end is None or end not in self.freed, f"{effect} after {name} was freed"
             if handler := self.handlers.get(type(effect)):
                 handler(effect, end, name)
         for effect in effects:
             end = getattr(effect, "end", None)
-            if isinstance(effect, ev.Shutdown) and end in self.reading:  # wakes its reader
+            if isinstance(effect, ev.Shutdown) and end in self.reading:  # its reader wakes up
                 self.reading.discard(end)
                 self.step(ev.ReadEnded(end, "end"))
             elif (
@@ -121,11 +126,11 @@
         self.out.append(["connect", name, effect.address[0]])
 
     def read(self, _, end, name):
-        assert end not in self.reading, f"two reads on {name}"
+        assert end not in self.reading, f"two reads at a time on {name}"
         self.reading.add(end)
 
     def write(self, effect, end, name):
-        assert end not in self.writing, f"two writes on {name}"
+        assert end not in self.writing, f"two writes at a time on {name}"
         self.writing.add(end)
         if end.is_client and effect.data.split()[0] != b"PONG":
             self.answers.setdefault(name, []).append(effect.data)
@@ -133,13 +138,15 @@
         self.out += [["write", name, *line.split()] for line in effect.data.decode().splitlines()]
 
     def free(self, _, end, name):
-        assert end not in self.reading and end not in self.writing, f"{name} given back in use"
+        assert end not in self.reading and end not in self.writing, (
+            f"{name} freed with a read or write pending"
+        )
         self.freed.add(end)
         if end in self.transferred:
             self.out.append(["free", name])
 
     def transfer(self, effect, *_):
-        assert {effect.client, effect.host} <= self.reading, "passed on while nobody reads it"
+        assert {effect.client, effect.host} <= self.reading, "transferred while it is not being read"
         assert not {effect.client, effect.host} & self.writing and not self.transferring
         self.transferring = effect
         one = effect.connection
@@ -152,7 +159,7 @@
         self.out.append(["probe", effect.host])
 
     def log(self, effect, *_):
-        """Of what is logged, the ends of clients are minded."""
+        """Records the log lines about closed clients."""
         if effect.event != "closed":
             return
         logged = self.answers.setdefault("closed", [])
@@ -171,7 +178,7 @@
         self.step(ev.WriteDone(end, ok, skip_reason=skip_reason))
 
     def expected_counters(self):
-        """The figures from what went over the connections, without the node's own count."""
+        """The counters as they follow from the lines on the connections, not from the node's own count."""
         counted = Counter(backend_calls=len(self.got_first_line - self.taken_over))
         for name, end in self.ends.items():
             said = self.answers.get(name)
@@ -186,14 +193,14 @@
         return +Counter(counters.answers | {"backend_calls": counters.backend_calls})
 
     def act(self, now, verb, args):
-        while verb != "stall" and self.reducer.due() < now:  # the loop's own calls in between
+        while verb != "stall" and self.reducer.due() < now:  # the calls that the node's loop makes in between
             self.now = max(self.now, self.reducer.due())
             self.step(ev.Tick())
         self.now, at = now, 0
         if verb == "at":
             at, verb, *args = ms(args[0]), *args[1:]
         end = self.ends.get(args[0]) if args else None
-        getattr(self, "on_" + verb)(end, args, at)  # a verb that is none is an error, and no silence
+        getattr(self, "on_" + verb)(end, args, at)  # an unknown verb is an error
         out, self.out = self.out, []
         return out
 
@@ -216,7 +223,7 @@
         self.step(ev.ClientAccepted(self.add_end(ev.ConnectionEnd(True), args[0])))
 
     def on_read(self, end, args, at, more=False):
-        assert end in self.reading, f"nobody reads {args[0]}"
+        assert end in self.reading, f"{args[0]} is not being read"
         self.reading.discard(end)
         data = "".join(text.strip() + "\r\n" for text in " ".join(args[1:]).split("|"))
         self.step(ev.LinesRead(end, data.encode(), more, at), at)
@@ -260,7 +267,7 @@
         )
 
     def on_end(self, end, args, at):
-        assert end in self.reading, f"nobody reads {args[0]}"
+        assert end in self.reading, f"{args[0]} is not being read"
         self.reading.discard(end)
         self.step(ev.ReadEnded(end, args[1] if len(args) > 1 else "end"))
 
@@ -333,12 +340,12 @@
         self.step(ev.Tick())
 
     def finish(self):
-        """Everybody leaves: nothing may be left, and each call had its one answer."""
+        """Ends all connections; nothing may be left, and each call must have one final answer."""
         for name in list(self.probes):
             self.act(self.now, "probe_done", [name, "full"])
         if self.transferring:
             self.act(self.now, "transfer_done", [self.names[self.transferring.client], "refused"])
-        for _ in range(10):  # an end may bring a line, a line an end, a failure another leg
+        for _ in range(10):  # the end of one may cause further lines, ends and legs
             for name in [name for name, end in self.ends.items() if end not in self.freed]:
                 end = self.ends[name]
                 if end in self.writing:
@@ -355,9 +362,9 @@
         for name, end in self.ends.items():
             if end.is_client and end.conn and end.conn.request and end not in self.taken_over:
                 said = self.answers.get(name, [])
-                # after UP lines are only passed
+                # after UP, lines are only forwarded
                 finals = 1 if said and said[0].startswith(b"UP") else len(said)
-                gone = end.conn.reason == "left-in-setup"  # one that was handed over has its UP
+                gone = end.conn.reason == "left-in-setup"  # a call that was transferred has its UP
                 assert finals + gone == 1, f"{name}: {said}, {end.conn.reason}"
                 in_time = (
                     gone
@@ -395,7 +402,7 @@
 
 @pytest.mark.parametrize("seed", range(150))
 def test_random_events_give_one_answer_per_call_and_free_all_sockets(seed):
-    """A hundred events drawn at random, each of which may happen; the world checks the rest."""
+    """Plays a hundred random events, each possible in its state; the world checks the results."""
     rng = SeededRandom(seed)
 
     def choice(choices):
@@ -438,7 +445,7 @@
         ]
         for name, end in world.ends.items():
             if world.transferring and end in (world.transferring.client, world.transferring.host):
-                continue  # nobody reads there meanwhile
+                continue  # it is not read meanwhile
             if end in world.writing:
                 moves += [("written", [name]), ("written", [name, "failed"])]
             elif not end.is_client and not end.freed and not end.connected:
