--- a/tests/test_active_set.py
+++ b/tests/test_active_set.py
@@ -1,14 +1,14 @@
-"""The reducer's timers look only at what is under way: whatever begins is looked at, also after a rest."""
+"""The reducer's timers examine only items with pending work, and all of these, also after an idle time."""
 
 from cottonspread.lab.scale.reducer_node import ReducerNode
 from cottonspread.net import events as ev
 from cottonspread.net.reducer import SECOND
 
-IDLE_TIME = SECOND  # by then a timer has found that nothing is under way
+IDLE_TIME = SECOND  # by then a timer has found that no work is pending
 
 
 def idle_connection():
-    """(node, its client's end, its host's end) of a connection that has rested."""
+    """(node, its client's socket, its host's socket) of a connection that is idle."""
     node = ReducerNode(1, 1, 1)
     client, host = next(iter(node.hosts.items()))
     pass_time(node, IDLE_TIME)
@@ -16,7 +16,7 @@
 
 
 def pass_time(node, span):
-    """Runs all timers of that span; returns what the reducer asked for."""
+    """Runs all timers of that time span; returns the effects."""
     until, effects = node.now + span, []
     while node.reducer.due() <= until:
         node.now = max(node.now, node.reducer.due())
@@ -26,7 +26,7 @@
 
 
 def shutdowns(effects, end):
-    """How often the end was cut."""
+    """How often the socket was shut down."""
     return sum(isinstance(one, ev.Shutdown) and one.end is end for one in effects)
 
 
@@ -54,7 +54,7 @@
 
 
 def test_the_shutdown_of_a_socket_that_does_not_end_is_repeated():
-    """The first host says nothing, its connection's end does not come, and the client waits for the next."""
+    """The first host neither answers nor closes its connection, and the client waits for the next host."""
     node = ReducerNode(0, 3, 1)
     client = ev.ConnectionEnd(True, worker="a thread")
     node.step(ev.ClientAccepted(client))
@@ -85,7 +85,7 @@
     node.step(ev.ReadEnded(client, "end"))
     node.step(ev.ReadEnded(host, "end"))
     pass_time(node, 4 * SECOND)
-    assert delays.candidates  # nobody stands there: nothing is made of it
+    assert delays.candidates  # the host has no connections: it is not examined
     node.adopt(1, "group-0")
     pass_time(node, SECOND)
     assert not delays.candidates
