--- a/benchmarks/crossings/mutants.py
+++ b/benchmarks/crossings/mutants.py
@@ -1,9 +1,9 @@
-"""Takes out, one by one, the lines that make a crossing right, and runs the tests that are to notice it:
+"""Breaks, one by one, lines that get concurrent events right, and runs the tests that must fail then:
 
     python benchmarks/crossings/mutants.py OUT.json
 
-Works in a copy of the tree, which is removed. Exit code 1 if a mutant is not
-noticed, or its line is not there any more.
+Works in a copy of the tree, which is removed afterwards. Exits with 1 if a mutant is not noticed, or if its
+line is not found.
 """
 
 import json
@@ -15,7 +15,7 @@
 from pathlib import Path
 
 ROOT = Path(__file__).parent.parent.parent
-AT_ONCE, WAIT = 4, 90
+MAX_PARALLEL, TEST_TIMEOUT = 4, 90
 
 ATTEMPTS, CLOSING, SHUTDOWN, LIST, FLOODS = (
     f"tests/crossings/test_{name}.py" for name in ("attempts", "closing", "shutdown", "list", "floods")
@@ -25,9 +25,9 @@
     "tests/crossings/test_pieces.py",
     "tests/test_reducer.py::test_random_events_give_one_answer_per_call_and_free_all_sockets",
 )
-POLICY = "policy"  # the decisions: whichever of their files has the line
+POLICY = "policy"  # stands for whichever file of the package holds the line
 
-# (what is taken out, file, the line as it stands, the line in its place, tests of which one must fail)
+# (name, file, the line, its replacement, tests of which one must fail)
 MUTANTS = [
     (
         "the look for the client before the first byte",
@@ -120,7 +120,7 @@
     (
         "the closer at the door",
         "net/node.py",
-        "        self.closer.take(sock)\n",
+        "        self.closer.add(sock)\n",
         "        sock.close()\n",
         [f"{CLOSING}::test_a_client_turned_away_at_the_door_may_send_its_line_just_then"],
     ),
@@ -171,7 +171,7 @@
     (
         "the listener's queue at the end",
         "net/admission.py",
-        'self.gate.turn_away(self.listener.accept()[0], "stopping")',
+        'self.handler.refuse(self.listener.accept()[0], "stopping")',
         "break",
         [f"{SHUTDOWN}::test_a_connection_in_the_listeners_queue_at_the_end_is_turned_away"],
     ),
@@ -290,14 +290,14 @@
     (
         "the bound on clients that wait for their first line",
         "net/admission.py",
-        "for one in self.waiting.take_beyond(self.gate.most_waiting()):",
+        "for one in self.pending.remove_excess(self.handler.max_pending()):",
         "for one in ():",
         [f"{FLOODS}::test_idle_clients_that_fill_the_descriptors_keep_nobody_out"],
     ),
     (
         "who waits for a first line is no connection of the reducer's",
         "net/admission.py",
-        "if first and not is_whole(first) and not ready & (select.EPOLLRDHUP | select.EPOLLHUP):",
+        "if first and not is_complete(first) and not ready & (select.EPOLLRDHUP | select.EPOLLHUP):",
         "if False:",
         [f"{FLOODS}::test_a_crowd_that_says_nothing_takes_no_step_of_the_reducer"],
     ),
@@ -410,58 +410,62 @@
 ]
 
 
-def place(package, file, line):
-    """The file that the line stands in."""
+def find_file(package, file, line):
+    """Returns the path of the file that holds the line."""
     if file != POLICY:
         return package / file
     files = sorted((package / "policy").glob("*.py"))
-    return next((one for one in files if line in one.read_text()), files[0])
+    return next((path for path in files if line in path.read_text()), files[0])
 
 
-def play(mutant):
-    what, file, line, other, tests = mutant
-    with tempfile.TemporaryDirectory() as folder:
-        copy = Path(folder) / "tree"
+def run_mutant(mutant):
+    """Runs one mutant's tests in a changed copy of the tree; returns its row of the results."""
+    name, file, line, replacement, tests = mutant
+    with tempfile.TemporaryDirectory() as directory:
+        copy = Path(directory) / "tree"
         shutil.copytree(ROOT, copy, ignore=shutil.ignore_patterns(".git", ".venv", "journal", "__pycache__"))
-        path = place(copy / "cottonspread", file, line)
+        path = find_file(copy / "cottonspread", file, line)
         text = path.read_text()
         if text.count(line) != 1:
             return {
-                "mutant": what,
+                "mutant": name,
                 "file": file,
                 "noticed": False,
-                "why": f"its line stands there {text.count(line)} times",
+                "why": f"its line was found {text.count(line)} times",
             }
-        path.write_text(text.replace(line, other))
+        path.write_text(text.replace(line, replacement))
         try:
-            done = subprocess.run(
+            completed = subprocess.run(
                 [sys.executable, "-m", "pytest", "-q", "-n", "0", "-p", "no:cacheprovider", *tests],
                 cwd=copy,
                 capture_output=True,
                 text=True,
-                timeout=WAIT,
+                timeout=TEST_TIMEOUT,
             )
         except subprocess.TimeoutExpired:
-            return {"mutant": what, "file": file, "noticed": True, "why": f"hung for {WAIT} s"}
-        last = done.stdout.strip().splitlines()[-1] if done.stdout.strip() else done.stderr[-200:]
+            return {"mutant": name, "file": file, "noticed": True, "why": f"timed out after {TEST_TIMEOUT} s"}
+        summary = (
+            completed.stdout.strip().splitlines()[-1] if completed.stdout.strip() else completed.stderr[-200:]
+        )
         return {
-            "mutant": what,
+            "mutant": name,
             "file": file,
-            "noticed": done.returncode == 1 and "failed" in last,
-            "why": last,
+            "noticed": completed.returncode == 1 and "failed" in summary,
+            "why": summary,
         }
 
 
-def main(given):
-    with ThreadPoolExecutor(AT_ONCE) as pool:
-        told = []
-        for one in pool.map(play, MUTANTS):
-            told.append(one)
-            verdict = "noticed" if one["noticed"] else "NOT NOTICED"
-            print(f"{verdict}: {one['mutant']} ({one['file']}): {one['why']}", flush=True)
-    if given:
-        Path(given[0]).write_text(json.dumps(told, indent=1) + "\n")
-    return 0 if all(one["noticed"] for one in told) else 1
+def main(args):
+    """Runs all mutants; returns the exit code."""
+    with ThreadPoolExecutor(MAX_PARALLEL) as pool:
+        results = []
+        for result in pool.map(run_mutant, MUTANTS):
+            results.append(result)
+            verdict = "noticed" if result["noticed"] else "NOT NOTICED"
+            print(f"{verdict}: {result['mutant']} ({result['file']}): {result['why']}", flush=True)
+    if args:
+        Path(args[0]).write_text(json.dumps(results, indent=1) + "\n")
+    return 0 if all(result["noticed"] for result in results) else 1
 
 
 if __name__ == "__main__":
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -1,18 +1,18 @@
-"""Plays the scenarios in tests/scenarios/*.txt against one node, without the bench.
+"""Plays the scenarios in tests/scenarios/*.txt against the decision module of one node.
 
-site WORD=VALUE ...           settings that differ from the defaults in `begin` below
-type NAME WORD=VALUE ...      a traffic type; without one there is a single repeatable type
+site WORD=VALUE ...           settings that differ from the defaults in `notation.begin`
+type NAME WORD=VALUE ...      a traffic type; without any there is a single repeatable type
 TIME EVENT ARGS               TIME in ms; events: list changes|full|saved|failed HOST[:WORD=VALUE[,..]] ..,
                               call ID .., open ID HOST .., accept ID LEG, done ID LEG ENDING [closed],
                               tune WORD=VALUE .. | TYPE WORD=VALUE .. | ..,
                               inherit KEY=HOST .. HOST:LEGS@MS ..,
                               load ID N, delay ID MS, expire ID, timer TOKEN,
-                              probed HOST ENDING [LOAD [PILED]]
-> ACTION ARGS                 the actions that must follow, all of them, in this order (timers and logs
-                              aside); on a line of their own or behind their event
->? TEXT                       an action that must be somewhere among them, none of the others minded
-A capital name stands for a host: bound where it first comes, the same after; !A is any host but that one;
-a * stands for anything.
+                              probed HOST ENDING [LOAD [BACKLOG]]
+> ACTION ARGS                 the actions that must follow, all of them, in this order (except timers and
+                              log lines); on a line of their own or behind their event
+>? TEXT                       an action that must be among them; the others are not checked
+A capital letter stands for a host: the one where it first occurs, and the same from then on; !A is any host
+but that one; * matches anything.
 """
 
 import re
@@ -29,8 +29,8 @@
 
 def event(verb, args, types):
     if verb == "list":
-        news = io.ListUpdateKind.SAVED if args[0] == "saved" else io.ListUpdateKind[args[0].upper()]
-        return io.ListUpdate(news, 0, tuple(entry(w) for w in args[1:]))
+        kind = io.ListUpdateKind.SAVED if args[0] == "saved" else io.ListUpdateKind[args[0].upper()]
+        return io.ListUpdate(kind, 0, tuple(entry(w) for w in args[1:]))
     if verb in ("call", "open"):
         held = args.pop(1) if verb == "open" else None
         o = pairs(args[1:])
@@ -70,14 +70,14 @@
     }[verb]()
 
 
-def said(action):
+def words_of(action):
     words = [type(action).__name__.lower()]
     words += [str(v) for v in (getattr(action, n, None) for n in ("call", "leg", "host")) if v is not None]
     return words
 
 
 def recount(node):
-    """What the node keeps in sums is what a plain count finds, after every event."""
+    """Checks the node's sums against a plain count, after every event."""
     for host in node.membership.hosts.values():
         groups = {leg.call.group for leg in host.legs}
         assert host.load == sum(leg.load for leg in host.legs) + node.loads.GROUP_COST * len(groups)
@@ -86,8 +86,8 @@
     assert (node.sums.legs, node.sums.load) == (sum(len(h.legs) for h in up), sum(h.load for h in up))
 
 
-def without_asides(actions):
-    return [said(a) for a in actions if not isinstance(a, (io.Timer, io.Log))]
+def checked_actions(actions):
+    return [words_of(a) for a in actions if not isinstance(a, (io.Timer, io.Log))]
 
 
 @pytest.mark.parametrize("file", FILES, ids=lambda f: f.stem)
@@ -97,11 +97,11 @@
     def start(site, types):
         types_played.extend(types)
         node = Balancer(0, begin(site, types))
-        return node, without_asides(node.actions())
+        return node, checked_actions(node.actions())
 
     def act(node, now, verb, args, bound):
         actions = node.handle(now, event(verb, [bound.get(w, w) for w in args], types_played))
         recount(node)
-        return without_asides(actions)
+        return checked_actions(actions)
 
     play(file, start, act)
