--- a/benchmarks/crossings/mutants.py
+++ b/benchmarks/crossings/mutants.py
@@ -34,7 +34,7 @@
         "net/workers.py",
         'why = self.must_not_begin(effect) if effect.first_line else ""',
         'why = ""',
-        [f"{ATTEMPTS}::test_nothing_is_sent_for_a_client_that_left_while_its_connection_came_up"],
+        [f"{ATTEMPTS}::test_nothing_is_sent_if_the_client_left_while_the_host_connection_was_opening"],
     ),
     (
         "the look at the host before the first byte",
@@ -43,7 +43,7 @@
         "or host.address != leg.address:",
         "if False:",
         [
-            f"{ATTEMPTS}::test_nothing_is_sent_to_a_host_that_was_told_to_drain_while_the_connection_came_up",
+            f"{ATTEMPTS}::test_nothing_is_sent_to_a_host_that_began_to_drain_while_its_connection_was_opening",
             f"{SCENARIO}[drain]",
             f"{SCENARIO}[late_connect]",
         ],
@@ -61,7 +61,7 @@
         "result = yield io.Send(call.id, host.name, until, deduplicated_until(call))",
         "result = yield io.Send(call.id, host.name, until)",
         [
-            f"{ATTEMPTS}::test_a_marked_call_is_not_sent_again_once_its_repeats_are_forgotten",
+            f"{ATTEMPTS}::test_a_keyed_call_is_not_retried_after_the_deduplication_time",
             f"{SCENARIO}[late_connect]",
         ],
     ),
@@ -87,18 +87,14 @@
         "net/lines.py",
         "return Ending.ERROR if rest else ENDINGS",
         "return ENDINGS",
-        [
-            f"{ATTEMPTS}::test_a_call_that_must_not_run_twice_goes_again_only_where_it_is_known_not_to_have_run"
-        ],
+        [f"{ATTEMPTS}::test_a_call_that_must_not_run_twice_is_retried_only_if_it_cannot_have_run"],
     ),
     (
         "the receipt",
         "net/lines.py",
         "return None if len(words) > 1 else Ending.ERROR",
         "return None if words else Ending.ERROR",
-        [
-            f"{ATTEMPTS}::test_a_call_that_must_not_run_twice_goes_again_only_where_it_is_known_not_to_have_run"
-        ],
+        [f"{ATTEMPTS}::test_a_call_that_must_not_run_twice_is_retried_only_if_it_cannot_have_run"],
     ),
     (
         "a client's half-close",
@@ -349,21 +345,21 @@
         "net/reducer.py",
         "        elif not end.leg.written:\n            self.end_leg(end.leg, Ending.CONNECT_FAILED)",
         '        elif not end.leg.written:\n            self.host_ended(end.leg, "reset")',
-        [f"{ATTEMPTS}::test_a_host_killed_right_behind_its_accept_was_never_asked"],
+        [f"{ATTEMPTS}::test_a_host_killed_right_after_accepting_has_not_run_the_call"],
     ),
     (
         "a first line that is out",
         "net/reducer.py",
         '            self.end_leg(leg, Ending.ERROR if cause.endswith("-line") else Ending.RESET)',
         "            self.end_leg(leg, Ending.CONNECT_FAILED)",
-        [f"{ATTEMPTS}::test_a_host_killed_over_a_line_that_it_has_not_read_may_have_run_it"],
+        [f"{ATTEMPTS}::test_a_host_killed_with_the_first_line_unread_may_have_run_the_call"],
     ),
     (
         "a descriptor given back",
         "net/workers.py",
         "        self.end.worker = None\n        self.live.discard(self)\n",
         "        self.end.worker = None\n",
-        [f"{ATTEMPTS}::test_a_client_killed_right_behind_its_accept_leaves_nothing_behind"],
+        [f"{ATTEMPTS}::test_a_client_killed_right_after_connecting_leaves_nothing_open"],
     ),
     (
         "an answer for a call whose host says nothing",
@@ -384,14 +380,14 @@
         "net/reducer.py",
         "        self.names, self.host_protocol = e.names, e.host_protocol\n",
         "        self.host_protocol = e.host_protocol\n",
-        [f"{PIECES}::test_a_first_line_whose_end_comes_after_a_reload_is_read_under_the_new_settings"],
+        [f"{PIECES}::test_a_first_line_completed_after_a_reload_uses_the_new_settings"],
     ),
     (
         "whole lines alone",
         "net/lines.py",
         '            end = self.buffer.rfind(b"\\n", 0, self.filled) + 1',
         "            end = self.filled",
-        [f"{PIECES}::test_half_a_line_is_not_passed_on_before_a_move"],
+        [f"{PIECES}::test_part_of_a_line_is_not_forwarded_before_a_move"],
     ),
     (
         "one process",
@@ -405,7 +401,7 @@
         "net/workers.py",
         "    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)\n",
         "",
-        [f"{PIECES}::test_no_small_write_is_held_back"],
+        [f"{PIECES}::test_small_writes_are_sent_at_once"],
     ),
 ]
 
--- a/tests/crossings/test_attempts.py
+++ b/tests/crossings/test_attempts.py
@@ -13,19 +13,21 @@
 
 
 @pytest.mark.parametrize("how", ("close", "reset", "half"))
-def test_nothing_is_sent_for_a_client_that_left_while_its_connection_came_up(hosts, agent, how, monkeypatch):
+def test_nothing_is_sent_if_the_client_left_while_the_host_connection_was_opening(
+    hosts, agent, how, monkeypatch
+):
     """Its end lay in the queue behind much else: here the reducer never hears of it in time."""
-    gate, kept = hold_connects(monkeypatch), threading.Event()
+    gate, release = hold_connects(monkeypatch), threading.Event()
 
     def before(node):
         post = node.workers.post
 
-        def late(event):
+        def post_late(event):
             if isinstance(event, ev.ReadEnded) and event.end.is_client:
-                kept.wait(10)
+                release.wait(10)
             post(event)
 
-        node.workers.post = late
+        node.workers.post = post_late
 
     with running(agent, before) as node:
         listed(node)
@@ -40,36 +42,36 @@
         first = next(host for host in hosts if host.waits())
         assert first.take().rest() == b"", "sent for nobody"
         node.seen.wait(ev.WriteDone, lambda e: e.skip_reason == "client-gone")
-        kept.set()
+        release.set()
         until(lambda: node.ended["left-in-setup"] == 1, "not ended")
         assert not any(host.waits() for host in hosts)
 
 
-def test_a_burst_of_clients_that_leave_at_once_sends_nothing(hosts, agent):
+def test_nothing_is_sent_for_a_burst_of_clients_that_leave_at_once(hosts, agent):
     """Hundreds came, said their line and left while the node was busy with something else."""
-    gate, told = Gate(), threading.Semaphore(0)
+    gate, lines_read = Gate(), threading.Semaphore(0)
 
     def before(node):
         node.reducer.handlers[ev.ReloadRejected] = lambda e: gate.wait()
         post = node.workers.post
 
-        def counted(event):
+        def post_counted(event):
             if isinstance(event, ev.LinesRead):
-                told.release()
+                lines_read.release()
             post(event)
 
-        node.workers.post = counted
+        node.workers.post = post_counted
 
     with running(agent, before, sockets=1024) as node:
         listed(node)
         node.hasten(ev.ReloadRejected())
         assert gate.here.wait(10)
-        many = [client(node, opening(n)) for n in range(150)]
-        until(lambda: len(node.workers.live) == len(many), "not all accepted")
-        for one in many:
+        clients = [client(node, opening(n)) for n in range(150)]
+        until(lambda: len(node.workers.live) == len(clients), "not all accepted")
+        for one in clients:
             one.close()
         gate.open.set()
-        until(lambda: sum(node.ended.values()) == len(many), "not all ended")
+        until(lambda: sum(node.ended.values()) == len(clients), "not all ended")
         for host in hosts:
             while host.waits():
                 assert host.take().rest() == b""
@@ -80,7 +82,7 @@
         }
 
 
-def test_nothing_is_sent_to_a_host_that_was_told_to_drain_while_the_connection_came_up(
+def test_nothing_is_sent_to_a_host_that_began_to_drain_while_its_connection_was_opening(
     hosts, agent, monkeypatch
 ):
     gate = hold_connects(monkeypatch, lambda nth: nth == 1)
@@ -100,7 +102,7 @@
         peer.close()
 
 
-def test_a_marked_call_is_not_sent_again_once_its_repeats_are_forgotten(hosts, agent, monkeypatch):
+def test_a_keyed_call_is_not_retried_after_the_deduplication_time(hosts, agent, monkeypatch):
     """Decided on in time, its second connection comes up after it. The window for repeats is 400 ms."""
     gate = hold_connects(monkeypatch, lambda nth: nth == 2)
     with running(agent) as node:
@@ -137,9 +139,7 @@
         (b"x" * 5000, True),
     ],
 )
-def test_a_call_that_must_not_run_twice_goes_again_only_where_it_is_known_not_to_have_run(
-    hosts, agent, answer, ran
-):
+def test_a_call_that_must_not_run_twice_is_retried_only_if_it_cannot_have_run(hosts, agent, answer, ran):
     with running(agent) as node:
         listed(node)
         one = client(node, opening(1, "once"))
@@ -161,7 +161,7 @@
         peer.close()
 
 
-def test_a_refused_connection_is_known_not_to_have_run(hosts, agent):
+def test_a_call_that_must_not_run_twice_is_retried_after_a_refused_connection(hosts, agent):
     hosts[0].close()
     with running(agent) as node:
         listed(node)
@@ -176,7 +176,7 @@
         assert node.reducer.counters.answers["success", "once"] == 3
 
 
-def test_an_answer_that_lies_in_the_queue_at_the_deadline_gives_one_final_answer(hosts, agent):
+def test_an_answer_still_queued_at_the_deadline_gives_one_final_answer(hosts, agent):
     """The time-out and the answer meet: whichever comes first, the client hears one word,
     and the host's connection ends with it.
     """
@@ -203,7 +203,7 @@
 
 
 @pytest.mark.parametrize("kind", ("plain", "once", "marked"))
-def test_a_host_killed_right_behind_its_accept_was_never_asked(hosts, agent, monkeypatch, kind):
+def test_a_host_killed_right_after_accepting_has_not_run_the_call(hosts, agent, monkeypatch, kind):
     """The connection is up and is reset before the first byte: nothing ran, so also a call
     that must not run twice goes elsewhere.
     """
@@ -223,7 +223,7 @@
 
 
 @pytest.mark.parametrize("how", ("reset", "half"))
-def test_a_host_killed_over_a_line_that_it_has_not_read_may_have_run_it(hosts, agent, how):
+def test_a_host_killed_with_the_first_line_unread_may_have_run_the_call(hosts, agent, how):
     """Its machine had taken the whole line: a call that must not run twice is
     answered as failed, and stays where it was.
     """
@@ -239,20 +239,20 @@
         assert not other.waits()
 
 
-def test_a_client_killed_right_behind_its_accept_leaves_nothing_behind(hosts, agent, monkeypatch):
+def test_a_client_killed_right_after_connecting_leaves_nothing_open(hosts, agent, monkeypatch):
     """Its reset, or its line and then the reset, is here before the node looks at the connection at all."""
     gate, accepted = Gate(), Admission.on_accepted
 
-    def held(admission, sock):
+    def accept_later(admission, sock):
         gate.wait()
         accepted(admission, sock)
 
-    monkeypatch.setattr(Admission, "on_accepted", held)
+    monkeypatch.setattr(Admission, "on_accepted", accept_later)
     with running(agent) as node:
         listed(node)
-        many = [client(node) if n % 2 else client(node, opening(n)) for n in range(20)]
+        clients = [client(node) if n % 2 else client(node, opening(n)) for n in range(20)]
         assert gate.here.wait(10)
-        for one in many:
+        for one in clients:
             one.close("reset")
         gate.open.set()
         last = client(node, opening(99))  # behind them in the listener's queue: they have all been accepted
@@ -273,35 +273,35 @@
     """Sixty calls at hosts that say nothing, break, refuse, say nonsense or half a line: each has one last
     line, and in its time, which the node counts itself (`overdue`).
     """
-    stop, held = threading.Event(), []
+    stop, peers = threading.Event(), []
 
-    def play(host):
+    def run_host(host):
         while not stop.is_set():
             try:
                 peer = host.take()
             except OSError:
                 return
-            held.append(peer)
+            peers.append(peer)
             line = peer.hear()
             said = (
-                (None, b"", b"BUSY\r\n", b"\x00\xff\r\n", b"UP", b"ERR\r\n")[len(held) % 6] if line else b""
+                (None, b"", b"BUSY\r\n", b"\x00\xff\r\n", b"UP", b"ERR\r\n")[len(peers) % 6] if line else b""
             )
             if said is None:  # it hangs
                 continue
             peer.sock.sendall(said)
-            if len(held) % 4 or said == b"":
-                peer.close("reset" if len(held) % 2 else "close")
+            if len(peers) % 4 or said == b"":
+                peer.close("reset" if len(peers) % 2 else "close")
 
-    threads = [threading.Thread(target=play, args=(host,), daemon=True) for host in hosts]
+    threads = [threading.Thread(target=run_host, args=(host,), daemon=True) for host in hosts]
     for thread in threads:
         thread.start()
     with running(agent) as node:
         listed(node)
-        many = [
+        clients = [
             client(node, opening(n, ("plain", "once", "marked")[n % 3], wait=300 + 40 * (n % 10)))
             for n in range(60)
         ]
-        for one in many:
+        for one in clients:
             assert one.hear().split()[:1] in ([b"BUSY"], [b"ERR"])
             assert one.hear() == b""
             one.close()
@@ -311,5 +311,5 @@
     stop.set()
     for host in hosts:
         host.close()
-    for peer in held:
+    for peer in peers:
         peer.close()
--- a/tests/crossings/test_pieces.py
+++ b/tests/crossings/test_pieces.py
@@ -23,7 +23,7 @@
 from cottonspread.net import events as ev
 
 
-def peeked(sock):
+def unread(sock):
     """What lies unread in a socket."""
     try:
         return sock.recv(8192, socket.MSG_PEEK | socket.MSG_DONTWAIT)
@@ -31,29 +31,29 @@
         return b""
 
 
-def piece(node, one, data):
+def send_part(node, one, data):
     """A part of a line, which the node holds when this returns."""
     one.sock.sendall(data)
 
-    def held():
-        gatherers = [worker.gatherer for worker in list(node.workers.live)]
-        lies = [waiting.sock for waiting in list(node.admission.pending.clients.values())]
-        return any(g and g.buffer is not None and bytes(g.buffer[: g.filled]) == data for g in gatherers) or (
-            any(peeked(sock) == data for sock in lies)
+    def received():
+        readers = [worker.gatherer for worker in list(node.workers.live)]
+        pending = [waiting.sock for waiting in list(node.admission.pending.clients.values())]
+        return any(g and g.buffer is not None and bytes(g.buffer[: g.filled]) == data for g in readers) or (
+            any(unread(sock) == data for sock in pending)
         )
 
-    until(held, "the piece is not here")
+    until(received, "the piece is not here")
 
 
 LINE = opening(1, "once") + b"\r\n"
 
 
 @pytest.mark.parametrize("cut", (1, len(LINE) // 2, len(LINE) - 2, len(LINE) - 1))
-def test_a_first_line_whose_end_comes_after_the_stop_is_answered_and_not_sent_on(hosts, agent, cut):
+def test_a_first_line_completed_after_the_stop_is_answered_and_not_forwarded(hosts, agent, cut):
     with running(agent) as node:
         listed(node)
         one = client(node)
-        piece(node, one, LINE[:cut])
+        send_part(node, one, LINE[:cut])
         node.stop()
         node.seen.wait(ev.StopRequested)
         one.sock.sendall(LINE[cut:])
@@ -62,7 +62,7 @@
         assert node.join(WAIT)
 
 
-def retuned(node, agent, **more):
+def reload(node, agent, **more):
     parts = config.read_node(settings(agent, settings=SETTINGS | more), {})
     node.retune(*parts[:-1])
     node.seen.wait(ev.SettingsReloaded)
@@ -70,16 +70,16 @@
 
 @pytest.mark.parametrize("cut", (1, len(LINE) // 2, len(LINE) - 1))
 @pytest.mark.parametrize("known", (True, False))
-def test_a_first_line_whose_end_comes_after_a_reload_is_read_under_the_new_settings(hosts, agent, cut, known):
+def test_a_first_line_completed_after_a_reload_uses_the_new_settings(hosts, agent, cut, known):
     with running(agent) as node:
         listed(node)
         one = client(node)
-        piece(node, one, LINE[:cut])
+        send_part(node, one, LINE[:cut])
         effect = {"once": "safe"}
-        kept = [
+        types = [
             t | {"Effect": effect.get(t["Name"], t["Effect"])} for t in TYPES if known or t["Name"] != "once"
         ]
-        retuned(node, agent, TrafficTypes=kept)
+        reload(node, agent, TrafficTypes=types)
         one.sock.sendall(LINE[cut:])
         if not known:
             assert one.hear() == b"ERR" and one.hear() == b""
@@ -95,11 +95,11 @@
 
 
 @pytest.mark.parametrize("cut", (1, len(LINE) - 1))
-def test_a_first_line_whose_end_comes_after_a_drain_goes_where_the_list_is_now(hosts, agent, cut):
+def test_a_first_line_completed_after_a_host_drains_goes_to_another_host(hosts, agent, cut):
     with running(agent) as node:
         listed(node)
         one = client(node)
-        piece(node, one, LINE[:cut])
+        send_part(node, one, LINE[:cut])
         agent.change(hosts[0], "Terminating")
         listed(node, agent.version)
         one.sock.sendall(LINE[cut:])
@@ -109,11 +109,11 @@
 
 
 @pytest.mark.parametrize("how", ("close", "reset", "half"))
-def test_a_client_that_leaves_in_the_middle_of_its_first_line_is_sent_nowhere(hosts, agent, how):
+def test_part_of_a_first_line_is_not_forwarded_when_the_client_leaves(hosts, agent, how):
     with running(agent) as node:
         listed(node)
         one = client(node)
-        piece(node, one, LINE[:-1])
+        send_part(node, one, LINE[:-1])
         one.close(how)
         if how == "half":  # it may still hear
             assert one.rest() in (b"ERR\r\n", b"BUSY\r\n", b"")
@@ -121,26 +121,26 @@
         assert not any(host.waits() for host in hosts)
 
 
-def drained(node, agent, hosts):
+def drain_hosts(node, agent, hosts):
     agent.change(hosts[0], "Terminating")
     agent.change(hosts[1], "Terminating")
 
 
-def stopped(node, agent, hosts):
+def stop_node(node, agent, hosts):
     node.stop()
 
 
-@pytest.mark.parametrize("end", (drained, stopped), ids=lambda end: end.__name__)
+@pytest.mark.parametrize("end", (drain_hosts, stop_node), ids=lambda end: end.__name__)
 @pytest.mark.parametrize("whose", ("host", "client", "both"))
-def test_half_a_line_is_not_passed_on_before_a_move(hosts, agent, end, whose):
+def test_part_of_a_line_is_not_forwarded_before_a_move(hosts, agent, end, whose):
     """MOVE comes between two lines: no half of one before it, and none at the host before its end."""
     with running(agent) as node:
         listed(node)
         one, peer = standing(node, hosts)
         if whose != "client":
-            piece(node, peer, b"M 1 half of a host's")
+            send_part(node, peer, b"M 1 half of a host's")
         if whose != "host":
-            piece(node, one, b"M 1 half of a client's")
+            send_part(node, one, b"M 1 half of a client's")
         end(node, agent, hosts)
         assert one.hear() == b"MOVE" and one.hear() == b""
         assert peer.rest() == b""
@@ -151,14 +151,14 @@
 
 
 @pytest.mark.parametrize("size", (1, 2, 3, 7))
-def test_lines_of_both_sides_in_pieces_arrive_whole_and_in_order(hosts, agent, size):
+def test_lines_sent_in_parts_by_both_sides_arrive_complete_and_in_order(hosts, agent, size):
     with running(agent) as node:
         listed(node)
         one, peer = standing(node, hosts)
-        said = b"".join(b"M %d ab\r\n" % n for n in range(5))
-        for at in range(0, len(said), size):
-            one.sock.sendall(said[at : at + size])
-            peer.sock.sendall(said[at : at + size])
+        lines = b"".join(b"M %d ab\r\n" % n for n in range(5))
+        for at in range(0, len(lines), size):
+            one.sock.sendall(lines[at : at + size])
+            peer.sock.sendall(lines[at : at + size])
         for n in range(5):
             assert peer.hear() == b"M %d ab" % n
             assert one.hear() == b"M %d ab" % n
@@ -168,7 +168,7 @@
         one.close()
 
 
-def test_no_small_write_is_held_back(hosts, agent):
+def test_small_writes_are_sent_at_once(hosts, agent):
     """Every socket that lines are written to sends at once: what the
     system still held back went with a reset.
     """
