--- a/tests/crossings/test_attempts.py
+++ b/tests/crossings/test_attempts.py
@@ -1,5 +1,5 @@
-"""Attempts against whatever may come between the decision and the first byte: the client
-leaves, the host drains, time passes.
+"""Attempts and what may happen between the decision and the first byte: the client leaves, the host drains,
+time passes.
 """
 
 import threading
@@ -16,7 +16,7 @@
 def test_nothing_is_sent_if_the_client_left_while_the_host_connection_was_opening(
     hosts, agent, how, monkeypatch
 ):
-    """Its end lay in the queue behind much else: here the reducer never hears of it in time."""
+    """The client's end is far back in the event queue: here the reducer does not get it in time."""
     gate, release = hold_connects(monkeypatch), threading.Event()
 
     def before(node):
@@ -36,11 +36,11 @@
         one.close(how)
         until(
             lambda: any(workers.gone(w.sock) for w in list(node.workers.live) if w.end.is_client),
-            "the client's end is not here",
+            "the client's end has not arrived",
         )
         gate.open.set()
         first = next(host for host in hosts if host.waits())
-        assert first.take().rest() == b"", "sent for nobody"
+        assert first.take().rest() == b"", "sent although the client had left"
         node.seen.wait(ev.WriteDone, lambda e: e.skip_reason == "client-gone")
         release.set()
         until(lambda: node.ended["left-in-setup"] == 1, "not ended")
@@ -48,7 +48,7 @@
 
 
 def test_nothing_is_sent_for_a_burst_of_clients_that_leave_at_once(hosts, agent):
-    """Hundreds came, said their line and left while the node was busy with something else."""
+    """Hundreds of clients connected, sent their first line and left while the node was busy."""
     gate, lines_read = Gate(), threading.Semaphore(0)
 
     def before(node):
@@ -75,7 +75,7 @@
         for host in hosts:
             while host.waits():
                 assert host.take().rest() == b""
-        # as many as set-ups are let go at once
+        # 8: the number of call set-ups that may be in progress at once
         assert node.ended["left-in-setup"] >= 8 and node.ended.keys() <= {
             "left-in-setup",
             "rejected",
@@ -103,7 +103,10 @@
 
 
 def test_a_keyed_call_is_not_retried_after_the_deduplication_time(hosts, agent, monkeypatch):
-    """Decided on in time, its second connection comes up after it. The window for repeats is 400 ms."""
+    """The second attempt is decided on in time, but its connection is established too late.
+
+    Hosts recognise repeats for 400 ms.
+    """
     gate = hold_connects(monkeypatch, lambda nth: nth == 2)
     with running(agent) as node:
         listed(node)
@@ -122,7 +125,7 @@
         gate.open.set()
         other = next(h for h in hosts if h is not first)
         assert other.take().rest() == b""
-        assert one.hear().startswith(b"BUSY")  # repeats are known to all hosts: to come again is harmless
+        assert one.hear().startswith(b"BUSY")  # all hosts recognise repeats: the client may safely try again
 
 
 @pytest.mark.parametrize(
@@ -165,7 +168,7 @@
     hosts[0].close()
     with running(agent) as node:
         listed(node)
-        for n in range(3):  # in turn the dead one comes first for one of them
+        for n in range(3):  # the hosts take turns, so the dead one is tried first for one of them
             one = client(node, opening(n, "once"))
             peer = hosts[1].take()
             assert peer.hear().startswith(b"OPEN ")
@@ -177,8 +180,10 @@
 
 
 def test_an_answer_still_queued_at_the_deadline_gives_one_final_answer(hosts, agent):
-    """The time-out and the answer meet: whichever comes first, the client hears one word,
-    and the host's connection ends with it.
+    """The time-out and the answer come together.
+
+    Whichever is handled first, the client gets one answer, and the host's connection ends unless the call was
+    accepted.
     """
     gate = Gate()
 
@@ -204,8 +209,9 @@
 
 @pytest.mark.parametrize("kind", ("plain", "once", "marked"))
 def test_a_host_killed_right_after_accepting_has_not_run_the_call(hosts, agent, monkeypatch, kind):
-    """The connection is up and is reset before the first byte: nothing ran, so also a call
-    that must not run twice goes elsewhere.
+    """The connection is reset before the first byte is sent.
+
+    Nothing has run, so even a call that must not run twice is tried elsewhere.
     """
     gate = hold_connects(monkeypatch, lambda nth: nth == 1)
     with running(agent) as node:
@@ -224,9 +230,7 @@
 
 @pytest.mark.parametrize("how", ("reset", "half"))
 def test_a_host_killed_with_the_first_line_unread_may_have_run_the_call(hosts, agent, how):
-    """Its machine had taken the whole line: a call that must not run twice is
-    answered as failed, and stays where it was.
-    """
+    """The host's kernel had received the whole line: a call that must not run twice fails without a retry."""
     with running(agent) as node:
         listed(node)
         one = client(node, opening(1, "once"))
@@ -240,7 +244,7 @@
 
 
 def test_a_client_killed_right_after_connecting_leaves_nothing_open(hosts, agent, monkeypatch):
-    """Its reset, or its line and then the reset, is here before the node looks at the connection at all."""
+    """The reset, or the first line and then the reset, arrives before the node handles the connection."""
     gate, accepted = Gate(), Admission.on_accepted
 
     def accept_later(admission, sock):
@@ -255,23 +259,24 @@
         for one in clients:
             one.close("reset")
         gate.open.set()
-        last = client(node, opening(99))  # behind them in the listener's queue: they have all been accepted
-        while not (peer := serve(hosts)).line:  # a connection was begun, and nothing sent on it
+        last = client(node, opening(99))  # last in the listener's queue: the others have all been accepted
+        while not (peer := serve(hosts)).line:  # a connection was opened and nothing was sent on it
             pass
-        assert peer.line.startswith(b"OPEN 00000063 "), "sent for nobody"
+        assert peer.line.startswith(b"OPEN 00000063 "), "sent although the client had left"
         peer.say(b"UP r")
         assert last.hear() == b"UP r"
         last.close()
         assert peer.rest() == b""
-        until(lambda: not node.reducer.conns and not node.workers.live, "a descriptor is kept")
+        until(lambda: not node.reducer.conns and not node.workers.live, "a descriptor is still open")
         for host in hosts:
             while host.waits():
                 assert host.take().rest() == b""
 
 
 def test_every_call_is_answered_whatever_its_hosts_do(hosts, agent):
-    """Sixty calls at hosts that say nothing, break, refuse, say nonsense or half a line: each has one last
-    line, and in its time, which the node counts itself (`overdue`).
+    """Sixty calls to hosts that do not answer, reset, refuse or send garbage or part of a line.
+
+    Each gets one final line, and in time: the node itself counts late ones (`overdue`).
     """
     stop, peers = threading.Event(), []
 
--- a/tests/crossings/test_pieces.py
+++ b/tests/crossings/test_pieces.py
@@ -1,5 +1,5 @@
-"""Lines in pieces against what may come between two of them: the end, a reload, a change
-of the list, a move.
+"""Lines that arrive in parts, and what may happen between two parts: the end, a reload, a change of the host
+list, a move.
 """
 
 import socket
@@ -24,7 +24,7 @@
 
 
 def unread(sock):
-    """What lies unread in a socket."""
+    """The unread input of a socket."""
     try:
         return sock.recv(8192, socket.MSG_PEEK | socket.MSG_DONTWAIT)
     except OSError:
@@ -32,7 +32,7 @@
 
 
 def send_part(node, one, data):
-    """A part of a line, which the node holds when this returns."""
+    """Sends part of a line and waits until the node has received it."""
     one.sock.sendall(data)
 
     def received():
@@ -42,7 +42,7 @@
             any(unread(sock) == data for sock in pending)
         )
 
-    until(received, "the piece is not here")
+    until(received, "the part has not arrived")
 
 
 LINE = opening(1, "once") + b"\r\n"
@@ -86,7 +86,7 @@
             assert not any(host.waits() for host in hosts)
             return
         peer = serve(hosts)
-        peer.close("reset")  # it may have run, and it may run again by now
+        peer.close("reset")  # the call may have run, and it may run again under the new settings
         peer = serve(hosts)
         assert peer.line.startswith(b"OPEN 00000001 ")
         peer.say(b"UP r")
@@ -115,9 +115,9 @@
         one = client(node)
         send_part(node, one, LINE[:-1])
         one.close(how)
-        if how == "half":  # it may still hear
+        if how == "half":  # it may still read
             assert one.rest() in (b"ERR\r\n", b"BUSY\r\n", b"")
-        until(lambda: not node.reducer.conns and not node.workers.live, "a descriptor is kept")
+        until(lambda: not node.reducer.conns and not node.workers.live, "a descriptor is still open")
         assert not any(host.waits() for host in hosts)
 
 
@@ -133,7 +133,7 @@
 @pytest.mark.parametrize("end", (drain_hosts, stop_node), ids=lambda end: end.__name__)
 @pytest.mark.parametrize("whose", ("host", "client", "both"))
 def test_part_of_a_line_is_not_forwarded_before_a_move(hosts, agent, end, whose):
-    """MOVE comes between two lines: no half of one before it, and none at the host before its end."""
+    """MOVE comes between two lines: no part of a line goes before it, nor to the host before its end."""
     with running(agent) as node:
         listed(node)
         one, peer = standing(node, hosts)
@@ -144,10 +144,10 @@
         end(node, agent, hosts)
         assert one.hear() == b"MOVE" and one.hear() == b""
         assert peer.rest() == b""
-        one.say(b" line")  # its other half, in the moment of the close
+        one.say(b" line")  # the rest of the line, at the moment of the close
         assert not one.broken()
         one.close()
-        until(lambda: not node.reducer.conns and not node.workers.live, "a descriptor is kept")
+        until(lambda: not node.reducer.conns and not node.workers.live, "a descriptor is still open")
 
 
 @pytest.mark.parametrize("size", (1, 2, 3, 7))
@@ -169,8 +169,9 @@
 
 
 def test_small_writes_are_sent_at_once(hosts, agent):
-    """Every socket that lines are written to sends at once: what the
-    system still held back went with a reset.
+    """TCP_NODELAY is set on every socket that lines are written to.
+
+    Data that the kernel still held back was lost when the connection was reset.
     """
     with running(agent) as node:
         listed(node)
