--- a/cottonspread/net/reducer.py
+++ b/cottonspread/net/reducer.py
@@ -421,7 +421,7 @@
             self.end_call(conn, "overdue", lines.ERR)
 
     def abandon(self, conn, reason):
-        """Ends the legs of a call that its client has given up or that cannot go on."""
+        """Ends a call without an answer from the balancer, and all its legs."""
         if conn.answered:
             return
         conn.answered, conn.reason = True, conn.reason or reason
@@ -473,7 +473,7 @@
         self.open_leg(leg, min(self.host_protocol.connect_timeout, deadline - self.now))
 
     def open_leg(self, leg, connect_timeout):
-        """Connects to the leg's host. `connect_timeout`: the time-out of the connect."""
+        """Connects to the leg's host."""
         conn, host, deadline, leg.address = leg.conn, leg.host, leg.deadline, leg.host.address
         conn.legs.append(leg)
         leg.end = ev.ConnectionEnd(False, conn, leg)
@@ -1012,7 +1012,7 @@
             self.departure.stop_when_done()
 
     def check_end(self, end):
-        """Gives up a socket that has not been read from for too long, and repeats an overdue shutdown."""
+        """Gives up a peer that has not read for too long, and repeats a shutdown that had no effect."""
         if end.freed:
             return
         if (
