--- a/cottonspread/net/active_set.py
+++ b/cottonspread/net/active_set.py
@@ -16,14 +16,14 @@
         self.members = {}
         self.examined = 0  # how many items were examined so far, for tests
 
-    def add(self, one):
+    def add(self, item):
         """Adds an item that now has pending work."""
-        self.members[one] = None
+        self.members[item] = None
 
     def active(self):
         """The items that still have pending work; the others are removed."""
         self.examined += len(self.members)
-        self.members = {one: None for one in self.members if self.is_active(one)}
+        self.members = {item: None for item in self.members if self.is_active(item)}
         return sorted(self.members, key=self.order)
 
 
--- a/cottonspread/net/lines.py
+++ b/cottonspread/net/lines.py
@@ -20,7 +20,7 @@
 WORD, NUMBER = re.compile(r"[!-~]{1,64}"), re.compile(r"[0-9]+")
 
 
-SO_TIMESTAMPNS, STAMP, STAMP_BUFFER = 35, struct.Struct("qq"), 64
+SO_TIMESTAMPNS, TIMESPEC, ANCILLARY_SIZE = 35, struct.Struct("qq"), 64
 MAX_AGE = 20_000_000  # microseconds; a larger age means that the wall clock was set after the kernel's stamp
 
 
@@ -35,9 +35,9 @@
     """
     for level, kind, value in stamps:
         if (level, kind) == (socket.SOL_SOCKET, SO_TIMESTAMPNS):
-            seconds, rest = STAMP.unpack(value)
-            passed = (time.time_ns() - seconds * 1_000_000_000 - rest) // 1000
-            return passed if 0 <= passed < MAX_AGE else 0
+            seconds, nanoseconds = TIMESPEC.unpack(value)
+            age_us = (time.time_ns() - seconds * 1_000_000_000 - nanoseconds) // 1000
+            return age_us if 0 <= age_us < MAX_AGE else 0
     return 0
 
 
@@ -71,27 +71,27 @@
                     if not self.peek():
                         return b""
                     self.buffer, self.partial_since = self.pool.acquire(), time.monotonic()
-                got, stamps, _, _ = self.sock.recvmsg_into(
-                    [memoryview(self.buffer)[self.filled :]], STAMP_BUFFER
+                received, stamps, _, _ = self.sock.recvmsg_into(
+                    [memoryview(self.buffer)[self.filled :]], ANCILLARY_SIZE
                 )
                 self.age = age(stamps)
             except BlockingIOError:  # SO_RCVTIMEO has expired
                 if self.buffer is None or time.monotonic() - self.partial_since < self.partial_line_timeout:
                     continue
                 raise LineError("half-line") from None
-            if not got:
+            if not received:
                 raise LineError("half-line")
-            self.filled += got
+            self.filled += received
             end = self.buffer.rfind(b"\n", 0, self.filled) + 1
             if end:
-                whole = bytes(memoryview(self.buffer)[:end])
+                complete = bytes(memoryview(self.buffer)[:end])
                 self.filled -= end
                 if self.filled:
                     self.buffer[: self.filled] = self.buffer[end : end + self.filled]
                     self.partial_since = time.monotonic()
                 else:
                     self.drop()
-                return whole
+                return complete
             if self.filled == len(self.buffer):
                 raise LineError("long-line")
 
@@ -126,12 +126,12 @@
     Must not be called from several threads at once.
     """
     with contextlib.ExitStack() as locks:
-        for one in readers:
-            locks.enter_context(one.lock)
-        if not all(one.idle for one in readers):
+        for reader in readers:
+            locks.enter_context(reader.lock)
+        if not all(reader.idle for reader in readers):
             return False
-        for one in readers:
-            one.released = True
+        for reader in readers:
+            reader.released = True
         return True
 
 
@@ -151,10 +151,10 @@
     held_by: str = None
 
 
-def parse_open(line, types, tenants, grouped, longest_wait):
+def parse_open(line, types, tenants, use_groups, max_wait):
     """Parses `OPEN ID KEY NAME=VALUE,..`; raises LineError with the reason code.
 
-    `types` and `tenants` map names to numbers; `longest_wait` is in microseconds.
+    `types` and `tenants` map names to numbers; `max_wait` is in microseconds.
     """
     try:
         words = line.rstrip(b"\r\n").decode("ascii").split(" ")
@@ -168,22 +168,22 @@
     if pairs["c"] not in types:
         raise LineError("unknown-type")
     try:
-        wait = NUMBER.fullmatch(pairs.get("d", "0"))[0]
+        timeout = NUMBER.fullmatch(pairs.get("d", "0"))[0]
         load = float(pairs.get("h", 0))
     except (TypeError, ValueError):
         raise LineError("garbled") from None
     # Hosts answer an absurdly long wait with ERR, which made every host that was tried look broken.
-    if not 0 <= load < 1e15 or len(wait) > 15 or "at" not in pairs and int(wait) * 1000 > longest_wait:
+    if not 0 <= load < 1e15 or len(timeout) > 15 or "at" not in pairs and int(timeout) * 1000 > max_wait:
         raise LineError("garbled")
-    wait = int(wait) * 1000
-    who = pairs.get("g")
+    timeout = int(timeout) * 1000
+    group = pairs.get("g")
     return OpenRequest(
         line,
         words[1],
         types[pairs["c"]],
-        wait,
+        timeout,
         words[2],
-        who if grouped else None,
+        group if use_groups else None,
         tenants.get(pairs.get("t"), 0),
         load,
         pairs.get("again") == "1",
@@ -193,16 +193,16 @@
 
 def traffic_type_name(line):
     """The name of the traffic type in a first line that need not be valid otherwise; "" if it has none."""
-    named = re.match(rb"OPEN [^ ]+ [^ ]+ (?:[^ ]*,)?c=([^ ,\r\n]*)", line)
-    return named[1].decode("ascii", "replace") if named else ""
+    match = re.match(rb"OPEN [^ ]+ [^ ]+ (?:[^ ]*,)?c=([^ ,\r\n]*)", line)
+    return match[1].decode("ascii", "replace") if match else ""
 
 
-def open_for_host(line, wait):
+def open_for_host(line, timeout):
     """The first line as it is forwarded to a host, with `d` set to the time that this node will wait.
 
-    `wait` is in microseconds, `d` in milliseconds.
+    `timeout` is in microseconds, `d` in milliseconds.
     """
-    return re.sub(rb"(?<=[ ,])d=\d+", b"d=%d" % max(1, wait // 1000), line, count=1)
+    return re.sub(rb"(?<=[ ,])d=\d+", b"d=%d" % max(1, timeout // 1000), line, count=1)
 
 
 def busy_line(retry_after):
--- a/cottonspread/net/logfmt.py
+++ b/cottonspread/net/logfmt.py
@@ -20,13 +20,13 @@
 class KeyValueFormatter(logging.Formatter):
     """Formats `log.info("event", extra={"pairs": {...}})` as `time=... level=info node=... event=event ...`.
 
-    `own`: pairs added to every line.
+    `common`: pairs added to every line.
     """
 
-    def __init__(self, node, **own):
-        """`node`: the node's name, for every line; `own`: see the class."""
+    def __init__(self, node, **common):
+        """`node`: the node's name, for every line; `common`: see the class."""
         super().__init__()
-        self.own = {"node": node, **own}
+        self.common = {"node": node, **common}
 
     def pairs(self, record):
         """The pairs of a record, in the order in which they are written."""
@@ -34,7 +34,7 @@
         pairs = {
             "time": at,
             "level": record.levelname.lower(),
-            **self.own,
+            **self.common,
             "event": record.getMessage(),
             **getattr(record, "pairs", {}),
         }
@@ -74,13 +74,13 @@
 FORMATS = {"pairs": KeyValueFormatter, "json": JsonFormatter}
 
 
-def configure(node, level=logging.INFO, format="pairs", **own):
+def configure(node, level=logging.INFO, format="pairs", **common):
     """Sets up logging to standard error; returns a function that flushes and stops it.
 
-    `own`: pairs added to every line.
+    `common`: pairs added to every line.
     """
     handler = logging.StreamHandler()
-    handler.setFormatter(FORMATS[format](node, **own))
+    handler.setFormatter(FORMATS[format](node, **common))
     logging.raiseExceptions = (
         False  # on a full disk lines are lost, without tracebacks that could not be written either
     )
