--- a/cottonspread/net/lines.py
+++ b/cottonspread/net/lines.py
@@ -20,6 +20,7 @@
 WORD, NUMBER = re.compile(r"[!-~]{1,64}"), re.compile(r"[0-9]+")
 
 
+# The socket module does not define SO_TIMESTAMPNS; 35 is its value on Linux.
 SO_TIMESTAMPNS, TIMESPEC, ANCILLARY_SIZE = 35, struct.Struct("qq"), 64
 MAX_AGE = 20_000_000  # microseconds; a larger age means that the wall clock was set after the kernel's stamp
 
@@ -146,9 +147,9 @@
     key: str = None
     group: str = None
     tenant: int = 0
-    load: float = 0.0
-    returned: bool = False
-    held_by: str = None
+    load: float = 0.0  # of the connection, as the client knows it
+    returned: bool = False  # the client is back after a break or a move
+    held_by: str = None  # the host at which the call is open already
 
 
 def parse_open(line, types, tenants, use_groups, max_wait):
