--- a/tests/crossings/test_floods.py
+++ b/tests/crossings/test_floods.py
@@ -147,7 +147,7 @@
 def test_any_first_line_is_read_or_turned_down(line):
     try:
         read = lines.parse_open(line.split(b"\n")[0] + b"\n", NAMES.types, {}, True, 10_000_000)
-        assert 0 <= read.wait <= 10_000_000 and read.type == 0 and not set(read.id) & set(" \r\n\0")
+        assert 0 <= read.timeout <= 10_000_000 and read.type == 0 and not set(read.id) & set(" \r\n\0")
     except lines.LineError as fault:
         assert str(fault)
 
