--- a/cottonspread/lab/sim/contract.py
+++ b/cottonspread/lab/sim/contract.py
@@ -13,10 +13,10 @@
 class EndState:
     """How one end stands."""
 
-    __slots__ = ("connecting", "reading", "writing", "over", "freed", "cut")
+    __slots__ = ("connecting", "reading", "writing", "ended", "freed", "shut_down")
 
     def __init__(self, connecting=False):
-        self.connecting, self.reading, self.writing, self.over, self.freed, self.cut = (
+        self.connecting, self.reading, self.writing, self.ended, self.freed, self.shut_down = (
             connecting,
             False,
             False,
@@ -28,56 +28,56 @@
 
 class Contract:
     def __init__(self):
-        self.ends, self.probes, self.passing = {}, {}, None
+        self.ends, self.probes, self.transferring = {}, {}, None
 
-    def need(self, true, who, what, one):
-        if not true:
-            raise ContractError(f"{who}: {what}: {type(one).__name__}")
+    def require(self, holds, source, violation, item):
+        if not holds:
+            raise ContractError(f"{source}: {violation}: {type(item).__name__}")
 
-    def known(self, who, end, one):
+    def known_end(self, source, end, item):
         state = self.ends.get(end)
-        self.need(state is not None, who, "an end that was never told of", one)
-        self.need(not state.freed, who, "an end that was given back", one)
+        self.require(state is not None, source, "an end that was never told of", item)
+        self.require(not state.freed, source, "an end that was given back", item)
         return state
 
-    def ordered(self, effect):
+    def on_effect(self, effect):
         """An effect, before it is carried out."""
-        who = "reducer"
+        source = "reducer"
         match effect:
             case ev.Connect(end=end):
-                self.need(
+                self.require(
                     end not in self.ends and not end.is_client,
-                    who,
+                    source,
                     "an end connected twice, or a client's",
                     effect,
                 )
                 self.ends[end] = EndState(True)
             case ev.Read(end=end) | ev.DiscardInput(end=end):
-                state = self.known(who, end, effect)
-                self.need(
+                state = self.known_end(source, end, effect)
+                self.require(
                     not state.reading and not state.connecting,
-                    who,
+                    source,
                     "two reads at a time, or one before it is up",
                     effect,
                 )
                 state.reading = True
             case ev.Write(end=end, data=data):
-                state = self.known(who, end, effect)
-                self.need(
+                state = self.known_end(source, end, effect)
+                self.require(
                     data and not state.writing and not state.connecting,
-                    who,
+                    source,
                     "two writes at a time, or one before it is up",
                     effect,
                 )
-                self.need(not state.cut, who, "a write after the end", effect)
+                self.require(not state.shut_down, source, "a write after the end", effect)
                 state.writing = True
             case ev.ShutdownWrite(end=end) | ev.Shutdown(end=end):
-                self.known(who, end, effect).cut = True
+                self.known_end(source, end, effect).shut_down = True
             case ev.Free(end=end):
-                state = self.known(who, end, effect)
-                self.need(
+                state = self.known_end(source, end, effect)
+                self.require(
                     not state.reading and not state.writing and not state.connecting,
-                    who,
+                    source,
                     "given back in use",
                     effect,
                 )
@@ -86,60 +86,62 @@
             case ev.Probe(host=host):
                 self.probes[host] = self.probes.get(host, 0) + 1
             case ev.Transfer(client=client, host=host):
-                self.need(self.passing is None, who, "two on their way at a time", effect)
-                for state in (self.known(who, client, effect), self.known(who, host, effect)):
-                    self.need(not state.writing and not state.cut, who, "passed on in use", effect)
-                self.passing = client, host
-
-    def came(self, who, event):
-        fresh = event.end not in self.ends and event.end.is_client
-        self.need(fresh, who, "an end that came twice, or a host's", event)
+                self.require(self.transferring is None, source, "two on their way at a time", effect)
+                for state in (self.known_end(source, client, effect), self.known_end(source, host, effect)):
+                    self.require(
+                        not state.writing and not state.shut_down, source, "passed on in use", effect
+                    )
+                self.transferring = client, host
+
+    def on_client_accepted(self, source, event):
+        is_new = event.end not in self.ends and event.end.is_client
+        self.require(is_new, source, "an end that came twice, or a host's", event)
         self.ends[event.end] = EndState()
 
-    def passed(self, who, event):
-        ordered = self.passing is not None and self.passing[0].conn is event.conn
-        self.need(ordered, who, "passed on without an order", event)
-        for end in self.passing if event.accepted else ():
+    def on_transfer_done(self, source, event):
+        requested = self.transferring is not None and self.transferring[0].conn is event.conn
+        self.require(requested, source, "passed on without an order", event)
+        for end in self.transferring if event.accepted else ():
             state = self.ends[end]
-            idle = state.reading and not state.writing and not state.over
-            self.need(idle, who, "passed on in use", event)
+            idle = state.reading and not state.writing and not state.ended
+            self.require(idle, source, "passed on in use", event)
             state.reading = False
-        self.passing = None
+        self.transferring = None
 
-    def told(self, event):
+    def on_event(self, event):
         """A word of the workers, before the reducer has it."""
-        who = "workers"
+        source = "workers"
         match event:
             case ev.ClientAccepted():
-                self.came(who, event)
+                self.on_client_accepted(source, event)
             case ev.ConnectDone(end=end, ok=ok):
-                state = self.known(who, end, event)
-                self.need(state.connecting, who, "connected twice", event)
-                state.connecting, state.over = False, not ok
+                state = self.known_end(source, end, event)
+                self.require(state.connecting, source, "connected twice", event)
+                state.connecting, state.ended = False, not ok
             case ev.LinesRead(end=end, data=data):
-                state = self.known(who, end, event)
-                self.need(state.reading and not state.over, who, "lines that nobody asked for", event)
-                self.need(data.endswith(b"\n"), who, "no whole lines", event)
+                state = self.known_end(source, end, event)
+                self.require(state.reading and not state.ended, source, "lines that nobody asked for", event)
+                self.require(data.endswith(b"\n"), source, "no whole lines", event)
                 state.reading = False
             case ev.ReadEnded(end=end):
-                state = self.known(who, end, event)
-                self.need(state.reading, who, "an end that nobody asked for", event)
-                state.reading, state.over = False, not event.cause.endswith("-line")
+                state = self.known_end(source, end, event)
+                self.require(state.reading, source, "an end that nobody asked for", event)
+                state.reading, state.ended = False, not event.cause.endswith("-line")
             case ev.WriteDone(end=end):
-                state = self.known(who, end, event)
-                self.need(state.writing, who, "a write that nobody ordered", event)
+                state = self.known_end(source, end, event)
+                self.require(state.writing, source, "a write that nobody ordered", event)
                 state.writing = False
             case ev.ProbeDone(host=host):
-                self.need(self.probes.get(host, 0) > 0, who, "a probe that nobody ordered", event)
+                self.require(self.probes.get(host, 0) > 0, source, "a probe that nobody ordered", event)
                 self.probes[host] -= 1
             case ev.TransferDone():
-                self.passed(who, event)
+                self.on_transfer_done(source, event)
             case ev.TransferOffered(client=client, host=host):
                 for end in (client, host):
-                    self.need(end not in self.ends, who, "an end that came twice", event)
+                    self.require(end not in self.ends, source, "an end that came twice", event)
                     self.ends[end] = EndState()
 
-    def out(self):
+    def outstanding(self):
         """Orders that are owed a word."""
         return sum(s.connecting + s.reading + s.writing for s in self.ends.values()) + sum(
             self.probes.values()
--- a/cottonspread/lab/sim/fault_injection.py
+++ b/cottonspread/lab/sim/fault_injection.py
@@ -102,13 +102,13 @@
     values = dict(process.values)
     if fault.factor < 1:
         values.pop("settings")
-    process.retune(values)
+    process.reload(values)
 
 
 def retune(fleet, node, process, fault, span):
     """Sends SIGHUP with a new version of the settings."""
     node.settings_version += 1
-    process.retune(tuning.values(fleet.plan, node.number, node.settings_version))
+    process.reload(tuning.values(fleet.plan, node.number, node.settings_version))
 
 
 def quiesce(fleet, node, process, fault, span):
@@ -139,7 +139,7 @@
 
 def stop_replaced(fleet, old, new, tries):
     """Sends SIGTERM to the old process once the new one serves."""
-    if new.takes and new.reducer.has_hosts and not old.dead:
+    if new.accepting and new.reducer.has_hosts and not old.dead:
         old.stop()
         fleet.world.after(STOP_TIMEOUT, kill_if_running, fleet, old)
     elif tries < 300 and not new.dead and not old.dead:
--- a/cottonspread/lab/sim/fleet.py
+++ b/cottonspread/lab/sim/fleet.py
@@ -59,7 +59,7 @@
             }
         process = self.fleet.process_type(self, values, self.shares_listener)
         self.processes.append(process)
-        process.takes = not self.shares_listener
+        process.accepting = not self.shares_listener
         if self.shares_listener:
             self.wait_until_ready(process)
         self.update_listener()
@@ -75,14 +75,14 @@
         if process.dead:
             return
         list_received = (
-            not process.discovery.need_full_list or self.fleet.world.now - process.began >= LIST_TIMEOUT
+            not process.discovery.need_full_list or self.fleet.world.now - process.started_at >= LIST_TIMEOUT
         )
         if not process.reducer.has_hosts or not list_received:
             self.fleet.world.after(20_000, self.wait_until_ready, process)
         elif len(self.processes) > 1:
-            process.take_from(self.processes[-2])
+            process.take_over(self.processes[-2])
         else:
-            process.takes = True
+            process.accepting = True
             self.update_listener()
 
     def save_list(self, version, instances, whole):
@@ -97,13 +97,13 @@
 
     def update_listener(self):
         """Selects which processes accept connections; a shared listener queues them while there is none."""
-        accepting = [p for p in self.processes if p.takes]
+        accepting = [p for p in self.processes if p.accepting]
         if not accepting:
             self.endpoint.on_connect = self.pending_sides.append if self.shares_listener else None
             return
         self.endpoint.on_connect = lambda side: (
             accepting[0] if len(accepting) == 1 else self.random.choice(accepting)
-        ).came(side)
+        ).on_connect(side)
         pending_sides, self.pending_sides = self.pending_sides, []
         for side in pending_sides:
             self.endpoint.on_connect(side)
@@ -114,7 +114,7 @@
         self.fleet.invariants.on_process_exit(process)
         self.update_listener()
         if self.processes:  # the other process has the machine's limits to itself again
-            self.processes[-1].limit(None)
+            self.processes[-1].limit_sockets(None)
         elif process.dead == KILLED or not self.should_run:
             self.fleet.record_node_event("killed" if process.dead == KILLED else "stopped", self)
 
--- a/cottonspread/lab/sim/invariants.py
+++ b/cottonspread/lab/sim/invariants.py
@@ -336,7 +336,7 @@
                 leg.active = False
             return
         observed = self.call_of(side)
-        if observed is None or observed.closed_at or end.worker.gone:
+        if observed is None or observed.closed_at or end.worker.transferred:
             return
         observed.closed_at = self.world.now
         if observed.answer.startswith(b"UP") and not observed.moved:
@@ -567,18 +567,18 @@
 
     def check_counters(self, process):
         """Recounts the sums that a node keeps, and checks the bounds of its tables."""
-        reducer, module, name = process.reducer, process.reducer.balancer, process.node.name
-        hosts = module.membership.hosts.values()
+        reducer, balancer, name = process.reducer, process.reducer.balancer, process.node.name
+        hosts = balancer.membership.hosts.values()
         up = [h for h in hosts if h.up]
         self.require(
-            module.sums.legs == sum(len(h.legs) for h in up),
+            balancer.sums.legs == sum(len(h.legs) for h in up),
             COUNTERS,
             "legs on hosts that are up",
             name,
-            module.sums.legs,
+            balancer.sums.legs,
         )
         for h in hosts:
-            load = sum(leg.load for leg in h.legs) + module.loads.GROUP_COST * len(+h.groups)
+            load = sum(leg.load for leg in h.legs) + balancer.loads.GROUP_COST * len(+h.groups)
             self.require(h.load == load, COUNTERS, "load of a host", name, h.name, h.load, load)
             self.require(
                 h.setups == sum(not leg.accepted for leg in h.legs),
@@ -588,25 +588,25 @@
                 h.name,
             )
         self.require(
-            module.sums.load == sum(h.load for h in up),
+            balancer.sums.load == sum(h.load for h in up),
             COUNTERS,
             "load on hosts that are up",
             name,
-            module.sums.load,
+            balancer.sums.load,
         )
         open_ids = {c.request.id for c in reducer.conns if c.request and not c.reason}
         self.require(open_ids <= reducer.calls_by_id.keys(), COUNTERS, "ids of calls that are open", name)
-        standing = sum(len(s.legs) for s in reducer.hosts.values())
+        established = sum(len(s.legs) for s in reducer.hosts.values())
         self.require(
-            standing == sum(c.up and not c.legs[-1].ended for c in reducer.conns),
+            established == sum(c.up and not c.legs[-1].ended for c in reducer.conns),
             COUNTERS,
             "standing legs",
             name,
-            standing,
+            established,
         )
         conns = len(reducer.conns)
         self.require(
-            len(module.records) <= module.records.MAX_IDLE_KEYS + reducer.max_sockets + 1,
+            len(balancer.records) <= balancer.records.MAX_IDLE_KEYS + reducer.max_sockets + 1,
             BOUND,
             "records",
             name,
@@ -618,18 +618,18 @@
             name,
         )
         self.require(
-            process.most_queue <= 3 * (process.all + 64) + 64,
+            process.max_queue <= 3 * (process.own_max_sockets + 64) + 64,
             BOUND,
             "the queue of events",
             name,
-            process.most_queue,
+            process.max_queue,
         )
         self.require(
-            len(module.calls) <= conns + reducer.probes,
+            len(balancer.calls) <= conns + reducer.probes,
             BOUND,
             "the module's calls",
             name,
-            len(module.calls),
+            len(balancer.calls),
             conns,
         )
         came = self.accept_times[process]
