--- a/cottonspread/lab/sim/agent.py
+++ b/cottonspread/lab/sim/agent.py
@@ -42,7 +42,10 @@
         self.answer_waiting_calls()
 
     def update_weights(self, usage):
-        """Updates the hosts' weights from `usage`, and answers waiting calls."""
+        """Updates the hosts' weights and answers waiting calls.
+
+        `usage`: (size, connections a core) by host.
+        """
         self.book.weigh(usage)
         self.answer_waiting_calls()
 
@@ -52,7 +55,7 @@
         self.world.at(self.silent_until, self.answer_waiting_calls)
 
     def restart(self):
-        """Starts a new generation of the list and breaks calls that are waiting."""
+        """Restarts the list with the same hosts at a lower version; waiting calls fail."""
         self.book.begin_anew()
         for caller in list(self.callers):
             caller.fail(caller.call, ConnectionResetError("list restarted"))
--- a/cottonspread/lab/sim/contract.py
+++ b/cottonspread/lab/sim/contract.py
@@ -1,6 +1,6 @@
-"""What the reducer and the workers owe each other, checked on every order and every word.
+"""The contract between the reducer and the workers, checked on every effect and every event.
 
-The simulated workers and the real ones are held against the same lines.
+Its rules are the same for the simulated workers and the real ones.
 """
 
 from cottonspread.net import events as ev
@@ -11,11 +11,12 @@
 
 
 class EndState:
-    """How one end stands."""
+    """The state of one connection end."""
 
     __slots__ = ("connecting", "reading", "writing", "ended", "freed", "shut_down")
 
     def __init__(self, connecting=False):
+        """`connecting`: the connection is being established."""
         self.connecting, self.reading, self.writing, self.ended, self.freed, self.shut_down = (
             connecting,
             False,
@@ -27,21 +28,26 @@
 
 
 class Contract:
+    """Follows the state of all connection ends of a process."""
+
     def __init__(self):
+        """Starts without any connection ends."""
         self.ends, self.probes, self.transferring = {}, {}, None
 
     def require(self, holds, source, violation, item):
+        """Raises ContractError if `holds` is false; `source`: who broke the contract."""
         if not holds:
             raise ContractError(f"{source}: {violation}: {type(item).__name__}")
 
     def known_end(self, source, end, item):
+        """Returns the state of an end that must exist."""
         state = self.ends.get(end)
-        self.require(state is not None, source, "an end that was never told of", item)
-        self.require(not state.freed, source, "an end that was given back", item)
+        self.require(state is not None, source, "an unknown end", item)
+        self.require(not state.freed, source, "an end that was freed", item)
         return state
 
     def on_effect(self, effect):
-        """An effect, before it is carried out."""
+        """Checks an effect of the reducer before it is executed."""
         source = "reducer"
         match effect:
             case ev.Connect(end=end):
@@ -57,7 +63,7 @@
                 self.require(
                     not state.reading and not state.connecting,
                     source,
-                    "two reads at a time, or one before it is up",
+                    "two reads at a time, or one before the connection is up",
                     effect,
                 )
                 state.reading = True
@@ -66,10 +72,10 @@
                 self.require(
                     data and not state.writing and not state.connecting,
                     source,
-                    "two writes at a time, or one before it is up",
+                    "two writes at a time, or one before the connection is up",
                     effect,
                 )
-                self.require(not state.shut_down, source, "a write after the end", effect)
+                self.require(not state.shut_down, source, "a write after the end of sending", effect)
                 state.writing = True
             case ev.ShutdownWrite(end=end) | ev.Shutdown(end=end):
                 self.known_end(source, end, effect).shut_down = True
@@ -78,7 +84,7 @@
                 self.require(
                     not state.reading and not state.writing and not state.connecting,
                     source,
-                    "given back in use",
+                    "an end freed while in use",
                     effect,
                 )
                 state.freed = True
@@ -86,30 +92,35 @@
             case ev.Probe(host=host):
                 self.probes[host] = self.probes.get(host, 0) + 1
             case ev.Transfer(client=client, host=host):
-                self.require(self.transferring is None, source, "two on their way at a time", effect)
+                self.require(self.transferring is None, source, "two transfers at a time", effect)
                 for state in (self.known_end(source, client, effect), self.known_end(source, host, effect)):
                     self.require(
-                        not state.writing and not state.shut_down, source, "passed on in use", effect
+                        not state.writing and not state.shut_down,
+                        source,
+                        "an end transferred while in use",
+                        effect,
                     )
                 self.transferring = client, host
 
     def on_client_accepted(self, source, event):
+        """Checks the event of a new client connection."""
         is_new = event.end not in self.ends and event.end.is_client
-        self.require(is_new, source, "an end that came twice, or a host's", event)
+        self.require(is_new, source, "an end created twice, or a host's", event)
         self.ends[event.end] = EndState()
 
     def on_transfer_done(self, source, event):
+        """Checks the event that ends a transfer."""
         requested = self.transferring is not None and self.transferring[0].conn is event.conn
-        self.require(requested, source, "passed on without an order", event)
+        self.require(requested, source, "a transfer that was not requested", event)
         for end in self.transferring if event.accepted else ():
             state = self.ends[end]
             idle = state.reading and not state.writing and not state.ended
-            self.require(idle, source, "passed on in use", event)
+            self.require(idle, source, "an end transferred while in use", event)
             state.reading = False
         self.transferring = None
 
     def on_event(self, event):
-        """A word of the workers, before the reducer has it."""
+        """Checks an event of the workers before the reducer handles it."""
         source = "workers"
         match event:
             case ev.ClientAccepted():
@@ -120,29 +131,29 @@
                 state.connecting, state.ended = False, not ok
             case ev.LinesRead(end=end, data=data):
                 state = self.known_end(source, end, event)
-                self.require(state.reading and not state.ended, source, "lines that nobody asked for", event)
-                self.require(data.endswith(b"\n"), source, "no whole lines", event)
+                self.require(state.reading and not state.ended, source, "lines without a read", event)
+                self.require(data.endswith(b"\n"), source, "an incomplete line", event)
                 state.reading = False
             case ev.ReadEnded(end=end):
                 state = self.known_end(source, end, event)
-                self.require(state.reading, source, "an end that nobody asked for", event)
+                self.require(state.reading, source, "an end of input without a read", event)
                 state.reading, state.ended = False, not event.cause.endswith("-line")
             case ev.WriteDone(end=end):
                 state = self.known_end(source, end, event)
-                self.require(state.writing, source, "a write that nobody ordered", event)
+                self.require(state.writing, source, "a write that was not requested", event)
                 state.writing = False
             case ev.ProbeDone(host=host):
-                self.require(self.probes.get(host, 0) > 0, source, "a probe that nobody ordered", event)
+                self.require(self.probes.get(host, 0) > 0, source, "a probe that was not requested", event)
                 self.probes[host] -= 1
             case ev.TransferDone():
                 self.on_transfer_done(source, event)
             case ev.TransferOffered(client=client, host=host):
                 for end in (client, host):
-                    self.require(end not in self.ends, source, "an end that came twice", event)
+                    self.require(end not in self.ends, source, "an end created twice", event)
                     self.ends[end] = EndState()
 
     def outstanding(self):
-        """Orders that are owed a word."""
+        """Returns the number of requests whose result is still to come."""
         return sum(s.connecting + s.reading + s.writing for s in self.ends.values()) + sum(
             self.probes.values()
         )
--- a/cottonspread/lab/sim/hosts.py
+++ b/cottonspread/lab/sim/hosts.py
@@ -18,7 +18,7 @@
 
     def on_readable(self, side):
         """Reads what has arrived; a machine that has vanished reads nothing."""
-        if self.over or self.server.gone:  # a machine that has vanished reads nothing
+        if self.over or self.server.gone:
             return
         if side.received:
             data = side.recv()
--- a/cottonspread/lab/sim/invariants.py
+++ b/cottonspread/lab/sim/invariants.py
@@ -600,7 +600,7 @@
         self.require(
             established == sum(c.up and not c.legs[-1].ended for c in reducer.conns),
             COUNTERS,
-            "standing legs",
+            "established legs",
             name,
             established,
         )
@@ -620,14 +620,14 @@
         self.require(
             process.max_queue <= 3 * (process.own_max_sockets + 64) + 64,
             BOUND,
-            "the queue of events",
+            "the event queue",
             name,
             process.max_queue,
         )
         self.require(
             len(balancer.calls) <= conns + reducer.probes,
             BOUND,
-            "the module's calls",
+            "the balancer's calls",
             name,
             len(balancer.calls),
             conns,
--- a/cottonspread/lab/sim/node.py
+++ b/cottonspread/lab/sim/node.py
@@ -1,9 +1,8 @@
-"""A simulated node: a process round the real reducer, with stand-ins for its
-workers, its door and its calls of the list.
+"""A simulated node: a process around the real reducer, with simulated workers, listener and list requests.
 
-What decides is the program's own: reducer, module, door, the reading of configurations,
-lists and reports, and what a process hands over. What is simulated is what a machine does:
-clocks, threads' turns, sockets, and death.
+The node's own code takes all decisions: the reducer, the balancer, the admission limiter, the parsers of
+configurations, lists and reports, and the handover. Clocks, thread scheduling, sockets and the end of
+processes are simulated.
 """
 
 import contextlib
@@ -25,31 +24,31 @@
 from cottonspread.net.reducer import Reducer
 from cottonspread.net.workers import HALF_LINE_WAIT
 
-STEP_TIME = 30  # microseconds that a step of the reducer takes, and half of that by chance
-MAX_THREAD_DELAY = 60  # at most, from one thread to another
-HANDOVER_TIMEOUT = 1.0  # seconds that a successor waits for what is handed over
+STEP_TIME = 30  # microseconds that a step of the reducer takes, plus up to half of that at random
+MAX_THREAD_DELAY = 60  # microseconds until another thread reacts, drawn at random
+HANDOVER_TIMEOUT = 1.0  # seconds that a successor waits for the state that it takes over
 STOPPED, KILLED = "stopped", "killed"
 
 
 class NodeError(AssertionError):
-    """The node's own code has raised."""
+    """The node's own code raised an exception."""
 
 
 class Worker:
-    """In the place of one end's thread and of the writer: one socket,
-    lines gathered as `lines.LineReader` does.
+    """Simulates a socket's reader thread and its part of the writer.
+
+    It reads lines as `lines.LineReader` does.
     """
 
     def __init__(self, process, end, side=None):
+        """`side`: an open connection; without it the worker waits for one to come up."""
         self.process, self.end, self.side, self.number = process, end, side, process.next_number()
         self.reading, self.is_shut_down, self.reset_when_freed, self.discarding = False, False, False, False
-        self.connect_done = side is not None  # whether it came up is known
-        self.transferred = self.shares_side = False  # its socket is another process's; or is that one's still
-        self.buffer, self.line_started_at, self.unsent = (
-            bytearray(),
-            0,
-            b"",
-        )  # `rest` of a write that waits for room
+        self.connect_done = side is not None  # the connect has succeeded or failed
+        # the socket is another process's now; or another process still has it too
+        self.transferred = self.shares_side = False
+        # `unsent`: the rest of a write that waits for the peer to read
+        self.buffer, self.line_started_at, self.unsent = bytearray(), 0, b""
         end.worker = self
         if side is not None:
             side.owner = self
@@ -57,19 +56,21 @@
     # Reading
 
     def read(self):
+        """Starts a read."""
         self.reading = True
         self.poll()
 
     def discard_input(self):
-        """What comes is dropped, up to the other side's end."""
+        """Starts to discard what arrives, until the peer's end."""
         self.discarding = True
         self.read()
 
     def on_readable(self, side):
+        """Lets the reader thread see what has arrived, a little later."""
         self.process.world.after(self.process.random.randbelow(MAX_THREAD_DELAY), self.poll)
 
     def poll(self):
-        """What a read that waits gives now, if anything."""
+        """Completes a pending read if there is something to report."""
         side, process = self.side, self.process
         if not self.reading or self.transferred or process.dead or process.world.now < process.frozen_until:
             return
@@ -89,7 +90,7 @@
             )
 
     def read_lines(self):
-        """Takes what is there; whether the reducer was told of a whole line, or of one too long."""
+        """Reads what has arrived; returns whether whole lines, or a line too long, were reported."""
         side, process = self.side, self.process
         while data := side.recv(BUFFER_SIZE - len(self.buffer)) if side.received else b"":
             if not self.buffer:
@@ -108,6 +109,7 @@
         return False
 
     def on_half_line_timeout(self, since):
+        """Ends the connection if the rest of a line that began at `since` has not arrived in time."""
         if (
             self.reading
             and self.buffer
@@ -118,18 +120,21 @@
             self.report_end("half-line")
 
     def report_end(self, how):
+        """Reports the end of the incoming data to the reducer."""
         self.report(ev.ReadEnded(self.end, how))
 
     def report(self, event):
+        """Completes the pending read with an event."""
         self.reading = False
         self.process.post(event)
 
-    # Writing: carried out in the order in which the reducer gave it
+    # Writing, in the order of the reducer's effects
 
     def write(self, data):
+        """Writes data; with late writes, half of it at once and the rest later."""
         world, process = self.process.world, self.process
         late = process.late_writes and process.random.random() < process.late_writes[0]
-        if late:  # the kernel takes half of it now, and the rest in its own time
+        if late:  # the kernel takes half of the data now and the rest later
             self.send(data[: len(data) // 2])
             self.unsent = data[len(data) // 2 :]
             world.after(process.random.randbelow(process.late_writes[1]), self.on_writable, self.side)
@@ -138,6 +143,7 @@
         self.on_writable(self.side)
 
     def send(self, data):
+        """Sends data and returns whether the connection was intact."""
         try:
             self.side.send(data)
             return True
@@ -145,7 +151,7 @@
             return False
 
     def on_writable(self, side):
-        """What is left of a write, as far as the other side lets it go."""
+        """Continues a write as far as the peer's window allows, and reports it when it is done."""
         if not self.unsent or self.process.dead or self.transferred:
             return
         data, self.unsent = self.unsent, b""
@@ -157,21 +163,24 @@
         self.process.post(ev.WriteDone(self.end, ok, self.process.clock() if ok else 0))
 
     def shutdown_write(self):
+        """Closes the sending direction."""
         self.side.shutdown_write()
 
     def shut_down(self, reset):
+        """Closes both directions; pending reads, writes and connects end."""
         self.is_shut_down, self.reset_when_freed = True, self.reset_when_freed or reset
-        if self.side is None:  # it was coming up: that ends
+        if self.side is None:  # the pending connect fails
             self.on_connected(None, "ENOTCONN")
             return
         if not reset:
             self.side.shutdown_write()
-        if self.unsent:  # the send that waits comes back with an error
+        if self.unsent:  # the blocked send returns an error
             self.unsent = b""
             self.process.post(ev.WriteDone(self.end, False))
         self.poll()
 
     def free(self):
+        """Closes the socket, unless it belongs to another process."""
         self.process.workers.pop(self, None)
         if self.side is not None and not self.transferred and not self.shares_side:
             if self.reset_when_freed:
@@ -179,12 +188,14 @@
             else:
                 self.side.close()
 
-    # On its way to a successor
+    # Transfer to a successor
 
     def is_idle(self):
+        """Returns whether the connection can be transferred: it waits for data and has nothing buffered."""
         return self.reading and not self.buffer and not self.unsent and not self.is_shut_down
 
     def on_connected(self, side, why):
+        """Reports that the connection came up, or why not."""
         if self.process.dead or self.connect_done:
             if side is not None:
                 side.reset()
@@ -196,9 +207,10 @@
 
 
 class Probe:
-    """One call of a host for its load, on a connection of its own."""
+    """A request to a host for its load, on a connection of its own."""
 
     def __init__(self, process, request):
+        """Starts to connect; `request`: the reducer's effect."""
         self.process, self.request, self.started_at, self.done, self.data, self.side = (
             process,
             request,
@@ -218,6 +230,7 @@
         )
 
     def on_connected(self, side, why):
+        """Sends the request."""
         self.side = side
         if side is None:
             self.finish(Ending.TIMEOUT if why == "TimeoutError" else Ending.CONNECT_FAILED)
@@ -227,6 +240,7 @@
             side.send(lines.STATS)
 
     def on_readable(self, side):
+        """Reads the answer."""
         if side.received:
             self.data += side.recv()
         if self.data.endswith(b"\n"):
@@ -236,9 +250,11 @@
             self.finish(Ending.CONNECT_FAILED)
 
     def on_writable(self, side):
+        """Does nothing: the request always fits."""
         pass
 
     def finish(self, ending, report=None):
+        """Reports the result to the reducer, once."""
         if self.done or self.process.dead:
             return
         self.done = True
@@ -251,9 +267,12 @@
 
 
 class Process:
+    """A node's process, with the interface of `net.node.Node` to its surroundings."""
+
     def __init__(self, node, values, shared=False):
-        """`shared`: its listener is one that an earlier process uses too;
-        nothing is taken from it before `take`.
+        """`values`: the configuration. `shared`: an earlier process uses the same listener.
+
+        With a shared listener it accepts connections only once it has taken over.
         """
         world = node.fleet.world
         self.world, self.node, self.values, self.shares_listener = world, node, values, shared
@@ -310,25 +329,28 @@
         self.schedule_timer()
 
     def next_number(self):
+        """Returns a new worker's number."""
         self.worker_count += 1
         return self.worker_count
 
     def clock(self, at=None):
-        """This machine's, in microseconds of Unix time."""
+        """Returns this machine's clock at simulated time `at`, or now, as Unix time in microseconds."""
         at = self.world.now if at is None else at
         return EPOCH + self.skew + at + at * self.drift // 1_000_000
 
     def simulated_time(self, clock):
-        """When its clock will show that."""
+        """Returns the simulated time at which this machine's clock shows `clock`."""
         since = clock - EPOCH - self.skew
         return since - since * self.drift // 1_000_000
 
     def endpoint_of(self, address):
+        """Returns the endpoint of an (IP, port) address; an unknown one does not reply."""
         return self.addresses.get(address) or UNREACHABLE
 
     # Events
 
     def post(self, event):
+        """Queues an event of the workers for the reducer."""
         if self.dead:
             return
         self.contract.on_event(event)
@@ -338,12 +360,13 @@
         self.schedule_run()
 
     def post_urgent(self, event):
+        """Queues an event that goes before all others."""
         if not self.dead:
             self.urgent.append((self.clock(), event))
             self.schedule_run()
 
     def schedule_run(self):
-        """The reducer's thread gets to its queue."""
+        """Schedules the reducer thread's next step."""
         if not self.run_scheduled:
             self.run_scheduled = True
             self.world.at(
@@ -351,13 +374,14 @@
             )
 
     def schedule_timer(self):
-        """For its timers."""
+        """Schedules a step for the reducer's next timer."""
         due = max(self.world.now, self.simulated_time(self.reducer.due()) + 1)
         if due < self.timer_at:
             self.timer_at = due
             self.world.at(due, self.on_timer, due)
 
     def on_timer(self, due):
+        """Runs the reducer for its timers, if this is still the next one."""
         if due == self.timer_at:
             self.timer_at = 1 << 62
             if not self.dead and not self.run_scheduled:
@@ -365,6 +389,7 @@
                 self.run()
 
     def run(self):
+        """Takes one event from the queues, or a tick, and runs a step of the reducer."""
         if self.dead or self.exiting:
             return
         if self.world.now < self.frozen_until:
@@ -384,6 +409,7 @@
         self.schedule_timer()
 
     def step(self, event, at=0):
+        """Runs a step of the reducer, checks it against the contract, and executes its effects."""
         fleet = self.node.fleet
         self.steps += 1
         try:
@@ -399,11 +425,12 @@
         fleet.after_step(self, event, effects)
 
     def step_reducer(self, event, at):
-        """The reducer's step alone."""
+        """Runs the reducer's step alone."""
         return self.reducer.step(self.clock(), event, at)
 
     @staticmethod
     def label(item):
+        """Returns the name of an event or effect in the trace."""
         end = getattr(item, "end", None)
         if end is None:
             return getattr(item, "event", None) or type(item).__name__
@@ -412,6 +439,7 @@
     # Effects
 
     def execute(self, effect):
+        """Executes an effect as the node's threads would."""
         world = self.world
         match effect:
             case ev.Read(end=end):
@@ -432,7 +460,7 @@
                 self.caller.follow_list()
             case ev.Transfer():
                 world.after(self.random.randbelow(MAX_THREAD_DELAY), self.run_if_alive, self.transfer, effect)
-            case ev.Exit():  # the last answers go out before the process may end
+            case ev.Exit():  # the process must not end before the last answers are written
                 self.exiting = True
                 self.writer_free_at = max(self.writer_free_at, world.now) + MAX_THREAD_DELAY
                 world.at(self.writer_free_at, self.run_if_alive, self.exit, STOPPED)
@@ -445,9 +473,7 @@
                 world.at(self.writer_free_at, self.run_if_alive, self.execute_write, effect)
 
     def run_if_alive(self, callback, *args):
-        """Nothing is done by a process that is dead, and what a stopped one was
-        about to do is done once it goes on.
-        """
+        """Calls `callback(*args)`, once the process is no longer frozen; does nothing if it is dead."""
         if self.dead:
             return
         if self.world.now < self.frozen_until:
@@ -456,11 +482,13 @@
             callback(*args)
 
     def connect(self, worker, effect):
+        """Connects a worker to a host."""
         self.world.network.connect(
             worker, self.node.endpoint, self.endpoint_of(effect.address), effect.timeout, worker.on_connected
         )
 
     def execute_write(self, effect):
+        """Executes an effect of the writer thread."""
         worker = effect.end.worker
         invariants = self.node.fleet.invariants
         match effect:
@@ -482,24 +510,26 @@
                 worker.free()
 
     def must_not_begin(self, effect):
-        """As the writer looks: see `Workers.must_not_begin`."""
+        """Returns why a first line must not be sent any more; see `Workers.must_not_begin`."""
         client = effect.end.conn.client.worker
         if client is None or client.side.eof or client.side.was_reset:
             return "client-gone"
         return "too-late" if effect.send_by and self.clock() >= effect.send_by else ""
 
     def on_log(self, effect):
+        """Handles a log line of the reducer."""
         if effect.event == "closed":
             self.end_reasons[effect.pairs["reason"]] += 1
         self.node.fleet.on_log_line(self, effect)
 
-    # The door
+    # Accepting connections
 
     def on_connect(self, side):
-        """A connection that the machine has taken; the process gets to it in its own time."""
+        """Lets the process accept a connection, a little later."""
         self.world.after(self.random.randbelow(MAX_THREAD_DELAY), self.run_if_alive, self.accept, side)
 
     def accept(self, side):
+        """Accepts a connection, or refuses it if the node is late or has no descriptors left."""
         if not self.admission_limiter.admits(self.clock()):
             self.refuse(side, "node-late", self.reducer.retry_after())
         elif len(self.workers) >= self.max_sockets + SPARE_ENDS // 2:
@@ -512,6 +542,7 @@
             self.post(ev.ClientAccepted(end))
 
     def refuse(self, side, reason, retry_after):
+        """Answers BUSY and closes the connection."""
         line = lines.busy_line(retry_after)
         with contextlib.suppress(BrokenPipeError):
             side.send(line)
@@ -523,8 +554,9 @@
     # Signals and operators
 
     def stop(self):
-        """SIGTERM. Where the platform holds the listener nothing more is taken from
-        it; else what comes is still answered.
+        """Handles SIGTERM.
+
+        With a shared listener nothing more is accepted from it; otherwise connections are still answered.
         """
         self.accepting = not self.shares_listener
         self.node.update_listener()
@@ -532,10 +564,11 @@
         self.post(ev.StopRequested(self.shares_listener, successor is not None))
 
     def kill(self):
-        """All its connections break, and new ones are refused."""
+        """Kills the process: its connections break, and new ones are refused."""
         self.exit(KILLED)
 
     def exit(self, how):
+        """Ends the process; `how`: STOPPED or KILLED."""
         self.dead = how
         for worker in list(self.workers):
             if worker.side is not None and not worker.transferred:
@@ -550,17 +583,17 @@
         self.node.on_process_exit(self)
 
     def drain(self, on):
-        """As operators call."""
+        """Handles an operator's command to drain (`on`) or to resume."""
         self.post_urgent(ev.DrainRequested(on))
 
     def freeze(self, span):
-        """SIGSTOP, or a machine that gives it no core."""
+        """Stops the process for `span`, as by SIGSTOP or a machine that gives it no core."""
         self.frozen_until = max(self.frozen_until, self.world.now + span)
         for worker in list(self.workers):
             self.world.at(self.frozen_until, worker.poll)
 
     def reload(self, values):
-        """SIGHUP with this file. What cannot change while it runs stays, as in `Node.retune`."""
+        """Handles SIGHUP with these values; what cannot change at run time stays, as in `Node.reload`."""
         try:
             parts = config.read_node(json.dumps(values), {})
             config.check_no_key_missing(self.values, values)
@@ -575,8 +608,9 @@
     # Replacement
 
     def take_over(self, old):
-        """What the process before it hands over, through the text that goes over the disk; then it takes
-        connections. It waits no longer than a successor does.
+        """Takes over the state of the previous process, as JSON as on disk, and then accepts connections.
+
+        It waits for the state no longer than HANDOVER_TIMEOUT.
         """
         token = f"{self.node.name} {self.node.start_count}"
 
@@ -591,7 +625,7 @@
             )
 
         def start_accepting(state):
-            if self.accepting:  # it is too late for it
+            if self.accepting:  # the state has come too late, or the wait is over
                 return
             if state:
                 self.limit_sockets(state.room)
@@ -603,13 +637,16 @@
         self.world.after(round(HANDOVER_TIMEOUT * SECOND), self.run_if_alive, start_accepting, None)
 
     def limit_sockets(self, max_sockets):
-        """While two processes share the limits of one; None: alone again."""
+        """Limits the sockets while two processes share the limits of one; None removes that limit."""
         self.max_sockets = self.reducer.max_sockets = min(
             max_sockets or self.own_max_sockets, self.own_max_sockets
         )
 
     def transfer(self, order):
-        """One standing connection to the heir, if its readers are idle; the heir answers."""
+        """Transfers an established connection to the successor if both readers are idle.
+
+        The successor replies through `on_transferred`.
+        """
         workers, successor = (order.client.worker, order.host.worker), self.successor
         if successor is None or successor.dead or not all(worker.is_idle() for worker in workers):
             self.post(ev.TransferDone(order.conn, False, successor is not None and not successor.dead))
@@ -620,7 +657,7 @@
         ends, new = (ev.ConnectionEnd(True), ev.ConnectionEnd(False)), []
         for end, worker in zip(ends, workers, strict=True):
             new.append(Worker(successor, end, worker.side))
-            new[-1].shares_side = True  # the old process has it too until it is told
+            new[-1].shares_side = True  # until the old process has the successor's reply
             successor.workers[new[-1]] = None
         successor.post(
             ev.TransferOffered(
@@ -638,6 +675,7 @@
         )
 
     def on_transferred(self, order, taken, new, successor):
+        """Handles the successor's reply to a transfer."""
         workers = order.client.worker, order.host.worker
         for worker, new_worker in zip(workers, new, strict=True):
             new_worker.shares_side = False
--- a/cottonspread/lab/sim/scenario.py
+++ b/cottonspread/lab/sim/scenario.py
@@ -179,7 +179,7 @@
     except InvariantError as fault:
         return Outcome(f"{fault.invariant}: {fault.what}", str(fault), fleet)
     except ContractError as fault:
-        return Outcome(f"seam: {fault}", f"seam: {fault}, at {fleet.world.now / 1e6:.6f} s", fleet)
+        return Outcome(f"contract: {fault}", f"contract: {fault}, at {fleet.world.now / 1e6:.6f} s", fleet)
     except NodeError as fault:
         return Outcome(
             "fault: " + str(fault).split("\n")[0].split(": ", 1)[1],
