--- a/benchmarks/soak/run.py
+++ b/benchmarks/soak/run.py
@@ -45,6 +45,7 @@
 
 
 def main():
+    """Runs the seeds that the command line asks for."""
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawTextHelpFormatter)
     parser.add_argument("first", type=int)
     parser.add_argument("last", type=int)
--- a/cottonspread/lab/sim/invariants.py
+++ b/cottonspread/lab/sim/invariants.py
@@ -90,6 +90,7 @@
         self.up_leg = None  # the leg whose UP was forwarded to the client
 
     def __repr__(self):
+        """Returns the call's history, for messages."""
         legs = [
             (leg.host, round(leg.sent / SECOND, 6), leg.up, leg.never_ran, leg.active) for leg in self.legs
         ]
--- a/cottonspread/lab/soak/loop.py
+++ b/cottonspread/lab/soak/loop.py
@@ -14,6 +14,7 @@
     """Runs callbacks for ready sockets and for timers that are due."""
 
     def __init__(self):
+        """Creates a loop without sockets and timers."""
         self.selector, self.timers, self.sequence = selectors.DefaultSelector(), [], itertools.count()
         self.max_delay = 0.0  # the largest delay of a timer, in seconds
 
--- a/cottonspread/lab/soak/runner.py
+++ b/cottonspread/lab/soak/runner.py
@@ -36,6 +36,7 @@
     """A client with one call, from connecting to the end of its connection. `lifetime`: seconds."""
 
     def __init__(self, soak_run, call, line, lifetime):
+        """Starts to connect; `line`: the first line to send."""
         self.soak_run, self.call, self.line, self.lifetime = soak_run, call, line, lifetime
         self.sock = socket.socket()
         self.sock.setblocking(False)
@@ -108,6 +109,7 @@
     """One run of a plan. `checkout`: the directory whose `cottonspread` package is tested."""
 
     def __init__(self, plan, checkout=ROOT):
+        """Creates the hosts and the host list of a plan and selects the node's address."""
         self.checkout = checkout
         self.plan, self.loop, self.rng = plan, Loop(), Random(plan.seed ^ 0x5EED)
         self.record = Record(plan.seed, [vars(fault) for fault in plan.faults])
--- a/cottonspread/lab/soak/stubs.py
+++ b/cottonspread/lab/soak/stubs.py
@@ -18,6 +18,7 @@
     """A host. `fault`: the kind of the current fault, or ""."""
 
     def __init__(self, loop, record, number):
+        """Creates host number `number`, which accepts connections."""
         self.loop, self.record, self.name, self.fault = loop, record, f"h{number}", ""
         # `connections` maps a connection to its call's ID, `calls` a call's ID to the `Call`
         self.ready, self.connections, self.calls = True, {}, {}
@@ -92,6 +93,7 @@
     """The host list, served on several addresses. `fault`: the kind of the current fault, or ""."""
 
     def __init__(self, loop, record, hosts, addresses):
+        """Creates a list of `hosts` on so many `addresses`."""
         self.loop, self.record, self.hosts, self.fault = loop, record, hosts, ""
         self.version, self.long_polls = 1, []  # (connection, Unix time at which it times out)
         self.listeners = [socket.create_server(("127.0.0.1", 0)) for _ in range(addresses)]
--- a/tests/soak/test_audit.py
+++ b/tests/soak/test_audit.py
@@ -28,15 +28,18 @@
 
 
 def reject(record, at, ended="end"):
+    """Lets the first call be rejected with BUSY at `at`."""
     call = record.calls[0]
     call.up, call.answers, call.answered_at, call.ended, call.ended_at = False, ["BUSY"], at, ended, at
 
 
 def close_without_move(record):
+    """Lets the first call's connection break after SIGTERM."""
     record.calls[0].ended, record.calls[0].ended_at = "reset", TERM + 1
 
 
 def leave_unanswered(record, ended):
+    """Lets the first call end without an answer."""
     call = record.calls[0]
     call.up, call.answers, call.echoes, call.ended, call.ended_at = False, [], [], ended, 100.5
 
