--- a/cottonspread/lab/sim/fleet.py
+++ b/cottonspread/lab/sim/fleet.py
@@ -85,9 +85,9 @@
             process.accepting = True
             self.update_listener()
 
-    def save_list(self, version, instances, whole):
+    def save_list(self, version, instances, is_full):
         """Saves an update of the list, as a process does on disk."""
-        if whole:
+        if is_full:
             self.saved_instances = {}
         self.generation = version
         for instance in instances:
--- a/cottonspread/lab/sim/invariants.py
+++ b/cottonspread/lab/sim/invariants.py
@@ -274,9 +274,9 @@
                 host,
             )
         self.require(
-            not any(one.active for one in observed.legs), EFFECTS, "two legs at once", observed, host
+            not any(leg.active for leg in observed.legs), EFFECTS, "two legs at once", observed, host
         )
-        ran, kind = [one for one in observed.legs if not one.never_ran], observed.kind
+        ran, kind = [leg for leg in observed.legs if not leg.never_ran], observed.kind
         if ran and kind.effect == "once-only":
             self.require(False, EFFECTS, "once-only sent again though it may have run", observed, host)
         elif ran and kind.effect == "referenced":
@@ -404,8 +404,8 @@
         if call is None or not self.checked:
             return
         text = self.partial_lines.get(conn, b"") + data
-        *whole, self.partial_lines[conn] = text.split(b"\r\n")
-        for line in whole:
+        *complete_lines, self.partial_lines[conn] = text.split(b"\r\n")
+        for line in complete_lines:
             if line.startswith(b"e"):
                 last = self.last_echoes.get(conn, 0)
                 self.require(
@@ -506,26 +506,34 @@
                 how,
             )
 
-    def on_bad_client(self, one):
+    def on_bad_client(self, bad_client):
         """Schedules the check that a misbehaving client gets an error or a close."""
-        if one.kind not in ("hangs-up", "crowd") and one.kind != "same-id":
-            self.world.after(BAD_CLIENT_TIMEOUT + TOLERANCE, self.check_bad_client, one)
+        if bad_client.kind not in ("hangs-up", "crowd") and bad_client.kind != "same-id":
+            self.world.after(BAD_CLIENT_TIMEOUT + TOLERANCE, self.check_bad_client, bad_client)
 
-    def check_bad_client(self, one):
+    def check_bad_client(self, bad_client):
         """Requires that a misbehaving client was answered or closed in time after a process accepted it."""
-        if one.closed or self.was_paused(one.node, one.connected_at, self.world.now) or not one.accepted_at:
+        if (
+            bad_client.closed
+            or self.was_paused(bad_client.node, bad_client.connected_at, self.world.now)
+            or not bad_client.accepted_at
+        ):
             return
-        left = one.accepted_at + BAD_CLIENT_TIMEOUT + TOLERANCE - self.world.now
+        left = bad_client.accepted_at + BAD_CLIENT_TIMEOUT + TOLERANCE - self.world.now
         if left > 0:
-            self.world.after(left, self.check_bad_client, one)
+            self.world.after(left, self.check_bad_client, bad_client)
         else:
             self.require(
-                False, ANSWER, "a misbehaving client was neither answered nor closed", one.kind, one.id
+                False,
+                ANSWER,
+                "a misbehaving client was neither answered nor closed",
+                bad_client.kind,
+                bad_client.id,
             )
 
     # The list
 
-    def on_list_answer(self, process, whole, hosts):
+    def on_list_answer(self, process, is_full, hosts):
         """Handles an answer of the list; `hosts` holds (name, lifecycle, start time)."""
         now, unfit_since, named = self.world.now, self.unfit_since[process], set()
         for name, state, started in hosts:
@@ -536,7 +544,7 @@
                 unfit_since.pop(name, None)
                 if started:
                     self.host_known_at[name].append(now)
-        if whole:
+        if is_full:
             for name in self.fleet.hosts:
                 if name not in named:
                     unfit_since.setdefault(name, now)
@@ -633,16 +641,16 @@
             len(balancer.calls),
             conns,
         )
-        came = self.accept_times[process]
-        while came and came[0] < self.world.now - TIMER_LIFETIME:
-            came.popleft()
+        accept_times = self.accept_times[process]
+        while accept_times and accept_times[0] < self.world.now - TIMER_LIFETIME:
+            accept_times.popleft()
         self.require(
-            len(reducer.timers) <= 64 + TIMERS_PER_CALL * (len(came) + conns),
+            len(reducer.timers) <= 64 + TIMERS_PER_CALL * (len(accept_times) + conns),
             BOUND,
             "timers",
             name,
             len(reducer.timers),
-            len(came),
+            len(accept_times),
         )
 
     def on_process_exit(self, process):
@@ -678,7 +686,7 @@
             len(process.reducer.conns),
         )
 
-    def on_connection_passed(self, process, order, new):
+    def on_connection_transferred(self, process, order, new):
         """Handles an established connection that was passed on to another process."""
         client, _ = new
         observed = self.call_of(client.side)
@@ -718,19 +726,19 @@
         """Checks at the end of the traffic that clients were served, and recounts all counters."""
         if not self.checked:
             return
-        calm, asked = self.last_fault_end + CALM_PERIOD, {}
+        calm_since, latest_calls = self.last_fault_end + CALM_PERIOD, {}
         if 2 * sum(host.model.state == "up" and not host.gone for host in self.fleet.hosts.values()) < len(
             self.fleet.hosts
         ):
-            calm = self.world.now  # too few hosts are left for the load
+            calm_since = self.world.now  # too few hosts are left for the load
         for observed in self.calls.values():
             call = observed.call
-            if call is not None and not call.retry and not call.again and call.intended >= calm:
-                asked[call.schedule_index] = observed
-        for first, observed in asked.items():
+            if call is not None and not call.retry and not call.again and call.intended >= calm_since:
+                latest_calls[call.schedule_index] = observed
+        for index, observed in latest_calls.items():
             if observed.call.intended < self.fleet.clients.traffic_end - 5 * SECOND:
                 self.require(
-                    first in self.served_clients,
+                    index in self.served_clients,
                     PROGRESS,
                     "a well-behaved client was not served although there was no fault",
                     observed,
--- a/cottonspread/lab/sim/node.py
+++ b/cottonspread/lab/sim/node.py
@@ -98,10 +98,12 @@
             self.buffer += data
             end = self.buffer.rfind(b"\n") + 1
             if end:
-                whole = bytes(self.buffer[:end])
+                complete = bytes(self.buffer[:end])
                 del self.buffer[:end]
                 self.line_started_at = process.world.now
-                self.report(ev.LinesRead(self.end, whole, bool(self.buffer), process.clock(side.received_at)))
+                self.report(
+                    ev.LinesRead(self.end, complete, bool(self.buffer), process.clock(side.received_at))
+                )
                 return True
             if len(self.buffer) == BUFFER_SIZE:
                 self.report_end("long-line")
@@ -663,31 +665,31 @@
             ev.TransferOffered(
                 *ends,
                 connection,
-                lambda taken: successor.world.after(
+                lambda accepted: successor.world.after(
                     successor.random.randbelow(MAX_THREAD_DELAY),
                     self.on_transferred,
                     order,
-                    taken,
+                    accepted,
                     new,
                     successor,
                 ),
             )
         )
 
-    def on_transferred(self, order, taken, new, successor):
+    def on_transferred(self, order, accepted, new, successor):
         """Handles the successor's reply to a transfer."""
         workers = order.client.worker, order.host.worker
         for worker, new_worker in zip(workers, new, strict=True):
             new_worker.shares_side = False
-            if not taken:
+            if not accepted:
                 worker.transferred, worker.side.owner, new_worker.transferred = False, worker, True
             elif new_worker.end.freed:
                 new_worker.side.close()
-        if taken:
+        if accepted:
             successor.limit_sockets(successor.max_sockets + 2)
-            self.node.fleet.invariants.on_connection_passed(self, order, new)
-        self.post(ev.TransferDone(order.conn, taken))
-        if not taken and not self.dead:
+            self.node.fleet.invariants.on_connection_transferred(self, order, new)
+        self.post(ev.TransferDone(order.conn, accepted))
+        if not accepted and not self.dead:
             for worker in workers:
                 worker.poll()
 
--- a/cottonspread/lab/sim/world.py
+++ b/cottonspread/lab/sim/world.py
@@ -46,8 +46,8 @@
     def sample(self, choices, share):
         """Returns a share (0 to 1) of the elements, at least one, in their original order."""
         ranked = sorted((self.next_uint32(), n) for n in range(len(choices)))
-        taken = {n for _, n in ranked[: max(1, round(len(choices) * share))]}
-        return [one for n, one in enumerate(choices) if n in taken]
+        chosen = {n for _, n in ranked[: max(1, round(len(choices) * share))]}
+        return [choice for n, choice in enumerate(choices) if n in chosen]
 
 
 class World:
--- a/cottonspread/lab/soak/loop.py
+++ b/cottonspread/lab/soak/loop.py
@@ -74,8 +74,8 @@
             return
         at = next((TIMESPEC.unpack(value) for _, kind, value in stamps if kind == SO_TIMESTAMPNS), None)
         at = at[0] + at[1] / 1e9 if at else time.time()
-        whole, _, self.partial = (self.partial + data).rpartition(b"\n")
-        for line in whole.split(b"\n") if whole else ():
+        complete, _, self.partial = (self.partial + data).rpartition(b"\n")
+        for line in complete.split(b"\n") if complete else ():
             if self.sock.fileno() >= 0:
                 self.on_line(line.rstrip(b"\r"), at)
         if not data:
--- a/cottonspread/lab/soak/runner.py
+++ b/cottonspread/lab/soak/runner.py
@@ -147,7 +147,7 @@
             "Limits": limits | {"ConnectTimeout": 250},
             "Rules": {"DrainGrace": 500},
         }
-        whole = {
+        configuration = {
             "name": "soak",
             "listen": "{}:{}".format(*self.address),
             "discovery": "{}:{}".format(*address),
@@ -155,7 +155,7 @@
             "limits": {"memory_mb": RESOURCE_LIMITS[0], "sockets": RESOURCE_LIMITS[1]},
             "settings": settings,
         }
-        self.file.write_text(json.dumps(whole))
+        self.file.write_text(json.dumps(configuration))
 
     def run(self):
         """Runs the plan and returns its record."""
