--- a/benchmarks/crossings/list_clock.py
+++ b/benchmarks/crossings/list_clock.py
@@ -38,7 +38,7 @@
         started = time.monotonic()
         agent.change(hosts[0], "Terminating")
         while not any(
-            getattr(getattr(e, "listed", None), "version", 0) == agent.version for e in list(node.seen.told)
+            getattr(getattr(e, "update", None), "version", 0) == agent.version for e in list(node.seen.told)
         ):
             time.sleep(0.001)
         return time.monotonic() - started
