--- a/cottonspread/lab/sim/fault_injection.py
+++ b/cottonspread/lab/sim/fault_injection.py
@@ -208,7 +208,7 @@
 
 
 def dead(fleet, fault, span):
-    """From now on the affected connections deliver nothing, and nobody is told."""
+    """From now on the affected connections deliver nothing, and neither side is notified."""
     for link in affected_links(fleet, fault, "dead"):
         link.dead = True
         fleet.invariants.on_link_dead(link)
@@ -229,7 +229,7 @@
 
 
 def list_garbage(fleet, fault, span):
-    """Lets the agents give garbage for the next five answers."""
+    """Lets the agents send garbage for their next five answers."""
     for agent in agents(fleet, fault):
         agent.garbage_left = 5
         agent.answer_waiting_calls()
--- a/cottonspread/lab/sim/invariants.py
+++ b/cottonspread/lab/sim/invariants.py
@@ -435,7 +435,7 @@
         elif kind == "tipped":
             host, started = line["host"], self.host_started_at.get(line["host"], 0)
             known = [at for at in self.host_known_at[host] if at >= started]
-            # A node cannot spare a cold host before a list has told it of the start.
+            # A node cannot spare a cold host before a list has reported its start.
             self.require(
                 not known or self.world.now < min(known) + TOLERANCE,
                 COLD,
@@ -748,7 +748,7 @@
                 self.check_counters(process)
 
     def check_all_released(self):
-        """Requires that every process has ended after it was told to stop."""
+        """Requires that every process has ended after SIGTERM."""
         for node in self.fleet.nodes:
             for process in node.processes:
                 self.require(
--- a/cottonspread/lab/sim/network.py
+++ b/cottonspread/lab/sim/network.py
@@ -105,7 +105,7 @@
 class Link:
     """The connection between two sides.
 
-    A `dead` link loses whatever is sent without telling anyone. `withheld` is what a partition holds back.
+    A `dead` link loses whatever is sent without notifying either side. `withheld`: held back by a partition.
     """
 
     __slots__ = ("a", "b", "delay", "dead", "stalled_until", "withheld", "number")
--- a/cottonspread/lab/sim/node.py
+++ b/cottonspread/lab/sim/node.py
@@ -589,7 +589,7 @@
         self.post_urgent(ev.DrainRequested(on))
 
     def freeze(self, span):
-        """Stops the process for `span`, as by SIGSTOP or a machine that gives it no core."""
+        """Stops the process for `span`, as by SIGSTOP or on a machine without a free core."""
         self.frozen_until = max(self.frozen_until, self.world.now + span)
         for worker in list(self.workers):
             self.world.at(self.frozen_until, worker.poll)
