--- a/cottonspread/lab/sim/node.py
+++ b/cottonspread/lab/sim/node.py
@@ -269,7 +269,7 @@
 
 
 class Process:
-    """A node's process, with the interface of `net.node.Node` to its surroundings."""
+    """A node's process, in place of `net.node.Node`."""
 
     def __init__(self, node, values, shared=False):
         """`values`: the configuration. `shared`: an earlier process uses the same listener.
