--- a/tests/crossings/test_attempts.py
+++ b/tests/crossings/test_attempts.py
@@ -145,7 +145,9 @@
         (b"x" * 5000, True),
     ],
 )
-def test_a_call_that_must_not_run_twice_is_retried_only_if_it_cannot_have_run(hosts, list_server, answer, ran):
+def test_a_call_that_must_not_run_twice_is_retried_only_if_it_cannot_have_run(
+    hosts, list_server, answer, ran
+):
     with running(list_server) as node:
         wait_for_list(node)
         one = client(node, open_line(1, "once"))
--- a/tests/crossings/test_pieces.py
+++ b/tests/crossings/test_pieces.py
@@ -70,9 +70,7 @@
 
 @pytest.mark.parametrize("cut", (1, len(LINE) // 2, len(LINE) - 1))
 @pytest.mark.parametrize("known", (True, False))
-def test_a_first_line_completed_after_a_reload_uses_the_new_settings(
-    hosts, list_server, cut, known
-):
+def test_a_first_line_completed_after_a_reload_uses_the_new_settings(hosts, list_server, cut, known):
     with running(list_server) as node:
         wait_for_list(node)
         one = client(node)
