--- a/cottonspread/net/lines.py
+++ b/cottonspread/net/lines.py
@@ -147,7 +147,7 @@
     key: str = None
     group: str = None
     tenant: int = 0
-    load: float = 0.0  # of the connection, as the client knows it
+    load: float = 0.0  # announced by the client; 0: not given
     returned: bool = False  # the client is back after a break or a move
     held_by: str = None  # the host at which the call is open already
 
