--- a/benchmarks/configstore/mutants.py
+++ b/benchmarks/configstore/mutants.py
@@ -14,7 +14,7 @@
 from pathlib import Path
 
 ROOT = Path(__file__).resolve().parents[2]
-AT_ONCE, WAIT = 2, 300
+PARALLEL, TIMEOUT_S = 2, 300
 REPLICA, FOLLOWER, PUBLISHER, PLAYS = (
     f"tests/configstore/test_{name}.py"
     for name in ("replica", "follower", "publisher", "configuration_plays")
@@ -371,9 +371,9 @@
 ]
 
 
-def play(mutant):
+def run_mutant(mutant):
     """Runs the tests with one mutant; returns whether they failed."""
-    what, file, text, other, tests = mutant
+    what, file, text, replacement, tests = mutant
     with tempfile.TemporaryDirectory() as folder:
         copy = Path(folder) / "tree"
         for part in ("cottonspread", "tests"):
@@ -384,13 +384,13 @@
         if source.count(text) != 1:
             why = f"its text occurs {source.count(text)} times"
             return {"mutant": what, "file": file, "noticed": False, "why": why}
-        path.write_text(source.replace(text, other))
+        path.write_text(source.replace(text, replacement))
         command = [sys.executable, "-m", "pytest", "-n", "0", "-q", "-x", "-p", "no:cacheprovider", tests]
         command += ["-k", "not command"]  # that test needs the checkout's commit, and the copy has none
         try:
-            done = subprocess.run(command, cwd=copy, capture_output=True, text=True, timeout=WAIT)
+            done = subprocess.run(command, cwd=copy, capture_output=True, text=True, timeout=TIMEOUT_S)
         except subprocess.TimeoutExpired:
-            return {"mutant": what, "file": file, "noticed": True, "why": f"hung for {WAIT} s"}
+            return {"mutant": what, "file": file, "noticed": True, "why": f"hung for {TIMEOUT_S} s"}
         lines = [line for line in done.stdout.splitlines() if line.startswith("FAILED")]
         why = lines[0].split("::")[-1][:120] if lines else done.stdout.strip()[-120:]
         return {"mutant": what, "file": file, "noticed": done.returncode == 1 and bool(lines), "why": why}
@@ -400,15 +400,15 @@
     """Runs all mutants, or those whose name contains one of the words after the result's path."""
     words = given[1:]
     chosen = [one for one in MUTANTS if not words or any(word in one[0] for word in words)]
-    told = []
-    with ThreadPoolExecutor(AT_ONCE) as pool:
-        for one in pool.map(play, chosen):
-            told.append(one)
+    results = []
+    with ThreadPoolExecutor(PARALLEL) as pool:
+        for one in pool.map(run_mutant, chosen):
+            results.append(one)
             verdict = "noticed" if one["noticed"] else "NOT NOTICED"
             print(f"{verdict}: {one['mutant']} ({one['file']}): {one['why']}", flush=True)
     if given:
-        Path(given[0]).write_text(json.dumps(told, indent=1) + "\n")
-    return 0 if all(one["noticed"] for one in told) else 1
+        Path(given[0]).write_text(json.dumps(results, indent=1) + "\n")
+    return 0 if all(one["noticed"] for one in results) else 1
 
 
 if __name__ == "__main__":
--- a/benchmarks/fleet/forty.py
+++ b/benchmarks/fleet/forty.py
@@ -51,43 +51,43 @@
     calls = [c for c in record.read(folder, "load") if c["k"] == "call"]
 
     def window(since, until):
-        some = [c for c in calls if since <= c["intended"] < until]
+        selected = [c for c in calls if since <= c["intended"] < until]
         kinds = {}
-        for c in some:
+        for c in selected:
             kind = c["answers"][0][1] if c["answers"] else c["how"]
             kinds[kind] = kinds.get(kind, 0) + 1
         return {
-            "calls": len(some),
+            "calls": len(selected),
             "ends": kinds,
             "set_up_p99_ms": p99(
                 [
                     c["answers"][0][0] - c["intended"]
-                    for c in some
+                    for c in selected
                     if c["answers"] and c["answers"][0][1] == "UP"
                 ]
             ),
         }
 
     log = (Path(folder) / "fleet.log").read_text()
-    told = {"calm, 2 to 9 s": window(2_000_000, 9_000_000)}
+    summary = {"calm, 2 to 9 s": window(2_000_000, 9_000_000)}
     for n in notes:
         if n["k"].endswith("-done"):
             began = n["t"] - round(n["s"] * 1e6)
-            told[f"{n['k'][:-5]} at {began // 1_000_000} s"] = {
+            summary[f"{n['k'][:-5]} at {began // 1_000_000} s"] = {
                 "s": n["s"],
                 "code": n["code"],
                 "said": n["said"],
             } | window(began, n["t"])
     ready = [float(s) for s in re.findall(r"event=ready instances=40 s=([0-9.]+)", log)]
-    back = [n for n in notes if n["k"] == "killed"]
-    ids = re.findall(r"event=ended instance=n-(\d+) generation=\d+ how=\"signal 9\"", log)
+    kills = [n for n in notes if n["k"] == "killed"]
+    ended_by_kill = re.findall(r"event=ended instance=n-(\d+) generation=\d+ how=\"signal 9\"", log)
     returned = [int(ms) for ms in re.findall(r"event=returned instance=n-\d+ generation=\d+ ms=(\d+)", log)]
     memory = [node["rss_mb"] for line in result.timeline for node in line["nodes"].values() if node["rss_mb"]]
-    told |= {
+    summary |= {
         "seconds to start forty until all are ready": ready,
         "memory of an instance, MB": {"median": statistics.median(memory), "most": max(memory)},
-        "killed": len(back),
-        "ended by signal 9": len(ids),
+        "killed": len(kills),
+        "ended by signal 9": len(ended_by_kill),
         "ms from kill -9 to its return": returned,
         "adopted": log.count("event=adopted"),
         "rules": {
@@ -100,8 +100,8 @@
         "usable": result.usable,
         "reasons": result.reasons,
     }
-    (HERE / "results" / "forty.json").write_text(json.dumps(told, indent=1) + "\n")
-    print(json.dumps(told, indent=1))
+    (HERE / "results" / "forty.json").write_text(json.dumps(summary, indent=1) + "\n")
+    print(json.dumps(summary, indent=1))
 
 
 if __name__ == "__main__":
