--- a/benchmarks/configstore/mutants.py
+++ b/benchmarks/configstore/mutants.py
@@ -107,7 +107,7 @@
         REPLICA,
     ),
     ("the bound on reports", "reports.py", "len(self._reports) >= MAX_NODES", "False", REPLICA),
-    ("old reports", "reports.py", "if now - heard <= REPORT_RETENTION:", "if True:", REPLICA),
+    ("old reports", "reports.py", "if now - received_at <= REPORT_RETENTION:", "if True:", REPLICA),
     (
         "the heap of pending requests",
         "pending.py",
@@ -296,7 +296,7 @@
     (
         "absent nodes as canaries",
         "majority.py",
-        "(heard.watching or heard.age_us <= REPORT_MAX_AGE) and",
+        "(received.watching or received.age_us <= REPORT_MAX_AGE) and",
         "",
         PUBLISHER,
     ),
--- a/cottonspread/configstore/canaries.py
+++ b/cottonspread/configstore/canaries.py
@@ -36,8 +36,8 @@
 
     def add_reports(self, now: int, reports: list[ReceivedReport]) -> None:
         """Adds the reports of one replica; an older report elsewhere does not undo a canary's earlier one."""
-        for heard in reports:
-            report = heard.report
+        for received in reports:
+            report = received.report
             if report.node not in self.names:
                 continue
             if self._version in (report.refused, report.failing):
--- a/cottonspread/configstore/majority.py
+++ b/cottonspread/configstore/majority.py
@@ -54,10 +54,10 @@
     return tuple(
         sorted(
             {
-                heard.report.node
+                received.report.node
                 for reply in replies
-                for heard in reply.reports
-                if (heard.watching or heard.age_us <= REPORT_MAX_AGE) and not heard.report.cut_off
+                for received in reply.reports
+                if (received.watching or received.age_us <= REPORT_MAX_AGE) and not received.report.cut_off
             }
         )
     )
--- a/cottonspread/configstore/overview.py
+++ b/cottonspread/configstore/overview.py
@@ -57,9 +57,9 @@
         default=None,
     )
     groups = {"in_force": [], "waiting": [], "behind": [], "refused": [], "not_heard": []}
-    for heard in newest_reports(replies):
-        groups[group_of(heard, committed)].append(
-            NodeStatus(heard.report.node, heard.report.in_force, heard.age_us, heard.report.why)
+    for received in newest_reports(replies):
+        groups[group_of(received, committed)].append(
+            NodeStatus(received.report.node, received.report.in_force, received.age_us, received.report.why)
         )
     return Overview(
         version=committed.version if committed else 0,
@@ -75,21 +75,21 @@
     """Returns each node's newest report, by name; `watching` is set if any replica has its watch open."""
     newest = {}
     for reply in replies:
-        for heard in reply.reports:
-            known = newest.get(heard.report.node)
-            if known is None or heard.age_us < known.age_us:
-                newest[heard.report.node] = heard
-    watched = {heard.report.node for reply in replies for heard in reply.reports if heard.watching}
+        for received in reply.reports:
+            known = newest.get(received.report.node)
+            if known is None or received.age_us < known.age_us:
+                newest[received.report.node] = received
+    watched = {received.report.node for reply in replies for received in reply.reports if received.watching}
     return [
-        m.ReceivedReport(report=heard.report, age_us=heard.age_us, watching=name in watched)
-        for name, heard in sorted(newest.items())
+        m.ReceivedReport(report=received.report, age_us=received.age_us, watching=name in watched)
+        for name, received in sorted(newest.items())
     ]
 
 
-def group_of(heard: m.ReceivedReport, committed: m.Record | None) -> str:
+def group_of(received: m.ReceivedReport, committed: m.Record | None) -> str:
     """Returns the name of the group that a node belongs to."""
-    report = heard.report
-    if not heard.watching and heard.age_us > REPORT_MAX_AGE or report.cut_off:
+    report = received.report
+    if not received.watching and received.age_us > REPORT_MAX_AGE or report.cut_off:
         return "not_heard"
     if committed is None:
         return "waiting"
--- a/cottonspread/configstore/peers.py
+++ b/cottonspread/configstore/peers.py
@@ -72,10 +72,10 @@
         needed = (len(self._peers) + 1) // 2
         if needed == 0:
             return 0
-        heard = sorted(
+        reply_times = sorted(
             (peer.last_reply_at for peer in self._peers if peer.last_reply_at is not None), reverse=True
         )
-        return now - heard[needed - 1] if len(heard) >= needed else None
+        return now - reply_times[needed - 1] if len(reply_times) >= needed else None
 
     def next_call_at(self) -> int | None:
         """Returns when the next call is due; None if all calls are open."""
--- a/cottonspread/configstore/reports.py
+++ b/cottonspread/configstore/reports.py
@@ -33,8 +33,8 @@
 
     def _drop_expired(self, now: int) -> None:
         while self._reports:
-            node, (heard, _) = next(iter(self._reports.items()))
-            if now - heard <= REPORT_RETENTION:
+            node, (received_at, _) = next(iter(self._reports.items()))
+            if now - received_at <= REPORT_RETENTION:
                 return
             del self._reports[node]
 
--- a/tests/configstore/shells.py
+++ b/tests/configstore/shells.py
@@ -139,7 +139,7 @@
         def watches():
             states = driver.read_states(tuple(self.names), 1.0).values()
             replies = [state for state in states if isinstance(state, m.StateReply)]
-            return sum(heard.watching for reply in replies for heard in reply.reports)
+            return sum(received.watching for reply in replies for received in reply.reports)
 
         until(lambda: watches() >= 2 * count, lambda: f"{watches()} watches of {count} nodes")
 
--- a/tests/configstore/test_replica.py
+++ b/tests/configstore/test_replica.py
@@ -252,12 +252,12 @@
     driver.watch("n1", in_force=3)
     driver.now += 2 * m.SECOND
     driver.watch("n2", in_force=4, refused=5, why="bad port")
-    told = {heard.report.node: heard for heard in driver.state(reports=True).reports}
+    told = {received.report.node: received for received in driver.state(reports=True).reports}
     assert told["n1"].age_us == 2 * m.SECOND and told["n1"].watching
     assert told["n2"].report.refused == 5 and told["n2"].report.why == "bad port"
     driver.watch("n1", in_force=5)
     named = driver.state(reports=True, nodes=["n1", "nobody"]).reports
-    assert [(heard.report.in_force, heard.age_us) for heard in named] == [(5, 0)]
+    assert [(received.report.in_force, received.age_us) for received in named] == [(5, 0)]
     assert driver.state().reports == []
 
 
@@ -268,7 +268,7 @@
     driver.watch("new")
     assert len(driver.core.reports) == 2
     driver.now += 1
-    assert [heard.report.node for heard in driver.state(reports=True).reports] == ["new"]
+    assert [received.report.node for received in driver.state(reports=True).reports] == ["new"]
 
 
 def test_reports_are_bounded_in_number():
