--- a/cottonspread/configstore/overview.py
+++ b/cottonspread/configstore/overview.py
@@ -127,7 +127,7 @@
         ("waiting for the next stage", overview.waiting),
         ("behind", overview.behind),
         ("refused", overview.refused),
-        ("not heard, or cut off", overview.not_heard),
+        ("no recent report, or cut off", overview.not_heard),
     ):
         if nodes:
             out.append(f"{what}: {len(nodes)}")
@@ -139,7 +139,7 @@
 def node_text(node: NodeStatus) -> str:
     """Formats the status of one node."""
     why = f": {node.why}" if node.why else ""
-    return f"{node.name} version {node.version}, heard {node.age_us / m.SECOND:.1f} s ago{why}"
+    return f"{node.name} version {node.version}, last report {node.age_us / m.SECOND:.1f} s ago{why}"
 
 
 def replica_text(one: ReplicaStatus) -> str:
@@ -147,4 +147,4 @@
     if not one.up:
         return f"replica {one.name}: does not answer: {one.why}"
     age = "never" if one.majority_age_us is None else f"{one.majority_age_us / m.SECOND:.1f} s ago"
-    return f"replica {one.name}: version {one.version} {one.stage}, one of a majority {age}"
+    return f"replica {one.name}: version {one.version} {one.stage}, last in a majority: {age}"
