--- a/tests/configstore/test_follower.py
+++ b/tests/configstore/test_follower.py
@@ -342,7 +342,7 @@
 # Cut off
 
 
-def test_it_says_when_it_is_cut_off_and_when_it_is_back():
+def test_it_reports_when_it_is_cut_off_and_when_it_is_reconnected():
     driver = follower_with(record(1, 1))
     for _ in range(2):
         driver.pass_time(fo.CUT_OFF_AFTER)
--- a/tests/configstore/test_publisher.py
+++ b/tests/configstore/test_publisher.py
@@ -197,7 +197,7 @@
     assert driver.progress[-1].step != step or driver.done.outcome == pu.Outcome.IN_FORCE
 
 
-def test_with_two_of_three_gone_it_says_no_quorum_and_commits_nothing():
+def test_with_two_of_three_gone_it_reports_no_quorum_and_commits_nothing():
     cluster = cluster_with(record(1, 1))
     cluster.up = {"r1"}
     done = start_publishing(cluster).run()
@@ -260,7 +260,7 @@
     assert 15 <= made <= 45
 
 
-def test_a_replica_slow_to_tell_its_state_still_counts():
+def test_a_replica_with_a_late_state_still_counts():
     cluster = cluster_with(record(1, 1))
     driver = start_publishing(cluster, without_canaries=True)
     driver.deliver(), driver.deliver()  # states of r1 and r2
@@ -275,7 +275,7 @@
 # Two publishers
 
 
-def test_a_second_publisher_while_canaries_try_is_told_so():
+def test_a_second_publisher_is_refused_while_a_version_is_at_its_canaries():
     cluster = cluster_with(record(1, 1))
     at_canaries(cluster)
     done = start_publishing(cluster, "other").run()
--- a/tests/configstore/test_replica.py
+++ b/tests/configstore/test_replica.py
@@ -109,7 +109,7 @@
 
 
 @pytest.mark.parametrize("message", [accept(EMPTY_POSITION, record(1, 1)), m.Commit(record=record(1, 1))])
-def test_nothing_is_acknowledged_or_told_before_it_is_stored(message):
+def test_nothing_is_acknowledged_or_served_before_it_is_stored(message):
     driver = ReplicaDriver()
     driver.store_waits = True
     watch = driver.watch()
@@ -307,7 +307,7 @@
     assert driver.peer_calls[-1].message.since == 5 and driver.peer_calls[-1].message.good_since == 4
 
 
-def test_what_another_replica_tells_is_checked():
+def test_records_of_another_replica_are_checked():
     driver = committed(record(3, 3))
     for wrong in (damaged(generation=9, body="x"), record(4, 2), record(3, 3, body="other")):
         driver.step(re.PeerReplied(driver.peer_calls[-1].call, peer_reply(committed=wrong)))
@@ -327,7 +327,7 @@
     assert driver.replies[request].committed is None
 
 
-def test_the_age_of_the_majority_is_told_with_each_answer():
+def test_each_reply_has_the_age_of_the_majority():
     driver = committed(record(1, 1))
     assert driver.replies[driver.watch()].majority_age_us is None
     driver.step(re.PeerReplied(2, peer_reply()))
--- a/tests/configstore/test_shell_fleet.py
+++ b/tests/configstore/test_shell_fleet.py
@@ -72,7 +72,7 @@
     return shells.configuration(TrafficTypes=shells.types("chat", *names)) | {"discovery": discovery}
 
 
-def test_a_fleet_takes_over_what_is_published_and_says_why_it_refuses(store, capsys):
+def test_a_fleet_applies_what_is_published_and_reports_why_it_refuses(store, capsys):
     discovery = shells.start_two_toys()
     fleet = Fleet(store, discovery, discovery_step=1)
     fleet.process.send_signal(signal.SIGHUP)  # before the first publish its own file counts
@@ -125,7 +125,7 @@
         self.rollouts.append((plan, line))
 
 
-def test_what_a_rollout_comes_to_is_told_and_what_failed_is_not_wanted_any_more(tmp_path):
+def test_the_outcome_of_a_rollout_is_reported_and_a_failed_body_is_dropped(tmp_path):
     (tmp_path / "node.json").write_text(json.dumps(configuration("127.0.0.1:1")))
     (tmp_path / "o.toml").write_text(
         '[configuration]\nreplicas = ["127.0.0.1:1"]\n'
@@ -173,7 +173,7 @@
     assert not supervisor.rollouts and outcomes.pop() == (4, False, "the fleet is stopping")
 
 
-def test_only_a_new_supervisor_takes_another_section(store):
+def test_another_section_needs_a_restart_of_the_supervisor(store):
     fleet = Fleet(store, shells.start_toy())
     store.operator("fleet", fleet.keys, node="another")
     words = [sys.executable, "-m", "cottonspread", "fleet", "reload", "--operator", str(fleet.toml)]
--- a/tests/configstore/test_shell_section.py
+++ b/tests/configstore/test_shell_section.py
@@ -75,7 +75,7 @@
         self.hastened.append(type(event))
 
 
-def test_a_node_that_cannot_take_a_change_over_says_why_and_keeps_what_it_has(tmp_path):
+def test_a_node_that_cannot_apply_a_change_reports_why_and_keeps_its_configuration(tmp_path):
     file = tmp_path / "node.json"
     file.write_text(json.dumps(shells.configuration()))
     active, node = serving.ActiveConfiguration(str(file), op.Configuration(replicas=("a:1",)).own), Node()
--- a/tests/configstore/test_shell_server.py
+++ b/tests/configstore/test_shell_server.py
@@ -97,7 +97,7 @@
         ),
     ],
 )
-def test_a_request_that_cannot_be_served_is_told_why_and_the_replica_goes_on(running, data, status, expected):
+def test_an_invalid_request_gets_an_error_and_the_replica_goes_on(running, data, status, expected):
     with running.connect(data) as sock:
         got, body = answer(sock)
         assert got == status and expected in body
@@ -106,7 +106,7 @@
         assert answer(sock)[0] == 200
 
 
-def test_a_watch_waits_for_a_commit_and_one_whose_peer_has_gone_is_forgotten(running):
+def test_a_watch_waits_for_a_commit_and_one_of_a_closed_connection_is_dropped(running):
     sockets = [running.connect(watch()) for _ in range(3)]
     shells.until(lambda: running.server.core.watches == 3, "three watches are open")
     sockets.pop().close()
@@ -120,7 +120,7 @@
         sock.close()
 
 
-def test_slow_silent_and_idle_peers_are_given_up(running, monkeypatch):
+def test_slow_silent_and_idle_clients_are_disconnected(running, monkeypatch):
     waits = {"REQUEST_TIMEOUT": b"GET /api", "IDLE_TIMEOUT": b""}
     for name, data in waits.items():
         others = waits.keys() - {name}
@@ -133,7 +133,7 @@
                 assert answer(sock) == (0, b""), name
 
 
-def test_a_peer_that_does_not_take_its_reply_is_given_up_and_a_watch_is_not(running, monkeypatch):
+def test_a_client_that_does_not_read_its_reply_is_disconnected_and_a_watch_is_not(running, monkeypatch):
     monkeypatch.setattr(server, "SWEEP_INTERVAL", 10_000)
     for name in ("SEND_TIMEOUT", "REQUEST_TIMEOUT", "IDLE_TIMEOUT"):
         monkeypatch.setattr(server, name, 300_000)
@@ -168,7 +168,7 @@
         assert one.fileno() >= 0
 
 
-def test_bytes_that_have_come_in_part_are_bounded_over_all_connections(running, monkeypatch):
+def test_partially_received_bytes_are_bounded_over_all_connections(running, monkeypatch):
     monkeypatch.setattr(server, "MAX_BUFFERED_BYTES", 3_000)
     part = b"POST /api/configuration/accept HTTP/1.1\r\nContent-Length: 100000\r\n\r\n" + b"x" * 2_000
     with running.connect(part) as held:
--- a/tests/configstore/test_shell_store.py
+++ b/tests/configstore/test_shell_store.py
@@ -124,7 +124,7 @@
     assert [client.view().version for client in followers] == [1, 1]
 
 
-def test_a_saved_configuration_that_is_damaged_is_told_and_the_file_counts(store, capsys):
+def test_a_damaged_saved_configuration_is_reported_and_the_file_is_used(store, capsys):
     node = shells.ServeNode(store, "n0", shells.start_toy())
     node.process.kill()
     node.process.wait()
--- a/tests/fleet/test_fleet.py
+++ b/tests/fleet/test_fleet.py
@@ -239,7 +239,7 @@
     assert one.command("status").returncode == 2
 
 
-def test_a_single_node_tells_the_service_manager_too(fleet):
+def test_a_single_node_notifies_the_service_manager_too(fleet):
     one = fleet(1)
     notifications = notices(one)
     answer, speaks = one.toy.answer, threading.Event()
--- a/tests/fleet/test_operator.py
+++ b/tests/fleet/test_operator.py
@@ -56,7 +56,7 @@
         ("log = 3\n", ["log: expected a section, [log]"]),
     ],
 )
-def test_every_fault_of_the_file_is_told_at_once_with_file_and_key(tmp_path, text, keys, capsys):
+def test_every_error_of_the_file_is_reported_at_once_with_file_and_key(tmp_path, text, keys, capsys):
     file = tmp_path / "o.toml"
     file.write_text(text)
     with pytest.raises(op.OperatorFileError) as error:
@@ -129,7 +129,7 @@
         ),
     ],
 )
-def test_addresses_that_do_not_exist_are_told_with_their_key(tmp_path, text, key):
+def test_invalid_addresses_are_reported_with_their_key(tmp_path, text, key):
     with pytest.raises(op.OperatorFileError, match=key):
         plans.read(fleet(tmp_path, text), ("py", ""))
 
