--- a/cottonspread/lab/scale/command.py
+++ b/cottonspread/lab/scale/command.py
@@ -13,11 +13,19 @@
 from cottonspread.lab.scale import (
     hollow_calibration,
     hollow_faults,
-    hollow_news,
+    hollow_propagation,
     hollow_sockets,
     hollow_sweeps,
 )
-from cottonspread.lab.scale.hollow_sweeps import Figure, SweepPlan, apart, here, reached, small, sweep
+from cottonspread.lab.scale.hollow_sweeps import (
+    Figure,
+    SweepPlan,
+    override_sizes,
+    run_in_subprocess,
+    run_inline,
+    run_sweep,
+    scaled_down,
+)
 from cottonspread.lab.scale.results import FOLDER, Result, write
 
 MOST_GIB = 12
@@ -65,14 +73,14 @@
 
 def sweep_run(plan: SweepPlan) -> Run:
     def play(asked: Asked, tell: Tell) -> Result:
-        one = small(plan) if asked.small else plan
-        one = reached(one, nodes=asked.nodes, servers=asked.servers)
+        one = scaled_down(plan) if asked.small else plan
+        one = override_sizes(one, nodes=asked.nodes, servers=asked.servers)
 
         def show(value, figures):
             tell(f"{one.variable} {value:g}", figures)
 
-        call = here if asked.small else apart
-        return sweep(one, asked.command(plan.name), asked.seed, asked.alone, show, call)
+        call = run_inline if asked.small else run_in_subprocess
+        return run_sweep(one, asked.command(plan.name), asked.seed, asked.alone, show, call)
 
     return Run(plan.name, play, quick=plan.kind == "hollow")
 
@@ -81,10 +89,10 @@
     name = f"fault-{event.name}"
 
     def play(asked: Asked, tell: Tell) -> Result:
-        size = hollow_faults.sized(event, asked.small, asked.nodes, asked.servers, asked.seed)
-        call = here if asked.small else apart
+        size = hollow_faults.event_size(event, asked.small, asked.nodes, asked.servers, asked.seed)
+        call = run_inline if asked.small else run_in_subprocess
         result = hollow_faults.fault_run(event, size, asked.command(name), asked.alone, call)
-        tell(f"{size.nodes} nodes", hollow_faults.shown(result.rows[0]))
+        tell(f"{size.nodes} nodes", hollow_faults.as_figures(result.rows[0]))
         return result
 
     return Run(name, play)
@@ -94,7 +102,7 @@
     """All runs, in the order in which they are played."""
     sweeps = (
         *hollow_sweeps.SWEEPS,
-        *hollow_news.SWEEPS,
+        *hollow_propagation.SWEEPS,
         *hollow_sockets.SWEEPS,
         *hollow_calibration.SWEEPS,
         *hollow_faults.SWEEPS,
--- a/cottonspread/lab/scale/hollow_calibration.py
+++ b/cottonspread/lab/scale/hollow_calibration.py
@@ -9,8 +9,8 @@
 from pathlib import Path
 
 from cottonspread.lab.scale.hollow_plans import Size
-from cottonspread.lab.scale.hollow_sweeps import MIB, NS_A_MS, Figure, SweepPlan, idle_and_changes
-from cottonspread.lab.scale.processes import ListStandIn, RealNode, Relay
+from cottonspread.lab.scale.hollow_sweeps import MIB, NS_PER_MS, Figure, SweepPlan, measure_control
+from cottonspread.lab.scale.processes import ListStub, RealNode, Relay
 
 IDLE_FROM_S = 3.0
 """When the node has its list and rests; `size.seconds` from then on are idle, as many again have changes."""
@@ -23,8 +23,8 @@
 def beside_hollow(size: Size) -> dict[str, Figure]:
     """A real node's control, idle and under `size.changes_a_minute`, and hollow ones' at the same size."""
     real = real_control(size)
-    hollow = idle_and_changes(replace(size, changes_a_minute=0))
-    changed = idle_and_changes(size)
+    hollow = measure_control(replace(size, changes_a_minute=0))
+    changed = measure_control(size)
     per_second = size.changes_a_minute / 60
     idle = hollow["list_processor"].value + hollow["tick_processor"].value
     change = (changed["list_processor"].value - hollow["list_processor"].value) / per_second
@@ -46,7 +46,7 @@
     with tempfile.TemporaryDirectory(prefix="cottonspread-scale-") as name:
         folder, running = Path(name), []
         try:
-            listing = ListStandIn(folder, 0, size.servers, changes)
+            listing = ListStub(folder, 0, size.servers, changes)
             running.append(listing)
             relay = Relay(listing.address)
             running.append(relay)
@@ -65,8 +65,8 @@
     idle, busy = ([b - a for a, b in zip(*pair, strict=True)] for pair in zip(looks, looks[1:], strict=False))
     change_ns = (busy[0] - idle[0]) / count
     return {
-        "real_idle_processor": Figure(idle[0] / NS_A_MS / size.seconds, "ms/s an instance"),
-        "real_change_processor": Figure(change_ns / NS_A_MS, "ms a change"),
+        "real_idle_processor": Figure(idle[0] / NS_PER_MS / size.seconds, "ms/s an instance"),
+        "real_change_processor": Figure(change_ns / NS_PER_MS, "ms a change"),
         "real_idle_bytes_in": Figure(idle[1] / size.seconds, "B/s an instance"),
         "real_idle_bytes_out": Figure(idle[2] / size.seconds, "B/s an instance"),
         "real_changes_bytes_in": Figure(busy[1] / size.seconds, "B/s an instance"),
--- a/cottonspread/lab/scale/hollow_faults.py
+++ b/cottonspread/lab/scale/hollow_faults.py
@@ -23,8 +23,8 @@
 from cottonspread.lab import plan as plans
 from cottonspread.lab.plan import Happening
 from cottonspread.lab.scale.hollow import HollowFleet, Meter
-from cottonspread.lab.scale.hollow_plans import BLOCK, WARM_S, ZONES, Size, experiment
-from cottonspread.lab.scale.hollow_sweeps import Figure, SweepPlan, apart, between
+from cottonspread.lab.scale.hollow_plans import ADDRESS_BLOCK, WARMUP_S, ZONES, Size, experiment
+from cottonspread.lab.scale.hollow_sweeps import Figure, SweepPlan, meter_difference, run_in_subprocess
 from cottonspread.lab.scale.results import FaultRow, FaultRun
 from cottonspread.lab.sim import fault_injection
 from cottonspread.lab.sim.clients import Clients
@@ -33,21 +33,21 @@
 from cottonspread.lab.sim.node import NodeError
 from cottonspread.lab.sim.world import SECOND
 
-AT_S = WARM_S + 1.0
+FAULT_AT_S = WARMUP_S + 1.0
 RACKS = 40
-FOR_GOOD_S = 3600.0
+PERMANENT_S = 3600.0
 """Of a machine that is not back within the play."""
 
 TRAITS = {"cores": 0.8, "change_s": 1000.0}
 LOAD_US = 3000.0
-DEAR_SETUP_US = 96_000.0
+COSTLY_SETUP_US = 96_000.0
 """A lost zone's clients are then two seconds of the other servers' set-ups."""
 
-ROOMY_CORES = 64.0
+WARMUP_CORES = 64.0
 """Of each server while all clients come at once, before anything is measured."""
 
 FAULT_SIZE = Size(nodes=420, servers=40, connections=10, line_s=4.0)
-FEW = replace(FAULT_SIZE, connections=2, line_s=8.0)
+FEW_CONNECTIONS = replace(FAULT_SIZE, connections=2, line_s=8.0)
 """For plays of over a minute."""
 
 
@@ -56,7 +56,7 @@
 
     def __init__(self, *arguments, **options):
         super().__init__(*arguments, **options)
-        self.from_, self.lost, self.ends, self.spans = round(AT_S * SECOND), {}, Counter(), []
+        self.from_, self.lost, self.ends, self.spans = round(FAULT_AT_S * SECOND), {}, Counter(), []
         self.whole_at, self.turned_away, self.without_answer = self.from_, 0, 0
 
     def on_up(self, call):
@@ -96,7 +96,7 @@
     seconds: float = 20.0
     size: Size = FAULT_SIZE
     faults: Callable[[Size], list[Happening]] = lambda size: []
-    begin: Callable[[HollowFleet], None] = lambda fleet: None
+    on_fault: Callable[[HollowFleet], None] = lambda fleet: None
     changes: tuple[float, ...] = (1.0, 2.0, 8.0, 9.0)
     setup_us: float = 2400.0
 
@@ -113,28 +113,28 @@
     """One part of so many, nodes and servers: nodes end without a word, servers are silent."""
     lost = servers(size, of, which) or [f"h{which % size.servers}"]
     return [
-        Happening(at=AT_S, kind="kill", on=nodes(size, of, which)),
-        Happening(at=AT_S, kind="vanish", on=lost, seconds=FOR_GOOD_S),
+        Happening(at=FAULT_AT_S, kind="kill", on=nodes(size, of, which)),
+        Happening(at=FAULT_AT_S, kind="vanish", on=lost, seconds=PERMANENT_S),
     ]
 
 
 def rolling(size: Size) -> list[Happening]:
     """Every node's process is replaced, one node after the other within twenty seconds."""
     gap = 20.0 / size.nodes
-    return [Happening(at=AT_S + n * gap, kind="replace", on=[f"n{n}"]) for n in range(size.nodes)]
+    return [Happening(at=FAULT_AT_S + n * gap, kind="replace", on=[f"n{n}"]) for n in range(size.nodes)]
 
 
 def ordinary(size: Size) -> list[Happening]:
     """Two nodes fail, six are restarted, a server is replaced and another drained."""
     picked = [f"n{(7 + 31 * n) % size.nodes}" for n in range(8)]
-    failed = [Happening(at=AT_S + 5.0 * n, kind="kill", on=[picked[n]], seconds=4.0) for n in range(2)]
+    failed = [Happening(at=FAULT_AT_S + 5.0 * n, kind="kill", on=[picked[n]], seconds=4.0) for n in range(2)]
     restarted = [
-        Happening(at=AT_S + 1.5 * n, kind="stop", on=[name], seconds=5.0)
+        Happening(at=FAULT_AT_S + 1.5 * n, kind="stop", on=[name], seconds=5.0)
         for n, name in enumerate(picked[2:], 1)
     ]
     hosts = [
-        Happening(at=AT_S + 2, kind="cold", on=["h3"], seconds=3.0),
-        Happening(at=AT_S + 4, kind="drain", on=["h1"], seconds=4.0),
+        Happening(at=FAULT_AT_S + 2, kind="cold", on=["h3"], seconds=3.0),
+        Happening(at=FAULT_AT_S + 4, kind="drain", on=["h1"], seconds=4.0),
     ]
     return sorted(failed + restarted + hosts, key=lambda one: one.at)
 
@@ -199,9 +199,11 @@
     count = held[name]
     fleet.told["largest_group_connections_lost"] = count
     fleet.told["largest_group_servers"] = len(held)
-    lost = Happening(at=AT_S, kind="vanish", on=[name], seconds=FOR_GOOD_S)
+    lost = Happening(at=FAULT_AT_S, kind="vanish", on=[name], seconds=PERMANENT_S)
     fault_injection.inject(fleet, lost)
-    fleet.schedule_change(round((AT_S + fleet.plan.experiment.listing.silent_s) * SECOND), name, "Gone", None)
+    fleet.schedule_change(
+        round((FAULT_AT_S + fleet.plan.experiment.listing.silent_s) * SECOND), name, "Gone", None
+    )
 
 
 EVENTS = (
@@ -215,13 +217,13 @@
         "node-lost",
         "One node's process ends without a word; no successor.",
         12.0,
-        faults=lambda size: [Happening(at=AT_S, kind="kill", on=["n7"])],
+        faults=lambda size: [Happening(at=FAULT_AT_S, kind="kill", on=["n7"])],
     ),
     Event(
         "node-restarted",
         "SIGTERM to one node, back after 4 s.",
         14.0,
-        faults=lambda size: [Happening(at=AT_S, kind="stop", on=["n7"], seconds=4.0)],
+        faults=lambda size: [Happening(at=FAULT_AT_S, kind="stop", on=["n7"], seconds=4.0)],
     ),
     Event("rolling-release", "Every node's process replaced within 20 s.", 28.0, faults=rolling),
     Event("rack-lost", "A fortieth of nodes and servers.", 20.0, faults=lambda s: part_lost(s, RACKS, 5)),
@@ -231,45 +233,45 @@
         "An eighth of nodes and servers, where a set-up takes forty times the usual work.",
         25.0,
         faults=lambda size: part_lost(size, ZONES, 3),
-        setup_us=DEAR_SETUP_US,
+        setup_us=COSTLY_SETUP_US,
     ),
     Event(
         "region-cut-off",
         f"A third of the nodes hears no list for {REGION_CUT_S:g} s; two servers drain meanwhile.",
         REGION_CUT_S + 12.0,
-        size=FEW,
+        size=FEW_CONNECTIONS,
         faults=lambda size: [
-            Happening(at=AT_S + 10.0, kind="drain", on=["h1"], seconds=10.0),
-            Happening(at=AT_S + 30.0, kind="drain", on=["h2"], seconds=10.0),
+            Happening(at=FAULT_AT_S + 10.0, kind="drain", on=["h1"], seconds=10.0),
+            Happening(at=FAULT_AT_S + 30.0, kind="drain", on=["h2"], seconds=10.0),
         ],
-        begin=cut_region,
+        on_fault=cut_region,
         changes=(5.0, 15.0, 25.0, 35.0, 45.0, 55.0),
     ),
     Event(
         "list-machine-lost",
         "One of three list machines is lost for 20 s; changes meanwhile.",
         28.0,
-        size=FEW,
-        begin=lose_machines(1, 20.0),
+        size=FEW_CONNECTIONS,
+        on_fault=lose_machines(1, 20.0),
     ),
     Event(
         "two-list-machines-lost",
         "Two of three list machines are lost for 20 s; changes meanwhile.",
         28.0,
-        size=FEW,
-        begin=lose_machines(2, 20.0),
+        size=FEW_CONNECTIONS,
+        on_fault=lose_machines(2, 20.0),
     ),
     Event(
         "largest-group-server-lost",
         "The server with most connections of the largest group is silent from then on.",
         20.0,
-        begin=lose_largest_server,
+        on_fault=lose_largest_server,
     ),
 )
 
 
 @dataclass
-class Played:
+class EventResult:
     """What came of an event."""
 
     figures: dict[str, float]
@@ -280,35 +282,35 @@
 
 
 def fault_plan(event: Event, size: Size) -> plans.Plan:
-    made = experiment(size, AT_S + event.seconds, event.faults(size))
+    made = experiment(size, FAULT_AT_S + event.seconds, event.faults(size))
     made.hosts.traits = msgspec.convert(TRAITS | {"setup_us": event.setup_us}, type(made.hosts.traits))
     made.load.types[0].load_us = LOAD_US
     made = plans.check(made, simulated=True)
-    return plans.make(made, plans.Variant(name="only"), size.seed, BLOCK)
+    return plans.make(made, plans.Variant(name="only"), size.seed, ADDRESS_BLOCK)
 
 
-def play(event: Event, size: Size) -> Played:
+def run_event(event: Event, size: Size) -> EventResult:
     """Plays one event to its end, or to the first promise that breaks."""
     logging.getLogger("cottonspread").addHandler(logging.NullHandler())  # failed calls are played, not news
     began = time.monotonic()
     fleet = FaultFleet(fault_plan(event, size))
     fleet.size, fleet.told, broken = size, {}, ""
-    give_cores(fleet, ROOMY_CORES)
-    fleet.world.at(round(WARM_S * SECOND), give_cores, fleet, TRAITS["cores"])
-    fleet.world.at(round(AT_S * SECOND), event.begin, fleet)
+    give_cores(fleet, WARMUP_CORES)
+    fleet.world.at(round(WARMUP_S * SECOND), give_cores, fleet, TRAITS["cores"])
+    fleet.world.at(round(FAULT_AT_S * SECOND), event.on_fault, fleet)
     made = {}
     for after in event.changes:
-        fleet.world.at(round((AT_S + after) * SECOND), change, fleet, made)
+        fleet.world.at(round((FAULT_AT_S + after) * SECOND), change, fleet, made)
     before, standing = Meter(), 0
     try:
-        fleet.world.run(round(AT_S * SECOND) - 1)
+        fleet.world.run(round(FAULT_AT_S * SECOND) - 1)
         before, standing = fleet.metered(), len(fleet.clients.established)
-        fleet.world.run(round((AT_S + event.seconds) * SECOND))
+        fleet.world.run(round((FAULT_AT_S + event.seconds) * SECOND))
         fleet.invariants.check_at_end()
     except (InvariantError, ContractError, NodeError) as fault:
         broken = str(fault)
     lost, whole_at = len(fleet.clients.lost), fleet.clients.whole_at
-    work = between(fleet.metered(), before)
+    work = meter_difference(fleet.metered(), before)
     fleet.clients.finish()
     audit = ledger.Audit(fleet.plan, 0, fleet.records.__getitem__).run()
     news = in_force(fleet, made)
@@ -333,8 +335,8 @@
     }
     offences = [f"{one['what']} ({one['count']})" for one in audit["offences"]] + ([broken] if broken else [])
     rules = sum(rule["broken"] for rule in audit["rules"].values()) + bool(broken)
-    whole = None if lost or news.missing else max(whole_at, news.at) / SECOND - AT_S
-    return Played(
+    whole = None if lost or news.missing else max(whole_at, news.at) / SECOND - FAULT_AT_S
+    return EventResult(
         {k: round(float(v), 4) for k, v in figures.items()},
         whole,
         rules,
@@ -382,7 +384,7 @@
     return {f"{name}_p50_s": p50, f"{name}_p99_s": p99, f"{name}_last_s": max(spans)}
 
 
-def row(event: Event, played: Played) -> FaultRow:
+def row(event: Event, played: EventResult) -> FaultRow:
     told = "; ".join(played.offences)
     return FaultRow(
         event=event.name,
@@ -393,7 +395,9 @@
     )
 
 
-def sized(event: Event, small: bool, node_count: int | None, server_count: int | None, seed: int) -> Size:
+def event_size(
+    event: Event, small: bool, node_count: int | None, server_count: int | None, seed: int
+) -> Size:
     size = replace(event.size, seed=seed)
     if small:
         size = replace(size, nodes=8, servers=16, connections=6)
@@ -404,7 +408,7 @@
     return size
 
 
-def fault_run(event: Event, size: Size, command: str, alone: bool, call=apart) -> FaultRun:
+def fault_run(event: Event, size: Size, command: str, alone: bool, call=run_in_subprocess) -> FaultRun:
     return FaultRun(
         name=f"fault-{event.name}",
         what=f"{event.notes} Hollow fleet, {size.connections} clients a node, simulated time.",
@@ -413,13 +417,13 @@
         alone=alone,
         nodes=size.nodes,
         seed=size.seed,
-        rows=[row(event, call(play_named, event.name, size))],
+        rows=[row(event, call(run_named_event, event.name, size))],
     )
 
 
-def play_named(name: str, size: Size) -> Played:
+def run_named_event(name: str, size: Size) -> EventResult:
     """An event by its name: what goes to a process of its own."""
-    return play(next(event for event in EVENTS if event.name == name), size)
+    return run_event(next(event for event in EVENTS if event.name == name), size)
 
 
 @dataclass(frozen=True)
@@ -432,7 +436,7 @@
 def zone_by_set_up(size: ZoneSize) -> dict[str, Figure]:
     """How a lost zone's clients come again, by what a set-up costs."""
     event = next(event for event in EVENTS if event.name == "zone-lost")
-    told = play(replace(event, setup_us=size.setup_us), size).figures
+    told = run_event(replace(event, setup_us=size.setup_us), size).figures
     clients = told["clients"]
     return {
         "moved": Figure(told.get("lost_moved", 0) / clients * 100, "% of all clients", False),
@@ -456,7 +460,7 @@
 )
 
 
-def shown(found: FaultRow) -> dict[str, Figure]:
+def as_figures(found: FaultRow) -> dict[str, Figure]:
     """A row for the terminal."""
     figures = {name: Figure(value, name.rsplit("_", 1)[-1], False) for name, value in found.figures.items()}
     whole = found.seconds_until_whole
--- a/cottonspread/lab/scale/hollow_plans.py
+++ b/cottonspread/lab/scale/hollow_plans.py
@@ -6,11 +6,11 @@
 
 from cottonspread.lab import plan as plans
 
-BLOCK = 64, 0
+ADDRESS_BLOCK = 64, 0
 """The two middle numbers of the plan's addresses in 127.0.0.0/8, which no simulated play binds."""
 
 ZONES = 8
-LONGEST_LIFE_S = 100_000.0
+MAX_LIFE_S = 100_000.0
 """Clients stay until a play's end: what a trouble breaks off is seen apart from clients that leave."""
 
 
@@ -31,10 +31,10 @@
     seed: int = 1
 
 
-WARM_S = 5.0
+WARMUP_S = 5.0
 """Until every node knows the list, and every client has come."""
 
-COMING_S = 2.5
+FIRST_CLIENT_S = 2.5
 """When the first client comes: every node has started."""
 
 SOCKETS = 4096
@@ -43,7 +43,12 @@
 def experiment(size: Size, seconds: float, faults: list[plans.Happening] | tuple = ()) -> plans.Experiment:
     """An experiment in which all clients come in the first seconds and stay."""
     count = size.nodes * size.connections
-    shape = {"kind": "burst", "start": COMING_S, "seconds": WARM_S - 1 - COMING_S, "count": count}
+    shape = {
+        "kind": "burst",
+        "start": FIRST_CLIENT_S,
+        "seconds": WARMUP_S - 1 - FIRST_CLIENT_S,
+        "count": count,
+    }
     shapes = [shape] if size.connections else []
     asked = {
         "name": "hollow",
@@ -54,7 +59,7 @@
         "hosts": {"count": size.servers, "zones": ZONES, "traits": {"change_s": 1000.0, "setup_us": 1200.0}},
         "list": {"lag_ms": 0},
         "load": {
-            "types": [{"name": "listener", "life_s": LONGEST_LIFE_S, "load_us": 500.0}],
+            "types": [{"name": "listener", "life_s": MAX_LIFE_S, "load_us": 500.0}],
             "shapes": shapes,
             "groups": size.groups,
             "zipf": LARGEST_GROUP_ZIPF,
@@ -70,6 +75,6 @@
 """The first group's part of all clients is then 1.3%: 430,000 of 32 million."""
 
 
-def plan(size: Size, seconds: float, faults: list[plans.Happening] | tuple = ()) -> plans.Plan:
+def fleet_plan(size: Size, seconds: float, faults: list[plans.Happening] | tuple = ()) -> plans.Plan:
     made = experiment(size, seconds, faults)
-    return plans.make(made, plans.Variant(name="only"), size.seed, BLOCK)
+    return plans.make(made, plans.Variant(name="only"), size.seed, ADDRESS_BLOCK)
--- a/cottonspread/lab/scale/hollow_news.py
+++ b/cottonspread/lab/scale/hollow_propagation.py
@@ -8,19 +8,19 @@
 
 import numpy as np
 
-from cottonspread.lab.scale.hollow_plans import WARM_S, Size
-from cottonspread.lab.scale.hollow_sweeps import Figure, Playing, SweepPlan
+from cottonspread.lab.scale.hollow_plans import WARMUP_S, Size
+from cottonspread.lab.scale.hollow_sweeps import Figure, FleetRun, SweepPlan
 from cottonspread.lab.sim.world import SECOND
 
 CHANGES = 40
 """Changes in each play, at drawn moments, one a second on the mean."""
 
-LONGEST_S = 6.0
+MAX_PROPAGATION_S = 6.0
 """Until a node that came through an absence must have the change: 4.5 s are reckoned at the longest."""
 
 
 @dataclass(frozen=True)
-class Spread:
+class DelayStats:
     """Seconds from a change to the module, over all nodes and changes."""
 
     p50: float
@@ -28,9 +28,9 @@
     last: float
 
     @staticmethod
-    def of(spans: list[float]) -> "Spread":
+    def of(spans: list[float]) -> "DelayStats":
         p50, p99 = np.percentile(spans, [50, 99])
-        return Spread(float(p50), float(p99), max(spans))
+        return DelayStats(float(p50), float(p99), max(spans))
 
     def figures(self) -> dict[str, Figure]:
         return {
@@ -40,27 +40,27 @@
         }
 
 
-def news(size: Size) -> dict[str, Figure]:
+def measure_propagation(size: Size) -> dict[str, Figure]:
     """All machines are well: from the change to each module."""
-    playing = Playing(replace(size, seconds=CHANGES + 3.0))
-    fleet, draws, made = playing.fleet, playing.fleet.world.random_stream("news"), {}
+    fleet_run = FleetRun(replace(size, seconds=CHANGES + 3.0))
+    fleet, draws, made = fleet_run.fleet, fleet_run.fleet.world.random_stream("news"), {}
 
     def change(number):
-        playing.change(number)
+        fleet_run.change(number)
         made[fleet.list_machines[0].book.version] = fleet.world.now
 
     for number in range(CHANGES):
-        fleet.world.at(round((WARM_S + number) * SECOND) + draws.randbelow(SECOND), change, number)
-    playing.until(WARM_S + CHANGES + 2.5)
+        fleet.world.at(round((WARMUP_S + number) * SECOND) + draws.randbelow(SECOND), change, number)
+    fleet_run.until(WARMUP_S + CHANGES + 2.5)
     spans = []
     for version, reached in fleet.versions.items():
         assert len(reached) == size.nodes, f"version {version} is in force at {len(reached)} nodes"
         spans += [(at - made[version]) / SECOND for at in reached.values()]
-    return Spread.of(spans).figures()
+    return DelayStats.of(spans).figures()
 
 
 @dataclass(frozen=True)
-class AbsenceSize(Size):
+class OutageSize(Size):
     """`away_s`: how long every list machine is lost; `refuses`: its process ended, else nothing is heard of
     it. `back_s` over 0: it comes back for so long and is lost once more, for `AGAIN_S`, before the change."""
 
@@ -71,38 +71,38 @@
     """Absences, each begun a further part of a watch later."""
 
 
-AGAIN_S = 0.1
+SECOND_OUTAGE_S = 0.1
 
 
-def lose_all(playing: Playing, at: float, away_s: float, refuses: bool) -> float:
+def lose_all(fleet_run: FleetRun, at: float, away_s: float, refuses: bool) -> float:
     """Every list machine, from `at` on; when they are back."""
-    playing.until(at)
-    for machine in playing.fleet.list_machines:
+    fleet_run.until(at)
+    for machine in fleet_run.fleet.list_machines:
         lose = machine.end if refuses else machine.vanish
         lose(round(away_s * SECOND))
-    playing.until(at + away_s)
+    fleet_run.until(at + away_s)
     return at + away_s
 
 
-def after_absence(size: AbsenceSize) -> dict[str, Figure]:
+def measure_after_outage(size: OutageSize) -> dict[str, Figure]:
     """The list machines are away, and a change is made as they come back: from then to each module."""
     spans = []
-    playing = Playing(replace(size, seconds=size.phases * (size.away_s + LONGEST_S + 2)))
-    fleet, at = playing.fleet, WARM_S
+    fleet_run = FleetRun(replace(size, seconds=size.phases * (size.away_s + MAX_PROPAGATION_S + 2)))
+    fleet, at = fleet_run.fleet, WARMUP_S
     for phase in range(size.phases):
         at += 2 / size.phases  # a watch lasts 2 s
-        at = lose_all(playing, at, size.away_s, size.refuses)
+        at = lose_all(fleet_run, at, size.away_s, size.refuses)
         if size.back_s:
-            at = lose_all(playing, at + size.back_s, AGAIN_S, size.refuses)
+            at = lose_all(fleet_run, at + size.back_s, SECOND_OUTAGE_S, size.refuses)
         back = fleet.world.now
-        playing.change(phase)
+        fleet_run.change(phase)
         version = fleet.list_machines[0].book.version
-        at += LONGEST_S
-        playing.until(at)
+        at += MAX_PROPAGATION_S
+        fleet_run.until(at)
         reached = fleet.versions[version]
-        assert len(reached) == size.nodes, f"in force at {len(reached)} nodes {LONGEST_S} s later"
+        assert len(reached) == size.nodes, f"in force at {len(reached)} nodes {MAX_PROPAGATION_S} s later"
         spans += [(when - back) / SECOND for when in reached.values()]
-    figures = Spread.of(spans).figures()
+    figures = DelayStats.of(spans).figures()
     return figures | {
         "list_failures": Figure(fleet.metered().failures / size.nodes / size.phases, "failed calls")
     }
@@ -116,7 +116,7 @@
         "nodes",
         (10, 50, 150, 420),
         Size(servers=50),
-        news,
+        measure_propagation,
     ),
     SweepPlan(
         "hollow-news-lost",
@@ -125,8 +125,8 @@
         "away_s",
         "s",
         (0.1, 0.5, 2.0, 8.0),
-        AbsenceSize(nodes=420, servers=10),
-        after_absence,
+        OutageSize(nodes=420, servers=10),
+        measure_after_outage,
     ),
     SweepPlan(
         "hollow-news-ended",
@@ -134,8 +134,8 @@
         "away_s",
         "s",
         (0.1, 0.5, 2.0, 8.0),
-        AbsenceSize(nodes=420, servers=10, refuses=True),
-        after_absence,
+        OutageSize(nodes=420, servers=10, refuses=True),
+        measure_after_outage,
     ),
     SweepPlan(
         "hollow-news-flapping",
@@ -143,7 +143,7 @@
         "back_s",
         "s",
         (0.1, 0.5, 1.0, 1.5),
-        AbsenceSize(nodes=420, servers=10, away_s=8.0),
-        after_absence,
+        OutageSize(nodes=420, servers=10, away_s=8.0),
+        measure_after_outage,
     ),
 )
--- a/cottonspread/lab/scale/hollow_sockets.py
+++ b/cottonspread/lab/scale/hollow_sockets.py
@@ -16,10 +16,10 @@
 from types import SimpleNamespace
 
 from cottonspread.lab.scale.hollow import LIST_MACHINES
-from cottonspread.lab.scale.hollow_news import Spread
 from cottonspread.lab.scale.hollow_plans import ZONES, Size
-from cottonspread.lab.scale.hollow_sweeps import Figure, SweepPlan, idle_and_changes
-from cottonspread.lab.scale.processes import ListStandIn
+from cottonspread.lab.scale.hollow_propagation import DelayStats
+from cottonspread.lab.scale.hollow_sweeps import Figure, SweepPlan, measure_control
+from cottonspread.lab.scale.processes import ListStub
 from cottonspread.lab.sim.world import SECOND
 from cottonspread.net import events as ev
 from cottonspread.net.discovery import Discovery
@@ -28,7 +28,7 @@
 STARTS_OVER_S = 2.0
 """The clients start evenly over one watch."""
 
-WARM_S = 3.0
+WARMUP_S = 3.0
 CLIENT_PROCESSES = 3
 STACK = 256 * 1024
 HEADERS = 20 + 32
@@ -96,7 +96,7 @@
 
 
 @dataclass
-class Client:
+class ListClient:
     """One real list client, and what it heard: (version, microseconds of the monotonic clock)."""
 
     address: tuple[str, int]
@@ -127,7 +127,7 @@
 
 
 @dataclass
-class Told:
+class ProcessResult:
     """What one process's clients counted within the window, their processor time, and their news."""
 
     counts: Counts
@@ -135,10 +135,10 @@
     heard: list[list[tuple[int, int]]]
 
 
-def clients(addresses: list[tuple[str, int]], begin: float, look: float, end: float) -> Told:
+def clients(addresses: list[tuple[str, int]], begin: float, look: float, end: float) -> ProcessResult:
     """Runs a client for each address from `begin` on, and counts from `look` to `end` (monotonic seconds)."""
     threading.stack_size(STACK)
-    all_clients = [Client(address) for address in addresses]
+    all_clients = [ListClient(address) for address in addresses]
     for number, client in enumerate(all_clients):
         time.sleep(max(0.0, begin + STARTS_OVER_S * number / len(all_clients) - time.monotonic()))
         threading.Thread(target=client.discovery.run, daemon=True).start()
@@ -149,10 +149,10 @@
     processor = time.process_time_ns() - processor
     for client in all_clients:
         client.discovery.stop()
-    return Told(counts, processor, [client.heard for client in all_clients])
+    return ProcessResult(counts, processor, [client.heard for client in all_clients])
 
 
-def total(all_clients: list[Client]) -> Counts:
+def total(all_clients: list[ListClient]) -> Counts:
     whole = Counts()
     for client in all_clients:
         whole = whole.combined(client.now(), 1)
@@ -162,21 +162,21 @@
 def over_sockets(size: Size) -> dict[str, Figure]:
     """`size.nodes` clients with `size.changes_a_minute`, beside a hollow fleet of the same size."""
     count = round(size.seconds * size.changes_a_minute / 60)
-    changes = [WARM_S + size.seconds * (n + 0.5) / count for n in range(count)]
+    changes = [WARMUP_S + size.seconds * (n + 0.5) / count for n in range(count)]
     with tempfile.TemporaryDirectory(prefix="cottonspread-scale-") as folder:
         lists = []
         try:
             for number in range(LIST_MACHINES):
-                lists.append(ListStandIn(Path(folder), number, size.servers, changes))
+                lists.append(ListStub(Path(folder), number, size.servers, changes))
             told, list_ns = run_clients(size, lists)
         finally:
             for one in lists:
                 one.end()
-        heard = Spread.of(spans(told, lists)).figures() if count else {}
+        heard = DelayStats.of(spans(told, lists)).figures() if count else {}
     return figures(size, told, list_ns) | heard | hollow_beside(size)
 
 
-def run_clients(size: Size, lists: list[ListStandIn]) -> tuple[list[Told], int]:
+def run_clients(size: Size, lists: list[ListStub]) -> tuple[list[ProcessResult], int]:
     """All clients in a few processes, and the list stand-ins' processor time within the window."""
     addresses = [lists[n % len(lists)].address for n in range(size.nodes)]
     parts = [addresses[n::CLIENT_PROCESSES] for n in range(CLIENT_PROCESSES)]
@@ -184,7 +184,7 @@
     with ProcessPoolExecutor(CLIENT_PROCESSES, mp_context=context) as pool:
         list(pool.map(time.sleep, [0.5] * CLIENT_PROCESSES))  # they are up
         begin = time.monotonic() + 0.5
-        look, end = begin + WARM_S, begin + WARM_S + size.seconds
+        look, end = begin + WARMUP_S, begin + WARMUP_S + size.seconds
         for one in lists:
             one.begin(begin)
         asked = [pool.submit(clients, part, begin, look, end) for part in parts if part]
@@ -195,7 +195,7 @@
         return [one.result() for one in asked], list_ns
 
 
-def spans(told: list[Told], lists: list[ListStandIn]) -> list[float]:
+def spans(told: list[ProcessResult], lists: list[ListStub]) -> list[float]:
     """Seconds from each change to each client, which hears every version. The same plan made them all, and
     each list machine told its own moments; the earliest counts."""
     made = [one.made() for one in lists]
@@ -209,7 +209,7 @@
     return out
 
 
-def figures(size: Size, told: list[Told], list_ns: int) -> dict[str, Figure]:
+def figures(size: Size, told: list[ProcessResult], list_ns: int) -> dict[str, Figure]:
     whole, processor = Counts(), sum(part.processor_ns for part in told)
     for part in told:
         whole = whole.combined(part.counts, 1)
@@ -230,7 +230,7 @@
 
 def hollow_beside(size: Size) -> dict[str, Figure]:
     """The hollow fleet's counts at the same size, for comparison."""
-    hollow = idle_and_changes(size)
+    hollow = measure_control(size)
     names = ("control_bytes_in", "control_bytes_out", "control_messages", "entries_read")
     return {f"hollow_{name}": hollow[name] for name in names}
 
--- a/cottonspread/lab/scale/hollow_sweeps.py
+++ b/cottonspread/lab/scale/hollow_sweeps.py
@@ -14,13 +14,13 @@
 from dataclasses import dataclass, fields, replace
 
 from cottonspread.lab.scale.hollow import HollowFleet, MachineMeter, Meter
-from cottonspread.lab.scale.hollow_plans import WARM_S, Size, plan
+from cottonspread.lab.scale.hollow_plans import WARMUP_S, Size, fleet_plan
 from cottonspread.lab.scale.results import Kind, Measure, Point, Sweep
 from cottonspread.lab.sim.world import SECOND
 
 PAGE = os.sysconf("SC_PAGE_SIZE")
 MIB = 2**20
-NS_A_MS = 1e6
+NS_PER_MS = 1e6
 
 
 @dataclass(frozen=True)
@@ -38,18 +38,18 @@
         return int(file.read().split()[1]) * PAGE
 
 
-def between(after, before):
+def meter_difference(after, before):
     """What a meter has counted between two looks."""
     return type(after)(*(getattr(after, f.name) - getattr(before, f.name) for f in fields(after)))
 
 
-class Playing:
+class FleetRun:
     """A hollow fleet that is up, and what it counts from one look to the next."""
 
     def __init__(self, size: Size):
         self.size = size
-        seconds = WARM_S + size.seconds
-        self.fleet = HollowFleet(plan(size, seconds), checked=False)
+        seconds = WARMUP_S + size.seconds
+        self.fleet = HollowFleet(fleet_plan(size, seconds), checked=False)
         self.looked, self.machine_looked = Meter(), MachineMeter()
 
     def until(self, seconds: float) -> None:
@@ -62,7 +62,7 @@
             for field in fields(machines):
                 now = getattr(machines, field.name) + getattr(machine.meter, field.name)
                 setattr(machines, field.name, now)
-        done = between(meter, self.looked), between(machines, self.machine_looked)
+        done = meter_difference(meter, self.looked), meter_difference(machines, self.machine_looked)
         self.looked, self.machine_looked = meter, machines
         return done
 
@@ -71,45 +71,45 @@
         server = f"h{number // 2 % self.size.servers}"
         self.fleet.change_lists(server, "Ready" if number % 2 else "Terminating")
 
-    def change_evenly(self, start: float, count: int, gap: float) -> None:
+    def schedule_changes(self, start: float, count: int, gap: float) -> None:
         for number in range(count):
             self.fleet.world.at(round((start + number * gap) * SECOND), self.change, number)
 
 
-def idle_and_changes(size: Size) -> dict[str, Figure]:
+def measure_control(size: Size) -> dict[str, Figure]:
     """An instance's control work a second at this size."""
-    playing, before = Playing(size), resident()
-    playing.until(WARM_S)
-    assert playing.fleet.listed() == size.nodes
-    playing.look()
+    fleet_run, before = FleetRun(size), resident()
+    fleet_run.until(WARMUP_S)
+    assert fleet_run.fleet.listed() == size.nodes
+    fleet_run.look()
     gap = 60 / size.changes_a_minute if size.changes_a_minute else 0
     changes = round(size.seconds / gap) if gap else 0
-    playing.change_evenly(WARM_S + min(gap, 1) / 2, changes, gap)
-    playing.until(WARM_S + size.seconds)
-    done, machines = playing.look()
+    fleet_run.schedule_changes(WARMUP_S + min(gap, 1) / 2, changes, gap)
+    fleet_run.until(WARMUP_S + size.seconds)
+    done, machines = fleet_run.look()
     gc.collect()
     span = size.nodes * size.seconds
     memory = (resident() - before) / size.nodes / MIB
-    up = playing.fleet.clients.counts["up"]
+    up = fleet_run.fleet.clients.counts["up"]
     figures = {
         "control_bytes_in": Figure(done.bytes_in / span, "B/s an instance"),
         "control_bytes_out": Figure(done.bytes_out / span, "B/s an instance"),
         "control_messages": Figure((done.requests + done.answers) / span, "messages/s an instance"),
         "entries_read": Figure(done.entries / span, "entries/s an instance"),
-        "list_processor": Figure(done.list_control_ns / NS_A_MS / span, "ms/s an instance"),
+        "list_processor": Figure(done.list_control_ns / NS_PER_MS / span, "ms/s an instance"),
         "ticks": Figure(done.ticks / span, "ticks/s an instance"),
-        "tick_processor": Figure(done.tick_ns / NS_A_MS / span, "ms/s an instance"),
+        "tick_processor": Figure(done.tick_ns / NS_PER_MS / span, "ms/s an instance"),
         "memory": Figure(memory, "MiB an instance"),
         "list_machine_bytes_out": Figure(
-            machines.bytes_out / size.seconds / len(playing.fleet.list_machines), "B/s a list machine"
+            machines.bytes_out / size.seconds / len(fleet_run.fleet.list_machines), "B/s a list machine"
         ),
         "list_machine_answers": Figure(
-            machines.answers / size.seconds / len(playing.fleet.list_machines), "answers/s a list machine"
+            machines.answers / size.seconds / len(fleet_run.fleet.list_machines), "answers/s a list machine"
         ),
     }
     if size.connections:
         figures["connections_up"] = Figure(up / size.nodes, "connections an instance", False)
-        figures["line_processor"] = Figure(done.line_ns / NS_A_MS / span, "ms/s an instance", False)
+        figures["line_processor"] = Figure(done.line_ns / NS_PER_MS / span, "ms/s an instance", False)
         figures["line_steps"] = Figure(done.line_steps / span, "steps/s an instance", False)
     return figures
 
@@ -118,34 +118,34 @@
 """Changes that a change's cost is the mean of."""
 
 
-def whole_and_change(size: Size) -> dict[str, Figure]:
+def measure_full_list_and_change(size: Size) -> dict[str, Figure]:
     """What a whole list costs an instance, what one change costs it, and its ticks, at this many servers."""
-    playing, before = Playing(size), resident()
-    playing.until(WARM_S)
+    fleet_run, before = FleetRun(size), resident()
+    fleet_run.until(WARMUP_S)
     gc.collect()
     memory = (resident() - before) / size.nodes / MIB
-    first, _ = playing.look()
-    for process in playing.fleet.processes():  # as after an answer that could not be read
+    first, _ = fleet_run.look()
+    for process in fleet_run.fleet.processes():  # as after an answer that could not be read
         process.discovery.need_full_list = True
-    playing.until(WARM_S + 2.55)
-    whole, _ = playing.look()
-    playing.change_evenly(WARM_S + 2.65, CHANGES, 1.0)
-    playing.until(WARM_S + 2.6 + CHANGES)
-    change, _ = playing.look()
+    fleet_run.until(WARMUP_S + 2.55)
+    whole, _ = fleet_run.look()
+    fleet_run.schedule_changes(WARMUP_S + 2.65, CHANGES, 1.0)
+    fleet_run.until(WARMUP_S + 2.6 + CHANGES)
+    change, _ = fleet_run.look()
     nodes, events = size.nodes, size.nodes * CHANGES
     assert whole.entries == nodes * size.servers, "each asks for one whole list"
     return {
         "whole_list_bytes": Figure(whole.bytes_in / nodes, "B a whole list"),
         "whole_list_entries": Figure(whole.entries / nodes, "entries a whole list"),
-        "whole_list_client": Figure(whole.client_ns / NS_A_MS / nodes, "ms a whole list"),
-        "whole_list_module": Figure(whole.list_ns / NS_A_MS / nodes, "ms a whole list"),
-        "first_list_processor": Figure(first.list_control_ns / NS_A_MS / nodes, "ms the first list"),
+        "whole_list_client": Figure(whole.client_ns / NS_PER_MS / nodes, "ms a whole list"),
+        "whole_list_module": Figure(whole.list_ns / NS_PER_MS / nodes, "ms a whole list"),
+        "first_list_processor": Figure(first.list_control_ns / NS_PER_MS / nodes, "ms the first list"),
         "change_bytes": Figure(change.bytes_in / events, "B a change"),
         "change_entries": Figure(change.entries / events, "entries a change"),
-        "change_client": Figure(change.client_ns / NS_A_MS / events, "ms a change"),
-        "change_module": Figure(change.list_ns / NS_A_MS / events, "ms a change"),
+        "change_client": Figure(change.client_ns / NS_PER_MS / events, "ms a change"),
+        "change_module": Figure(change.list_ns / NS_PER_MS / events, "ms a change"),
         "ticks": Figure(change.ticks / events, "ticks/s an instance"),
-        "tick_processor": Figure(change.tick_ns / NS_A_MS / events, "ms/s an instance"),
+        "tick_processor": Figure(change.tick_ns / NS_PER_MS / events, "ms/s an instance"),
         "memory": Figure(memory, "MiB an instance"),
     }
 
@@ -160,7 +160,7 @@
     unit: str
     values: tuple
     base: Size
-    play: Callable[[Size], dict[str, Figure]]
+    measure: Callable[[Size], dict[str, Figure]]
     kind: Kind = "hollow"
 
 
@@ -172,7 +172,7 @@
         "nodes",
         (10, 50, 150, 420),
         Size(servers=80, connections=10, seconds=10.0),
-        idle_and_changes,
+        measure_control,
     ),
     SweepPlan(
         "hollow-changes",
@@ -181,7 +181,7 @@
         "changes/min",
         (1, 6, 60, 600),
         Size(nodes=12, servers=300, seconds=60.0),
-        idle_and_changes,
+        measure_control,
     ),
     SweepPlan(
         "hollow-servers",
@@ -190,7 +190,7 @@
         "servers",
         (50, 300, 1000, 3000),
         Size(nodes=12, seconds=20.0),
-        whole_and_change,
+        measure_full_list_and_change,
     ),
 )
 
@@ -198,7 +198,7 @@
 SMALL_VALUES = {"nodes": (2, 4, 8, 16), "changes_a_minute": (6, 60, 120, 600), "servers": (10, 20, 40, 80)}
 
 
-def small(sweep: SweepPlan) -> SweepPlan:
+def scaled_down(sweep: SweepPlan) -> SweepPlan:
     """The same sweep at sizes that are played in a second or two."""
     base = sweep.base
     base = replace(base, nodes=3, servers=min(base.servers, 20), connections=min(2, base.connections))
@@ -213,7 +213,7 @@
     return replace(sweep, values=SMALL_VALUES.get(sweep.variable, sweep.values), base=base)
 
 
-def reached(sweep: SweepPlan, **tops: int | None) -> SweepPlan:
+def override_sizes(sweep: SweepPlan, **tops: int | None) -> SweepPlan:
     """The sweep with other sizes: a variable that is swept goes up to its top by doubling; one that is fixed
     takes it as it is."""
     for name, top in tops.items():
@@ -226,31 +226,33 @@
     return sweep
 
 
-def played(sweep: SweepPlan, value: float, seed: int) -> dict[str, Figure]:
+def measure_point(sweep: SweepPlan, value: float, seed: int) -> dict[str, Figure]:
     """One point, in this process. A small play before it fills what every play shares."""
     logging.getLogger("cottonspread").addHandler(logging.NullHandler())  # failed calls are played, not news
-    whole_and_change(Size(nodes=1, servers=4))
+    measure_full_list_and_change(Size(nodes=1, servers=4))
     gc.collect()
-    return sweep.play(replace(sweep.base, **{sweep.variable: value}, seed=seed))
+    return sweep.measure(replace(sweep.base, **{sweep.variable: value}, seed=seed))
 
 
-def apart(what, *arguments):
+def run_in_subprocess(what, *arguments):
     """Calls it in a process of its own, and waits."""
     context = multiprocessing.get_context("spawn")
     with ProcessPoolExecutor(1, mp_context=context) as pool:
         return pool.submit(what, *arguments).result()
 
 
-def here(what, *arguments):
+def run_inline(what, *arguments):
     """Calls it in this process: quicker, and its memory is not its alone."""
     return what(*arguments)
 
 
-def sweep(one: SweepPlan, command: str, seed: int, alone: bool, tell=lambda *_: None, call=apart) -> Sweep:
+def run_sweep(
+    one: SweepPlan, command: str, seed: int, alone: bool, tell=lambda *_: None, call=run_in_subprocess
+) -> Sweep:
     """Plays every size of it; `tell` is given each value of the variable with its figures."""
     points = {}
     for value in one.values:
-        points[value] = call(played, one, value, seed)
+        points[value] = call(measure_point, one, value, seed)
         tell(value, points[value])
     base = replace(one.base, seed=seed)
     fixed = {f.name: getattr(base, f.name) for f in fields(base) if f.name != one.variable}
--- a/cottonspread/lab/scale/processes.py
+++ b/cottonspread/lab/scale/processes.py
@@ -90,7 +90,7 @@
         self.process.stdout.close()
 
 
-class ListStandIn(Part):
+class ListStub(Part):
     """One process of the lab's list. `changes`: seconds after the begin at which a server drains, each time
     another one."""
 
--- a/tests/scale/test_hollow_command.py
+++ b/tests/scale/test_hollow_command.py
@@ -7,9 +7,9 @@
 from cottonspread.cli import main
 from cottonspread.lab.scale import command
 from cottonspread.lab.scale.hollow_plans import Size
-from cottonspread.lab.scale.hollow_sockets import Client
-from cottonspread.lab.scale.hollow_sweeps import Playing
-from cottonspread.lab.scale.processes import ListStandIn, Relay
+from cottonspread.lab.scale.hollow_sockets import ListClient
+from cottonspread.lab.scale.hollow_sweeps import FleetRun
+from cottonspread.lab.scale.processes import ListStub, Relay
 from cottonspread.lab.scale.results import read, read_fault_run
 
 
@@ -24,9 +24,9 @@
 
 
 def test_each_quick_sweep_has_a_small_form_that_plays():
-    sweeps = [*command.hollow_news.SWEEPS[2:], *command.hollow_faults.SWEEPS]
-    for sweep in map(command.small, sweeps):
-        figures = command.here(command.hollow_sweeps.played, sweep, sweep.values[0], 1)
+    sweeps = [*command.hollow_propagation.SWEEPS[2:], *command.hollow_faults.SWEEPS]
+    for sweep in map(command.scaled_down, sweeps):
+        figures = command.run_inline(command.hollow_sweeps.measure_point, sweep, sweep.values[0], 1)
         assert figures and all(figure.value >= 0 for figure in figures.values())
 
 
@@ -44,7 +44,7 @@
 
 
 def test_other_sizes_are_taken_from_the_command_line():
-    sweep = command.reached(command.hollow_sweeps.SWEEPS[0], nodes=80, servers=7)
+    sweep = command.override_sizes(command.hollow_sweeps.SWEEPS[0], nodes=80, servers=7)
     assert sweep.values == (10, 20, 40, 80) and sweep.base.servers == 7
 
 
@@ -55,27 +55,27 @@
 
 
 @pytest.fixture
-def list_stand_in(tmp_path):
-    one = ListStandIn(tmp_path, 0, 20)
+def list_stub(tmp_path):
+    one = ListStub(tmp_path, 0, 20)
     one.begin(time.monotonic())
     yield one
     one.end()
 
 
-def test_a_hollow_node_s_bytes_are_those_of_real_calls(list_stand_in):
+def test_a_hollow_node_s_bytes_are_those_of_real_calls(list_stub):
     """A whole list and a watch that ends without news, over sockets and hollow."""
-    relay = Relay(list_stand_in.address)
-    client = Client(relay.address)
+    relay = Relay(list_stub.address)
+    client = ListClient(relay.address)
     for _ in range(2):
         assert client.discovery.poll() == 0
     client.discovery.http.close()
     relay.end()
-    playing = Playing(Size(nodes=1, servers=20, seconds=10.0))
-    meter = playing.fleet.nodes[0].fleet.metered
+    fleet_run = FleetRun(Size(nodes=1, servers=20, seconds=10.0))
+    meter = fleet_run.fleet.nodes[0].fleet.metered
     at = 2.0
     while meter().answers < 2:
         at += 0.1
-        playing.until(at)
+        fleet_run.until(at)
     hollow, real = meter(), client.counts
     assert (real.requests, real.entries) == (2, 20) and hollow.entries == 20
     assert real.bytes_out == pytest.approx(hollow.bytes_out, rel=0.15)
--- a/tests/scale/test_hollow_counts.py
+++ b/tests/scale/test_hollow_counts.py
@@ -4,10 +4,10 @@
 
 import pytest
 
-from cottonspread.lab.scale import hollow_news, hollow_sweeps
+from cottonspread.lab.scale import hollow_propagation, hollow_sweeps
 from cottonspread.lab.scale.hollow import HollowFleet
-from cottonspread.lab.scale.hollow_plans import WARM_S, Size, plan
-from cottonspread.lab.scale.hollow_sweeps import Playing, idle_and_changes, whole_and_change
+from cottonspread.lab.scale.hollow_plans import WARMUP_S, Size, fleet_plan
+from cottonspread.lab.scale.hollow_sweeps import FleetRun, measure_control, measure_full_list_and_change
 from cottonspread.lab.sim.world import SECOND
 
 IDLE = Size(nodes=4, servers=20, seconds=20.0)
@@ -18,7 +18,7 @@
 
 
 def test_an_idle_instance_sends_and_hears_one_watch_in_two_seconds():
-    figures = idle_and_changes(IDLE)
+    figures = measure_control(IDLE)
     request = b"GET /api/targets?since=1&timeout_ms=2000 HTTP/1.1\r\nHost: 127.64.0.10:8400\r\n"
     request += b"Accept: application/json\r\n\r\n"
     assert figures["control_messages"].value == pytest.approx(1.0, rel=0.02)
@@ -29,20 +29,20 @@
 
 def test_an_instance_s_control_does_not_grow_with_the_fleet():
     flat = ("control_bytes_in", "control_bytes_out", "control_messages", "entries_read", "ticks")
-    few, many = (idle_and_changes(Size(nodes=nodes, servers=20)) for nodes in (3, 24))
+    few, many = (measure_control(Size(nodes=nodes, servers=20)) for nodes in (3, 24))
     assert counts(many, *flat) == pytest.approx(counts(few, *flat), rel=0.02)
     machine = "list_machine_bytes_out", "list_machine_answers"
     assert counts(many, *machine) == pytest.approx([8 * one for one in counts(few, *machine)], rel=0.02)
 
 
 def test_a_change_is_one_entry_and_one_answer_whatever_the_list_s_length():
-    short, long = (whole_and_change(Size(nodes=2, servers=servers)) for servers in (20, 160))
+    short, long = (measure_full_list_and_change(Size(nodes=2, servers=servers)) for servers in (20, 160))
     assert counts(short, "change_entries") == counts(long, "change_entries") == [1]
     assert counts(long, "change_bytes") == pytest.approx(counts(short, "change_bytes"), rel=0.02)
 
 
 def test_a_whole_list_costs_its_entries_and_no_more():
-    short, long = (whole_and_change(Size(nodes=2, servers=servers)) for servers in (20, 160))
+    short, long = (measure_full_list_and_change(Size(nodes=2, servers=servers)) for servers in (20, 160))
     assert counts(short, "whole_list_entries") == [20] and counts(long, "whole_list_entries") == [160]
     grown = long["whole_list_bytes"].value / short["whole_list_bytes"].value
     assert grown <= 8 * 1.02
@@ -52,7 +52,7 @@
 @pytest.mark.parametrize("rate", (60, 600))
 def test_bytes_follow_the_changes(rate):
     """An answer and a request a change, and no watch that ends with nothing between them."""
-    figures = idle_and_changes(Size(nodes=2, servers=20, changes_a_minute=rate, seconds=10.0))
+    figures = measure_control(Size(nodes=2, servers=20, changes_a_minute=rate, seconds=10.0))
     assert figures["entries_read"].value == pytest.approx(rate / 60, rel=0.02)
     assert figures["control_messages"].value == pytest.approx(2 * rate / 60, rel=0.05)
     assert figures["control_bytes_in"].value == pytest.approx(282 * rate / 60, rel=0.05)
@@ -78,15 +78,15 @@
 
 def work(servers):
     """Steps of an instance for a whole list, for one change and for a second of ticks."""
-    playing = Playing(Size(nodes=1, servers=servers, seconds=30.0))
-    playing.until(WARM_S + 0.01)
-    playing.fleet.processes()[0].discovery.need_full_list = True
-    whole = steps_made(lambda: playing.until(WARM_S + 2.1))
-    at = WARM_S + 4.0
-    playing.until(at)
-    idle = steps_made(lambda: playing.until(at + 1))
-    playing.change_evenly(at + 1.05, 1, 1.0)
-    changed = steps_made(lambda: playing.until(at + 2))
+    fleet_run = FleetRun(Size(nodes=1, servers=servers, seconds=30.0))
+    fleet_run.until(WARMUP_S + 0.01)
+    fleet_run.fleet.processes()[0].discovery.need_full_list = True
+    whole = steps_made(lambda: fleet_run.until(WARMUP_S + 2.1))
+    at = WARMUP_S + 4.0
+    fleet_run.until(at)
+    idle = steps_made(lambda: fleet_run.until(at + 1))
+    fleet_run.schedule_changes(at + 1.05, 1, 1.0)
+    changed = steps_made(lambda: fleet_run.until(at + 2))
     return whole, changed, idle
 
 
@@ -100,7 +100,7 @@
 def test_one_seed_gives_one_trace_and_another_a_different_one():
     def played(seed):
         size = Size(nodes=6, servers=10, connections=3, seed=seed)
-        fleet = HollowFleet(plan(size, 8.0), checked=False)
+        fleet = HollowFleet(fleet_plan(size, 8.0), checked=False)
         fleet.world.run(8 * SECOND)
         assert fleet.clients.counts["up"] == 18
         meter = fleet.metered()
@@ -111,38 +111,38 @@
 
 
 def test_a_change_is_in_force_everywhere_within_a_message_s_way():
-    figures = hollow_news.news(Size(nodes=9, servers=10))
+    figures = hollow_propagation.measure_propagation(Size(nodes=9, servers=10))
     assert figures["in_force_last"].value < 0.005
 
 
 @pytest.mark.parametrize("refuses", (False, True))
 @pytest.mark.parametrize("away_s, back_s", ((0.1, 0), (4.0, 0), (8.0, 1.0)))
 def test_after_failed_watches_a_change_is_in_force_within_the_reckoned_longest(away_s, back_s, refuses):
-    size = hollow_news.AbsenceSize(nodes=6, servers=10, away_s=away_s, back_s=back_s, refuses=refuses)
-    figures = hollow_news.after_absence(size)
+    size = hollow_propagation.OutageSize(nodes=6, servers=10, away_s=away_s, back_s=back_s, refuses=refuses)
+    figures = hollow_propagation.measure_after_outage(size)
     assert figures["list_failures"].value >= 1
     assert figures["in_force_last"].value <= 4.5
 
 
 def test_a_lost_list_machine_is_felt_by_its_own_nodes_alone():
-    playing = Playing(Size(nodes=6, servers=10, seconds=30.0))
-    playing.until(WARM_S)
-    playing.fleet.list_machines[1].vanish(8 * SECOND)
-    playing.until(WARM_S + 7)
-    failed = [process.meter.failures > 0 for process in playing.fleet.processes()]
+    fleet_run = FleetRun(Size(nodes=6, servers=10, seconds=30.0))
+    fleet_run.until(WARMUP_S)
+    fleet_run.fleet.list_machines[1].vanish(8 * SECOND)
+    fleet_run.until(WARMUP_S + 7)
+    failed = [process.meter.failures > 0 for process in fleet_run.fleet.processes()]
     assert failed == [False, True, False] * 2
-    playing.change(0)
-    playing.until(WARM_S + 7.5)
-    (reached,) = playing.fleet.versions.values()
+    fleet_run.change(0)
+    fleet_run.until(WARMUP_S + 7.5)
+    (reached,) = fleet_run.fleet.versions.values()
     assert sorted(reached) == ["n0", "n2", "n3", "n5"]
-    playing.until(WARM_S + 8 + 4.5)
-    assert len(reached) == 6 and playing.fleet.listed() == 6
+    fleet_run.until(WARMUP_S + 8 + 4.5)
+    assert len(reached) == 6 and fleet_run.fleet.listed() == 6
 
 
 def test_an_older_list_puts_no_later_change_in_force():
-    playing = Playing(Size(nodes=2, servers=10))
-    playing.until(WARM_S)
-    fleet, node = playing.fleet, playing.fleet.nodes[0]
+    fleet_run = FleetRun(Size(nodes=2, servers=10))
+    fleet_run.until(WARMUP_S)
+    fleet, node = fleet_run.fleet, fleet_run.fleet.nodes[0]
     version = fleet.change_weight()
     fleet.in_force(node, version - 1)
     assert fleet.versions == {version: {}}
@@ -167,8 +167,8 @@
                 self.process.world.after(SECOND, self.beat)
 
     size = Size(nodes=3, servers=4)
-    fleet = HollowFleet(plan(size, 20.0), control=(Beat,), checked=False)
-    plain = HollowFleet(plan(size, 20.0), checked=False)
+    fleet = HollowFleet(fleet_plan(size, 20.0), control=(Beat,), checked=False)
+    plain = HollowFleet(fleet_plan(size, 20.0), checked=False)
     for one in (fleet, plain):
         one.world.run(13 * SECOND)
     assert sorted(begun) == ["n0", "n1", "n2"]
@@ -183,10 +183,10 @@
 def test_a_small_sweep_is_a_result_that_can_be_kept(tmp_path):
     from cottonspread.lab.scale.results import read_sweep, write
 
-    one = hollow_sweeps.small(hollow_sweeps.SWEEPS[1])
+    one = hollow_sweeps.scaled_down(hollow_sweeps.SWEEPS[1])
     told = []
-    result = hollow_sweeps.sweep(
-        one, "the test", 1, False, lambda value, _: told.append(value), hollow_sweeps.here
+    result = hollow_sweeps.run_sweep(
+        one, "the test", 1, False, lambda value, _: told.append(value), hollow_sweeps.run_inline
     )
     kept = read_sweep(write(result, tmp_path))
     assert told == list(one.values)
--- a/tests/scale/test_hollow_faults.py
+++ b/tests/scale/test_hollow_faults.py
@@ -4,8 +4,8 @@
 
 from cottonspread.lab.scale import hollow_faults
 from cottonspread.lab.scale.hollow import ListMachine
-from cottonspread.lab.scale.hollow_faults import EVENTS, fault_run, play_named, sized
-from cottonspread.lab.scale.hollow_sweeps import here
+from cottonspread.lab.scale.hollow_faults import EVENTS, event_size, fault_run, run_named_event
+from cottonspread.lab.scale.hollow_sweeps import run_inline
 from cottonspread.lab.scale.results import read_fault_run, write
 from cottonspread.lab.sim.node import Process
 from cottonspread.lab.sim.world import SECOND
@@ -14,7 +14,7 @@
 
 
 def small(name, seed=1):
-    return sized(BY_NAME[name], True, None, None, seed)
+    return event_size(BY_NAME[name], True, None, None, seed)
 
 
 @pytest.fixture(scope="module")
@@ -24,7 +24,7 @@
 
     def play(name):
         if name not in kept:
-            kept[name] = play_named(name, small(name))
+            kept[name] = run_named_event(name, small(name))
         return kept[name]
 
     return play
@@ -41,14 +41,14 @@
 
 
 def test_the_same_seed_gives_the_same_trace_and_another_a_different_one(played):
-    again = play_named("zone-lost", small("zone-lost"))
+    again = run_named_event("zone-lost", small("zone-lost"))
     first = played("zone-lost")
     measured = {"real_s", "peak_mib"}
     assert again.trace == first.trace
     assert {k: v for k, v in again.figures.items() if k not in measured} == {
         k: v for k, v in first.figures.items() if k not in measured
     }
-    assert play_named("zone-lost", small("zone-lost", seed=2)).trace != first.trace
+    assert run_named_event("zone-lost", small("zone-lost", seed=2)).trace != first.trace
 
 
 def test_a_lost_zone_loses_its_clients_and_they_come_again_to_the_rest(played):
@@ -85,7 +85,7 @@
 
 def test_a_row_can_be_kept(tmp_path):
     event = BY_NAME["node-restarted"]
-    result = fault_run(event, small(event.name), "the test", False, here)
+    result = fault_run(event, small(event.name), "the test", False, run_inline)
     kept = read_fault_run(write(result, tmp_path))
     assert kept.name == "fault-node-restarted" and kept.nodes == 8
     assert "Trace " in kept.rows[0].notes and kept.rows[0].rules_broken == 0
@@ -94,20 +94,20 @@
 def test_a_client_that_is_never_served_again_is_told(monkeypatch):
     """A fleet that is not whole says so: here no client comes back."""
     monkeypatch.setattr(hollow_faults.CountedClients, "schedule_call", lambda *_: None)
-    one = play_named("node-lost", small("node-lost"))
+    one = run_named_event("node-lost", small("node-lost"))
     assert one.seconds_until_whole is None and one.figures["not_back_at_the_end"] > 0
 
 
 def test_a_node_that_breaks_its_clients_off_is_an_offence(monkeypatch):
     """What stands is reset where SIGTERM should have asked it to move."""
     monkeypatch.setattr(Process, "stop", lambda self: self.exit("stopped"))
-    one = play_named("node-restarted", small("node-restarted"))
+    one = run_named_event("node-restarted", small("node-restarted"))
     assert one.rules_broken >= 1 and one.offences
 
 
 def test_a_node_that_is_never_told_is_missed(monkeypatch):
     monkeypatch.setattr(ListMachine, "unheard", lambda self, process: process.node.name == "n5")
-    one = play_named("list-machine-lost", small("list-machine-lost"))
+    one = run_named_event("list-machine-lost", small("list-machine-lost"))
     assert one.seconds_until_whole is None
     assert one.figures["nodes_without_a_change"] == 1
 
