--- a/cottonspread/lab/scale/module_node.py
+++ b/cottonspread/lab/scale/balancer_node.py
@@ -12,10 +12,10 @@
 NODES = 420
 LOAD = 10_000.0  # microseconds of work a second that a connection is told to cause
 GUARD = 3 * SECOND
-LOOK = SECOND // 4  # the module looks at marked servers no more often
+REVIEW_INTERVAL = SECOND // 4  # the module looks at marked servers no more often
 
 
-def begin(seed=1, probed=False):
+def node_config(seed=1, probed=False):
     """Settings of a node in a fleet of the target's size, groups sharing work."""
     kind = io.TrafficType("listen", io.Effect.REPEATABLE, "all", 5 * SECOND, SECOND, GUARD, 1.0, 140_000)
     return io.NodeConfig(
@@ -39,53 +39,53 @@
     return io.Entry(f"server-{number}", zone=number % ZONES, **more)
 
 
-class ModuleNode:
+class BalancerNode:
     """A balancer with `servers` listed and `connections` standing, of `groups` groups in turn."""
 
     def __init__(self, connections, servers, groups, seed=1, probed=False, large_group=0):
         self.now, self.calls, self.version, self.seed = SECOND, 0, 0, seed
         self.servers, self.groups = servers, groups
-        self.balancer = Balancer(self.now, begin(seed, probed))
-        self.standing = {}  # call: its server's number
+        self.balancer = Balancer(self.now, node_config(seed, probed))
+        self.established = {}  # call: its server's number
         self.entries = {}  # server's name: its entry as last listed
-        self.list(io.ListUpdateKind.FULL, [entry(n) for n in range(servers)])
+        self.update(io.ListUpdateKind.FULL, [entry(n) for n in range(servers)])
         for number in range(connections):
             group = "large" if number < large_group else f"group-{number % groups}"
-            self.hold(group, number)
+            self.add_connection(group, number)
 
     def handle(self, event):
         """Passes one event to the module; returns what it asks for."""
         return self.balancer.handle(self.now, event)
 
-    def list(self, news, entries):
+    def update(self, news, entries):
         """A word of the list; returns the module's actions."""
         self.version += 1
         self.entries.update((one.host, one) for one in entries)
         return self.handle(io.ListUpdate(news, self.version, tuple(entries)))
 
-    def hold(self, group, number):
+    def add_connection(self, group, number):
         """A connection that stands already; they are spread evenly, as the module keeps them."""
         server = number % self.servers
-        call = self.next_call()
+        call = self.new_call_id()
         held_by = f"server-{server}"
         self.handle(io.CallArrived(call, 0, GUARD, f"key-{call}", group, held_by=held_by))
         self.handle(io.LoadReported(call, LOAD))
-        self.standing[call] = server
+        self.established[call] = server
 
-    def next_call(self):
+    def new_call_id(self):
         """An id that no call had before."""
         self.calls += 1
         return self.calls
 
     def arrive(self, group=None, key=None):
         """A call comes; returns (its id, whether the module sent it somewhere). Probes are answered."""
-        call = self.next_call()
+        call = self.new_call_id()
         actions = self.handle(io.CallArrived(call, 0, GUARD, key or f"key-{call}", group))
         while actions and isinstance(actions[-1], io.Probe):
             actions = self.handle(io.ProbeEnded(actions[-1].host, io.Ending.OK, load=0.2))
         return call, any(isinstance(action, io.Send) for action in actions)
 
-    def whole_call(self, group=None):
+    def run_call(self, group=None):
         """A call comes, is accepted and ends."""
         call, sent = self.arrive(group)
         if sent:
@@ -93,32 +93,32 @@
             self.handle(io.LegEnded(call, 0, io.Ending.OK, True))
         self.now += 10
 
-    def look(self):
+    def review_servers(self):
         """A call after a pause: the module looks at its marked servers. Returns the call."""
-        self.now += LOOK
+        self.now += REVIEW_INTERVAL
         return self.arrive()
 
     def drain(self, number):
         """Server `number` is told to drain."""
-        return self.list(io.ListUpdateKind.CHANGES, [entry(number, state=io.HostState.DRAINING)])
+        return self.update(io.ListUpdateKind.CHANGES, [entry(number, state=io.HostState.DRAINING)])
 
-    def started_anew(self, number):
+    def restart_server(self, number):
         """Server `number` is listed as started just now."""
-        return self.list(io.ListUpdateKind.CHANGES, [entry(number, started=self.now)])
+        return self.update(io.ListUpdateKind.CHANGES, [entry(number, started=self.now)])
 
-    def whole_list(self):
+    def send_full_list(self):
         """The whole list, read again unchanged."""
-        return self.list(
+        return self.update(
             io.ListUpdateKind.FULL,
             [one for one in self.entries.values() if one.state is not io.HostState.GONE],
         )
 
-    def lose(self, numbers):
+    def remove_servers(self, numbers):
         """These servers vanish from the list at once."""
-        return self.list(io.ListUpdateKind.CHANGES, [entry(n, state=io.HostState.GONE) for n in numbers])
+        return self.update(io.ListUpdateKind.CHANGES, [entry(n, state=io.HostState.GONE) for n in numbers])
 
-    def break_off(self, numbers):
+    def connection_losses(self, numbers):
         """All connections on these servers break; returns the events that tell it."""
         gone = set(numbers)
-        calls = [call for call, server in self.standing.items() if server in gone]
+        calls = [call for call, server in self.established.items() if server in gone]
         return [io.LegEnded(call, 0, io.Ending.RESET, True) for call in calls]
--- a/cottonspread/lab/scale/measuring.py
+++ b/cottonspread/lab/scale/measuring.py
@@ -62,14 +62,14 @@
     lines: list
 
     @classmethod
-    def of(cls, works):
+    def measure(cls, tasks):
         """Measures each of `works`: every other one by time, the others by lines run.
 
         A work is a callable, or has `ready()`, which does what comes before, unmeasured, and returns one.
         """
         microseconds, lines = [], []
-        for n, one in enumerate(works):
-            work = one.ready() if hasattr(one, "ready") else one
+        for n, one in enumerate(tasks):
+            work = one.prepare() if hasattr(one, "prepare") else one
             if n % 2:
                 lines.append(lines_run(work))
             else:
@@ -87,6 +87,6 @@
         return max(self.microseconds)
 
     @property
-    def most_lines(self):
+    def max_lines(self):
         """Lines run in the play that ran most."""
         return max(self.lines)
--- a/cottonspread/lab/scale/module_sweeps.py
+++ b/cottonspread/lab/scale/module_sweeps.py
@@ -14,12 +14,12 @@
 
 from cottonspread import interface as io
 from cottonspread.lab.scale import results
+from cottonspread.lab.scale.balancer_node import LOAD, REVIEW_INTERVAL, BalancerNode
 from cottonspread.lab.scale.measuring import Cost, memory_taken
-from cottonspread.lab.scale.module_node import LOAD, LOOK, ModuleNode
 
-PLAYS = 6  # of each event of the list: half by time, half by lines
+REPEATS = 6  # of each event of the list: half by time, half by lines
 CALLS = 60
-LARGE_SHARE = 420  # nodes: a node has this part of a large topic's listeners
+LARGE_GROUP_NODES = 420  # nodes: a node has this part of a large topic's listeners
 
 SIZES = {
     "connections": (1_000, 5_000, 10_000, 20_000, 40_000, 76_190),
@@ -52,26 +52,26 @@
     """The node that a sweep has at one size."""
     shape = dict(fixed)
     if sweep == "large-group":
-        shape["large_group"] = min(size // LARGE_SHARE, shape["connections"])
+        shape["large_group"] = min(size // LARGE_GROUP_NODES, shape["connections"])
     else:
         shape[sweep] = size
-    return ModuleNode(**shape, probed=probed)
+    return BalancerNode(**shape, probed=probed)
 
 
-class Play:
+class NodeBenchmark:
     """Everything that is measured of one node, in an order in which nothing disturbs what comes after."""
 
     def __init__(self, node, probed, seed=3):
         self.node, self.probed, self.chance = node, probed, Random(seed)
         self.figures = {}  # (name, unit, whether it is control): value
 
-    def note(self, name, cost, control, longest=False):
+    def record(self, name, cost, control, longest=False):
         """Keeps one kind of event's cost."""
         value = cost.longest if longest else cost.median
         self.figures[f"{name}_us", "us", control] = round(value, 1)
-        self.figures[f"{name}_lines", "lines run", control] = cost.most_lines
+        self.figures[f"{name}_lines", "lines run", control] = cost.max_lines
 
-    def drawn_groups(self):
+    def random_groups(self):
         """A group for each call: any of those that the node may know."""
         return [f"group-{self.chance.randrange(self.node.groups)}" for _ in range(CALLS)]
 
@@ -79,80 +79,80 @@
         """A group for each call that the node has no record of."""
         return [f"new-group-{n}" for n in range(CALLS)]
 
-    def calls(self):
+    def measure_calls(self):
         """Calls without and with a group, and those of a node that probes."""
         node = self.node
-        node.look()
-        self.note("call", Cost.of([node.whole_call] * CALLS), False)
-        works = [lambda group=group: node.whole_call(group) for group in self.drawn_groups()]
-        self.note("call_shared", Cost.of(works), False)
-        works = [lambda group=group: node.whole_call(group) for group in self.new_groups()]
-        self.note("call_new_group", Cost.of(works), False)
-        works = [lambda group=group: self.probed.whole_call(group) for group in self.new_groups()]
-        self.note("call_probed", Cost.of(works), False)
-        self.note("look_quiet", Cost.of([node.look] * PLAYS), True)
-        self.note("look", Cost.of([AfterLoad(node)] * PLAYS), True)
-
-    def loads(self):
+        node.review_servers()
+        self.record("call", Cost.measure([node.run_call] * CALLS), False)
+        tasks = [lambda group=group: node.run_call(group) for group in self.random_groups()]
+        self.record("call_shared", Cost.measure(tasks), False)
+        tasks = [lambda group=group: node.run_call(group) for group in self.new_groups()]
+        self.record("call_new_group", Cost.measure(tasks), False)
+        tasks = [lambda group=group: self.probed.run_call(group) for group in self.new_groups()]
+        self.record("call_probed", Cost.measure(tasks), False)
+        self.record("look_quiet", Cost.measure([node.review_servers] * REPEATS), True)
+        self.record("look", Cost.measure([ReviewAfterLoad(node)] * REPEATS), True)
+
+    def measure_load_reports(self):
         """Loads told on standing connections."""
-        calls = self.chance.sample(sorted(self.node.standing), CALLS)
-        works = [lambda call=call: self.node.handle(io.LoadReported(call, 12_000.0)) for call in calls]
-        self.note("load_told", Cost.of(works), False)
+        calls = self.chance.sample(sorted(self.node.established), CALLS)
+        tasks = [lambda call=call: self.node.handle(io.LoadReported(call, 12_000.0)) for call in calls]
+        self.record("load_told", Cost.measure(tasks), False)
 
-    def words(self):
+    def measure_list_updates(self):
         """Words of the list: unchanged, a drain, a start."""
         node = self.node
-        self.note("whole_list", Cost.of([node.whole_list] * PLAYS), True, longest=True)
-        numbers = range(node.servers - 1, node.servers - 1 - PLAYS, -1)
-        works = [lambda number=number: node.drain(number) for number in numbers]
-        self.note("drain", Cost.of(works), True, longest=True)
-        works = [lambda number=number: node.started_anew(number) for number in numbers]
-        self.note("started", Cost.of(works), True, longest=True)
-
-    def lost(self):
+        self.record("whole_list", Cost.measure([node.send_full_list] * REPEATS), True, longest=True)
+        numbers = range(node.servers - 1, node.servers - 1 - REPEATS, -1)
+        tasks = [lambda number=number: node.drain(number) for number in numbers]
+        self.record("drain", Cost.measure(tasks), True, longest=True)
+        tasks = [lambda number=number: node.restart_server(number) for number in numbers]
+        self.record("started", Cost.measure(tasks), True, longest=True)
+
+    def measure_server_loss(self):
         """An eighth of the servers vanishes at once (timed), another (lines counted); connections break."""
         node, eighth = self.node, self.node.servers // 8
         parts = [range(eighth), range(eighth, 2 * eighth)]
-        works = [lambda numbers=numbers: node.lose(numbers) for numbers in parts]
-        self.note("lost_eighth", Cost.of(works), True, longest=True)
-        endings = node.break_off(range(2 * eighth))
-        self.note("broken_off", Cost.of([lambda end=end: node.handle(end) for end in endings]), False)
-        node.now += LOOK
-        self.note("call_after_loss", Cost.of([node.whole_call, node.whole_call]), False, longest=True)
-
-    def all(self):
+        tasks = [lambda numbers=numbers: node.remove_servers(numbers) for numbers in parts]
+        self.record("lost_eighth", Cost.measure(tasks), True, longest=True)
+        endings = node.connection_losses(range(2 * eighth))
+        self.record("broken_off", Cost.measure([lambda end=end: node.handle(end) for end in endings]), False)
+        node.now += REVIEW_INTERVAL
+        self.record("call_after_loss", Cost.measure([node.run_call, node.run_call]), False, longest=True)
+
+    def run_all(self):
         """Plays all of it; returns the figures."""
-        self.calls()
-        self.loads()
-        self.words()
-        self.lost()
+        self.measure_calls()
+        self.measure_load_reports()
+        self.measure_list_updates()
+        self.measure_server_loss()
         return self.figures
 
 
-class AfterLoad:
+class ReviewAfterLoad:
     """A look at the servers after one load was told, as nearly every look is in service."""
 
     def __init__(self, node):
-        self.node, self.call, self.told = node, next(iter(node.standing)), LOAD
+        self.node, self.call, self.told = node, next(iter(node.established)), LOAD
 
-    def ready(self):
+    def prepare(self):
         """Tells a load, other than the last; returns the look."""
         self.told += 1
         self.node.handle(io.LoadReported(self.call, self.told))
-        return self.node.look
+        return self.node.review_servers
 
 
 def measure(sweep, size, fixed):
     """All figures of one size of a sweep."""
     node, taken = memory_taken(lambda: node_of(sweep, size, fixed))
     gc.collect()
-    figures = Play(node, node_of(sweep, size, fixed, probed=True)).all()
+    figures = NodeBenchmark(node, node_of(sweep, size, fixed, probed=True)).run_all()
     figures["memory", "bytes", True] = taken
     return figures
 
 
 @dataclass(frozen=True)
-class Plan:
+class SweepFamily:
     """What a family of sweeps varies, holds fixed and measures."""
 
     kind: str  # "module" or "reducer"
@@ -162,7 +162,7 @@
     measure: object  # (sweep, size, fixed) to {(name, unit, control): value}
     small: bool
 
-    def result(self, sweep, suffix=""):
+    def run_sweep(self, sweep, suffix=""):
         """Plays one sweep; returns it as a result."""
         measures = {}
         for size in self.sizes[sweep]:
@@ -195,7 +195,7 @@
     return "\n".join(rows)
 
 
-def run(kind, sizes, small_sizes, fixed, small_fixed, units, measure, text):
+def run_command(kind, sizes, small_sizes, fixed, small_fixed, units, measure, text):
     """Plays the sweeps that the command line names, all of them if none."""
     parser = argparse.ArgumentParser(description=text.split("\n")[0])
     parser.add_argument("--small", action="store_true", help="sizes that end in seconds")
@@ -206,13 +206,13 @@
     if options.small:
         sizes = small_sizes
         fixed = {sweep: {name: small_fixed[name] for name in shape} for sweep, shape in fixed.items()}
-    plan = Plan(kind, sizes, fixed, units, measure, options.small)
+    plan = SweepFamily(kind, sizes, fixed, units, measure, options.small)
     for sweep in [options.sweep] if options.sweep else sizes:
-        result = plan.result(sweep, options.suffix)
+        result = plan.run_sweep(sweep, options.suffix)
         print(table(result), flush=True)
         if options.out:
             results.write(result, options.out)
 
 
 if __name__ == "__main__":
-    run("module", SIZES, SMALL, FIXED, SMALL_FIXED, UNITS, measure, __doc__)
+    run_command("module", SIZES, SMALL, FIXED, SMALL_FIXED, UNITS, measure, __doc__)
--- a/cottonspread/lab/scale/reducer_node.py
+++ b/cottonspread/lab/scale/reducer_node.py
@@ -6,14 +6,14 @@
 from cottonspread import config
 from cottonspread import interface as io
 from cottonspread.front import handover
-from cottonspread.lab.scale.module_node import GUARD, LOAD, SECOND, begin, entry
+from cottonspread.lab.scale.balancer_node import GUARD, LOAD, SECOND, entry, node_config
 from cottonspread.net import events as ev
 from cottonspread.net.reducer import ECHO_CHECK_INTERVAL, SWEEP_INTERVAL, Reducer
 
-MOST_ENDS = 1_000_000
-CONNECT_WAIT = SECOND // 20
+MAX_SOCKETS = 1_000_000
+CONNECT_TIMEOUT = SECOND // 20
 TYPE = "listen"
-JUST_BEFORE = 1000  # microseconds
+LINE_LEAD_US = 1000  # microseconds
 
 
 def address(number):
@@ -26,13 +26,13 @@
 
     def __init__(self, connections, servers, groups, seed=1):
         self.now, self.version, self.servers, self.groups = SECOND, 0, servers, groups
-        self.made = 0
+        self.call_count = 0
         names = config.Names({TYPE: 0}, {}, {}, {})
-        hearing = config.HostProtocol(CONNECT_WAIT, True, True)
-        self.reducer = Reducer(self.now, begin(seed), names, hearing, MOST_ENDS)
+        host_protocol = config.HostProtocol(CONNECT_TIMEOUT, True, True)
+        self.reducer = Reducer(self.now, node_config(seed), names, host_protocol, MAX_SOCKETS)
         self.hosts = {}  # a client's end: its host's end
         self.step(ev.Tick())
-        self.whole_list()
+        self.send_full_list()
         for number in range(connections):
             self.adopt(number, f"group-{number % groups}")
 
@@ -40,7 +40,7 @@
         """One event; returns what the reducer asks for."""
         return self.reducer.step(self.now, event)
 
-    def whole_list(self):
+    def send_full_list(self):
         """The whole list is read, all servers up."""
         self.version += 1
         entries = tuple(entry(n) for n in range(self.servers))
@@ -55,15 +55,15 @@
         server = number % self.servers
         client, host = ev.ConnectionEnd(True), ev.ConnectionEnd(False)
         client.worker = host.worker = "a thread"
-        standing = handover.OpenConnection(
+        connection = handover.OpenConnection(
             f"id-{number}", TYPE, f"server-{server}", self.now, 1000, f"key-{number}", group, 0, LOAD, waiting
         )
-        taken = []
-        self.step(ev.TransferOffered(client, host, standing, taken.append))
-        assert taken == [True]
+        accepted = []
+        self.step(ev.TransferOffered(client, host, connection, accepted.append))
+        assert accepted == [True]
         self.hosts[client] = host
 
-    def timers(self, wanted, busy=()):
+    def advance_to_timer(self, wanted, busy=()):
         """Goes to when timers of one kind alone ("sweep" or "listen") are due; returns that step.
 
         `busy`: clients that send a line just before.
@@ -76,13 +76,13 @@
                 break
             self.now = due
             self.step(ev.Tick())
-        self.now = max(self.now, due - JUST_BEFORE)
+        self.now = max(self.now, due - LINE_LEAD_US)
         for client in busy:
-            self.line_out(client)
+            self.send_line(client)
         self.now = due
         return lambda: self.step(ev.Tick())
 
-    def line_out(self, client):
+    def send_line(self, client):
         """A line of a client goes on to its host."""
         self.step(ev.LinesRead(client, b"hello\n"))
         self.step(ev.WriteDone(self.hosts[client], True, self.now))
@@ -92,18 +92,18 @@
         self.step(ev.LinesRead(self.hosts[client], b"hello\n"))
         self.step(ev.WriteDone(client, True, self.now))
 
-    def load_line(self, client):
+    def send_load_report(self, client):
         """The host tells a load on the client's connection."""
         return self.step(ev.LinesRead(self.hosts[client], b"LOAD 12000\n"))
 
-    def there_and_back(self, client):
+    def line_and_echo(self, client):
         """One line and its echo."""
-        self.line_out(client)
+        self.send_line(client)
         self.echo(client)
 
-    def whole_call(self, group):
+    def run_call(self, group):
         """A client comes, is taken by a host, and leaves."""
-        self.made += 1
+        self.call_count += 1
         self.now += 10
         client = ev.ConnectionEnd(True, worker="a thread")
         self.step(ev.ClientAccepted(client))
--- a/cottonspread/lab/scale/reducer_sweeps.py
+++ b/cottonspread/lab/scale/reducer_sweeps.py
@@ -9,11 +9,11 @@
 import gc
 
 from cottonspread.lab.scale.measuring import Cost, memory_taken
-from cottonspread.lab.scale.module_sweeps import CALLS, PLAYS, Play, run
+from cottonspread.lab.scale.module_sweeps import CALLS, REPEATS, NodeBenchmark, run_command
 from cottonspread.lab.scale.reducer_node import ReducerNode
 from cottonspread.net.reducer import ECHO_CHECK_INTERVAL, SECOND, SWEEP_INTERVAL
 
-WAITING_PART = 10  # one connection in so many has a line out without an echo
+UNECHOED_DIVISOR = 10  # one connection in so many has a line out without an echo
 SIZES = {
     "connections": (1_000, 5_000, 10_000, 20_000, 40_000, 76_190),
     "servers": (50, 200, 400, 1_000, 3_000),
@@ -27,60 +27,62 @@
 UNITS = {"connections": "connections on the node", "servers": "servers listed"}
 
 
-class ReducerPlay(Play):
+class ReducerBenchmark(NodeBenchmark):
     """Everything that is measured of one reducer."""
 
     def __init__(self, node):
         super().__init__(node, None)
         self.clients = list(node.hosts)
 
-    def timers(self):
+    def measure_timers(self):
         """The two timers of the reducer with nothing under way, then with lines out."""
         node = self.node
-        for state, busy in (("idle", []), ("lines_out", self.clients[::WAITING_PART])):
+        for state, busy in (("idle", []), ("lines_out", self.clients[::UNECHOED_DIVISOR])):
             for kind in ("sweep", "listen"):
-                timed = Timed(node, kind, busy)
-                self.note(f"{kind}_{state}", Cost.of([timed] * PLAYS), True)
+                timed = TimerRun(node, kind, busy)
+                self.record(f"{kind}_{state}", Cost.measure([timed] * REPEATS), True)
                 timed.echo()
             sweeps, listens = (self.figures[f"{kind}_{state}_us", "us", True] for kind in ("sweep", "listen"))
             second = round(sweeps * (SECOND // SWEEP_INTERVAL) + listens * (SECOND // ECHO_CHECK_INTERVAL))
             self.figures[f"timers_a_second_{state}_us", "us a second", True] = second
 
-    def clients_lines(self):
+    def measure_lines_and_calls(self):
         """What clients cause: lines, calls."""
         node = self.node
-        works = [lambda client=client: node.there_and_back(client) for client in self.clients[1 : CALLS + 1]]
-        self.note("line_and_echo", Cost.of(works), False)
-        works = [lambda group=group: node.whole_call(group) for group in self.drawn_groups()]
-        self.note("call", Cost.of(works), False)
-        works = [lambda group=group: node.whole_call(group) for group in self.new_groups()]
-        self.note("call_new_group", Cost.of(works), False)
-
-    def orders(self):
+        tasks = [lambda client=client: node.line_and_echo(client) for client in self.clients[1 : CALLS + 1]]
+        self.record("line_and_echo", Cost.measure(tasks), False)
+        tasks = [lambda group=group: node.run_call(group) for group in self.random_groups()]
+        self.record("call", Cost.measure(tasks), False)
+        tasks = [lambda group=group: node.run_call(group) for group in self.new_groups()]
+        self.record("call_new_group", Cost.measure(tasks), False)
+
+    def measure_list_and_operator_events(self):
         """What the list and staff cause."""
         node = self.node
-        self.note("whole_list", Cost.of([node.whole_list] * PLAYS), True, longest=True)
-        self.note("hand_over", Cost.of([node.hand_over] * 2), True, longest=True)
-        self.note("drain", Cost.of([node.drain, node.resume, node.resume, node.drain]), True, longest=True)
+        self.record("whole_list", Cost.measure([node.send_full_list] * REPEATS), True, longest=True)
+        self.record("hand_over", Cost.measure([node.hand_over] * 2), True, longest=True)
+        self.record(
+            "drain", Cost.measure([node.drain, node.resume, node.resume, node.drain]), True, longest=True
+        )
 
-    def all(self):
+    def run_all(self):
         """Plays all of it; returns the figures."""
-        self.clients_lines()
-        self.timers()
-        self.orders()
+        self.measure_lines_and_calls()
+        self.measure_timers()
+        self.measure_list_and_operator_events()
         return self.figures
 
 
-class Timed:
+class TimerRun:
     """The next run of one timer alone: waited for as it is made ready, outside what is measured."""
 
     def __init__(self, node, kind, busy):
         self.node, self.kind, self.busy, self.sent = node, kind, busy, []
 
-    def ready(self):
+    def prepare(self):
         """Goes to the moment at which it is due, a line just sent by each of `busy`; returns the work."""
         self.echo()
-        work = self.node.timers(self.kind, self.busy)
+        work = self.node.advance_to_timer(self.kind, self.busy)
         self.sent = self.busy
         return work
 
@@ -96,10 +98,10 @@
     shape = {**fixed, sweep: size}
     node, taken = memory_taken(lambda: ReducerNode(**shape))
     gc.collect()
-    figures = ReducerPlay(node).all()
+    figures = ReducerBenchmark(node).run_all()
     figures["memory", "bytes", True] = taken
     return figures
 
 
 if __name__ == "__main__":
-    run("reducer", SIZES, SMALL, FIXED, SMALL_FIXED, UNITS, measure, __doc__)
+    run_command("reducer", SIZES, SMALL, FIXED, SMALL_FIXED, UNITS, measure, __doc__)
--- a/tests/scale/test_module_work.py
+++ b/tests/scale/test_balancer_work.py
@@ -7,18 +7,18 @@
 import pytest
 
 from cottonspread import interface as io
+from cottonspread.lab.scale.balancer_node import GUARD, LOAD, REVIEW_INTERVAL, BalancerNode, entry
 from cottonspread.lab.scale.measuring import lines_run
-from cottonspread.lab.scale.module_node import GUARD, LOAD, LOOK, ModuleNode, entry
 from cottonspread.policy.records import Records
 from cottonspread.state import SECOND
 
 SLACK = 1.1  # what chance draws may make of the same work
 
 
-def hold(node, count, host="server-0"):
+def add_connections(node, count, host="server-0"):
     """So many connections more, each of a group of its own, all on one server."""
     for _ in range(count):
-        call = node.next_call()
+        call = node.new_call_id()
         node.handle(io.CallArrived(call, 0, GUARD, None, f"held-{call}", held_by=host))
         node.handle(io.LoadReported(call, LOAD))
 
@@ -27,7 +27,7 @@
     """The node after its groups' parts of all calls have become small, and a look at all servers."""
     for n in range(600):
         node.handle(io.CallArrived(f"warm-{n}", 0, 0, None, f"warm-{n}"))
-    node.look()
+    node.review_servers()
     return node
 
 
@@ -35,9 +35,9 @@
     """All records were walked for each server: 125 of 1,000 lost took 2.4 s at 40,000 connections."""
 
     def work(others):
-        node = ModuleNode(80, 40, 80)
-        hold(node, others)
-        return lines_run(lambda: node.lose(range(20, 30)))
+        node = BalancerNode(80, 40, 80)
+        add_connections(node, others)
+        return lines_run(lambda: node.remove_servers(range(20, 30)))
 
     few, many = work(10), work(1000)
     assert many <= few * SLACK, (few, many)
@@ -48,16 +48,16 @@
     """The rotation was copied and walked, all servers sorted for a group: 1,256 us at 3,000 servers."""
 
     def work(servers):
-        node = settled(ModuleNode(servers * 2, servers, 200))
-        node.whole_call("another")
-        return lines_run(lambda: node.whole_call(group))
+        node = settled(BalancerNode(servers * 2, servers, 200))
+        node.run_call("another")
+        return lines_run(lambda: node.run_call(group))
 
     few, many = work(50), work(500)
     assert many <= few * 1.6, (few, many)  # names of one length more, and a server or two
 
 
 def test_a_group_s_order_is_made_in_one_pass_and_made_once():
-    node = settled(ModuleNode(1000, 500, 200))
+    node = settled(BalancerNode(1000, 500, 200))
     orders = node.balancer.rotation.group_orders
     before = orders.passes
     for _ in range(5):
@@ -69,11 +69,11 @@
     """With its zone lost each call asked every server for its zone."""
 
     def work(servers):
-        node = ModuleNode(0, servers, 1)
-        node.lose(range(0, servers, 8))
-        node.look()
-        node.whole_call()
-        return lines_run(node.whole_call)
+        node = BalancerNode(0, servers, 1)
+        node.remove_servers(range(0, servers, 8))
+        node.review_servers()
+        node.run_call()
+        return lines_run(node.run_call)
 
     few, many = work(40), work(400)
     assert many <= few * SLACK, (few, many)
@@ -83,9 +83,9 @@
     """Four times a second all servers were asked thrice whether they are slow, cut or set aside."""
 
     def work(servers):
-        node = ModuleNode(20, servers, 20)
-        node.look()
-        return lines_run(node.look)
+        node = BalancerNode(20, servers, 20)
+        node.review_servers()
+        return lines_run(node.review_servers)
 
     few, many = work(40), work(400)
     assert many <= few * SLACK, (few, many)
@@ -93,9 +93,9 @@
 
 def test_a_look_weighs_no_connection_anew_while_no_load_was_told():
     def work(connections):
-        node = ModuleNode(connections, 40, 40)
-        node.look()
-        return lines_run(node.look)
+        node = BalancerNode(connections, 40, 40)
+        node.review_servers()
+        return lines_run(node.review_servers)
 
     few, many = work(40), work(400)
     assert many <= few * SLACK, (few, many)
@@ -105,10 +105,10 @@
     """The mean of all loads has moved: each connection weighs otherwise. It was eight lines, two calls."""
 
     def work(connections):
-        node = ModuleNode(connections, 40, 40)
-        node.look()
-        node.handle(io.LoadReported(next(iter(node.standing)), 2 * LOAD))
-        return lines_run(node.look)
+        node = BalancerNode(connections, 40, 40)
+        node.review_servers()
+        node.handle(io.LoadReported(next(iter(node.established)), 2 * LOAD))
+        return lines_run(node.review_servers)
 
     few, many = work(40), work(400)
     assert many - few <= 360 * 5, (few, many)
@@ -118,8 +118,8 @@
     """Every group of the server was looked at for those that are gone."""
 
     def work(groups):
-        node = ModuleNode(0, 4, 1)
-        hold(node, groups)
+        node = BalancerNode(0, 4, 1)
+        add_connections(node, groups)
         call = node.calls
         return lines_run(lambda: node.handle(io.LegEnded(call, 0, io.Ending.OK, True)))
 
@@ -131,14 +131,14 @@
     """Servers started in a release stand apart for 20 s: each call summed their legs, load and size."""
 
     def work(fresh):
-        node = ModuleNode(400, 200, 400)
+        node = BalancerNode(400, 200, 400)
         node.now += 10 * SECOND
         started = [entry(n, started=node.now - SECOND) for n in range(fresh)]
-        node.list(io.ListUpdateKind.CHANGES, started)
-        node.look()
+        node.update(io.ListUpdateKind.CHANGES, started)
+        node.review_servers()
         group = "group-150"  # it has a record: the call goes there at once
-        node.whole_call(group)
-        return lines_run(lambda: node.whole_call(group))
+        node.run_call(group)
+        return lines_run(lambda: node.run_call(group))
 
     few, many = work(10), work(100)
     assert many <= few * SLACK, (few, many)
@@ -147,19 +147,19 @@
 def test_no_record_of_a_connection_that_stands_is_dropped_for_their_number(monkeypatch):
     """50,000 were kept at most, and a node holds 76,190 connections."""
     monkeypatch.setattr(Records, "MAX_IDLE_KEYS", 20)
-    node = ModuleNode(60, 4, 60)
-    node.whole_call("group-0")
+    node = BalancerNode(60, 4, 60)
+    node.run_call("group-0")
     assert {f"group-{n}" for n in range(60)} <= set(node.balancer.records.entries)
 
 
 def test_records_are_bounded_by_the_connections_held(monkeypatch):
     monkeypatch.setattr(Records, "MAX_IDLE_KEYS", 20)
-    node = ModuleNode(60, 4, 60)
+    node = BalancerNode(60, 4, 60)
     for n in range(100):
-        node.whole_call(f"passing-{n}")
+        node.run_call(f"passing-{n}")
     assert len(node.balancer.records) <= 20 + 61 + 1  # the call itself is held, and then has its record
-    for call in node.standing:
+    for call in node.established:
         node.handle(io.LegEnded(call, 0, io.Ending.OK, True))
-    node.now += LOOK
-    node.whole_call("last")
+    node.now += REVIEW_INTERVAL
+    node.run_call("last")
     assert len(node.balancer.records) <= 20 + 1 + 1
--- a/tests/scale/test_reducer_work.py
+++ b/tests/scale/test_reducer_work.py
@@ -15,7 +15,7 @@
 def work_of(kind, connections, busy):
     """Lines that one run of a timer of that kind takes, with so many standing and so many with a line out."""
     node = ReducerNode(connections, SERVERS, GROUPS)
-    return lines_run(node.timers(kind, list(node.hosts)[:busy]))
+    return lines_run(node.advance_to_timer(kind, list(node.hosts)[:busy]))
 
 
 @pytest.mark.parametrize("busy", (0, BUSY))
@@ -38,7 +38,7 @@
 
     def work(connections):
         node = ReducerNode(connections, 1, GROUPS)
-        return lines_run(lambda: node.load_line(next(iter(node.hosts))))
+        return lines_run(lambda: node.send_load_report(next(iter(node.hosts))))
 
     few, many = work(FEW), work(MANY)
     assert many <= few * 1.05, (few, many)
--- a/tests/test_active_set.py
+++ b/tests/test_active_set.py
@@ -101,7 +101,7 @@
 
 def test_what_is_over_is_not_looked_at_any_more():
     node, client, host = one_connection()
-    node.there_and_back(client)
+    node.line_and_echo(client)
     pass_time(node, REST)
     reducer = node.reducer
     before = reducer.active_conns.examined, reducer.active_hosts.examined
