--- a/benchmarks/scale/processes.py
+++ b/benchmarks/scale/processes.py
@@ -28,16 +28,16 @@
 ROOT = Path(__file__).resolve().parents[2]
 sys.path.insert(0, str(ROOT))
 
-from standins import address_of, standins  # noqa: E402  beside this file
+from stubs import address_of, start_stubs  # noqa: E402  beside this file
 
 from cottonspread.fleet import control  # noqa: E402  the checkout's own
 from cottonspread.lab.scale import results  # noqa: E402
 
-WAIT = 60.0
+TIMEOUT = 60.0
 MB = 1_000_000
-COME_AGAIN = 0.2
+RETRY_DELAY = 0.2
 """Seconds until a client that was turned away comes again."""
-SPAN = 10.0
+MEASURE_S = 10.0
 """Seconds over which processor time is counted."""
 
 
@@ -63,7 +63,7 @@
     sizes: tuple[int, ...]
     small: tuple[int, ...]
     fixed: dict
-    play: Callable[[int], Figures]
+    measure: Callable[[int], Figures]
 
 
 # What is read of a process
@@ -90,18 +90,18 @@
     return len(os.listdir(f"/proc/{pid}/task"))
 
 
-def rate_ms(pid: int, span: float = SPAN, meanwhile: Callable[[float], None] = time.sleep) -> float:
+def rate_ms(pid: int, span: float = MEASURE_S, meanwhile: Callable[[float], None] = time.sleep) -> float:
     """Processor time a second, in milliseconds, over the span."""
     began, before = time.monotonic(), processor_ms(pid)
     meanwhile(span)
     return (processor_ms(pid) - before) / (time.monotonic() - began)
 
 
-def until(true: Callable[[], bool], what: str, pause: float = 0.02) -> float:
+def wait_until(condition: Callable[[], bool], what: str, pause: float = 0.02) -> float:
     """Waits for it; the seconds that it took. TimeoutError after a minute."""
     began = time.monotonic()
-    while not true():
-        if time.monotonic() - began > WAIT:
+    while not condition():
+        if time.monotonic() - began > TIMEOUT:
             raise TimeoutError(what)
         time.sleep(pause)
     return time.monotonic() - began
@@ -112,19 +112,19 @@
 
 def settings(listing: str, listen: str, sockets: int = 1024) -> dict:
     """A node's configuration: the example's, at these addresses."""
-    made = json.loads((ROOT / "examples" / "node.json").read_text())
-    made |= {"discovery": listing, "listen": listen, "limits": {"memory_mb": 4096, "sockets": sockets}}
-    made.pop("operator")
-    made["settings"]["FamilyInfo"] |= {"TellsDelay": False, "TellsLoad": False}
-    made["settings"]["TrafficTypes"][0] |= {"SetupTarget": 2000, "GuardTime": 8000}
-    return made
+    values = json.loads((ROOT / "examples" / "node.json").read_text())
+    values |= {"discovery": listing, "listen": listen, "limits": {"memory_mb": 4096, "sockets": sockets}}
+    values.pop("operator")
+    values["settings"]["FamilyInfo"] |= {"TellsDelay": False, "TellsLoad": False}
+    values["settings"]["TrafficTypes"][0] |= {"SetupTarget": 2000, "GuardTime": 8000}
+    return values
 
 
 @contextlib.contextmanager
 def node(listing: str, sockets: int = 1024) -> Iterator[tuple[subprocess.Popen, tuple[str, int], Path]]:
     """A node process that serves: (process, its address, its configuration file)."""
-    with socket.create_server(("127.0.0.1", 0)) as taken:
-        listen, name = taken.getsockname(), address_of(taken)
+    with socket.create_server(("127.0.0.1", 0)) as placeholder:
+        listen, name = placeholder.getsockname(), address_of(placeholder)
     with tempfile.TemporaryDirectory() as folder:
         file = Path(folder) / "node.json"
         file.write_text(json.dumps(settings(listing, name, sockets)))
@@ -132,11 +132,11 @@
             words = [sys.executable, "-m", "cottonspread", "serve", "--config", str(file)]
             process = subprocess.Popen(words, cwd=ROOT, stderr=log)
         try:
-            until(lambda: ping(listen) == b"PONG\r\n", "no PONG")
+            wait_until(lambda: ping(listen) == b"PONG\r\n", "no PONG")
             yield process, listen, file
         finally:
             process.send_signal(signal.SIGTERM)
-            process.wait(WAIT)
+            process.wait(TIMEOUT)
 
 
 def ping(address: tuple[str, int]) -> bytes:
@@ -149,41 +149,41 @@
         return b""
 
 
-def call(address: tuple[str, int], number: int) -> socket.socket | None:
+def open_client(address: tuple[str, int], number: int) -> socket.socket | None:
     """A client with its UP; None where the node turned it away."""
-    sock = socket.create_connection(address, timeout=WAIT)
+    sock = socket.create_connection(address, timeout=TIMEOUT)
     words = secrets.token_hex(8), secrets.token_hex(8), number % 997
     sock.sendall("OPEN {} {} c=chat,d=8000,g=group-{}\r\n".format(*words).encode())
-    said = sock.recv(64)
-    if said.startswith(b"UP"):
+    reply = sock.recv(64)
+    if reply.startswith(b"UP"):
         return sock
     sock.close()
-    if not said.startswith(b"BUSY"):
-        raise RuntimeError(f"connection {number}: {said!r}")
+    if not reply.startswith(b"BUSY"):
+        raise RuntimeError(f"connection {number}: {reply!r}")
     return None
 
 
-def connect(address: tuple[str, int], count: int) -> tuple[list[socket.socket], int]:
+def open_clients(address: tuple[str, int], count: int) -> tuple[list[socket.socket], int]:
     """So many clients one after the other, each with its UP; how often one was told to come again."""
     clients, turned_away = [], 0
     while len(clients) < count:
-        sock = call(address, len(clients))
+        sock = open_client(address, len(clients))
         if sock is not None:
             clients.append(sock)
             continue
         turned_away += 1
         if turned_away > count:
             raise RuntimeError(f"turned away {turned_away} times, {len(clients)} connections stand")
-        time.sleep(COME_AGAIN)
+        time.sleep(RETRY_DELAY)
     return clients, turned_away
 
 
-def play_connections(count: int) -> Figures:
+def measure_connections(count: int) -> Figures:
     """A node with so many standing connections on which nothing happens."""
-    with standins() as (listing, _), node(listing, 3 * count + 256) as (process, address, _):
+    with start_stubs() as (listing, _), node(listing, 3 * count + 256) as (process, address, _):
         pid = process.pid
         base, used = memory_mb(pid), processor_ms(pid)
-        clients, turned_away = connect(address, count)
+        clients, turned_away = open_clients(address, count)
         used = processor_ms(pid) - used
         time.sleep(1.0)
         figures = {
@@ -202,16 +202,19 @@
 LISTENERS = 400
 
 
-def play_lines(rate: int) -> Figures:
+def measure_lines(rate: int) -> Figures:
     """A node whose servers push so many lines a second, over a few hundred connections."""
-    with standins() as (listing, every), node(listing, 3 * LISTENERS + 256) as (process, address, _):
-        clients, _ = connect(address, LISTENERS)
+    with (
+        start_stubs() as (listing, set_push_interval),
+        node(listing, 3 * LISTENERS + 256) as (process, address, _),
+    ):
+        clients, _ = open_clients(address, LISTENERS)
         loop = selectors.DefaultSelector()
         for sock in clients:
             sock.setblocking(False)
             loop.register(sock, selectors.EVENT_READ)
         took: list[float] = []
-        every(1 / rate)
+        set_push_interval(1 / rate)
 
         def listen(span: float) -> None:
             end = time.monotonic() + span
@@ -222,12 +225,12 @@
 
         listen(1.0)
         took.clear()
-        used = rate_ms(process.pid, SPAN, listen)
-        every(0.0)
+        used = rate_ms(process.pid, MEASURE_S, listen)
+        set_push_interval(0.0)
         took.sort()
         figures = {
             "processor": Figure(used, "ms/s", False),
-            "delivered": Figure(len(took) / SPAN, "lines/s", False),
+            "delivered": Figure(len(took) / MEASURE_S, "lines/s", False),
             "p50": Figure(statistics.median(took), "ms", False),
             "p99": Figure(took[len(took) * 99 // 100], "ms", False),
         }
@@ -236,9 +239,9 @@
         return figures
 
 
-def play_pings(rate: int) -> Figures:
+def measure_pings(rate: int) -> Figures:
     """A node that a front asks so many times a second."""
-    with standins() as (listing, _), node(listing) as (process, address, _):
+    with start_stubs() as (listing, _), node(listing) as (process, address, _):
 
         def ask(span: float) -> None:
             began = time.monotonic()
@@ -248,33 +251,33 @@
                     raise RuntimeError("no PONG")
             time.sleep(max(0.0, began + span - time.monotonic()))
 
-        return {"processor": Figure(rate_ms(process.pid, SPAN, ask), "ms/s", True)}
+        return {"processor": Figure(rate_ms(process.pid, MEASURE_S, ask), "ms/s", True)}
 
 
 RELOADS = 20
 
 
-def padded(made: dict, size: int) -> str:
+def padded(values: dict, size: int) -> str:
     """The configuration with traffic types added until it has the size in bytes."""
-    types = made["settings"]["TrafficTypes"]
-    while len(json.dumps(made)) < size:
+    types = values["settings"]["TrafficTypes"]
+    while len(json.dumps(values)) < size:
         types.append(types[0] | {"Name": f"type-{len(types):04}-{'x' * 40}"})
-        made["settings"]["FamilyInfo"]["MessageAim"].append(100)
-    return json.dumps(made)
+        values["settings"]["FamilyInfo"]["MessageAim"].append(100)
+    return json.dumps(values)
 
 
-def play_reloads(size: int) -> Figures:
+def measure_reloads(size: int) -> Figures:
     """A node that takes over configuration files of this size, one after the other."""
-    with standins() as (listing, _), node(listing) as (process, address, file):
+    with start_stubs() as (listing, _), node(listing) as (process, address, file):
         log = file.with_name("log")
-        made = settings(listing, "{}:{}".format(*address))
+        values = settings(listing, "{}:{}".format(*address))
         used = 0.0
         for number in range(RELOADS):
-            made["settings"]["TrafficTypes"][0]["GuardTime"] = 8000 + number
-            file.write_text(padded(made, size))
+            values["settings"]["TrafficTypes"][0]["GuardTime"] = 8000 + number
+            file.write_text(padded(values, size))
             before, seen = processor_ms(process.pid), log.read_bytes().count(b"event=reload")
             process.send_signal(signal.SIGHUP)
-            until(lambda seen=seen: log.read_bytes().count(b"event=reload") > seen, "no reload", 0.005)
+            wait_until(lambda seen=seen: log.read_bytes().count(b"event=reload") > seen, "no reload", 0.005)
             used += processor_ms(process.pid) - before
         if b"level=error" in log.read_bytes():
             raise RuntimeError(log.read_text()[-1000:])
@@ -286,8 +289,8 @@
 
 def fleet_file(folder: Path, listing: str, instances: int, port: int) -> Path:
     """An operator's file of so many instances."""
-    made = settings(listing, f"127.0.0.1:{port}")
-    (folder / "node.json").write_text(json.dumps(made))
+    values = settings(listing, f"127.0.0.1:{port}")
+    (folder / "node.json").write_text(json.dumps(values))
     file = folder / "o.toml"
     keys = {
         "name": "f",
@@ -336,28 +339,28 @@
         }
 
 
-def play_processes(count: int) -> Figures:
+def measure_processes(count: int) -> Figures:
     """A fleet of so many idle processes under one supervisor."""
-    with tempfile.TemporaryDirectory(prefix="sc-", dir="/tmp") as name, standins() as (listing, _):
+    with tempfile.TemporaryDirectory(prefix="sc-", dir="/tmp") as name, start_stubs() as (listing, _):
         folder = Path(name)
         file = fleet_file(folder, listing, count, free_ports(count + 1))
         words = [sys.executable, "-m", "cottonspread", "fleet", "run", "--operator", str(file)]
         with open(folder / "run.log", "wb") as log:
             supervisor = subprocess.Popen(words, cwd=ROOT, stdout=log, stderr=log)
         try:
-            ready = until(lambda: bool(fleet_status(folder).get("ready")), "not ready", 0.05)
+            ready = wait_until(lambda: bool(fleet_status(folder).get("ready")), "not ready", 0.05)
             time.sleep(2.0)
             return {"all_ready": Figure(ready, "s", True), **idle_fleet(supervisor.pid, folder, file)}
         finally:
             supervisor.send_signal(signal.SIGTERM)
-            supervisor.wait(WAIT)
+            supervisor.wait(TIMEOUT)
 
 
 def idle_fleet(supervisor: int, folder: Path, file: Path) -> Figures:
     """What its supervisor and its processes take while nothing happens."""
     pids = [row["pid"] for row in fleet_status(folder)["instances"]]
     before, began = [processor_ms(pid) for pid in (supervisor, *pids)], time.monotonic()
-    time.sleep(SPAN)
+    time.sleep(MEASURE_S)
     span = time.monotonic() - began
     used = [(processor_ms(pid) - had) / span for pid, had in zip((supervisor, *pids), before, strict=True)]
     return {
@@ -381,8 +384,8 @@
         "processes of the fleet",
         (2, 4, 8, 16, 32),
         (1, 2, 3, 4),
-        {"servers": 60, "connections": 0, "seconds": SPAN},
-        play_processes,
+        {"servers": 60, "connections": 0, "seconds": MEASURE_S},
+        measure_processes,
     ),
     "real-connections": Plan(
         "One node process with standing connections on which nothing happens.",
@@ -390,8 +393,8 @@
         "connections of the process",
         (250, 500, 1_000, 2_000),
         (10, 20, 40, 80),
-        {"servers": 60, "seconds": SPAN},
-        play_connections,
+        {"servers": 60, "seconds": MEASURE_S},
+        measure_connections,
     ),
     "real-lines": Plan(
         "One node process whose servers push lines; from when a line was due to when its client has it.",
@@ -399,8 +402,8 @@
         "lines a second",
         (100, 200, 400, 800, 1_200),
         (10, 20, 40, 80),
-        {"servers": 60, "connections": LISTENERS, "seconds": SPAN},
-        play_lines,
+        {"servers": 60, "connections": LISTENERS, "seconds": MEASURE_S},
+        measure_lines,
     ),
     "real-pings": Plan(
         "One node process that a front asks by PING, a connection each.",
@@ -408,8 +411,8 @@
         "PINGs a second",
         (5, 10, 20, 40, 80),
         (5, 10, 20, 40),
-        {"servers": 60, "connections": 0, "seconds": SPAN},
-        play_pings,
+        {"servers": 60, "connections": 0, "seconds": MEASURE_S},
+        measure_pings,
     ),
     "real-reloads": Plan(
         "One node process that takes over configuration files by SIGHUP, the mean of twenty.",
@@ -418,7 +421,7 @@
         (2_000, 5_000, 20_000, 50_000, 100_000),
         (1_000, 2_000, 3_000, 4_000),
         {"servers": 60, "connections": 0},
-        play_reloads,
+        measure_reloads,
     ),
 }
 
@@ -428,7 +431,7 @@
     points: dict[int, Figures] = {}
     sizes = plan.small if small else plan.sizes
     for size in sizes:
-        points[size] = plan.play(size)
+        points[size] = plan.measure(size)
         told = ", ".join(f"{key} {one.value:.4g}" for key, one in points[size].items())
         print(f"{name} {size}: {told}", file=sys.stderr, flush=True)
     measures = [
--- a/benchmarks/scale/standins.py
+++ b/benchmarks/scale/stubs.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass, field
 from multiprocessing.connection import Connection
 
-WAIT = 60.0
+STOP_TIMEOUT = 60.0
 """Seconds until the stand-ins' process has to be gone."""
 
 
@@ -23,31 +23,31 @@
 
 
 @dataclass
-class Standins:
+class Stubs:
     """Servers that answer UP and then push lines as they are told, and the list that names them."""
 
-    orders: Connection
+    control_pipe: Connection
     listeners: dict = field(default_factory=dict)
     loop: selectors.BaseSelector = field(default_factory=selectors.DefaultSelector)
-    standing: list = field(default_factory=list)
+    established: list = field(default_factory=list)
     watches: list = field(default_factory=list)
-    gap: float = 0.0
+    push_interval: float = 0.0
     """Seconds between two lines; 0: none are pushed."""
     next_push: float = 0.0
-    next_one: int = 0
+    next_index: int = 0
 
     def run(self, servers: int) -> None:
         """Until told to end."""
         hosts, listing = self.listener(self.accept_host), self.listener(self.accept_watch)
-        self.book = json.dumps(entries(servers, hosts)).encode()
-        self.orders.send(listing)
-        self.loop.register(self.orders, selectors.EVENT_READ, self.ordered)
+        self.entries_json = json.dumps(entries(servers, hosts)).encode()
+        self.control_pipe.send(listing)
+        self.loop.register(self.control_pipe, selectors.EVENT_READ, self.read_command)
         while True:
-            wait = max(0.0, self.next_push - time.monotonic()) if self.gap else 0.5
+            wait = max(0.0, self.next_push - time.monotonic()) if self.push_interval else 0.5
             for key, _ in self.loop.select(min(wait, 0.5)):
                 key.data(key.fileobj)
             self.push()
-            self.end_watches()
+            self.answer_expired_watches()
 
     def listener(self, accept: Callable) -> str:
         """The address of a new listening socket."""
@@ -55,9 +55,9 @@
         self.loop.register(sock, selectors.EVENT_READ, accept)
         return address_of(sock)
 
-    def ordered(self, orders: Connection) -> None:
+    def read_command(self, control_pipe: Connection) -> None:
         try:
-            self.gap = orders.recv()
+            self.push_interval = control_pipe.recv()
         except EOFError:
             raise SystemExit from None
         self.next_push = time.monotonic()
@@ -73,12 +73,12 @@
             self.drop(sock)
             return
         sock.sendall(b"UP %s\r\n" % secrets.token_hex(4).encode())
-        self.standing.append(sock)
-        self.loop.modify(sock, selectors.EVENT_READ, self.host_end)
+        self.established.append(sock)
+        self.loop.modify(sock, selectors.EVENT_READ, self.host_readable)
 
-    def host_end(self, sock: socket.socket) -> None:
+    def host_readable(self, sock: socket.socket) -> None:
         if not sock.recv(4096):
-            self.standing.remove(sock)
+            self.established.remove(sock)
             self.drop(sock)
 
     def drop(self, sock: socket.socket) -> None:
@@ -88,10 +88,10 @@
     def push(self) -> None:
         """The lines that are due: each holds the time at which it was due."""
         now = time.monotonic()
-        while self.gap and self.standing and self.next_push <= now:
-            self.next_one = (self.next_one + 1) % len(self.standing)
-            self.standing[self.next_one].send(b"%d\r\n" % round(self.next_push * 1e6))
-            self.next_push += self.gap
+        while self.push_interval and self.established and self.next_push <= now:
+            self.next_index = (self.next_index + 1) % len(self.established)
+            self.established[self.next_index].send(b"%d\r\n" % round(self.next_push * 1e6))
+            self.next_push += self.push_interval
 
     def accept_watch(self, listener: socket.socket) -> None:
         sock, _ = listener.accept()
@@ -105,9 +105,9 @@
         elif b"since=" in data:
             self.watches.append((time.monotonic() + 2.0, sock))
         else:
-            self.answer(sock, b'{"generation": 1, "reset": true, "instances": %s}' % self.book)
+            self.answer(sock, b'{"generation": 1, "reset": true, "instances": %s}' % self.entries_json)
 
-    def end_watches(self) -> None:
+    def answer_expired_watches(self) -> None:
         now = time.monotonic()
         for _, sock in [one for one in self.watches if one[0] <= now]:
             self.answer(sock, b'{"generation": 1, "reset": false, "instances": []}')
@@ -124,21 +124,21 @@
     return [{"instanceId": f"s-{n:04}", "weight": 1.0, "startedAtMs": 0, **common} for n in range(servers)]
 
 
-def run_standins(orders: Connection, servers: int) -> None:
+def run_stubs(control_pipe: Connection, servers: int) -> None:
     """In a process of its own."""
     signal.signal(signal.SIGINT, signal.SIG_IGN)
-    Standins(orders).run(servers)
+    Stubs(control_pipe).run(servers)
 
 
 @contextlib.contextmanager
-def standins(servers: int = 60) -> Iterator[tuple[str, Callable[[float], None]]]:
+def start_stubs(servers: int = 60) -> Iterator[tuple[str, Callable[[float], None]]]:
     """(the list's address, what sets the seconds between two pushed lines)."""
     ours, theirs = multiprocessing.Pipe()
-    process = multiprocessing.get_context("spawn").Process(target=run_standins, args=(theirs, servers))
+    process = multiprocessing.get_context("spawn").Process(target=run_stubs, args=(theirs, servers))
     process.start()
     theirs.close()
     try:
         yield ours.recv(), ours.send
     finally:
         ours.close()
-        process.join(WAIT)
+        process.join(STOP_TIMEOUT)
--- a/benchmarks/sizes/instances.py
+++ b/benchmarks/sizes/instances.py
@@ -17,7 +17,7 @@
 import time
 from pathlib import Path
 
-from lists import memory
+from lists import peak_memory_mb
 
 ROOT = Path(__file__).parent.parent.parent
 COTTONSPREAD = [sys.executable, "-m", "cottonspread", "fleet"]
@@ -75,7 +75,7 @@
             found["status_s"] = round(run("status"), 2)
             file.write_text(text + '[log]\nlevel = "warning"\n')
             found["reload_s"] = round(run("reload"), 1)
-            found["supervisor_mb"] = round(memory(supervisor.pid), 1)
+            found["supervisor_mb"] = round(peak_memory_mb(supervisor.pid), 1)
             found["stop_s"] = round(run("stop"), 1)
             found["exit"] = supervisor.wait(60)
         finally:
--- a/benchmarks/sizes/lists.py
+++ b/benchmarks/sizes/lists.py
@@ -27,11 +27,11 @@
 CALLS = 300
 
 
-def serve(listener, one):
+def accept_in_threads(listener, handle_connection):
     def accept():
         while True:
             sock, _ = listener.accept()
-            threading.Thread(target=one, args=(sock,), daemon=True).start()
+            threading.Thread(target=handle_connection, args=(sock,), daemon=True).start()
 
     threading.Thread(target=accept, daemon=True).start()
 
@@ -61,71 +61,71 @@
             }
             for n in range(servers)
         ]
-        self.form, self.version, self.news = form, 1, threading.Condition()
+        self.form, self.version, self.changed = form, 1, threading.Condition()
 
     def change(self):
-        with self.news:
+        with self.changed:
             self.version += 1
             self.servers[0]["startedAtMs"] = self.version
-            self.news.notify_all()
+            self.changed.notify_all()
 
-    def one(self, sock):
+    def handle_connection(self, sock):
         with contextlib.suppress(ConnectionError), sock, sock.makefile("rb") as file:  # the node has ended
             while line := file.readline():
                 while file.readline().strip():
                     pass
                 since = re.search(rb"since=(\d+)", line)
-                with self.news:
+                with self.changed:
                     if since:
-                        self.news.wait_for(lambda since=int(since[1]): self.version > since, 4)
-                        said = {"generation": self.version, "reset": False, "instances": self.servers[:1]}
+                        self.changed.wait_for(lambda since=int(since[1]): self.version > since, 4)
+                        reply = {"generation": self.version, "reset": False, "instances": self.servers[:1]}
                     else:
-                        said = {"generation": self.version, "reset": True, "instances": self.servers}
-                body = json.dumps(said, indent=2 if self.form == "indented" else None).encode()
+                        reply = {"generation": self.version, "reset": True, "instances": self.servers}
+                body = json.dumps(reply, indent=2 if self.form == "indented" else None).encode()
                 sock.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body))
                 step = 1400 if self.form == "pieces" else len(body)
                 for at in range(0, len(body), step):
                     sock.sendall(body[at : at + step])
 
 
-def ask(address, line, wait=5):
-    with socket.create_connection(address, timeout=wait) as sock:
+def exchange(address, line, timeout=5):
+    with socket.create_connection(address, timeout=timeout) as sock:
         sock.sendall(line + b"\r\n")
         return sock.recv(100)
 
 
-def first_pong(address, began, wait=30):
-    while time.perf_counter() - began < wait:
+def first_pong(address, started_at, timeout=30):
+    while time.perf_counter() - started_at < timeout:
         try:
-            if ask(address, b"PING") == b"PONG\r\n":
-                return time.perf_counter() - began
+            if exchange(address, b"PING") == b"PONG\r\n":
+                return time.perf_counter() - started_at
         except OSError:
             pass
         time.sleep(0.005)
     raise TimeoutError("no PONG")
 
 
-def processor(pid):
+def processor_seconds(pid):
     """Seconds that the process has used."""
-    words = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
-    return (int(words[11]) + int(words[12])) / os.sysconf("SC_CLK_TCK")
+    fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
+    return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
 
-def memory(pid):
+def peak_memory_mb(pid):
     """MB at most, as the kernel says."""
     return int(re.search(r"VmHWM:\s+(\d+)", Path(f"/proc/{pid}/status").read_text())[1]) / 1024
 
 
 def measure(servers, form):
-    with socket.create_server(("127.0.0.1", 0)) as taken:
-        listen = taken.getsockname()
+    with socket.create_server(("127.0.0.1", 0)) as placeholder:
+        listen = placeholder.getsockname()
     hosts, discovery = (
         socket.create_server(("127.0.0.1", 0), backlog=512),
         socket.create_server(("127.0.0.1", 0)),
     )
     listing = Listing(servers, "{}:{}".format(*hosts.getsockname()), form)
-    serve(hosts, host)
-    serve(discovery, listing.one)
+    accept_in_threads(hosts, host)
+    accept_in_threads(discovery, listing.handle_connection)
     with tempfile.TemporaryDirectory() as folder:
         file, log = Path(folder) / "node.json", Path(folder) / "log"
         file.write_text(
@@ -138,33 +138,33 @@
                 }
             )
         )
-        began = time.perf_counter()
+        started_at = time.perf_counter()
         with log.open("wb") as out:
             node = subprocess.Popen(
                 [sys.executable, "-m", "cottonspread", "serve", "--config", str(file)], cwd=ROOT, stderr=out
             )
         os.sched_setaffinity(node.pid, {0})
         try:
-            started = first_pong(listen, began)
-            words, before = [], processor(node.pid)
+            first_pong_s = first_pong(listen, started_at)
+            update_times, before = [], processor_seconds(node.pid)
             for _ in range(10):
-                heard, at = log.read_text().count("event=list"), time.perf_counter()
+                updates_before, at = log.read_text().count("event=list"), time.perf_counter()
                 listing.change()
-                while log.read_text().count("event=list") == heard:
+                while log.read_text().count("event=list") == updates_before:
                     time.sleep(0.001)
-                words.append(time.perf_counter() - at)
-            lists = (processor(node.pid) - before) / len(words)
-            calls, before = [], processor(node.pid)
+                update_times.append(time.perf_counter() - at)
+            update_cpu = (processor_seconds(node.pid) - before) / len(update_times)
+            calls, before = [], processor_seconds(node.pid)
             for n in range(CALLS):
                 at = time.perf_counter()
-                answer = ask(
+                answer = exchange(
                     listen, b"OPEN %s k%d c=chat,d=2000,g=g%d" % (secrets.token_hex(8).encode(), n, n)
                 )
                 calls.append(time.perf_counter() - at)
                 if not answer.startswith(b"UP "):
                     raise RuntimeError(f"{servers} {form}: call {n} was answered {answer!r}")
-            cpu = (processor(node.pid) - before) / CALLS
-            most = memory(node.pid)
+            cpu = (processor_seconds(node.pid) - before) / CALLS
+            peak_mb = peak_memory_mb(node.pid)
             at = time.perf_counter()
             node.send_signal(signal.SIGTERM)
             code = node.wait(20)
@@ -176,17 +176,17 @@
                 node.kill()
             node.wait()
     calls.sort()
-    words.sort()
+    update_times.sort()
     return {
         "servers": servers,
         "form": form,
-        "first_pong_ms": round(started * 1000),
-        "change_ms": round(words[len(words) // 2] * 1000, 1),
-        "change_cpu_ms": round(lists * 1000, 1),
+        "first_pong_ms": round(first_pong_s * 1000),
+        "change_ms": round(update_times[len(update_times) // 2] * 1000, 1),
+        "change_cpu_ms": round(update_cpu * 1000, 1),
         "call_p50_ms": round(calls[CALLS // 2] * 1000, 2),
         "call_p99_ms": round(calls[CALLS * 99 // 100] * 1000, 2),
         "call_cpu_ms": round(cpu * 1000, 2),
-        "memory_mb": round(most, 1),
+        "memory_mb": round(peak_mb, 1),
         "end_ms": round(ended * 1000),
     }
 
--- a/tests/scale/test_orders.py
+++ b/tests/scale/test_structures_against_naive.py
@@ -15,31 +15,31 @@
 SEEDS = range(60)
 
 
-def server(name, chance):
+def server(name, rng):
     """A server as far as these structures know one."""
-    entry = SimpleNamespace(zone=chance.randrange(4))
-    size = chance.choice((1.0, 1.0, 0.5, 3.0))
-    return SimpleNamespaceById(name=name, entry=entry, size=size, turn_credit=0.0, skip_until=0)
+    entry = SimpleNamespace(zone=rng.randrange(4))
+    size = rng.choice((1.0, 1.0, 0.5, 3.0))
+    return IdentityNamespace(name=name, entry=entry, size=size, turn_credit=0.0, skip_until=0)
 
 
-class SimpleNamespaceById(SimpleNamespace):
+class IdentityNamespace(SimpleNamespace):
     """Two of them are the same only if they are one."""
 
     __hash__ = object.__hash__
     __eq__ = object.__eq__
 
 
-def drawn_servers(chance, most):
+def random_servers(rng, max_count):
     """Servers with names of several lengths, some of them no text."""
-    count = chance.randrange(1, most)
-    names = chance.sample([f"server-{n}" for n in range(2 * most)] + [f"s{n:x}" for n in range(99)], count)
-    return [server(name, chance) for name in names]
+    count = rng.randrange(1, max_count)
+    names = rng.sample([f"server-{n}" for n in range(2 * max_count)] + [f"s{n:x}" for n in range(99)], count)
+    return [server(name, rng) for name in names]
 
 
 # Orders of groups
 
 
-def plain_order(key, servers):
+def sorted_order(key, servers):
     """The order as it was made before: all servers sorted."""
     start = crc32(str(key).encode())
 
@@ -51,27 +51,27 @@
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_a_key_s_order_is_the_one_that_sorting_all_gives(seed):
-    chance = Random(seed)
-    servers, orders = drawn_servers(chance, 3 if seed % 3 == 0 else 300), OrderCache(200)
+    rng = Random(seed)
+    servers, orders = random_servers(rng, 3 if seed % 3 == 0 else 300), OrderCache(200)
     for _ in range(6):
         orders.keep(servers)
-        for key in (chance.choice(("a", "group-7", 12, None, "x" * 40)) for _ in range(12)):
-            wanted, count = plain_order(key, servers), chance.randrange(len(servers) + 1)
-            found = orders.first(key, chance.choice((0, 3, count)))
-            assert [next(found) for _ in range(count)] == wanted[:count]
-            if chance.random() < 0.5:
-                assert list(found) == wanted[count:]
-            some = chance.sample(servers, count)
-            assert orders.sorted(key, some) == plain_order(key, some)
-        servers = [one for one in servers if chance.random() < 0.9] or servers
-        servers.append(server(f"come-{chance.randrange(10**6)}", chance))
+        for key in (rng.choice(("a", "group-7", 12, None, "x" * 40)) for _ in range(12)):
+            expected_order, count = sorted_order(key, servers), rng.randrange(len(servers) + 1)
+            found = orders.first(key, rng.choice((0, 3, count)))
+            assert [next(found) for _ in range(count)] == expected_order[:count]
+            if rng.random() < 0.5:
+                assert list(found) == expected_order[count:]
+            some = rng.sample(servers, count)
+            assert orders.sorted(key, some) == sorted_order(key, some)
+        servers = [one for one in servers if rng.random() < 0.9] or servers
+        servers.append(server(f"come-{rng.randrange(10**6)}", rng))
 
 
 def test_a_name_that_is_a_number_is_ranked_by_its_text():
-    chance = Random(1)
-    servers, orders = [server(n, chance) for n in range(150)], OrderCache(200)
+    rng = Random(1)
+    servers, orders = [server(n, rng) for n in range(150)], OrderCache(200)
     orders.keep(servers)
-    assert list(orders.first("k", 5)) == plain_order("k", servers)
+    assert list(orders.first("k", 5)) == sorted_order("k", servers)
 
 
 def test_orders_kept_are_bounded():
@@ -90,7 +90,7 @@
 # The rotation
 
 
-class PlainRotation:
+class NaiveRotation:
     """The rotation as it was: the whole order copied and filtered at each call."""
 
     def __init__(self):
@@ -120,9 +120,9 @@
         return None
 
 
-def twin(one):
+def copy_of(one):
     """Another of the same."""
-    return SimpleNamespaceById(**vars(one))
+    return IdentityNamespace(**vars(one))
 
 
 def has_name(names):
@@ -137,35 +137,35 @@
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_the_rotation_goes_on_as_the_plain_one_does(seed):
-    chance = Random(seed)
-    servers = drawn_servers(chance, 40)
-    twins = {one.name: twin(one) for one in servers}
-    plain, rotation = PlainRotation(), CyclicOrder()
-    plain.keep(servers)
-    rotation.keep(list(twins.values()))
+    rng = Random(seed)
+    servers = random_servers(rng, 40)
+    copies = {one.name: copy_of(one) for one in servers}
+    naive, rotation = NaiveRotation(), CyclicOrder()
+    naive.keep(servers)
+    rotation.keep(list(copies.values()))
     for now in range(300):
-        if chance.random() < 0.05:
-            listed = chance.sample(servers, chance.randrange(len(servers) + 1))
-            plain.keep(listed)
-            rotation.keep([twins[one.name] for one in listed])
-        for one in chance.sample(servers, len(servers) // 8):
-            one.skip_until = twins[one.name].skip_until = now + chance.randrange(9)
-        good = {one.name for one in plain.order if chance.random() < 0.5}
-        few = [one for one in plain.order if chance.random() < 0.3]
-        zone, kind = chance.randrange(5), chance.randrange(3)
+        if rng.random() < 0.05:
+            listed = rng.sample(servers, rng.randrange(len(servers) + 1))
+            naive.keep(listed)
+            rotation.keep([copies[one.name] for one in listed])
+        for one in rng.sample(servers, len(servers) // 8):
+            one.skip_until = copies[one.name].skip_until = now + rng.randrange(9)
+        allowed_names = {one.name for one in naive.order if rng.random() < 0.5}
+        subset = [one for one in naive.order if rng.random() < 0.3]
+        zone, kind = rng.randrange(5), rng.randrange(3)
         if kind == 0:
-            wanted, among = plain.order, rotation.following()
+            candidates, among = naive.order, rotation.following()
         elif kind == 1:
-            wanted = [one for one in plain.order if one.entry.zone == zone]
+            candidates = [one for one in naive.order if one.entry.zone == zone]
             among = rotation.in_zone(zone)
         else:
-            wanted, among = few, rotation.among([twins[one.name] for one in few])
-        allowed = {one.name for one in wanted} & good
-        expected = plain.next(has_name(allowed), now)
-        found = rotation.next(has_name(good), now, among)
+            candidates, among = subset, rotation.among([copies[one.name] for one in subset])
+        allowed = {one.name for one in candidates} & allowed_names
+        expected = naive.next(has_name(allowed), now)
+        found = rotation.next(has_name(allowed_names), now, among)
         assert name_of(found) == name_of(expected)
-        assert rotation.at == plain.at
-        assert [one.turn_credit for one in rotation.order] == [one.turn_credit for one in plain.order]
+        assert rotation.at == naive.at
+        assert [one.turn_credit for one in rotation.order] == [one.turn_credit for one in naive.order]
 
 
 def test_servers_that_are_looked_at_may_shut_themselves_as_they_are():
@@ -173,23 +173,23 @@
     rotation = CyclicOrder()
     servers = [server(f"s{n}", Random(n)) for n in range(5)]
     rotation.keep(servers)
-    looked = []
+    checked = []
 
     def fits(one):
-        looked.append(one)
+        checked.append(one)
         one.skip_until = 10
         return False
 
     assert rotation.next(fits, 1, rotation.following()) is None
-    assert looked == servers
+    assert checked == servers
     assert rotation.next(fits, 2, rotation.following()) is None
-    assert looked == servers
+    assert checked == servers
 
 
 # Records
 
 
-class PlainRecords:
+class NaiveRecords:
     """The map as it was: all entries walked for each value that is dropped."""
 
     def __init__(self):
@@ -219,22 +219,22 @@
         for key in [k for k, (v, _) in self.entries.items() if v is value]:
             del self.entries[key]
 
-    def trim(self, oldest, most):
+    def trim(self, oldest, max_count):
         """Takes out the idle ones."""
         while self.entries:
             key, (_, used) = next(iter(self.entries.items()))
-            if used >= oldest and len(self.entries) <= most:
+            if used >= oldest and len(self.entries) <= max_count:
                 return
             del self.entries[key]
 
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_records_hold_what_the_plain_map_holds(seed):
-    chance, values = Random(seed), [server(f"s{n}", Random(n)) for n in range(6)]
-    plain, indexed = PlainRecords(), LruMap()
+    rng, values = Random(seed), [server(f"s{n}", Random(n)) for n in range(6)]
+    naive, indexed = NaiveRecords(), LruMap()
     for now in range(800):
-        kind, key, value = chance.randrange(20), chance.randrange(60), chance.choice(values)
-        for one in (plain, indexed):
+        kind, key, value = rng.randrange(20), rng.randrange(60), rng.choice(values)
+        for one in (naive, indexed):
             if kind < 12:
                 one.put(key, value, now)
             elif kind < 15:
@@ -245,8 +245,8 @@
                 one.drop_value(value)
             else:
                 one.trim(now - 100, 30)
-        assert list(indexed.items()) == list(plain.entries.items())
+        assert list(indexed.items()) == list(naive.entries.items())
         indexed_keys = {value: keys for value, keys in indexed.keys_of.items()}
-        held = [value for value, _ in plain.entries.values()]
+        held = [value for value, _ in naive.entries.values()]
         assert all(len(keys) == held.count(value) > 0 for value, keys in indexed_keys.items())
         assert sum(map(len, indexed_keys.values())) == len(held)
