--- a/cottonspread/lab/scale/reducer_node.py
+++ b/cottonspread/lab/scale/reducer_node.py
@@ -107,7 +107,7 @@
         self.now += 10
         client = ev.ConnectionEnd(True, worker="a thread")
         self.step(ev.ClientAccepted(client))
-        line = f"OPEN call-{self.made} key-{self.made} c={TYPE},g={group},d={GUARD // 1000}\n"
+        line = f"OPEN call-{self.call_count} key-{self.call_count} c={TYPE},g={group},d={GUARD // 1000}\n"
         out = self.step(ev.LinesRead(client, line.encode()))
         connects = [effect for effect in out if isinstance(effect, ev.Connect)]
         assert connects, out
