--- a/cottonspread/lab/scale/hollow.py
+++ b/cottonspread/lab/scale/hollow.py
@@ -82,20 +82,20 @@
     """A connection to a hollow list machine, as far as `HttpClient` uses a socket."""
 
     def __init__(self, caller):
-        self.caller, self.path, self.answer, self.broken = caller, "", b"", False
+        self.caller, self.path, self.answer, self.reset_by_peer = caller, "", b"", False
 
     def settimeout(self, _):
         pass
 
     def sendall(self, request):
-        self.caller.sent(request)
+        self.caller.count_request(request)
         self.path = request.split(b" ", 2)[1].decode()
 
-    def recv(self, most):
+    def recv(self, max_bytes):
         if not self.answer:
-            self.answer = self.caller.answered(self.path)
-        taken, self.answer = self.answer[:most], self.answer[most:]
-        return taken
+            self.answer = self.caller.receive_answer(self.path)
+        chunk, self.answer = self.answer[:max_bytes], self.answer[max_bytes:]
+        return chunk
 
     def close(self):
         pass
@@ -110,7 +110,7 @@
 
     def exchange(self, *request):
         if self.sock is None:
-            self.sock = self.caller.connected()
+            self.sock = self.caller.open_socket()
         return super().exchange(*request)
 
 
@@ -120,37 +120,37 @@
     def __init__(self, agent, process):
         super().__init__(agent, process)
         self.http, self.meter = MemoryHttp(process.parts[0].discovery, self), process.meter
-        self.out = False  # a call is out that an answer can come to
+        self.in_flight = False  # a call is out that an answer can come to
 
     def send_request(self):
-        if self.http.sock is not None and self.http.sock.broken:  # the kernel knows that it ended
+        if self.http.sock is not None and self.http.sock.reset_by_peer:  # the kernel knows that it ended
             self.http.close()
-        fault = self.agent.refuses(self.process) if self.http.sock is None else None
-        if fault is None:
-            self.out = not self.agent.unheard(self.process)
+        error = self.agent.connect_error(self.process) if self.http.sock is None else None
+        if error is None:
+            self.in_flight = not self.agent.is_unreachable(self.process)
             super().send_request()
             return
-        self.call, self.answer, self.out = self.call + 1, None, False
-        wait = round(Discovery.CONNECT_TIMEOUT * SECOND) if isinstance(fault, TimeoutError) else ROUND_TRIP
-        self.world.after(wait, self.fail, self.call, fault)
+        self.call, self.answer, self.in_flight = self.call + 1, None, False
+        wait = round(Discovery.CONNECT_TIMEOUT * SECOND) if isinstance(error, TimeoutError) else ROUND_TRIP
+        self.world.after(wait, self.fail, self.call, error)
 
     def answer_if_due(self, call=None):
-        if self.out:
+        if self.in_flight:
             super().answer_if_due(call)
 
     def reset(self):
         """The list machine's end of the connection broke, and its kernel said so."""
         if self.http.sock is not None:
-            self.http.sock.broken = True
-        if self.out:
+            self.http.sock.reset_by_peer = True
+        if self.in_flight:
             self.world.after(ROUND_TRIP, self.fail, self.call, ConnectionResetError("the list machine ended"))
 
     def run_turn(self):
-        self.out = False
-        machine, began = self.agent.meter.answer_ns, time.thread_time_ns()
+        self.in_flight = False
+        machine_before, started_at = self.agent.meter.answer_ns, time.thread_time_ns()
         pause = super().run_turn()
-        spent = time.thread_time_ns() - began
-        self.meter.client_ns += spent - (self.agent.meter.answer_ns - machine)
+        elapsed = time.thread_time_ns() - started_at
+        self.meter.client_ns += elapsed - (self.agent.meter.answer_ns - machine_before)
         if pause:
             self.meter.failures += 1
         return pause
@@ -160,24 +160,24 @@
     def get(self, path, wait):
         return self.http.get(path, wait)
 
-    def connected(self):
+    def open_socket(self):
         if self.answer is not None:
             raise self.answer
         self.agent.meter.connections += 1
         return MemorySocket(self)
 
-    def sent(self, request):
+    def count_request(self, request):
         self.meter.requests += 1
         self.meter.bytes_out += len(request)
 
-    def answered(self, path):
+    def receive_answer(self, path):
         """The bytes of an answer. A call that got none raises what it met."""
         if self.answer is not None:
             raise self.answer
-        began = time.thread_time_ns()
+        started_at = time.thread_time_ns()
         body = self.body(path)
         answer = ANSWER % (len(body), body)
-        self.agent.meter.answer_ns += time.thread_time_ns() - began
+        self.agent.meter.answer_ns += time.thread_time_ns() - started_at
         self.agent.meter.answers += 1
         self.agent.meter.bytes_out += len(answer)
         self.meter.answers += 1
@@ -190,55 +190,60 @@
 
     def __init__(self, fleet, number, entries, lag):
         super().__init__(fleet, f"list{number}", entries, lag)
-        self.meter, self.gone, self.ended, self.cut_off = MachineMeter(), False, False, set()
+        self.meter, self.dropping_traffic, self.stopped, self.partitioned = (
+            MachineMeter(),
+            False,
+            False,
+            set(),
+        )
 
     def caller(self, process):
         return HollowCaller(self, process)
 
     # Troubles
 
-    def unheard(self, process):
+    def is_unreachable(self, process):
         """Whether nothing that the process sends comes here."""
-        return self.gone or process.node.name in self.cut_off
+        return self.dropping_traffic or process.node.name in self.partitioned
 
-    def refuses(self, process):
+    def connect_error(self, process):
         """What a new connection meets, None if it is taken."""
-        if self.unheard(process):
+        if self.is_unreachable(process):
             return TimeoutError("timed out")
-        return ConnectionRefusedError("refused") if self.ended else None
+        return ConnectionRefusedError("refused") if self.stopped else None
 
-    def vanish(self, span):
+    def drop_traffic(self, span):
         """The machine is lost for `span` and tells nobody: calls that are out run out, and new connections
         are not answered."""
         self.world.add_trace_line(self.name, "vanished")
-        self.gone = True
+        self.dropping_traffic = True
         for caller in self.callers:
-            caller.out = False
-        self.world.after(span, self.come_back)
+            caller.in_flight = False
+        self.world.after(span, self.recover)
 
-    def end(self, span):
+    def stop_process(self, span):
         """The process ends: its connections break and new ones are refused. Back after `span`."""
         self.world.add_trace_line(self.name, "ended")
-        self.ended = True
+        self.stopped = True
         for caller in self.callers:
             caller.reset()
-        self.world.after(span, self.come_back)
+        self.world.after(span, self.recover)
 
-    def come_back(self):
+    def recover(self):
         self.world.add_trace_line(self.name, "back")
-        self.gone = self.ended = False
+        self.dropping_traffic = self.stopped = False
         for caller in self.callers:
             if caller.http.sock is not None:
-                caller.http.sock.broken = True
+                caller.http.sock.reset_by_peer = True
 
-    def cut_ways(self, names, span):
+    def partition(self, names, span):
         """Nothing comes from or to these nodes; what was sent meanwhile is lost."""
         self.world.add_trace_line(self.name, "cut off", len(names))
-        self.cut_off |= names
+        self.partitioned |= names
         for caller in self.callers:
             if caller.process.node.name in names:
-                caller.out = False
-        self.world.after(span, self.cut_off.difference_update, names)
+                caller.in_flight = False
+        self.world.after(span, self.partitioned.difference_update, names)
 
 
 class HollowProcess(Process):
@@ -252,30 +257,30 @@
             client.begin()
 
     def step_reducer(self, event, at):
-        began = time.thread_time_ns()
+        started_at = time.thread_time_ns()
         effects = super().step_reducer(event, at)
-        self.count(event, time.thread_time_ns() - began)
+        self.record_step(event, time.thread_time_ns() - started_at)
         if isinstance(event, ev.ListReceived):
-            self.node.fleet.in_force(self.node, event.update.version)
+            self.node.fleet.record_applied(self.node, event.update.version)
         return effects
 
-    def count(self, event, spent):
+    def record_step(self, event, elapsed):
         meter = self.meter
         match event:
             case ev.ListReceived():
-                meter.list_ns += spent
+                meter.list_ns += elapsed
                 meter.entries += len(event.update.entries)
             case ev.ListFailed():
-                meter.list_ns += spent
+                meter.list_ns += elapsed
             case ev.Tick():
                 meter.ticks += 1
-                meter.tick_ns += spent
+                meter.tick_ns += elapsed
             case _:
                 meter.line_steps += 1
-                meter.line_ns += spent
+                meter.line_ns += elapsed
 
     def exit(self, how):
-        self.node.fleet.ended.add(self.meter)
+        self.node.fleet.ended_processes.add(self.meter)
         super().exit(how)
 
 
@@ -289,8 +294,8 @@
 
     def __init__(self, plan, control=(), machines=LIST_MACHINES, **options):
         self.control, self.machine_count, self.list_machines = tuple(control), machines, []
-        self.ended = Meter()  # of processes that are no more
-        self.versions = {}  # by version: when each node had it in force
+        self.ended_processes = Meter()  # of processes that are no more
+        self.applied_at = {}  # by version: when each node had it in force
         super().__init__(plan, **options)
 
     def agent_for(self, node):
@@ -302,21 +307,21 @@
     def processes(self):
         return [process for node in self.nodes for process in node.processes]
 
-    def metered(self):
+    def total_work(self):
         """The work of all instances so far, of ended ones too."""
         total = Meter()
-        total.add(self.ended)
+        total.add(self.ended_processes)
         for process in self.processes():
             total.add(process.meter)
         return total
 
     # The news
 
-    def change_lists(self, name, lifecycle):
+    def change_lifecycle(self, name, lifecycle):
         """The same change at every list machine, now; its version."""
         for machine in self.list_machines:
             machine.apply_change(name, lifecycle, None, self.entry(self.hosts[name].machine))
-        return self.made()
+        return self.track_version()
 
     def change_weight(self):
         """The last server's weight grows by a thousandth in every list machine's book; the version."""
@@ -324,20 +329,20 @@
             name, entry = next(reversed(machine.book.entries.items()))
             machine.book.change(name, "Ready", None, entry | {"weight": entry["weight"] * 1.001})
             machine.answer_waiting_calls()
-        return self.made()
+        return self.track_version()
 
-    def made(self):
+    def track_version(self):
         """The version that the list machines have now; when a node has it is kept from here on."""
         version = self.list_machines[0].book.version
-        self.versions[version] = {}
+        self.applied_at[version] = {}
         return version
 
-    def in_force(self, node, version):
+    def record_applied(self, node, version):
         """A node's module has the list up to this version."""
-        for told, reached in self.versions.items():
-            if told <= version:
-                reached.setdefault(node.name, self.world.now)
+        for known, applied in self.applied_at.items():
+            if known <= version:
+                applied.setdefault(node.name, self.world.now)
 
-    def listed(self):
+    def nodes_with_servers(self):
         """How many nodes know a server that is ready."""
         return sum(process.reducer.has_hosts for process in self.processes())
--- a/cottonspread/lab/scale/hollow_calibration.py
+++ b/cottonspread/lab/scale/hollow_calibration.py
@@ -12,17 +12,17 @@
 from cottonspread.lab.scale.hollow_sweeps import MIB, NS_PER_MS, Figure, SweepPlan, measure_control
 from cottonspread.lab.scale.processes import ListStub, RealNode, Relay
 
-IDLE_FROM_S = 3.0
+IDLE_START_S = 3.0
 """When the node has its list and rests; `size.seconds` from then on are idle, as many again have changes."""
 
 
-def until(moment: float) -> None:
+def sleep_until(moment: float) -> None:
     time.sleep(max(0.0, moment - time.monotonic()))
 
 
-def beside_hollow(size: Size) -> dict[str, Figure]:
+def compare_with_hollow(size: Size) -> dict[str, Figure]:
     """A real node's control, idle and under `size.changes_a_minute`, and hollow ones' at the same size."""
-    real = real_control(size)
+    real = measure_real_node(size)
     hollow = measure_control(replace(size, changes_a_minute=0))
     changed = measure_control(size)
     per_second = size.changes_a_minute / 60
@@ -39,10 +39,10 @@
     }
 
 
-def real_control(size: Size) -> dict[str, Figure]:
+def measure_real_node(size: Size) -> dict[str, Figure]:
     count = round(size.seconds * size.changes_a_minute / 60)
-    busy_from = IDLE_FROM_S + size.seconds
-    changes = [busy_from + size.seconds * (n + 0.5) / count for n in range(count)]
+    changes_start = IDLE_START_S + size.seconds
+    changes = [changes_start + size.seconds * (n + 0.5) / count for n in range(count)]
     with tempfile.TemporaryDirectory(prefix="cottonspread-scale-") as name:
         folder, running = Path(name), []
         try:
@@ -54,23 +54,25 @@
             running.append(node)
             begin = time.monotonic()
             listing.begin(begin)
-            looks = []
-            for at in (IDLE_FROM_S, busy_from, busy_from + size.seconds):
-                until(begin + at)
-                looks.append((node.processor_ns(), relay.bytes_in, relay.bytes_out))
+            samples = []
+            for at in (IDLE_START_S, changes_start, changes_start + size.seconds):
+                sleep_until(begin + at)
+                samples.append((node.processor_ns(), relay.bytes_in, relay.bytes_out))
             memory = node.resident()
         finally:
             for one in reversed(running):
                 one.end()
-    idle, busy = ([b - a for a, b in zip(*pair, strict=True)] for pair in zip(looks, looks[1:], strict=False))
-    change_ns = (busy[0] - idle[0]) / count
+    idle, loaded = (
+        [b - a for a, b in zip(*pair, strict=True)] for pair in zip(samples, samples[1:], strict=False)
+    )
+    change_ns = (loaded[0] - idle[0]) / count
     return {
         "real_idle_processor": Figure(idle[0] / NS_PER_MS / size.seconds, "ms/s an instance"),
         "real_change_processor": Figure(change_ns / NS_PER_MS, "ms a change"),
         "real_idle_bytes_in": Figure(idle[1] / size.seconds, "B/s an instance"),
         "real_idle_bytes_out": Figure(idle[2] / size.seconds, "B/s an instance"),
-        "real_changes_bytes_in": Figure(busy[1] / size.seconds, "B/s an instance"),
-        "real_changes_bytes_out": Figure(busy[2] / size.seconds, "B/s an instance"),
+        "real_changes_bytes_in": Figure(loaded[1] / size.seconds, "B/s an instance"),
+        "real_changes_bytes_out": Figure(loaded[2] / size.seconds, "B/s an instance"),
         "real_memory": Figure(memory / MIB, "MiB an instance"),
     }
 
@@ -83,7 +85,7 @@
         "servers",
         (50, 300, 1000, 3000),
         Size(nodes=6, changes_a_minute=60, seconds=10.0),
-        beside_hollow,
+        compare_with_hollow,
         "real",
     ),
 )
--- a/cottonspread/lab/scale/hollow_faults.py
+++ b/cottonspread/lab/scale/hollow_faults.py
@@ -56,30 +56,35 @@
 
     def __init__(self, *arguments, **options):
         super().__init__(*arguments, **options)
-        self.from_, self.lost, self.ends, self.spans = round(FAULT_AT_S * SECOND), {}, Counter(), []
-        self.whole_at, self.turned_away, self.without_answer = self.from_, 0, 0
+        self.count_from, self.lost_at, self.losses, self.recovery_s = (
+            round(FAULT_AT_S * SECOND),
+            {},
+            Counter(),
+            [],
+        )
+        self.recovered_at, self.busy_answers, self.unanswered = self.count_from, 0, 0
 
     def on_up(self, call):
         super().on_up(call)
-        since = self.lost.pop(call.schedule_index, None)
+        since = self.lost_at.pop(call.schedule_index, None)
         if since is not None:
-            self.spans.append((self.world.now - since) / SECOND)
-            if not self.lost:
-                self.whole_at = self.world.now
+            self.recovery_s.append((self.world.now - since) / SECOND)
+            if not self.lost_at:
+                self.recovered_at = self.world.now
 
     def end_call(self, call, how):
-        if not call.done and self.world.now >= self.from_ and how not in ("cut", "left"):
-            self.count(call, how)
+        if not call.done and self.world.now >= self.count_from and how not in ("cut", "left"):
+            self.record_loss(call, how)
         super().end_call(call, how)
 
-    def count(self, call, how):
+    def record_loss(self, call, how):
         if call.up:
-            self.ends[how] += 1
-            self.lost.setdefault(call.schedule_index, self.world.now)
+            self.losses[how] += 1
+            self.lost_at.setdefault(call.schedule_index, self.world.now)
         elif call.answers and call.answers[0][1] == "BUSY":
-            self.turned_away += 1
+            self.busy_answers += 1
         elif not call.answers:
-            self.without_answer += 1
+            self.unanswered += 1
 
 
 class FaultFleet(HollowFleet):
@@ -101,30 +106,30 @@
     setup_us: float = 2400.0
 
 
-def nodes(size: Size, of: int, which: int) -> list[str]:
-    return [f"n{n}" for n in range(size.nodes) if n % of == which % of]
+def node_names(size: Size, divisor: int, offset: int) -> list[str]:
+    return [f"n{n}" for n in range(size.nodes) if n % divisor == offset % divisor]
 
 
-def servers(size: Size, of: int, which: int) -> list[str]:
-    return [f"h{n}" for n in range(size.servers) if n % of == which % of]
+def server_names(size: Size, divisor: int, offset: int) -> list[str]:
+    return [f"h{n}" for n in range(size.servers) if n % divisor == offset % divisor]
 
 
-def part_lost(size: Size, of: int, which: int) -> list[Happening]:
+def partial_outage(size: Size, divisor: int, offset: int) -> list[Happening]:
     """One part of so many, nodes and servers: nodes end without a word, servers are silent."""
-    lost = servers(size, of, which) or [f"h{which % size.servers}"]
+    lost = server_names(size, divisor, offset) or [f"h{offset % size.servers}"]
     return [
-        Happening(at=FAULT_AT_S, kind="kill", on=nodes(size, of, which)),
+        Happening(at=FAULT_AT_S, kind="kill", on=node_names(size, divisor, offset)),
         Happening(at=FAULT_AT_S, kind="vanish", on=lost, seconds=PERMANENT_S),
     ]
 
 
-def rolling(size: Size) -> list[Happening]:
+def rolling_replacement(size: Size) -> list[Happening]:
     """Every node's process is replaced, one node after the other within twenty seconds."""
     gap = 20.0 / size.nodes
     return [Happening(at=FAULT_AT_S + n * gap, kind="replace", on=[f"n{n}"]) for n in range(size.nodes)]
 
 
-def ordinary(size: Size) -> list[Happening]:
+def ordinary_day(size: Size) -> list[Happening]:
     """Two nodes fail, six are restarted, a server is replaced and another drained."""
     picked = [f"n{(7 + 31 * n) % size.nodes}" for n in range(8)]
     failed = [Happening(at=FAULT_AT_S + 5.0 * n, kind="kill", on=[picked[n]], seconds=4.0) for n in range(2)]
@@ -139,66 +144,66 @@
     return sorted(failed + restarted + hosts, key=lambda one: one.at)
 
 
-def region(size: Size) -> frozenset[str]:
+def region_nodes(size: Size) -> frozenset[str]:
     """The first third of the nodes."""
     return frozenset(f"n{n}" for n in range(size.nodes // 3))
 
 
 REGION_CUT_S = 60.0
-CATCHING_UP_S = 4.5
+CATCH_UP_S = 4.5
 """Until every node of a region that is back has heard what it missed."""
 
 
 def cut_region(fleet: HollowFleet) -> None:
-    span, cut = round(REGION_CUT_S * SECOND), region(fleet.size)
+    span, cut = round(REGION_CUT_S * SECOND), region_nodes(fleet.size)
     for machine in fleet.list_machines:
-        machine.cut_ways(cut, span)
-    fleet.world.after(span, catching_up, fleet, cut)
+        machine.partition(cut, span)
+    fleet.world.after(span, measure_catch_up, fleet, cut)
 
 
-def catching_up(fleet: HollowFleet, cut: frozenset[str]) -> None:
+def measure_catch_up(fleet: HollowFleet, cut: frozenset[str]) -> None:
     """The region is back: what its nodes hear from now on is counted."""
-    before = heard_by(fleet, cut)
+    before = bytes_received(fleet, cut)
 
-    def caught_up():
-        heard = heard_by(fleet, cut) - before
-        fleet.told["catching_up_bytes_in_an_instance"] = heard / len(cut)
+    def record_catch_up():
+        received = bytes_received(fleet, cut) - before
+        fleet.extra_figures["catching_up_bytes_in_an_instance"] = received / len(cut)
 
-    fleet.world.after(round(CATCHING_UP_S * SECOND), caught_up)
+    fleet.world.after(round(CATCH_UP_S * SECOND), record_catch_up)
 
 
-def heard_by(fleet: HollowFleet, names: frozenset[str]) -> int:
+def bytes_received(fleet: HollowFleet, names: frozenset[str]) -> int:
     """Bytes that these nodes' list clients have received."""
     return sum(fleet.by_name[name].process.meter.bytes_in for name in names)
 
 
-def lose_machines(count: int, span_s: float) -> Callable[[HollowFleet], None]:
-    def lose(fleet):
+def list_machine_outage(count: int, span_s: float) -> Callable[[HollowFleet], None]:
+    def start_outage(fleet):
         for machine in fleet.list_machines[:count]:
-            machine.vanish(round(span_s * SECOND))
+            machine.drop_traffic(round(span_s * SECOND))
 
-    return lose
+    return start_outage
 
 
-def most(counted: Counter) -> str:
+def most_frequent(counted: Counter) -> str:
     """What was counted most often; of equals the last by name."""
     return max(counted, key=lambda name: (counted[name], name))
 
 
 def lose_largest_server(fleet: HollowFleet) -> None:
     """The server that holds most connections of the largest group is silent from now on."""
-    standing = [
+    established = [
         (conn.call.group, host.name)
         for host in fleet.hosts.values()
         for conn in host.conns
         if conn.call is not None
     ]
-    largest = most(Counter(group for group, _ in standing))
-    held = Counter(name for group, name in standing if group == largest)
-    name = most(held)
+    largest = most_frequent(Counter(group for group, _ in established))
+    held = Counter(name for group, name in established if group == largest)
+    name = most_frequent(held)
     count = held[name]
-    fleet.told["largest_group_connections_lost"] = count
-    fleet.told["largest_group_servers"] = len(held)
+    fleet.extra_figures["largest_group_connections_lost"] = count
+    fleet.extra_figures["largest_group_servers"] = len(held)
     lost = Happening(at=FAULT_AT_S, kind="vanish", on=[name], seconds=PERMANENT_S)
     fault_injection.inject(fleet, lost)
     fleet.schedule_change(
@@ -211,7 +216,7 @@
         "ordinary-day",
         "Two nodes fail, six restart, a server is replaced, one drains.",
         25.0,
-        faults=ordinary,
+        faults=ordinary_day,
     ),
     Event(
         "node-lost",
@@ -225,14 +230,16 @@
         14.0,
         faults=lambda size: [Happening(at=FAULT_AT_S, kind="stop", on=["n7"], seconds=4.0)],
     ),
-    Event("rolling-release", "Every node's process replaced within 20 s.", 28.0, faults=rolling),
-    Event("rack-lost", "A fortieth of nodes and servers.", 20.0, faults=lambda s: part_lost(s, RACKS, 5)),
-    Event("zone-lost", "An eighth of nodes and servers.", 25.0, faults=lambda s: part_lost(s, ZONES, 3)),
+    Event("rolling-release", "Every node's process replaced within 20 s.", 28.0, faults=rolling_replacement),
+    Event(
+        "rack-lost", "A fortieth of nodes and servers.", 20.0, faults=lambda s: partial_outage(s, RACKS, 5)
+    ),
+    Event("zone-lost", "An eighth of nodes and servers.", 25.0, faults=lambda s: partial_outage(s, ZONES, 3)),
     Event(
         "zone-lost-dear-set-ups",
         "An eighth of nodes and servers, where a set-up takes forty times the usual work.",
         25.0,
-        faults=lambda size: part_lost(size, ZONES, 3),
+        faults=lambda size: partial_outage(size, ZONES, 3),
         setup_us=COSTLY_SETUP_US,
     ),
     Event(
@@ -252,14 +259,14 @@
         "One of three list machines is lost for 20 s; changes meanwhile.",
         28.0,
         size=FEW_CONNECTIONS,
-        on_fault=lose_machines(1, 20.0),
+        on_fault=list_machine_outage(1, 20.0),
     ),
     Event(
         "two-list-machines-lost",
         "Two of three list machines are lost for 20 s; changes meanwhile.",
         28.0,
         size=FEW_CONNECTIONS,
-        on_fault=lose_machines(2, 20.0),
+        on_fault=list_machine_outage(2, 20.0),
     ),
     Event(
         "largest-group-server-lost",
@@ -278,15 +285,15 @@
     seconds_until_whole: float | None
     rules_broken: int
     trace: str
-    offences: list[str] = field(default_factory=list)
+    violations: list[str] = field(default_factory=list)
 
 
 def fault_plan(event: Event, size: Size) -> plans.Plan:
-    made = experiment(size, FAULT_AT_S + event.seconds, event.faults(size))
-    made.hosts.traits = msgspec.convert(TRAITS | {"setup_us": event.setup_us}, type(made.hosts.traits))
-    made.load.types[0].load_us = LOAD_US
-    made = plans.check(made, simulated=True)
-    return plans.make(made, plans.Variant(name="only"), size.seed, ADDRESS_BLOCK)
+    planned = experiment(size, FAULT_AT_S + event.seconds, event.faults(size))
+    planned.hosts.traits = msgspec.convert(TRAITS | {"setup_us": event.setup_us}, type(planned.hosts.traits))
+    planned.load.types[0].load_us = LOAD_US
+    planned = plans.check(planned, simulated=True)
+    return plans.make(planned, plans.Variant(name="only"), size.seed, ADDRESS_BLOCK)
 
 
 def run_event(event: Event, size: Size) -> EventResult:
@@ -294,69 +301,69 @@
     logging.getLogger("cottonspread").addHandler(logging.NullHandler())  # failed calls are played, not news
     began = time.monotonic()
     fleet = FaultFleet(fault_plan(event, size))
-    fleet.size, fleet.told, broken = size, {}, ""
-    give_cores(fleet, WARMUP_CORES)
-    fleet.world.at(round(WARMUP_S * SECOND), give_cores, fleet, TRAITS["cores"])
+    fleet.size, fleet.extra_figures, error = size, {}, ""
+    set_cores(fleet, WARMUP_CORES)
+    fleet.world.at(round(WARMUP_S * SECOND), set_cores, fleet, TRAITS["cores"])
     fleet.world.at(round(FAULT_AT_S * SECOND), event.on_fault, fleet)
-    made = {}
+    changed_at = {}
     for after in event.changes:
-        fleet.world.at(round((FAULT_AT_S + after) * SECOND), change, fleet, made)
-    before, standing = Meter(), 0
+        fleet.world.at(round((FAULT_AT_S + after) * SECOND), change, fleet, changed_at)
+    before, established = Meter(), 0
     try:
         fleet.world.run(round(FAULT_AT_S * SECOND) - 1)
-        before, standing = fleet.metered(), len(fleet.clients.established)
+        before, established = fleet.total_work(), len(fleet.clients.established)
         fleet.world.run(round((FAULT_AT_S + event.seconds) * SECOND))
         fleet.invariants.check_at_end()
-    except (InvariantError, ContractError, NodeError) as fault:
-        broken = str(fault)
-    lost, whole_at = len(fleet.clients.lost), fleet.clients.whole_at
-    work = meter_difference(fleet.metered(), before)
+    except (InvariantError, ContractError, NodeError) as broken:
+        error = str(broken)
+    lost, recovered_at = len(fleet.clients.lost_at), fleet.clients.recovered_at
+    work = meter_difference(fleet.total_work(), before)
     fleet.clients.finish()
     audit = ledger.Audit(fleet.plan, 0, fleet.records.__getitem__).run()
-    news = in_force(fleet, made)
+    propagated = propagation(fleet, changed_at)
     figures = {
-        "standing_before": standing,
-        "lost": sum(fleet.clients.ends.values()),
-        **{f"lost_{how.replace('-', '_')}": count for how, count in sorted(fleet.clients.ends.items())},
+        "standing_before": established,
+        "lost": sum(fleet.clients.losses.values()),
+        **{f"lost_{how.replace('-', '_')}": count for how, count in sorted(fleet.clients.losses.items())},
         "not_back_at_the_end": lost,
-        "turned_away": fleet.clients.turned_away,
-        "without_answer": fleet.clients.without_answer,
-        **spread("back", fleet.clients.spans),
-        **news.figures,
+        "turned_away": fleet.clients.busy_answers,
+        "without_answer": fleet.clients.unanswered,
+        **delay_figures("back", fleet.clients.recovery_s),
+        **propagated.figures,
         "list_failures": work.failures,
         "control_bytes_in_an_instance_s": work.bytes_in / size.nodes / event.seconds,
         "control_bytes_out_an_instance_s": work.bytes_out / size.nodes / event.seconds,
-        **fleet.told,
+        **fleet.extra_figures,
         "clients": size.nodes * size.connections,
         "servers": size.servers,
         "played_s": event.seconds,
         "peak_mib": resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024,
         "real_s": time.monotonic() - began,
     }
-    offences = [f"{one['what']} ({one['count']})" for one in audit["offences"]] + ([broken] if broken else [])
-    rules = sum(rule["broken"] for rule in audit["rules"].values()) + bool(broken)
-    whole = None if lost or news.missing else max(whole_at, news.at) / SECOND - FAULT_AT_S
+    violations = [f"{one['what']} ({one['count']})" for one in audit["offences"]] + ([error] if error else [])
+    rules = sum(rule["broken"] for rule in audit["rules"].values()) + bool(error)
+    whole = None if lost or propagated.missing else max(recovered_at, propagated.at) / SECOND - FAULT_AT_S
     return EventResult(
         {k: round(float(v), 4) for k, v in figures.items()},
         whole,
         rules,
         fleet.world.trace_digest(),
-        offences,
+        violations,
     )
 
 
-def give_cores(fleet: HollowFleet, cores: float) -> None:
+def set_cores(fleet: HollowFleet, cores: float) -> None:
     """To every server, beside its speed, which was drawn."""
     for host in fleet.hosts.values():
         host.model.traits = msgspec.structs.replace(host.model.traits, cores=cores)
 
 
-def change(fleet: HollowFleet, made: dict[int, int]) -> None:
-    made[fleet.change_weight()] = fleet.world.now
+def change(fleet: HollowFleet, changed_at: dict[int, int]) -> None:
+    changed_at[fleet.change_weight()] = fleet.world.now
 
 
 @dataclass(frozen=True)
-class News:
+class PropagationResult:
     """Whether every node that lives has the changes in force, and since when the last one has."""
 
     figures: dict[str, float]
@@ -364,34 +371,34 @@
     at: int
 
 
-def in_force(fleet: HollowFleet, made: dict[int, int]) -> News:
+def propagation(fleet: HollowFleet, changed_at: dict[int, int]) -> PropagationResult:
     alive = {node.name for node in fleet.nodes if node.processes}
-    spans, missing, last = [], 0, 0
-    for version, at in made.items():
-        reached = {name: when for name, when in fleet.versions[version].items() if name in alive}
-        missing = max(missing, len(alive) - len(reached))
-        spans += [(when - at) / SECOND for when in reached.values()]
-        last = max([last, *reached.values()])
-    late = sum(span > 3.0 for span in spans)
+    delays, missing, last = [], 0, 0
+    for version, at in changed_at.items():
+        applied = {name: when for name, when in fleet.applied_at[version].items() if name in alive}
+        missing = max(missing, len(alive) - len(applied))
+        delays += [(when - at) / SECOND for when in applied.values()]
+        last = max([last, *applied.values()])
+    late = sum(delay > 3.0 for delay in delays)
     figures = {"nodes_without_a_change": missing, "changes_in_force_over_3_s": late}
-    return News(figures | spread("in_force", spans), missing, last if late else 0)
+    return PropagationResult(figures | delay_figures("in_force", delays), missing, last if late else 0)
 
 
-def spread(name: str, spans: list[float]) -> dict[str, float]:
-    if not spans:
+def delay_figures(name: str, delays: list[float]) -> dict[str, float]:
+    if not delays:
         return {}
-    p50, p99 = np.percentile(spans, [50, 99])
-    return {f"{name}_p50_s": p50, f"{name}_p99_s": p99, f"{name}_last_s": max(spans)}
+    p50, p99 = np.percentile(delays, [50, 99])
+    return {f"{name}_p50_s": p50, f"{name}_p99_s": p99, f"{name}_last_s": max(delays)}
 
 
-def row(event: Event, played: EventResult) -> FaultRow:
-    told = "; ".join(played.offences)
+def row(event: Event, result: EventResult) -> FaultRow:
+    violations = "; ".join(result.violations)
     return FaultRow(
         event=event.name,
-        figures=played.figures,
-        seconds_until_whole=played.seconds_until_whole,
-        rules_broken=played.rules_broken,
-        notes=f"{event.notes} Trace {played.trace}." + (f" Broken: {told[:600]}" if told else ""),
+        figures=result.figures,
+        seconds_until_whole=result.seconds_until_whole,
+        rules_broken=result.rules_broken,
+        notes=f"{event.notes} Trace {result.trace}." + (f" Broken: {violations[:600]}" if violations else ""),
     )
 
 
@@ -433,17 +440,17 @@
     setup_us: float = 2400.0
 
 
-def zone_by_set_up(size: ZoneSize) -> dict[str, Figure]:
+def measure_zone_loss(size: ZoneSize) -> dict[str, Figure]:
     """How a lost zone's clients come again, by what a set-up costs."""
     event = next(event for event in EVENTS if event.name == "zone-lost")
-    told = run_event(replace(event, setup_us=size.setup_us), size).figures
-    clients = told["clients"]
+    figures = run_event(replace(event, setup_us=size.setup_us), size).figures
+    clients = figures["clients"]
     return {
-        "moved": Figure(told.get("lost_moved", 0) / clients * 100, "% of all clients", False),
-        "reset": Figure(told.get("lost_reset", 0) / clients * 100, "% of all clients", False),
-        "not_back": Figure(told["not_back_at_the_end"] / clients * 100, "% of all clients", False),
-        "turned_away": Figure(told["turned_away"] / clients, "times a client", False),
-        "back_p99": Figure(told.get("back_p99_s", 0.0), "s", False),
+        "moved": Figure(figures.get("lost_moved", 0) / clients * 100, "% of all clients", False),
+        "reset": Figure(figures.get("lost_reset", 0) / clients * 100, "% of all clients", False),
+        "not_back": Figure(figures["not_back_at_the_end"] / clients * 100, "% of all clients", False),
+        "turned_away": Figure(figures["turned_away"] / clients, "times a client", False),
+        "back_p99": Figure(figures.get("back_p99_s", 0.0), "s", False),
     }
 
 
@@ -455,14 +462,14 @@
         "us",
         (2400.0, 12_000.0, 24_000.0, 48_000.0, 96_000.0),
         ZoneSize(nodes=104, servers=10, connections=10, line_s=4.0),
-        zone_by_set_up,
+        measure_zone_loss,
     ),
 )
 
 
-def as_figures(found: FaultRow) -> dict[str, Figure]:
+def as_figures(row_: FaultRow) -> dict[str, Figure]:
     """A row for the terminal."""
-    figures = {name: Figure(value, name.rsplit("_", 1)[-1], False) for name, value in found.figures.items()}
-    whole = found.seconds_until_whole
+    figures = {name: Figure(value, name.rsplit("_", 1)[-1], False) for name, value in row_.figures.items()}
+    whole = row_.seconds_until_whole
     figures["seconds_until_whole"] = Figure(-1 if whole is None else whole, "s; -1: not whole", False)
-    return figures | {"rules_broken": Figure(found.rules_broken, "", False)}
+    return figures | {"rules_broken": Figure(row_.rules_broken, "", False)}
--- a/cottonspread/lab/scale/hollow_plans.py
+++ b/cottonspread/lab/scale/hollow_plans.py
@@ -50,7 +50,7 @@
         "count": count,
     }
     shapes = [shape] if size.connections else []
-    asked = {
+    values = {
         "name": "hollow",
         "seconds": seconds,
         "settle_s": 0,
@@ -68,7 +68,7 @@
         },
         "faults": [msgspec.structs.asdict(fault) for fault in faults],
     }
-    return plans.check(msgspec.convert(asked, plans.Experiment), simulated=True)
+    return plans.check(msgspec.convert(values, plans.Experiment), simulated=True)
 
 
 LARGEST_GROUP_ZIPF = 1.013
--- a/cottonspread/lab/scale/hollow_propagation.py
+++ b/cottonspread/lab/scale/hollow_propagation.py
@@ -12,7 +12,7 @@
 from cottonspread.lab.scale.hollow_sweeps import Figure, FleetRun, SweepPlan
 from cottonspread.lab.sim.world import SECOND
 
-CHANGES = 40
+CHANGE_COUNT = 40
 """Changes in each play, at drawn moments, one a second on the mean."""
 
 MAX_PROPAGATION_S = 6.0
@@ -28,9 +28,9 @@
     last: float
 
     @staticmethod
-    def of(spans: list[float]) -> "DelayStats":
-        p50, p99 = np.percentile(spans, [50, 99])
-        return DelayStats(float(p50), float(p99), max(spans))
+    def of(delays: list[float]) -> "DelayStats":
+        p50, p99 = np.percentile(delays, [50, 99])
+        return DelayStats(float(p50), float(p99), max(delays))
 
     def figures(self) -> dict[str, Figure]:
         return {
@@ -42,21 +42,21 @@
 
 def measure_propagation(size: Size) -> dict[str, Figure]:
     """All machines are well: from the change to each module."""
-    fleet_run = FleetRun(replace(size, seconds=CHANGES + 3.0))
-    fleet, draws, made = fleet_run.fleet, fleet_run.fleet.world.random_stream("news"), {}
+    fleet_run = FleetRun(replace(size, seconds=CHANGE_COUNT + 3.0))
+    fleet, rng, changed_at = fleet_run.fleet, fleet_run.fleet.world.random_stream("news"), {}
 
     def change(number):
         fleet_run.change(number)
-        made[fleet.list_machines[0].book.version] = fleet.world.now
+        changed_at[fleet.list_machines[0].book.version] = fleet.world.now
 
-    for number in range(CHANGES):
-        fleet.world.at(round((WARMUP_S + number) * SECOND) + draws.randbelow(SECOND), change, number)
-    fleet_run.until(WARMUP_S + CHANGES + 2.5)
-    spans = []
-    for version, reached in fleet.versions.items():
-        assert len(reached) == size.nodes, f"version {version} is in force at {len(reached)} nodes"
-        spans += [(at - made[version]) / SECOND for at in reached.values()]
-    return DelayStats.of(spans).figures()
+    for number in range(CHANGE_COUNT):
+        fleet.world.at(round((WARMUP_S + number) * SECOND) + rng.randbelow(SECOND), change, number)
+    fleet_run.run_until(WARMUP_S + CHANGE_COUNT + 2.5)
+    delays = []
+    for version, applied in fleet.applied_at.items():
+        assert len(applied) == size.nodes, f"version {version} is in force at {len(applied)} nodes"
+        delays += [(at - changed_at[version]) / SECOND for at in applied.values()]
+    return DelayStats.of(delays).figures()
 
 
 @dataclass(frozen=True)
@@ -74,37 +74,37 @@
 SECOND_OUTAGE_S = 0.1
 
 
-def lose_all(fleet_run: FleetRun, at: float, away_s: float, refuses: bool) -> float:
+def fail_list_machines(fleet_run: FleetRun, at: float, away_s: float, refuses: bool) -> float:
     """Every list machine, from `at` on; when they are back."""
-    fleet_run.until(at)
+    fleet_run.run_until(at)
     for machine in fleet_run.fleet.list_machines:
-        lose = machine.end if refuses else machine.vanish
-        lose(round(away_s * SECOND))
-    fleet_run.until(at + away_s)
+        fail = machine.stop_process if refuses else machine.drop_traffic
+        fail(round(away_s * SECOND))
+    fleet_run.run_until(at + away_s)
     return at + away_s
 
 
 def measure_after_outage(size: OutageSize) -> dict[str, Figure]:
     """The list machines are away, and a change is made as they come back: from then to each module."""
-    spans = []
+    delays = []
     fleet_run = FleetRun(replace(size, seconds=size.phases * (size.away_s + MAX_PROPAGATION_S + 2)))
     fleet, at = fleet_run.fleet, WARMUP_S
     for phase in range(size.phases):
         at += 2 / size.phases  # a watch lasts 2 s
-        at = lose_all(fleet_run, at, size.away_s, size.refuses)
+        at = fail_list_machines(fleet_run, at, size.away_s, size.refuses)
         if size.back_s:
-            at = lose_all(fleet_run, at + size.back_s, SECOND_OUTAGE_S, size.refuses)
-        back = fleet.world.now
+            at = fail_list_machines(fleet_run, at + size.back_s, SECOND_OUTAGE_S, size.refuses)
+        returned_at = fleet.world.now
         fleet_run.change(phase)
         version = fleet.list_machines[0].book.version
         at += MAX_PROPAGATION_S
-        fleet_run.until(at)
-        reached = fleet.versions[version]
-        assert len(reached) == size.nodes, f"in force at {len(reached)} nodes {MAX_PROPAGATION_S} s later"
-        spans += [(when - back) / SECOND for when in reached.values()]
-    figures = DelayStats.of(spans).figures()
+        fleet_run.run_until(at)
+        applied = fleet.applied_at[version]
+        assert len(applied) == size.nodes, f"in force at {len(applied)} nodes {MAX_PROPAGATION_S} s later"
+        delays += [(when - returned_at) / SECOND for when in applied.values()]
+    figures = DelayStats.of(delays).figures()
     return figures | {
-        "list_failures": Figure(fleet.metered().failures / size.nodes / size.phases, "failed calls")
+        "list_failures": Figure(fleet.total_work().failures / size.nodes / size.phases, "failed calls")
     }
 
 
--- a/cottonspread/lab/scale/hollow_sockets.py
+++ b/cottonspread/lab/scale/hollow_sockets.py
@@ -25,13 +25,13 @@
 from cottonspread.net.discovery import Discovery
 from cottonspread.net.http import HttpClient
 
-STARTS_OVER_S = 2.0
+START_WINDOW_S = 2.0
 """The clients start evenly over one watch."""
 
 WARMUP_S = 3.0
 CLIENT_PROCESSES = 3
-STACK = 256 * 1024
-HEADERS = 20 + 32
+THREAD_STACK_BYTES = 256 * 1024
+HEADER_BYTES = 20 + 32
 """Bytes of IP's and TCP's headers in a segment, with time stamps as Linux sends them."""
 
 TCP_INFO_SEGMENTS = 136
@@ -45,7 +45,7 @@
 
 
 @dataclass
-class Counts:
+class TrafficCounts:
     """What clients have sent and received."""
 
     requests: int = 0
@@ -56,8 +56,10 @@
     segments_out: int = 0
     segments_in: int = 0
 
-    def combined(self, other: "Counts", sign: int) -> "Counts":
-        return Counts(*(a + sign * b for a, b in zip(vars(self).values(), vars(other).values(), strict=True)))
+    def combined(self, other: "TrafficCounts", sign: int) -> "TrafficCounts":
+        return TrafficCounts(
+            *(a + sign * b for a, b in zip(vars(self).values(), vars(other).values(), strict=True))
+        )
 
 
 class CountedSocket:
@@ -71,8 +73,8 @@
         self.counts.bytes_out += len(data)
         self.sock.sendall(data)
 
-    def recv(self, most):
-        data = self.sock.recv(most)
+    def recv(self, max_bytes):
+        data = self.sock.recv(max_bytes)
         self.counts.bytes_in += len(data)
         return data
 
@@ -100,8 +102,8 @@
     """One real list client, and what it heard: (version, microseconds of the monotonic clock)."""
 
     address: tuple[str, int]
-    counts: Counts = field(default_factory=Counts)
-    heard: list[tuple[int, int]] = field(default_factory=list)
+    counts: TrafficCounts = field(default_factory=TrafficCounts)
+    versions_received: list[tuple[int, int]] = field(default_factory=list)
 
     def __post_init__(self):
         names = SimpleNamespace(zones={f"z{n}": n for n in range(ZONES)}, kinds={"lab": 0})
@@ -111,18 +113,24 @@
 
     def post(self, event):
         if isinstance(event, ev.ListReceived):
-            self.heard.append((event.update.version, time.monotonic_ns() // 1000))
+            self.versions_received.append((event.update.version, time.monotonic_ns() // 1000))
             self.counts.entries += len(event.update.entries)
         else:
             raise AssertionError("a list stand-in did not answer")
 
-    def now(self) -> Counts:
+    def current_counts(self) -> TrafficCounts:
         """Its counts, with the kernel's."""
         sock = self.discovery.http.sock
         out, received = segments(sock) if sock is not None else (0, 0)
-        known = self.counts
-        return Counts(
-            known.requests, known.requests, known.entries, known.bytes_out, known.bytes_in, out, received
+        counted = self.counts
+        return TrafficCounts(
+            counted.requests,
+            counted.requests,
+            counted.entries,
+            counted.bytes_out,
+            counted.bytes_in,
+            out,
+            received,
         )
 
 
@@ -130,36 +138,38 @@
 class ProcessResult:
     """What one process's clients counted within the window, their processor time, and their news."""
 
-    counts: Counts
+    counts: TrafficCounts
     processor_ns: int
-    heard: list[list[tuple[int, int]]]
+    versions_received: list[list[tuple[int, int]]]
 
 
-def clients(addresses: list[tuple[str, int]], begin: float, look: float, end: float) -> ProcessResult:
+def run_clients_here(
+    addresses: list[tuple[str, int]], start: float, window_start: float, end: float
+) -> ProcessResult:
     """Runs a client for each address from `begin` on, and counts from `look` to `end` (monotonic seconds)."""
-    threading.stack_size(STACK)
-    all_clients = [ListClient(address) for address in addresses]
-    for number, client in enumerate(all_clients):
-        time.sleep(max(0.0, begin + STARTS_OVER_S * number / len(all_clients) - time.monotonic()))
+    threading.stack_size(THREAD_STACK_BYTES)
+    clients = [ListClient(address) for address in addresses]
+    for number, client in enumerate(clients):
+        time.sleep(max(0.0, start + START_WINDOW_S * number / len(clients) - time.monotonic()))
         threading.Thread(target=client.discovery.run, daemon=True).start()
-    time.sleep(max(0.0, look - time.monotonic()))
-    before, processor = total(all_clients), time.process_time_ns()
+    time.sleep(max(0.0, window_start - time.monotonic()))
+    before, processor = sum_counts(clients), time.process_time_ns()
     time.sleep(max(0.0, end - time.monotonic()))
-    counts = total(all_clients).combined(before, -1)
+    counts = sum_counts(clients).combined(before, -1)
     processor = time.process_time_ns() - processor
-    for client in all_clients:
+    for client in clients:
         client.discovery.stop()
-    return ProcessResult(counts, processor, [client.heard for client in all_clients])
+    return ProcessResult(counts, processor, [client.versions_received for client in clients])
 
 
-def total(all_clients: list[ListClient]) -> Counts:
-    whole = Counts()
-    for client in all_clients:
-        whole = whole.combined(client.now(), 1)
-    return whole
+def sum_counts(clients: list[ListClient]) -> TrafficCounts:
+    summed = TrafficCounts()
+    for client in clients:
+        summed = summed.combined(client.current_counts(), 1)
+    return summed
 
 
-def over_sockets(size: Size) -> dict[str, Figure]:
+def measure_over_sockets(size: Size) -> dict[str, Figure]:
     """`size.nodes` clients with `size.changes_a_minute`, beside a hollow fleet of the same size."""
     count = round(size.seconds * size.changes_a_minute / 60)
     changes = [WARMUP_S + size.seconds * (n + 0.5) / count for n in range(count)]
@@ -168,12 +178,12 @@
         try:
             for number in range(LIST_MACHINES):
                 lists.append(ListStub(Path(folder), number, size.servers, changes))
-            told, list_ns = run_clients(size, lists)
+            results, list_ns = run_clients(size, lists)
         finally:
             for one in lists:
                 one.end()
-        heard = DelayStats.of(spans(told, lists)).figures() if count else {}
-    return figures(size, told, list_ns) | heard | hollow_beside(size)
+        delays = DelayStats.of(propagation_delays(results, lists)).figures() if count else {}
+    return figures(size, results, list_ns) | delays | hollow_counts(size)
 
 
 def run_clients(size: Size, lists: list[ListStub]) -> tuple[list[ProcessResult], int]:
@@ -183,52 +193,52 @@
     context = multiprocessing.get_context("spawn")
     with ProcessPoolExecutor(CLIENT_PROCESSES, mp_context=context) as pool:
         list(pool.map(time.sleep, [0.5] * CLIENT_PROCESSES))  # they are up
-        begin = time.monotonic() + 0.5
-        look, end = begin + WARMUP_S, begin + WARMUP_S + size.seconds
+        start = time.monotonic() + 0.5
+        window_start, end = start + WARMUP_S, start + WARMUP_S + size.seconds
         for one in lists:
-            one.begin(begin)
-        asked = [pool.submit(clients, part, begin, look, end) for part in parts if part]
-        time.sleep(max(0.0, look - time.monotonic()))
+            one.begin(start)
+        futures = [pool.submit(run_clients_here, part, start, window_start, end) for part in parts if part]
+        time.sleep(max(0.0, window_start - time.monotonic()))
         before = sum(one.processor_ns() for one in lists)
         time.sleep(max(0.0, end - time.monotonic()))
         list_ns = sum(one.processor_ns() for one in lists) - before
-        return [one.result() for one in asked], list_ns
+        return [one.result() for one in futures], list_ns
 
 
-def spans(told: list[ProcessResult], lists: list[ListStub]) -> list[float]:
+def propagation_delays(results: list[ProcessResult], lists: list[ListStub]) -> list[float]:
     """Seconds from each change to each client, which hears every version. The same plan made them all, and
     each list machine told its own moments; the earliest counts."""
-    made = [one.made() for one in lists]
-    at = {version: min(times[version] for times in made) for version in made[0]}
+    version_times = [one.version_times() for one in lists]
+    at = {version: min(times[version] for times in version_times) for version in version_times[0]}
     out = []
-    for part in told:
-        for heard in part.heard:
-            news = [(version, when) for version, when in heard if version in at]
-            assert [version for version, _ in news] == sorted(at), "a client missed a change"
-            out += [(when - at[version]) / SECOND for version, when in news]
+    for part in results:
+        for received in part.versions_received:
+            changes = [(version, when) for version, when in received if version in at]
+            assert [version for version, _ in changes] == sorted(at), "a client missed a change"
+            out += [(when - at[version]) / SECOND for version, when in changes]
     return out
 
 
-def figures(size: Size, told: list[ProcessResult], list_ns: int) -> dict[str, Figure]:
-    whole, processor = Counts(), sum(part.processor_ns for part in told)
-    for part in told:
-        whole = whole.combined(part.counts, 1)
+def figures(size: Size, results: list[ProcessResult], list_ns: int) -> dict[str, Figure]:
+    summed, processor = TrafficCounts(), sum(part.processor_ns for part in results)
+    for part in results:
+        summed = summed.combined(part.counts, 1)
     span = size.nodes * size.seconds
-    messages = whole.requests + whole.answers
-    wire = whole.bytes_in + whole.bytes_out + HEADERS * (whole.segments_in + whole.segments_out)
+    messages = summed.requests + summed.answers
+    wire = summed.bytes_in + summed.bytes_out + HEADER_BYTES * (summed.segments_in + summed.segments_out)
     return {
-        "control_bytes_in": Figure(whole.bytes_in / span, "B/s an instance"),
-        "control_bytes_out": Figure(whole.bytes_out / span, "B/s an instance"),
+        "control_bytes_in": Figure(summed.bytes_in / span, "B/s an instance"),
+        "control_bytes_out": Figure(summed.bytes_out / span, "B/s an instance"),
         "control_bytes_on_the_wire": Figure(wire / span, "B/s an instance"),
         "control_messages": Figure(messages / span, "messages/s an instance"),
-        "segments": Figure((whole.segments_in + whole.segments_out) / span, "segments/s an instance"),
-        "entries_read": Figure(whole.entries / span, "entries/s an instance"),
+        "segments": Figure((summed.segments_in + summed.segments_out) / span, "segments/s an instance"),
+        "entries_read": Figure(summed.entries / span, "entries/s an instance"),
         "client_processor": Figure(processor / 1e6 / span, "ms/s an instance"),
         "list_machine_processor": Figure(list_ns / 1e6 / size.seconds / LIST_MACHINES, "ms/s a list machine"),
     }
 
 
-def hollow_beside(size: Size) -> dict[str, Figure]:
+def hollow_counts(size: Size) -> dict[str, Figure]:
     """The hollow fleet's counts at the same size, for comparison."""
     hollow = measure_control(size)
     names = ("control_bytes_in", "control_bytes_out", "control_messages", "entries_read")
@@ -244,7 +254,7 @@
         "clients",
         (10, 50, 150, 420),
         Size(servers=50, changes_a_minute=60, seconds=12.0),
-        over_sockets,
+        measure_over_sockets,
         "sockets",
     ),
     SweepPlan(
@@ -255,7 +265,7 @@
         "clients",
         (10, 50, 150, 420),
         Size(servers=50, seconds=12.0),
-        over_sockets,
+        measure_over_sockets,
         "sockets",
     ),
 )
--- a/cottonspread/lab/scale/hollow_sweeps.py
+++ b/cottonspread/lab/scale/hollow_sweeps.py
@@ -50,26 +50,26 @@
         self.size = size
         seconds = WARMUP_S + size.seconds
         self.fleet = HollowFleet(fleet_plan(size, seconds), checked=False)
-        self.looked, self.machine_looked = Meter(), MachineMeter()
+        self.counted, self.machines_counted = Meter(), MachineMeter()
 
-    def until(self, seconds: float) -> None:
+    def run_until(self, seconds: float) -> None:
         self.fleet.world.run(round(seconds * SECOND))
 
-    def look(self) -> tuple[Meter, MachineMeter]:
+    def take_counts(self) -> tuple[Meter, MachineMeter]:
         """What was done since the last look, by all instances and by all list machines."""
-        meter, machines = self.fleet.metered(), MachineMeter()
+        meter, machines = self.fleet.total_work(), MachineMeter()
         for machine in self.fleet.list_machines:
             for field in fields(machines):
                 now = getattr(machines, field.name) + getattr(machine.meter, field.name)
                 setattr(machines, field.name, now)
-        done = meter_difference(meter, self.looked), meter_difference(machines, self.machine_looked)
-        self.looked, self.machine_looked = meter, machines
-        return done
+        work = meter_difference(meter, self.counted), meter_difference(machines, self.machines_counted)
+        self.counted, self.machines_counted = meter, machines
+        return work
 
     def change(self, number: int) -> None:
         """The next change: a server drains, or the one that drained last is ready again."""
         server = f"h{number // 2 % self.size.servers}"
-        self.fleet.change_lists(server, "Ready" if number % 2 else "Terminating")
+        self.fleet.change_lifecycle(server, "Ready" if number % 2 else "Terminating")
 
     def schedule_changes(self, start: float, count: int, gap: float) -> None:
         for number in range(count):
@@ -79,26 +79,26 @@
 def measure_control(size: Size) -> dict[str, Figure]:
     """An instance's control work a second at this size."""
     fleet_run, before = FleetRun(size), resident()
-    fleet_run.until(WARMUP_S)
-    assert fleet_run.fleet.listed() == size.nodes
-    fleet_run.look()
+    fleet_run.run_until(WARMUP_S)
+    assert fleet_run.fleet.nodes_with_servers() == size.nodes
+    fleet_run.take_counts()
     gap = 60 / size.changes_a_minute if size.changes_a_minute else 0
     changes = round(size.seconds / gap) if gap else 0
     fleet_run.schedule_changes(WARMUP_S + min(gap, 1) / 2, changes, gap)
-    fleet_run.until(WARMUP_S + size.seconds)
-    done, machines = fleet_run.look()
+    fleet_run.run_until(WARMUP_S + size.seconds)
+    work, machines = fleet_run.take_counts()
     gc.collect()
     span = size.nodes * size.seconds
     memory = (resident() - before) / size.nodes / MIB
     up = fleet_run.fleet.clients.counts["up"]
     figures = {
-        "control_bytes_in": Figure(done.bytes_in / span, "B/s an instance"),
-        "control_bytes_out": Figure(done.bytes_out / span, "B/s an instance"),
-        "control_messages": Figure((done.requests + done.answers) / span, "messages/s an instance"),
-        "entries_read": Figure(done.entries / span, "entries/s an instance"),
-        "list_processor": Figure(done.list_control_ns / NS_PER_MS / span, "ms/s an instance"),
-        "ticks": Figure(done.ticks / span, "ticks/s an instance"),
-        "tick_processor": Figure(done.tick_ns / NS_PER_MS / span, "ms/s an instance"),
+        "control_bytes_in": Figure(work.bytes_in / span, "B/s an instance"),
+        "control_bytes_out": Figure(work.bytes_out / span, "B/s an instance"),
+        "control_messages": Figure((work.requests + work.answers) / span, "messages/s an instance"),
+        "entries_read": Figure(work.entries / span, "entries/s an instance"),
+        "list_processor": Figure(work.list_control_ns / NS_PER_MS / span, "ms/s an instance"),
+        "ticks": Figure(work.ticks / span, "ticks/s an instance"),
+        "tick_processor": Figure(work.tick_ns / NS_PER_MS / span, "ms/s an instance"),
         "memory": Figure(memory, "MiB an instance"),
         "list_machine_bytes_out": Figure(
             machines.bytes_out / size.seconds / len(fleet_run.fleet.list_machines), "B/s a list machine"
@@ -109,30 +109,30 @@
     }
     if size.connections:
         figures["connections_up"] = Figure(up / size.nodes, "connections an instance", False)
-        figures["line_processor"] = Figure(done.line_ns / NS_PER_MS / span, "ms/s an instance", False)
-        figures["line_steps"] = Figure(done.line_steps / span, "steps/s an instance", False)
+        figures["line_processor"] = Figure(work.line_ns / NS_PER_MS / span, "ms/s an instance", False)
+        figures["line_steps"] = Figure(work.line_steps / span, "steps/s an instance", False)
     return figures
 
 
-CHANGES = 10
+CHANGE_COUNT = 10
 """Changes that a change's cost is the mean of."""
 
 
 def measure_full_list_and_change(size: Size) -> dict[str, Figure]:
     """What a whole list costs an instance, what one change costs it, and its ticks, at this many servers."""
     fleet_run, before = FleetRun(size), resident()
-    fleet_run.until(WARMUP_S)
+    fleet_run.run_until(WARMUP_S)
     gc.collect()
     memory = (resident() - before) / size.nodes / MIB
-    first, _ = fleet_run.look()
+    first, _ = fleet_run.take_counts()
     for process in fleet_run.fleet.processes():  # as after an answer that could not be read
         process.discovery.need_full_list = True
-    fleet_run.until(WARMUP_S + 2.55)
-    whole, _ = fleet_run.look()
-    fleet_run.schedule_changes(WARMUP_S + 2.65, CHANGES, 1.0)
-    fleet_run.until(WARMUP_S + 2.6 + CHANGES)
-    change, _ = fleet_run.look()
-    nodes, events = size.nodes, size.nodes * CHANGES
+    fleet_run.run_until(WARMUP_S + 2.55)
+    whole, _ = fleet_run.take_counts()
+    fleet_run.schedule_changes(WARMUP_S + 2.65, CHANGE_COUNT, 1.0)
+    fleet_run.run_until(WARMUP_S + 2.6 + CHANGE_COUNT)
+    change, _ = fleet_run.take_counts()
+    nodes, events = size.nodes, size.nodes * CHANGE_COUNT
     assert whole.entries == nodes * size.servers, "each asks for one whole list"
     return {
         "whole_list_bytes": Figure(whole.bytes_in / nodes, "B a whole list"),
@@ -155,7 +155,7 @@
     """A sweep: sizes that differ in one variable, and what plays each."""
 
     name: str
-    what: str
+    description: str
     variable: str
     unit: str
     values: tuple
@@ -213,16 +213,16 @@
     return replace(sweep, values=SMALL_VALUES.get(sweep.variable, sweep.values), base=base)
 
 
-def override_sizes(sweep: SweepPlan, **tops: int | None) -> SweepPlan:
+def override_sizes(sweep: SweepPlan, **sizes: int | None) -> SweepPlan:
     """The sweep with other sizes: a variable that is swept goes up to its top by doubling; one that is fixed
     takes it as it is."""
-    for name, top in tops.items():
-        if top is None:
+    for name, size in sizes.items():
+        if size is None:
             continue
         if name == sweep.variable:
-            sweep = replace(sweep, values=tuple(max(n, top * n // 8) for n in (1, 2, 4, 8)))
+            sweep = replace(sweep, values=tuple(max(n, size * n // 8) for n in (1, 2, 4, 8)))
         else:
-            sweep = replace(sweep, base=replace(sweep.base, **{name: top}))
+            sweep = replace(sweep, base=replace(sweep.base, **{name: size}))
     return sweep
 
 
@@ -234,32 +234,32 @@
     return sweep.measure(replace(sweep.base, **{sweep.variable: value}, seed=seed))
 
 
-def run_in_subprocess(what, *arguments):
+def run_in_subprocess(function, *arguments):
     """Calls it in a process of its own, and waits."""
     context = multiprocessing.get_context("spawn")
     with ProcessPoolExecutor(1, mp_context=context) as pool:
-        return pool.submit(what, *arguments).result()
+        return pool.submit(function, *arguments).result()
 
 
-def run_inline(what, *arguments):
+def run_inline(function, *arguments):
     """Calls it in this process: quicker, and its memory is not its alone."""
-    return what(*arguments)
+    return function(*arguments)
 
 
 def run_sweep(
-    one: SweepPlan, command: str, seed: int, alone: bool, tell=lambda *_: None, call=run_in_subprocess
+    one: SweepPlan, command: str, seed: int, alone: bool, on_point=lambda *_: None, call=run_in_subprocess
 ) -> Sweep:
     """Plays every size of it; `tell` is given each value of the variable with its figures."""
     points = {}
     for value in one.values:
         points[value] = call(measure_point, one, value, seed)
-        tell(value, points[value])
+        on_point(value, points[value])
     base = replace(one.base, seed=seed)
     fixed = {f.name: getattr(base, f.name) for f in fields(base) if f.name != one.variable}
     first = points[one.values[0]]
     return Sweep(
         name=one.name,
-        what=one.what,
+        what=one.description,
         command=command,
         kind=one.kind,
         alone=alone,
--- a/cottonspread/lab/scale/processes.py
+++ b/cottonspread/lab/scale/processes.py
@@ -17,7 +17,7 @@
 from cottonspread.lab.sim.world import SECOND
 
 ROOT = Path(__file__).resolve().parents[3]
-END_WAIT = 5.0
+TERMINATE_TIMEOUT = 5.0
 CPU_CLOCK_OF_PROCESS = 2
 """Linux: the kind of clock that `clock_getcpuclockid` gives; its id holds the process's id."""
 
@@ -33,7 +33,7 @@
         return int(file.read().split()[1]) * os.sysconf("SC_PAGE_SIZE")
 
 
-def started(words: list[str], folder: Path, name: str, **options) -> subprocess.Popen:
+def start_cottonspread(words: list[str], folder: Path, name: str, **options) -> subprocess.Popen:
     """`python -m cottonspread WORDS` with its standard error in the folder."""
     with open(folder / f"{name}.log", "ab") as log:
         return subprocess.Popen(
@@ -45,23 +45,23 @@
         )
 
 
-def ended(process: subprocess.Popen) -> None:
+def terminate(process: subprocess.Popen) -> None:
     """Asks it to end, and kills it if it does not."""
     process.terminate()
     try:
-        process.wait(END_WAIT)
+        process.wait(TERMINATE_TIMEOUT)
     except subprocess.TimeoutExpired:
         process.kill()
         process.wait()
 
 
-def block(number: int) -> tuple[int, int]:
+def address_block(number: int) -> tuple[int, int]:
     """The two middle numbers of addresses that no other play on this machine uses."""
     own = os.getpid() * 8 + number
     return 64 + own % 128, own // 128 % 256
 
 
-class Part:
+class LabProcess:
     """A process of the lab that plays a part of a plan: `hosts`, `list` or `load`."""
 
     def __init__(self, kind: str, folder: Path, plan: plans.Plan, number: int = 0):
@@ -70,11 +70,11 @@
         path.write_bytes(msgspec.json.encode(plan))
         words = ["lab", kind, "--plan", str(path), "--number", str(number)]
         pipes = {"stdin": subprocess.PIPE, "stdout": subprocess.PIPE, "text": True}
-        self.process = started(words, folder, f"{kind}-{number}", **pipes)
-        said = self.process.stdout.readline().strip()
-        if said != "ready":
+        self.process = start_cottonspread(words, folder, f"{kind}-{number}", **pipes)
+        reply = self.process.stdout.readline().strip()
+        if reply != "ready":
             self.end()
-            raise RuntimeError(f"lab {kind} said {said!r}")
+            raise RuntimeError(f"lab {kind} said {reply!r}")
 
     def begin(self, at: float) -> None:
         """Its time runs from then on; seconds of the monotonic clock."""
@@ -86,22 +86,22 @@
 
     def end(self) -> None:
         self.process.stdin.close()
-        ended(self.process)
+        terminate(self.process)
         self.process.stdout.close()
 
 
-class ListStub(Part):
+class ListStub(LabProcess):
     """One process of the lab's list. `changes`: seconds after the begin at which a server drains, each time
     another one."""
 
     def __init__(self, folder: Path, number: int, servers: int, changes: list[float] | tuple = ()):
         self.folder = folder / f"list{number}"
         seconds = max(changes, default=1.0) + 600
-        asked = experiment(Size(nodes=1, servers=servers), seconds)
-        asked.faults = [
+        planned = experiment(Size(nodes=1, servers=servers), seconds)
+        planned.faults = [
             plans.Happening(at=at, kind="drain", on=[f"h{n % servers}"]) for n, at in enumerate(changes)
         ]
-        self.plan = plans.make(asked, plans.Variant(name="only"), 1, block(number))
+        self.plan = plans.make(planned, plans.Variant(name="only"), 1, address_block(number))
         super().__init__("list", self.folder, self.plan)
 
     @property
@@ -109,7 +109,7 @@
         node = self.plan.nodes[0]
         return node.ip, node.list_port
 
-    def made(self) -> dict[int, int]:
+    def version_times(self) -> dict[int, int]:
         """After its end: when each version was made, microseconds of the monotonic clock."""
         lines = record.read(str(self.folder), "list")
         return {line["version"]: line["t"] for line in lines if line["k"] == "change"}
@@ -122,7 +122,9 @@
         values = tuning.values(plan, 0) | {"discovery": f"{discovery[0]}:{discovery[1]}"}
         path = folder / "node.json"
         path.write_bytes(msgspec.json.encode(values))
-        self.process = started(["serve", "--config", str(path)], folder, "node", stdin=subprocess.DEVNULL)
+        self.process = start_cottonspread(
+            ["serve", "--config", str(path)], folder, "node", stdin=subprocess.DEVNULL
+        )
 
     def processor_ns(self) -> int:
         return processor_ns(self.process.pid)
@@ -131,7 +133,7 @@
         return resident(self.process.pid)
 
     def end(self) -> None:
-        ended(self.process)
+        terminate(self.process)
 
 
 class Relay:
@@ -149,11 +151,11 @@
                 node, _ = self.listener.accept()
             except OSError:
                 return
-            there = socket.create_connection(self.target)
-            threading.Thread(target=self.carry, args=(node, there, "bytes_out"), daemon=True).start()
-            threading.Thread(target=self.carry, args=(there, node, "bytes_in"), daemon=True).start()
+            upstream = socket.create_connection(self.target)
+            threading.Thread(target=self.forward, args=(node, upstream, "bytes_out"), daemon=True).start()
+            threading.Thread(target=self.forward, args=(upstream, node, "bytes_in"), daemon=True).start()
 
-    def carry(self, source, sink, count: str) -> None:
+    def forward(self, source, sink, count: str) -> None:
         with contextlib.suppress(OSError):
             while data := source.recv(65536):
                 setattr(self, count, getattr(self, count) + len(data))
--- a/tests/scale/test_hollow_command.py
+++ b/tests/scale/test_hollow_command.py
@@ -71,11 +71,11 @@
     client.discovery.http.close()
     relay.end()
     fleet_run = FleetRun(Size(nodes=1, servers=20, seconds=10.0))
-    meter = fleet_run.fleet.nodes[0].fleet.metered
+    meter = fleet_run.fleet.nodes[0].fleet.total_work
     at = 2.0
     while meter().answers < 2:
         at += 0.1
-        fleet_run.until(at)
+        fleet_run.run_until(at)
     hollow, real = meter(), client.counts
     assert (real.requests, real.entries) == (2, 20) and hollow.entries == 20
     assert real.bytes_out == pytest.approx(hollow.bytes_out, rel=0.15)
--- a/tests/scale/test_hollow_counts.py
+++ b/tests/scale/test_hollow_counts.py
@@ -79,14 +79,14 @@
 def work(servers):
     """Steps of an instance for a whole list, for one change and for a second of ticks."""
     fleet_run = FleetRun(Size(nodes=1, servers=servers, seconds=30.0))
-    fleet_run.until(WARMUP_S + 0.01)
+    fleet_run.run_until(WARMUP_S + 0.01)
     fleet_run.fleet.processes()[0].discovery.need_full_list = True
-    whole = steps_made(lambda: fleet_run.until(WARMUP_S + 2.1))
+    whole = steps_made(lambda: fleet_run.run_until(WARMUP_S + 2.1))
     at = WARMUP_S + 4.0
-    fleet_run.until(at)
-    idle = steps_made(lambda: fleet_run.until(at + 1))
+    fleet_run.run_until(at)
+    idle = steps_made(lambda: fleet_run.run_until(at + 1))
     fleet_run.schedule_changes(at + 1.05, 1, 1.0)
-    changed = steps_made(lambda: fleet_run.until(at + 2))
+    changed = steps_made(lambda: fleet_run.run_until(at + 2))
     return whole, changed, idle
 
 
@@ -103,7 +103,7 @@
         fleet = HollowFleet(fleet_plan(size, 8.0), checked=False)
         fleet.world.run(8 * SECOND)
         assert fleet.clients.counts["up"] == 18
-        meter = fleet.metered()
+        meter = fleet.total_work()
         return fleet.world.trace_digest(), meter.bytes_in, meter.line_steps
 
     assert played(3) == played(3)
@@ -126,28 +126,28 @@
 
 def test_a_lost_list_machine_is_felt_by_its_own_nodes_alone():
     fleet_run = FleetRun(Size(nodes=6, servers=10, seconds=30.0))
-    fleet_run.until(WARMUP_S)
-    fleet_run.fleet.list_machines[1].vanish(8 * SECOND)
-    fleet_run.until(WARMUP_S + 7)
+    fleet_run.run_until(WARMUP_S)
+    fleet_run.fleet.list_machines[1].drop_traffic(8 * SECOND)
+    fleet_run.run_until(WARMUP_S + 7)
     failed = [process.meter.failures > 0 for process in fleet_run.fleet.processes()]
     assert failed == [False, True, False] * 2
     fleet_run.change(0)
-    fleet_run.until(WARMUP_S + 7.5)
-    (reached,) = fleet_run.fleet.versions.values()
+    fleet_run.run_until(WARMUP_S + 7.5)
+    (reached,) = fleet_run.fleet.applied_at.values()
     assert sorted(reached) == ["n0", "n2", "n3", "n5"]
-    fleet_run.until(WARMUP_S + 8 + 4.5)
-    assert len(reached) == 6 and fleet_run.fleet.listed() == 6
+    fleet_run.run_until(WARMUP_S + 8 + 4.5)
+    assert len(reached) == 6 and fleet_run.fleet.nodes_with_servers() == 6
 
 
 def test_an_older_list_puts_no_later_change_in_force():
     fleet_run = FleetRun(Size(nodes=2, servers=10))
-    fleet_run.until(WARMUP_S)
+    fleet_run.run_until(WARMUP_S)
     fleet, node = fleet_run.fleet, fleet_run.fleet.nodes[0]
     version = fleet.change_weight()
-    fleet.in_force(node, version - 1)
-    assert fleet.versions == {version: {}}
-    fleet.in_force(node, version)
-    assert list(fleet.versions[version]) == [node.name]
+    fleet.record_applied(node, version - 1)
+    assert fleet.applied_at == {version: {}}
+    fleet.record_applied(node, version)
+    assert list(fleet.applied_at[version]) == [node.name]
 
 
 def test_a_further_control_client_is_begun_with_each_process():
@@ -172,12 +172,14 @@
     for one in (fleet, plain):
         one.world.run(13 * SECOND)
     assert sorted(begun) == ["n0", "n1", "n2"]
-    beats = (fleet.metered().bytes_out - plain.metered().bytes_out) / 10
+    beats = (fleet.total_work().bytes_out - plain.total_work().bytes_out) / 10
     assert 3 * 11 <= beats <= 3 * 12
     fleet.nodes[1].process.kill()
     fleet.nodes[1].start()
     assert begun[-1] == "n1" and len(begun) == 4
-    assert fleet.metered().bytes_out > plain.metered().bytes_out  # the ended process's work still counts
+    assert (
+        fleet.total_work().bytes_out > plain.total_work().bytes_out
+    )  # the ended process's work still counts
 
 
 def test_a_small_sweep_is_a_result_that_can_be_kept(tmp_path):
--- a/tests/scale/test_hollow_faults.py
+++ b/tests/scale/test_hollow_faults.py
@@ -33,7 +33,7 @@
 @pytest.mark.parametrize("name", BY_NAME)
 def test_no_rule_is_broken_and_the_fleet_is_whole_again(played, name):
     one = played(name)
-    assert one.offences == [] and one.rules_broken == 0
+    assert one.violations == [] and one.rules_broken == 0
     assert one.figures["standing_before"] == one.figures["clients"]
     assert one.seconds_until_whole is not None
     assert one.figures["not_back_at_the_end"] == 0
@@ -102,11 +102,11 @@
     """What stands is reset where SIGTERM should have asked it to move."""
     monkeypatch.setattr(Process, "stop", lambda self: self.exit("stopped"))
     one = run_named_event("node-restarted", small("node-restarted"))
-    assert one.rules_broken >= 1 and one.offences
+    assert one.rules_broken >= 1 and one.violations
 
 
 def test_a_node_that_is_never_told_is_missed(monkeypatch):
-    monkeypatch.setattr(ListMachine, "unheard", lambda self, process: process.node.name == "n5")
+    monkeypatch.setattr(ListMachine, "is_unreachable", lambda self, process: process.node.name == "n5")
     one = run_named_event("list-machine-lost", small("list-machine-lost"))
     assert one.seconds_until_whole is None
     assert one.figures["nodes_without_a_change"] == 1
