--- a/cottonspread/lab/scale/balancer_node.py
+++ b/cottonspread/lab/scale/balancer_node.py
@@ -1,7 +1,7 @@
-"""One node's decision module filled to a size, driven through its public interface alone.
+"""One node's balancer (the decision module) filled to a size and driven through its public interface alone.
 
-Every event is one that a front tells. Whatever the module asks for is answered at once and well: probes with
-a low load, sends with an acceptance. Times are microseconds of a simulated clock.
+Every event is one that the node itself sends. Whatever the balancer requests succeeds at once: probes
+return a low load, sent calls are accepted. Times are microseconds of a simulated clock.
 """
 
 from cottonspread import interface as io
@@ -10,13 +10,13 @@
 SECOND = 1_000_000
 ZONES = 8
 NODES = 420
-LOAD = 10_000.0  # microseconds of work a second that a connection is told to cause
+LOAD = 10_000.0  # microseconds of work a second that each connection is reported to cause
 GUARD = 3 * SECOND
-REVIEW_INTERVAL = SECOND // 4  # the module looks at marked servers no more often
+REVIEW_INTERVAL = SECOND // 4  # the balancer reviews its exceptional servers no more often
 
 
 def node_config(seed=1, probed=False):
-    """Settings of a node in a fleet of the target's size, groups sharing work."""
+    """Settings of a node in a fleet of the target's size whose groups share work."""
     kind = io.TrafficType("listen", io.Effect.REPEATABLE, "all", 5 * SECOND, SECOND, GUARD, 1.0, 140_000)
     return io.NodeConfig(
         seed=seed,
@@ -35,36 +35,36 @@
 
 
 def entry(number, **more):
-    """Server `number` as the list tells it."""
+    """The list's entry of server `number`."""
     return io.Entry(f"server-{number}", zone=number % ZONES, **more)
 
 
 class BalancerNode:
-    """A balancer with `servers` listed and `connections` standing, of `groups` groups in turn."""
+    """A balancer with `servers` listed and `connections` established, in turn of `groups` groups."""
 
     def __init__(self, connections, servers, groups, seed=1, probed=False, large_group=0):
         self.now, self.calls, self.version, self.seed = SECOND, 0, 0, seed
         self.servers, self.groups = servers, groups
         self.balancer = Balancer(self.now, node_config(seed, probed))
         self.established = {}  # call: its server's number
-        self.entries = {}  # server's name: its entry as last listed
+        self.entries = {}  # server's name: its latest entry
         self.update(io.ListUpdateKind.FULL, [entry(n) for n in range(servers)])
         for number in range(connections):
             group = "large" if number < large_group else f"group-{number % groups}"
             self.add_connection(group, number)
 
     def handle(self, event):
-        """Passes one event to the module; returns what it asks for."""
+        """Passes one event to the balancer; returns the actions that it requests."""
         return self.balancer.handle(self.now, event)
 
     def update(self, news, entries):
-        """A word of the list; returns the module's actions."""
+        """Sends a list update; returns the balancer's actions."""
         self.version += 1
         self.entries.update((one.host, one) for one in entries)
         return self.handle(io.ListUpdate(news, self.version, tuple(entries)))
 
     def add_connection(self, group, number):
-        """A connection that stands already; they are spread evenly, as the module keeps them."""
+        """Adds an established connection; the servers take them in turn, as the balancer spreads them."""
         server = number % self.servers
         call = self.new_call_id()
         held_by = f"server-{server}"
@@ -78,7 +78,7 @@
         return self.calls
 
     def arrive(self, group=None, key=None):
-        """A call comes; returns (its id, whether the module sent it somewhere). Probes are answered."""
+        """A call arrives and its probes are answered; returns (its id, whether it was sent to a host)."""
         call = self.new_call_id()
         actions = self.handle(io.CallArrived(call, 0, GUARD, key or f"key-{call}", group))
         while actions and isinstance(actions[-1], io.Probe):
@@ -86,7 +86,7 @@
         return call, any(isinstance(action, io.Send) for action in actions)
 
     def run_call(self, group=None):
-        """A call comes, is accepted and ends."""
+        """A call arrives, is accepted and ends."""
         call, sent = self.arrive(group)
         if sent:
             self.handle(io.LegAccepted(call, 0, 0))
@@ -94,31 +94,31 @@
         self.now += 10
 
     def review_servers(self):
-        """A call after a pause: the module looks at its marked servers. Returns the call."""
+        """A call after a pause: the balancer reviews its exceptional servers. Returns as `arrive`."""
         self.now += REVIEW_INTERVAL
         return self.arrive()
 
     def drain(self, number):
-        """Server `number` is told to drain."""
+        """The list says that server `number` drains."""
         return self.update(io.ListUpdateKind.CHANGES, [entry(number, state=io.HostState.DRAINING)])
 
     def restart_server(self, number):
-        """Server `number` is listed as started just now."""
+        """The list says that server `number` has just started."""
         return self.update(io.ListUpdateKind.CHANGES, [entry(number, started=self.now)])
 
     def send_full_list(self):
-        """The whole list, read again unchanged."""
+        """The full list is read again, unchanged."""
         return self.update(
             io.ListUpdateKind.FULL,
             [one for one in self.entries.values() if one.state is not io.HostState.GONE],
         )
 
     def remove_servers(self, numbers):
-        """These servers vanish from the list at once."""
+        """These servers disappear from the list at once."""
         return self.update(io.ListUpdateKind.CHANGES, [entry(n, state=io.HostState.GONE) for n in numbers])
 
     def connection_losses(self, numbers):
-        """All connections on these servers break; returns the events that tell it."""
+        """The events of all connections on these servers breaking."""
         gone = set(numbers)
         calls = [call for call, server in self.established.items() if server in gone]
         return [io.LegEnded(call, 0, io.Ending.RESET, True) for call in calls]
--- a/cottonspread/lab/scale/hollow.py
+++ b/cottonspread/lab/scale/hollow.py
@@ -1,13 +1,14 @@
-"""Hollow nodes: a simulated fleet (`lab/sim`) whose control work is counted apart from its clients' lines.
+"""Hollow nodes: a simulated fleet (`lab/sim`) that meters control traffic separately from client lines.
 
-A hollow node is the node's own reducer, decision module, list client (`net/discovery.py`) and HTTP client
-(`net/http.py`); sockets, threads and clocks are simulated, so that hundreds share a process. Hollow list
-machines answer many nodes from one book each; a node asks one of them, as it knows one address. Bytes are
-those of the HTTP messages, without TCP's and IP's headers.
+A hollow node (the term is that of Kubernetes' kubemark) runs the node's own reducer, balancer, list client
+(`net/discovery.py`) and HTTP client (`net/http.py`). Sockets, threads and clocks are simulated, so that
+hundreds of nodes fit into one process. A few simulated list machines, the servers of the discovery service,
+answer all nodes from one copy of the server list each; a node knows the address of one of them. Byte counts
+are those of the HTTP messages, without TCP and IP headers.
 
-Control is what a node does that is no client's line: its list client's turns, the reducer's steps for what
-the list tells, and ticks of its timers. More control clients are given to every process by
-`HollowFleet(control=...)`: see `ControlClient`.
+Control is all work of a node that does not carry a client's line: the turns of its list client, the reducer's
+steps for list updates, and its timer ticks. `HollowFleet(control=...)` adds further control clients to every
+process, see `ControlClient`.
 """
 
 import time
@@ -24,12 +25,12 @@
 from cottonspread.net.http import HttpClient
 
 LIST_MACHINES = 3
-"""Machines that are set aside for control."""
+"""Machines that serve the list only."""
 
 
 @dataclass
 class Meter:
-    """What an instance has done; times in nanoseconds of processor time."""
+    """Work of one instance; times are nanoseconds of processor time."""
 
     requests: int = 0
     answers: int = 0
@@ -38,28 +39,30 @@
     bytes_out: int = 0
     bytes_in: int = 0
     client_ns: int = 0
-    """The list client's turns: HTTP, JSON, reading entries."""
+    """The list client: HTTP, JSON, parsing of entries."""
     list_ns: int = 0
-    """The reducer and the module, for what the list told."""
+    """The reducer and the balancer, for list updates."""
     ticks: int = 0
     tick_ns: int = 0
-    """Steps of the reducer for its timers alone. With connections open they look after those too."""
+    """Steps of the reducer for its timers. With connections open the timers check those too."""
     line_steps: int = 0
     line_ns: int = 0
-    """Steps of the reducer for clients' and servers' lines and ends."""
+    """Steps of the reducer for lines and closes of clients and servers."""
 
     def add(self, other: "Meter") -> None:
+        """Adds the counts of another meter to this one."""
         for field in fields(self):
             setattr(self, field.name, getattr(self, field.name) + getattr(other, field.name))
 
     @property
     def list_control_ns(self) -> int:
+        """Processor time of following the server list."""
         return self.client_ns + self.list_ns
 
 
 @dataclass
 class MachineMeter:
-    """What a list machine has done."""
+    """Work of one list machine."""
 
     connections: int = 0
     answers: int = 0
@@ -70,60 +73,69 @@
 
 
 class ControlClient(Protocol):
-    """A further control client of a hollow node, made by `factory(process)` as the process starts.
+    """An additional control client of a hollow node, created by `factory(process)` when the process starts.
 
-    It follows simulated time through `process.world`, does nothing once `process.dead` is set, and counts
-    its work on a meter of its own or on `process.meter`."""
+    It follows simulated time through `process.world`, must do nothing once `process.dead` is set, and records
+    its work on a meter of its own or on `process.meter`.
+    """
 
-    def begin(self) -> None: ...
+    def begin(self) -> None:
+        """Starts the client."""
+        ...
 
 
 class MemorySocket:
-    """A connection to a hollow list machine, as far as `HttpClient` uses a socket."""
+    """A connection to a simulated list machine, with the socket methods that `HttpClient` uses."""
 
     def __init__(self, caller):
         self.caller, self.path, self.answer, self.reset_by_peer = caller, "", b"", False
 
     def settimeout(self, _):
+        """Does nothing: time-outs are simulated by the caller."""
         pass
 
     def sendall(self, request):
+        """Counts the request and remembers its path."""
         self.caller.count_request(request)
         self.path = request.split(b" ", 2)[1].decode()
 
     def recv(self, max_bytes):
+        """Returns at most `max_bytes` of the answer."""
         if not self.answer:
             self.answer = self.caller.receive_answer(self.path)
         chunk, self.answer = self.answer[:max_bytes], self.answer[max_bytes:]
         return chunk
 
     def close(self):
+        """Does nothing: there is no descriptor."""
         pass
 
 
 class MemoryHttp(HttpClient):
-    """The real HTTP client on a memory socket in the place of a TCP connection."""
+    """The real HTTP client on a `MemorySocket` instead of a TCP connection."""
 
     def __init__(self, address, caller):
         super().__init__(address, Discovery.CONNECT_TIMEOUT)
         self.caller = caller
 
     def exchange(self, *request):
+        """Opens a connection if there is none, then sends the request."""
         if self.sock is None:
             self.sock = self.caller.open_socket()
         return super().exchange(*request)
 
 
 class HollowCaller(Caller):
-    """One process's calls of a list machine, through the real HTTP client."""
+    """One process's requests to a list machine, made through the real HTTP client."""
 
     def __init__(self, agent, process):
         super().__init__(agent, process)
         self.http, self.meter = MemoryHttp(process.parts[0].discovery, self), process.meter
-        self.in_flight = False  # a call is out that an answer can come to
+        self.in_flight = False  # a request is pending that an answer can reach
 
     def send_request(self):
-        if self.http.sock is not None and self.http.sock.reset_by_peer:  # the kernel knows that it ended
+        """Sends the next request, or lets it fail where no connection can be opened."""
+        if self.http.sock is not None and self.http.sock.reset_by_peer:  # the kernel has seen the reset
             self.http.close()
         error = self.agent.connect_error(self.process) if self.http.sock is None else None
         if error is None:
@@ -135,17 +147,19 @@
         self.world.after(wait, self.fail, self.call, error)
 
     def answer_if_due(self, call=None):
+        """Answers the waiting request if it can be answered, see `Caller.answer_if_due`."""
         if self.in_flight:
             super().answer_if_due(call)
 
     def reset(self):
-        """The list machine's end of the connection broke, and its kernel said so."""
+        """Resets the connection: the list machine's process ended and its kernel closed it."""
         if self.http.sock is not None:
             self.http.sock.reset_by_peer = True
         if self.in_flight:
-            self.world.after(ROUND_TRIP, self.fail, self.call, ConnectionResetError("the list machine ended"))
+            self.world.after(ROUND_TRIP, self.fail, self.call, ConnectionResetError("list machine stopped"))
 
     def run_turn(self):
+        """Runs one turn of the list client and meters it, without the list machine's own work."""
         self.in_flight = False
         machine_before, started_at = self.agent.meter.answer_ns, time.thread_time_ns()
         pause = super().run_turn()
@@ -158,20 +172,23 @@
     # For `Discovery` and `MemoryHttp`
 
     def get(self, path, wait):
+        """Returns the body of an answer, for `Discovery`."""
         return self.http.get(path, wait)
 
     def open_socket(self):
+        """Returns a new connection, for `MemoryHttp`, or raises what the call met."""
         if self.answer is not None:
             raise self.answer
         self.agent.meter.connections += 1
         return MemorySocket(self)
 
     def count_request(self, request):
+        """Meters a request of the list client."""
         self.meter.requests += 1
         self.meter.bytes_out += len(request)
 
     def receive_answer(self, path):
-        """The bytes of an answer. A call that got none raises what it met."""
+        """Returns the bytes of an answer; raises the error of a call that got none."""
         if self.answer is not None:
             raise self.answer
         started_at = time.thread_time_ns()
@@ -186,7 +203,7 @@
 
 
 class ListMachine(Agent):
-    """One book, asked by many nodes."""
+    """A list machine: one copy of the server list, read by many nodes."""
 
     def __init__(self, fleet, number, entries, lag):
         super().__init__(fleet, f"list{number}", entries, lag)
@@ -198,23 +215,26 @@
         )
 
     def caller(self, process):
+        """Creates the transport of a starting process's list client."""
         return HollowCaller(self, process)
 
-    # Troubles
+    # Faults
 
     def is_unreachable(self, process):
-        """Whether nothing that the process sends comes here."""
+        """Whether nothing that the process sends arrives here."""
         return self.dropping_traffic or process.node.name in self.partitioned
 
     def connect_error(self, process):
-        """What a new connection meets, None if it is taken."""
+        """The error that a new connection of the process fails with, None if it is accepted."""
         if self.is_unreachable(process):
             return TimeoutError("timed out")
         return ConnectionRefusedError("refused") if self.stopped else None
 
     def drop_traffic(self, span):
-        """The machine is lost for `span` and tells nobody: calls that are out run out, and new connections
-        are not answered."""
+        """Makes the machine unreachable for `span` microseconds without closing anything.
+
+        Pending calls time out and new connections are not answered.
+        """
         self.world.add_trace_line(self.name, "vanished")
         self.dropping_traffic = True
         for caller in self.callers:
@@ -222,7 +242,10 @@
         self.world.after(span, self.recover)
 
     def stop_process(self, span):
-        """The process ends: its connections break and new ones are refused. Back after `span`."""
+        """Stops the machine's process for `span` microseconds.
+
+        Its connections are reset and new ones are refused.
+        """
         self.world.add_trace_line(self.name, "ended")
         self.stopped = True
         for caller in self.callers:
@@ -230,6 +253,7 @@
         self.world.after(span, self.recover)
 
     def recover(self):
+        """Makes the machine reachable again; connections from before are broken."""
         self.world.add_trace_line(self.name, "back")
         self.dropping_traffic = self.stopped = False
         for caller in self.callers:
@@ -237,7 +261,7 @@
                 caller.http.sock.reset_by_peer = True
 
     def partition(self, names, span):
-        """Nothing comes from or to these nodes; what was sent meanwhile is lost."""
+        """Drops all traffic from and to the named nodes for `span` microseconds."""
         self.world.add_trace_line(self.name, "cut off", len(names))
         self.partitioned |= names
         for caller in self.callers:
@@ -247,7 +271,7 @@
 
 
 class HollowProcess(Process):
-    """A node's process with its control work counted."""
+    """A node's process whose control work is metered."""
 
     def __init__(self, node, values, shared=False):
         self.meter = Meter()
@@ -257,6 +281,7 @@
             client.begin()
 
     def step_reducer(self, event, at):
+        """Runs one step of the reducer and meters it."""
         started_at = time.thread_time_ns()
         effects = super().step_reducer(event, at)
         self.record_step(event, time.thread_time_ns() - started_at)
@@ -265,6 +290,7 @@
         return effects
 
     def record_step(self, event, elapsed):
+        """Meters a step of the reducer that took `elapsed` nanoseconds."""
         meter = self.meter
         match event:
             case ev.ListReceived():
@@ -280,51 +306,56 @@
                 meter.line_ns += elapsed
 
     def exit(self, how):
+        """Ends the process; its counts are kept by the fleet."""
         self.node.fleet.ended_processes.add(self.meter)
         super().exit(how)
 
 
 class HollowFleet(Fleet):
-    """`control`: factories of further control clients. `machines`: list machines that share the nodes."""
+    """A fleet of hollow nodes.
+
+    `control`: factories of additional control clients. `machines`: list machines that share the nodes.
+    """
 
     process_type = HollowProcess
-    start_window = (
-        2 * SECOND
-    )  # one watch: the nodes' watches end evenly, as in a fleet that was released node by node
+    # One watch interval: the watches then end evenly spread, as in a fleet that was rolled out node by node.
+    start_window = 2 * SECOND
 
     def __init__(self, plan, control=(), machines=LIST_MACHINES, **options):
         self.control, self.machine_count, self.list_machines = tuple(control), machines, []
-        self.ended_processes = Meter()  # of processes that are no more
-        self.applied_at = {}  # by version: when each node had it in force
+        self.ended_processes = Meter()  # work of processes that have ended
+        self.applied_at = {}  # version: {node name: time at which its balancer had it}
         super().__init__(plan, **options)
 
     def agent_for(self, node):
+        """The list machine that the node reads."""
         if not self.list_machines:
             lag = round(self.plan.experiment.listing.lag_ms * 1000)
             self.list_machines = [ListMachine(self, n, self.entries, lag) for n in range(self.machine_count)]
         return self.list_machines[node.number % self.machine_count]
 
     def processes(self):
+        """All processes that run now."""
         return [process for node in self.nodes for process in node.processes]
 
     def total_work(self):
-        """The work of all instances so far, of ended ones too."""
+        """The work of all instances so far, including that of ended processes."""
         total = Meter()
         total.add(self.ended_processes)
         for process in self.processes():
             total.add(process.meter)
         return total
 
-    # The news
+    # Changes of the list
 
     def change_lifecycle(self, name, lifecycle):
-        """The same change at every list machine, now; its version."""
+        """Applies one change to all list machines at once; returns the new list version."""
         for machine in self.list_machines:
             machine.apply_change(name, lifecycle, None, self.entry(self.hosts[name].machine))
         return self.track_version()
 
     def change_weight(self):
-        """The last server's weight grows by a thousandth in every list machine's book; the version."""
+        """Raises the last server's weight by 0.1% on every list machine; returns the version."""
         for machine in self.list_machines:
             name, entry = next(reversed(machine.book.entries.items()))
             machine.book.change(name, "Ready", None, entry | {"weight": entry["weight"] * 1.001})
@@ -332,17 +363,17 @@
         return self.track_version()
 
     def track_version(self):
-        """The version that the list machines have now; when a node has it is kept from here on."""
+        """Starts to record when each node applies the present version, and returns it."""
         version = self.list_machines[0].book.version
         self.applied_at[version] = {}
         return version
 
     def record_applied(self, node, version):
-        """A node's module has the list up to this version."""
+        """Records that the node's balancer has the list up to this version."""
         for known, applied in self.applied_at.items():
             if known <= version:
                 applied.setdefault(node.name, self.world.now)
 
     def nodes_with_servers(self):
-        """How many nodes know a server that is ready."""
+        """Number of nodes that know a server that is ready."""
         return sum(process.reducer.has_hosts for process in self.processes())
--- a/cottonspread/lab/scale/hollow_calibration.py
+++ b/cottonspread/lab/scale/hollow_calibration.py
@@ -1,4 +1,4 @@
-"""Calibration: one real node process beside hollow ones, at the same list and the same changes.
+"""Calibration: one real node process compared with hollow ones, with the same list and the same changes.
 
 The real node is `cottonspread serve` on loopback. Its processor time is the kernel's count for the process.
 """
@@ -13,15 +13,16 @@
 from cottonspread.lab.scale.processes import ListStub, RealNode, Relay
 
 IDLE_START_S = 3.0
-"""When the node has its list and rests; `size.seconds` from then on are idle, as many again have changes."""
+"""The node has its list by then and is idle for `size.seconds`; as many seconds with changes follow."""
 
 
 def sleep_until(moment: float) -> None:
+    """Sleeps until this moment of the monotonic clock."""
     time.sleep(max(0.0, moment - time.monotonic()))
 
 
 def compare_with_hollow(size: Size) -> dict[str, Figure]:
-    """A real node's control, idle and under `size.changes_a_minute`, and hollow ones' at the same size."""
+    """Control of a real node, idle and with `size.changes_a_minute`, and of hollow nodes at the same size."""
     real = measure_real_node(size)
     hollow = measure_control(replace(size, changes_a_minute=0))
     changed = measure_control(size)
@@ -40,6 +41,7 @@
 
 
 def measure_real_node(size: Size) -> dict[str, Figure]:
+    """Control traffic, processor time and memory of a real node process."""
     count = round(size.seconds * size.changes_a_minute / 60)
     changes_start = IDLE_START_S + size.seconds
     changes = [changes_start + size.seconds * (n + 0.5) / count for n in range(count)]
--- a/cottonspread/lab/scale/hollow_faults.py
+++ b/cottonspread/lab/scale/hollow_faults.py
@@ -1,12 +1,13 @@
-"""Faults at size: events played on a hollow fleet from a seed, what they cost, and an audit.
+"""Faults at scale: events injected into a hollow fleet from a seed, what they cost, and an audit.
 
-Every event begins at `AT_S` of a play in which all clients stand. A client that is lost is one whose standing
-connection ended by no will of its own; it comes again by itself. The fleet is whole when none is lost any
-more and every node has each change of the list in force. Rules are audited by the promises of `lab/sim` at
-every step and by `lab/ledger.py` over the record.
+Every event begins at `FAULT_AT_S`, when all clients are connected. A client counts as lost when its
+established connection ends against its will; it reconnects by itself. The fleet has recovered ("is whole"
+in the results) when no client is lost any more and every node has applied each list change. Rules are
+checked by the invariants of `lab/sim` at every step and by `lab/ledger.py` over the record.
 
-A lost machine's connections break at once, as where its process ends. Servers are the lab's own, smaller:
-what stands uses two thirds of them, and a lost zone's clients are 50 ms of their set-ups.
+A lost machine's connections break at once, as if its process had ended. Servers are those of the lab, smaller:
+the established connections use two thirds of them, and reconnecting a lost zone's clients takes 50 ms of the
+servers' set-up time.
 """
 
 import logging
@@ -36,23 +37,23 @@
 FAULT_AT_S = WARMUP_S + 1.0
 RACKS = 40
 PERMANENT_S = 3600.0
-"""Of a machine that is not back within the play."""
+"""Outage of a machine that does not return within the run."""
 
 TRAITS = {"cores": 0.8, "change_s": 1000.0}
 LOAD_US = 3000.0
 COSTLY_SETUP_US = 96_000.0
-"""A lost zone's clients are then two seconds of the other servers' set-ups."""
+"""Reconnecting a lost zone's clients then takes two seconds of the other servers' set-up time."""
 
 WARMUP_CORES = 64.0
-"""Of each server while all clients come at once, before anything is measured."""
+"""Cores of each server during the warm-up, in which all clients connect at once."""
 
 FAULT_SIZE = Size(nodes=420, servers=40, connections=10, line_s=4.0)
 FEW_CONNECTIONS = replace(FAULT_SIZE, connections=2, line_s=8.0)
-"""For plays of over a minute."""
+"""For runs of over a minute."""
 
 
 class CountedClients(Clients):
-    """Simulated clients that tell how many were lost, and when each was served again."""
+    """Simulated clients that record how many were lost and when each was served again."""
 
     def __init__(self, *arguments, **options):
         super().__init__(*arguments, **options)
@@ -65,6 +66,7 @@
         self.recovered_at, self.busy_answers, self.unanswered = self.count_from, 0, 0
 
     def on_up(self, call):
+        """Records the recovery of a client that was lost."""
         super().on_up(call)
         since = self.lost_at.pop(call.schedule_index, None)
         if since is not None:
@@ -73,11 +75,13 @@
                 self.recovered_at = self.world.now
 
     def end_call(self, call, how):
+        """Records a call that ended against the client's will after the fault."""
         if not call.done and self.world.now >= self.count_from and how not in ("cut", "left"):
             self.record_loss(call, how)
         super().end_call(call, how)
 
     def record_loss(self, call, how):
+        """Counts a lost connection, or an attempt that got BUSY or no answer."""
         if call.up:
             self.losses[how] += 1
             self.lost_at.setdefault(call.schedule_index, self.world.now)
@@ -88,13 +92,18 @@
 
 
 class FaultFleet(HollowFleet):
+    """A hollow fleet with `CountedClients`."""
+
     clients_type = CountedClients
 
 
 @dataclass(frozen=True)
 class Event:
-    """`faults(size)`: what the plan has, by the lab's kinds. `begin(fleet)`: what is done besides, at AT_S.
-    `changes`: seconds after AT_S at which a server's weight changes in the list, which moves no client."""
+    """A fault event.
+
+    `faults(size)`: the plan's faults, of the lab's kinds. `on_fault(fleet)`: further actions at FAULT_AT_S.
+    `changes`: seconds after FAULT_AT_S at which a server's weight changes in the list, which moves no client.
+    """
 
     name: str
     notes: str
@@ -107,15 +116,17 @@
 
 
 def node_names(size: Size, divisor: int, offset: int) -> list[str]:
+    """Every `divisor`-th node, from `offset` on."""
     return [f"n{n}" for n in range(size.nodes) if n % divisor == offset % divisor]
 
 
 def server_names(size: Size, divisor: int, offset: int) -> list[str]:
+    """Every `divisor`-th server, from `offset` on."""
     return [f"h{n}" for n in range(size.servers) if n % divisor == offset % divisor]
 
 
 def partial_outage(size: Size, divisor: int, offset: int) -> list[Happening]:
-    """One part of so many, nodes and servers: nodes end without a word, servers are silent."""
+    """Loses one of `divisor` parts of nodes and servers: nodes are killed, servers stop answering."""
     lost = server_names(size, divisor, offset) or [f"h{offset % size.servers}"]
     return [
         Happening(at=FAULT_AT_S, kind="kill", on=node_names(size, divisor, offset)),
@@ -151,10 +162,11 @@
 
 REGION_CUT_S = 60.0
 CATCH_UP_S = 4.5
-"""Until every node of a region that is back has heard what it missed."""
+"""Within this time every node of a region that is reachable again has received what it missed."""
 
 
 def cut_region(fleet: HollowFleet) -> None:
+    """Cuts the region's nodes off from all list machines for `REGION_CUT_S`."""
     span, cut = round(REGION_CUT_S * SECOND), region_nodes(fleet.size)
     for machine in fleet.list_machines:
         machine.partition(cut, span)
@@ -162,7 +174,7 @@
 
 
 def measure_catch_up(fleet: HollowFleet, cut: frozenset[str]) -> None:
-    """The region is back: what its nodes hear from now on is counted."""
+    """The region is reachable again: counts what its nodes receive from now on."""
     before = bytes_received(fleet, cut)
 
     def record_catch_up():
@@ -178,6 +190,8 @@
 
 
 def list_machine_outage(count: int, span_s: float) -> Callable[[HollowFleet], None]:
+    """An action that makes the first `count` list machines unreachable for `span_s` seconds."""
+
     def start_outage(fleet):
         for machine in fleet.list_machines[:count]:
             machine.drop_traffic(round(span_s * SECOND))
@@ -186,12 +200,12 @@
 
 
 def most_frequent(counted: Counter) -> str:
-    """What was counted most often; of equals the last by name."""
+    """What was counted most often; on a tie the last by name."""
     return max(counted, key=lambda name: (counted[name], name))
 
 
 def lose_largest_server(fleet: HollowFleet) -> None:
-    """The server that holds most connections of the largest group is silent from now on."""
+    """The server with most connections of the largest group stops answering for good."""
     established = [
         (conn.call.group, host.name)
         for host in fleet.hosts.values()
@@ -279,7 +293,7 @@
 
 @dataclass
 class EventResult:
-    """What came of an event."""
+    """The outcome of an event."""
 
     figures: dict[str, float]
     seconds_until_whole: float | None
@@ -289,6 +303,7 @@
 
 
 def fault_plan(event: Event, size: Size) -> plans.Plan:
+    """The plan of a run with this event."""
     planned = experiment(size, FAULT_AT_S + event.seconds, event.faults(size))
     planned.hosts.traits = msgspec.convert(TRAITS | {"setup_us": event.setup_us}, type(planned.hosts.traits))
     planned.load.types[0].load_us = LOAD_US
@@ -297,8 +312,8 @@
 
 
 def run_event(event: Event, size: Size) -> EventResult:
-    """Plays one event to its end, or to the first promise that breaks."""
-    logging.getLogger("cottonspread").addHandler(logging.NullHandler())  # failed calls are played, not news
+    """Runs one event to its end, or to the first violated invariant."""
+    logging.getLogger("cottonspread").addHandler(logging.NullHandler())  # failed calls are part of the runs
     began = time.monotonic()
     fleet = FaultFleet(fault_plan(event, size))
     fleet.size, fleet.extra_figures, error = size, {}, ""
@@ -353,18 +368,22 @@
 
 
 def set_cores(fleet: HollowFleet, cores: float) -> None:
-    """To every server, beside its speed, which was drawn."""
+    """Sets the cores of every server; its speed, which was drawn at random, stays."""
     for host in fleet.hosts.values():
         host.model.traits = msgspec.structs.replace(host.model.traits, cores=cores)
 
 
 def change(fleet: HollowFleet, changed_at: dict[int, int]) -> None:
+    """Changes a server's weight in the list and records when."""
     changed_at[fleet.change_weight()] = fleet.world.now
 
 
 @dataclass(frozen=True)
 class PropagationResult:
-    """Whether every node that lives has the changes in force, and since when the last one has."""
+    """Which list changes have arrived.
+
+    `missing`: nodes alive that lack a change. `at`: when the last late change arrived, 0 if none was late.
+    """
 
     figures: dict[str, float]
     missing: int
@@ -372,6 +391,7 @@
 
 
 def propagation(fleet: HollowFleet, changed_at: dict[int, int]) -> PropagationResult:
+    """When the nodes that are alive applied the list changes; over 3 s is late."""
     alive = {node.name for node in fleet.nodes if node.processes}
     delays, missing, last = [], 0, 0
     for version, at in changed_at.items():
@@ -385,6 +405,7 @@
 
 
 def delay_figures(name: str, delays: list[float]) -> dict[str, float]:
+    """Percentiles of these delays, as figures."""
     if not delays:
         return {}
     p50, p99 = np.percentile(delays, [50, 99])
@@ -392,6 +413,7 @@
 
 
 def row(event: Event, result: EventResult) -> FaultRow:
+    """The row of the results for an event."""
     violations = "; ".join(result.violations)
     return FaultRow(
         event=event.name,
@@ -405,6 +427,7 @@
 def event_size(
     event: Event, small: bool, node_count: int | None, server_count: int | None, seed: int
 ) -> Size:
+    """The size of an event's run, as the command line asks for it."""
     size = replace(event.size, seed=seed)
     if small:
         size = replace(size, nodes=8, servers=16, connections=6)
@@ -416,6 +439,7 @@
 
 
 def fault_run(event: Event, size: Size, command: str, alone: bool, call=run_in_subprocess) -> FaultRun:
+    """Runs an event and returns it as a result."""
     return FaultRun(
         name=f"fault-{event.name}",
         what=f"{event.notes} Hollow fleet, {size.connections} clients a node, simulated time.",
@@ -429,7 +453,7 @@
 
 
 def run_named_event(name: str, size: Size) -> EventResult:
-    """An event by its name: what goes to a process of its own."""
+    """Runs the event of this name; its arguments can be passed to another process."""
     return run_event(next(event for event in EVENTS if event.name == name), size)
 
 
@@ -441,7 +465,7 @@
 
 
 def measure_zone_loss(size: ZoneSize) -> dict[str, Figure]:
-    """How a lost zone's clients come again, by what a set-up costs."""
+    """How the clients of a lost zone reconnect, by the cost of a set-up."""
     event = next(event for event in EVENTS if event.name == "zone-lost")
     figures = run_event(replace(event, setup_us=size.setup_us), size).figures
     clients = figures["clients"]
@@ -468,7 +492,7 @@
 
 
 def as_figures(row_: FaultRow) -> dict[str, Figure]:
-    """A row for the terminal."""
+    """A row's figures for the terminal."""
     figures = {name: Figure(value, name.rsplit("_", 1)[-1], False) for name, value in row_.figures.items()}
     whole = row_.seconds_until_whole
     figures["seconds_until_whole"] = Figure(-1 if whole is None else whole, "s; -1: not whole", False)
--- a/cottonspread/lab/scale/hollow_plans.py
+++ b/cottonspread/lab/scale/hollow_plans.py
@@ -1,4 +1,4 @@
-"""Plans of hollow fleets: sizes in, a plan of the lab out."""
+"""Experiment plans of hollow fleets, made from their sizes."""
 
 from dataclasses import dataclass
 
@@ -7,41 +7,41 @@
 from cottonspread.lab import plan as plans
 
 ADDRESS_BLOCK = 64, 0
-"""The two middle numbers of the plan's addresses in 127.0.0.0/8, which no simulated play binds."""
+"""The two middle numbers of the plan's addresses in 127.0.0.0/8; simulated runs bind none of them."""
 
 ZONES = 8
 MAX_LIFE_S = 100_000.0
-"""Clients stay until a play's end: what a trouble breaks off is seen apart from clients that leave."""
+"""Clients stay until a run's end, so that connections lost to a fault differ from clients that leave."""
 
 
 @dataclass(frozen=True)
 class Size:
-    """How large a hollow fleet is, and how long it is looked at."""
+    """Size of a hollow fleet, and how long it is measured."""
 
     nodes: int = 10
     servers: int = 50
     connections: int = 0
-    """Standing at each node on the mean."""
+    """Established connections of each node on average."""
     changes_a_minute: float = 0.0
     seconds: float = 10.0
-    """Of simulated time that are measured, after all is up."""
+    """Simulated time that is measured, after the warm-up."""
     line_s: float = 5.0
-    """Between two lines of a client."""
+    """Interval between two lines of a client."""
     groups: int = 10_000
     seed: int = 1
 
 
 WARMUP_S = 5.0
-"""Until every node knows the list, and every client has come."""
+"""Warm-up: afterwards every node knows the list and every client is connected."""
 
 FIRST_CLIENT_S = 2.5
-"""When the first client comes: every node has started."""
+"""Time of the first client; every node has started by then."""
 
 SOCKETS = 4096
 
 
 def experiment(size: Size, seconds: float, faults: list[plans.Happening] | tuple = ()) -> plans.Experiment:
-    """An experiment in which all clients come in the first seconds and stay."""
+    """An experiment in which all clients connect within the first seconds and stay."""
     count = size.nodes * size.connections
     shape = {
         "kind": "burst",
@@ -72,9 +72,10 @@
 
 
 LARGEST_GROUP_ZIPF = 1.013
-"""The first group's part of all clients is then 1.3%: 430,000 of 32 million."""
+"""The first group's share of all clients is then 1.3%: 430,000 of 32 million."""
 
 
 def fleet_plan(size: Size, seconds: float, faults: list[plans.Happening] | tuple = ()) -> plans.Plan:
+    """The plan of a hollow fleet of this size that runs for so many seconds."""
     made = experiment(size, seconds, faults)
     return plans.make(made, plans.Variant(name="only"), size.seed, ADDRESS_BLOCK)
--- a/cottonspread/lab/scale/hollow_propagation.py
+++ b/cottonspread/lab/scale/hollow_propagation.py
@@ -1,7 +1,7 @@
-"""How long a change of the list takes from the list machines to the modules of all hollow nodes.
+"""How long a change of the list takes from the list machines to the balancers of all hollow nodes.
 
-Simulated time: ways, waits and pauses of the real list client are in it, the list machine's own processor
-time is not (see the runs over sockets).
+Times are simulated: they include network delays, timeouts and pauses of the real list client, but not
+the list machine's own processor time (see the runs over sockets for that).
 """
 
 from dataclasses import dataclass, replace
@@ -13,15 +13,15 @@
 from cottonspread.lab.sim.world import SECOND
 
 CHANGE_COUNT = 40
-"""Changes in each play, at drawn moments, one a second on the mean."""
+"""Changes in each run, at random times, one a second on average."""
 
 MAX_PROPAGATION_S = 6.0
-"""Until a node that came through an absence must have the change: 4.5 s are reckoned at the longest."""
+"""After an outage every node must have the change within this time; 4.5 s are computed for the worst case."""
 
 
 @dataclass(frozen=True)
 class DelayStats:
-    """Seconds from a change to the module, over all nodes and changes."""
+    """Seconds from a change until a balancer has it, over all nodes and changes."""
 
     p50: float
     p99: float
@@ -29,10 +29,12 @@
 
     @staticmethod
     def of(delays: list[float]) -> "DelayStats":
+        """Statistics of these delays."""
         p50, p99 = np.percentile(delays, [50, 99])
         return DelayStats(float(p50), float(p99), max(delays))
 
     def figures(self) -> dict[str, Figure]:
+        """The statistics as measures of a sweep."""
         return {
             "in_force_p50": Figure(self.p50, "s"),
             "in_force_p99": Figure(self.p99, "s"),
@@ -41,7 +43,7 @@
 
 
 def measure_propagation(size: Size) -> dict[str, Figure]:
-    """All machines are well: from the change to each module."""
+    """Delay from a change to each balancer while all list machines work."""
     fleet_run = FleetRun(replace(size, seconds=CHANGE_COUNT + 3.0))
     fleet, rng, changed_at = fleet_run.fleet, fleet_run.fleet.world.random_stream("news"), {}
 
@@ -54,28 +56,30 @@
     fleet_run.run_until(WARMUP_S + CHANGE_COUNT + 2.5)
     delays = []
     for version, applied in fleet.applied_at.items():
-        assert len(applied) == size.nodes, f"version {version} is in force at {len(applied)} nodes"
+        assert len(applied) == size.nodes, f"version {version} reached {len(applied)} of {size.nodes} nodes"
         delays += [(at - changed_at[version]) / SECOND for at in applied.values()]
     return DelayStats.of(delays).figures()
 
 
 @dataclass(frozen=True)
 class OutageSize(Size):
-    """`away_s`: how long every list machine is lost; `refuses`: its process ended, else nothing is heard of
-    it. `back_s` over 0: it comes back for so long and is lost once more, for `AGAIN_S`, before the change."""
+    """`away_s`: how long every list machine is unreachable; `refuses`: its process has stopped and the kernel
+    refuses connections, otherwise nothing answers. `back_s` over 0: the machines return for so long and are
+    unreachable once more, for `SECOND_OUTAGE_S`, before the change.
+    """
 
     away_s: float = 1.0
     refuses: bool = False
     back_s: float = 0.0
     phases: int = 8
-    """Absences, each begun a further part of a watch later."""
+    """Outages, each begun at a later phase of the watch interval."""
 
 
 SECOND_OUTAGE_S = 0.1
 
 
 def fail_list_machines(fleet_run: FleetRun, at: float, away_s: float, refuses: bool) -> float:
-    """Every list machine, from `at` on; when they are back."""
+    """Fails every list machine at second `at`; returns the second at which they are back."""
     fleet_run.run_until(at)
     for machine in fleet_run.fleet.list_machines:
         fail = machine.stop_process if refuses else machine.drop_traffic
@@ -85,7 +89,7 @@
 
 
 def measure_after_outage(size: OutageSize) -> dict[str, Figure]:
-    """The list machines are away, and a change is made as they come back: from then to each module."""
+    """Fails all list machines and makes a change as they return: delay from the return to each balancer."""
     delays = []
     fleet_run = FleetRun(replace(size, seconds=size.phases * (size.away_s + MAX_PROPAGATION_S + 2)))
     fleet, at = fleet_run.fleet, WARMUP_S
@@ -100,7 +104,9 @@
         at += MAX_PROPAGATION_S
         fleet_run.run_until(at)
         applied = fleet.applied_at[version]
-        assert len(applied) == size.nodes, f"in force at {len(applied)} nodes {MAX_PROPAGATION_S} s later"
+        assert len(applied) == size.nodes, (
+            f"{len(applied)} of {size.nodes} nodes had the change after {MAX_PROPAGATION_S} s"
+        )
         delays += [(when - returned_at) / SECOND for when in applied.values()]
     figures = DelayStats.of(delays).figures()
     return figures | {
--- a/cottonspread/lab/scale/hollow_sockets.py
+++ b/cottonspread/lab/scale/hollow_sockets.py
@@ -1,7 +1,7 @@
-"""Control over real sockets: many real list clients against three list stand-ins on loopback.
+"""Control over real sockets: many real list clients read three list stubs on loopback.
 
 The clients are `net/discovery.py` with `net/http.py`, each in a thread as in a node, some hundred in a
-process; what a node does with a list is left out. Bytes are counted at the sockets, segments by the kernel.
+process. What a node does with a list is left out. Bytes are counted at the sockets, segments by the kernel.
 """
 
 import multiprocessing
@@ -26,20 +26,20 @@
 from cottonspread.net.http import HttpClient
 
 START_WINDOW_S = 2.0
-"""The clients start evenly over one watch."""
+"""The clients start evenly over one watch interval."""
 
 WARMUP_S = 3.0
 CLIENT_PROCESSES = 3
 THREAD_STACK_BYTES = 256 * 1024
 HEADER_BYTES = 20 + 32
-"""Bytes of IP's and TCP's headers in a segment, with time stamps as Linux sends them."""
+"""Bytes of the IP and TCP headers of a segment, with the timestamps option as Linux sends it."""
 
 TCP_INFO_SEGMENTS = 136
-"""Where `struct tcp_info` of Linux has the count of segments sent, then of those received."""
+"""Offset in Linux' `struct tcp_info` of the segments sent; those received follow."""
 
 
 def segments(sock: socket.socket) -> tuple[int, int]:
-    """Segments that the kernel has sent and received on a connection, without data ones included."""
+    """Segments that the kernel has sent and received on a connection, pure ACKs included."""
     info = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, 256)
     return struct.unpack_from("II", info, TCP_INFO_SEGMENTS)
 
@@ -57,6 +57,7 @@
     segments_in: int = 0
 
     def combined(self, other: "TrafficCounts", sign: int) -> "TrafficCounts":
+        """The sum of both counts, or their difference with `sign` -1."""
         return TrafficCounts(
             *(a + sign * b for a, b in zip(vars(self).values(), vars(other).values(), strict=True))
         )
@@ -69,27 +70,31 @@
         self.sock, self.counts = sock, counts
 
     def sendall(self, data):
+        """Sends a request and counts it."""
         self.counts.requests += 1
         self.counts.bytes_out += len(data)
         self.sock.sendall(data)
 
     def recv(self, max_bytes):
+        """Receives at most `max_bytes` and counts them."""
         data = self.sock.recv(max_bytes)
         self.counts.bytes_in += len(data)
         return data
 
     def __getattr__(self, name):
+        """Everything else is the socket's own."""
         return getattr(self.sock, name)
 
 
 class CountedHttp(HttpClient):
-    """The real client on a counted connection."""
+    """The real HTTP client on a counted connection."""
 
     def __init__(self, address, counts):
         super().__init__(address, Discovery.CONNECT_TIMEOUT)
         self.counts = counts
 
     def exchange(self, *request):
+        """Opens a counted connection if there is none, then sends the request."""
         if self.sock is None:
             sock = socket.create_connection(self.address, timeout=min(self.time_left(), self.connect_timeout))
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -99,27 +104,29 @@
 
 @dataclass
 class ListClient:
-    """One real list client, and what it heard: (version, microseconds of the monotonic clock)."""
+    """One real list client, and what it received: (version, microseconds of the monotonic clock)."""
 
     address: tuple[str, int]
     counts: TrafficCounts = field(default_factory=TrafficCounts)
     versions_received: list[tuple[int, int]] = field(default_factory=list)
 
     def __post_init__(self):
+        """Creates the `Discovery`, on a counted connection."""
         names = SimpleNamespace(zones={f"z{n}": n for n in range(ZONES)}, kinds={"lab": 0})
         self.discovery = Discovery(self.address, names, self.post, 0)
         self.discovery.http = self.discovery.target = CountedHttp(self.address, self.counts)
         self.discovery.enabled.set()
 
     def post(self, event):
+        """Takes an event of `Discovery`: records the version, or fails the run if the list did not answer."""
         if isinstance(event, ev.ListReceived):
             self.versions_received.append((event.update.version, time.monotonic_ns() // 1000))
             self.counts.entries += len(event.update.entries)
         else:
-            raise AssertionError("a list stand-in did not answer")
+            raise AssertionError("a list stub did not answer")
 
     def current_counts(self) -> TrafficCounts:
-        """Its counts, with the kernel's."""
+        """Its counts so far, with the kernel's segments."""
         sock = self.discovery.http.sock
         out, received = segments(sock) if sock is not None else (0, 0)
         counted = self.counts
@@ -136,7 +143,7 @@
 
 @dataclass
 class ProcessResult:
-    """What one process's clients counted within the window, their processor time, and their news."""
+    """What the clients of one process counted within the window, their processor time, and the versions."""
 
     counts: TrafficCounts
     processor_ns: int
@@ -146,7 +153,10 @@
 def run_clients_here(
     addresses: list[tuple[str, int]], start: float, window_start: float, end: float
 ) -> ProcessResult:
-    """Runs a client for each address from `begin` on, and counts from `look` to `end` (monotonic seconds)."""
+    """Runs a client for each address from `start` on, and counts from `window_start` to `end`.
+
+    Times are seconds of the monotonic clock.
+    """
     threading.stack_size(THREAD_STACK_BYTES)
     clients = [ListClient(address) for address in addresses]
     for number, client in enumerate(clients):
@@ -163,6 +173,7 @@
 
 
 def sum_counts(clients: list[ListClient]) -> TrafficCounts:
+    """The counts of all clients together."""
     summed = TrafficCounts()
     for client in clients:
         summed = summed.combined(client.current_counts(), 1)
@@ -170,7 +181,7 @@
 
 
 def measure_over_sockets(size: Size) -> dict[str, Figure]:
-    """`size.nodes` clients with `size.changes_a_minute`, beside a hollow fleet of the same size."""
+    """`size.nodes` clients with `size.changes_a_minute`, and a hollow fleet of the same size for comparison."""
     count = round(size.seconds * size.changes_a_minute / 60)
     changes = [WARMUP_S + size.seconds * (n + 0.5) / count for n in range(count)]
     with tempfile.TemporaryDirectory(prefix="cottonspread-scale-") as folder:
@@ -187,12 +198,12 @@
 
 
 def run_clients(size: Size, lists: list[ListStub]) -> tuple[list[ProcessResult], int]:
-    """All clients in a few processes, and the list stand-ins' processor time within the window."""
+    """Runs all clients in a few processes; also returns the list stubs' processor time in the window."""
     addresses = [lists[n % len(lists)].address for n in range(size.nodes)]
     parts = [addresses[n::CLIENT_PROCESSES] for n in range(CLIENT_PROCESSES)]
     context = multiprocessing.get_context("spawn")
     with ProcessPoolExecutor(CLIENT_PROCESSES, mp_context=context) as pool:
-        list(pool.map(time.sleep, [0.5] * CLIENT_PROCESSES))  # they are up
+        list(pool.map(time.sleep, [0.5] * CLIENT_PROCESSES))  # all processes are up afterwards
         start = time.monotonic() + 0.5
         window_start, end = start + WARMUP_S, start + WARMUP_S + size.seconds
         for one in lists:
@@ -206,20 +217,23 @@
 
 
 def propagation_delays(results: list[ProcessResult], lists: list[ListStub]) -> list[float]:
-    """Seconds from each change to each client, which hears every version. The same plan made them all, and
-    each list machine told its own moments; the earliest counts."""
+    """Seconds from each change to each client, which must receive every version.
+
+    The same plan made the changes of all list machines, and each recorded its own times; the earliest counts.
+    """
     version_times = [one.version_times() for one in lists]
     at = {version: min(times[version] for times in version_times) for version in version_times[0]}
     out = []
     for part in results:
         for received in part.versions_received:
             changes = [(version, when) for version, when in received if version in at]
-            assert [version for version, _ in changes] == sorted(at), "a client missed a change"
+            assert [version for version, _ in changes] == sorted(at), "a client did not receive every version"
             out += [(when - at[version]) / SECOND for version, when in changes]
     return out
 
 
 def figures(size: Size, results: list[ProcessResult], list_ns: int) -> dict[str, Figure]:
+    """The measures of a run, per instance and second."""
     summed, processor = TrafficCounts(), sum(part.processor_ns for part in results)
     for part in results:
         summed = summed.combined(part.counts, 1)
--- a/cottonspread/lab/scale/hollow_sweeps.py
+++ b/cottonspread/lab/scale/hollow_sweeps.py
@@ -1,8 +1,8 @@
-"""Sweeps of hollow fleets: what control costs an instance and a list machine, by nodes, by changes a minute
-and by servers.
+"""Sweeps of hollow fleets: the cost of control per instance and per list machine.
 
-Counts (bytes, messages, entries, ticks) are the same in every play of a seed. Processor times are the
-thread's own. Each point of a sweep is played in a process of its own, so that its memory is its alone.
+The sweeps vary the number of nodes, the list changes a minute and the number of servers. Counts (bytes,
+messages, entries, ticks) are the same in every run of a seed. Processor times are those of the thread. Each
+point of a sweep runs in a process of its own, so that its memory can be told from that of other points.
 """
 
 import gc
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True)
 class Figure:
-    """One measured value: its unit, and whether it is control or clients' lines."""
+    """One measured value, its unit, and whether it belongs to control or to clients' lines."""
 
     value: float
     unit: str
@@ -33,18 +33,18 @@
 
 
 def resident() -> int:
-    """Bytes of this process in memory."""
+    """Resident memory of this process in bytes."""
     with open("/proc/self/statm") as file:
         return int(file.read().split()[1]) * PAGE
 
 
 def meter_difference(after, before):
-    """What a meter has counted between two looks."""
+    """What a meter has counted between two readings."""
     return type(after)(*(getattr(after, f.name) - getattr(before, f.name) for f in fields(after)))
 
 
 class FleetRun:
-    """A hollow fleet that is up, and what it counts from one look to the next."""
+    """A running hollow fleet, and its counts since the last reading."""
 
     def __init__(self, size: Size):
         self.size = size
@@ -53,10 +53,11 @@
         self.counted, self.machines_counted = Meter(), MachineMeter()
 
     def run_until(self, seconds: float) -> None:
+        """Runs the simulation up to this second."""
         self.fleet.world.run(round(seconds * SECOND))
 
     def take_counts(self) -> tuple[Meter, MachineMeter]:
-        """What was done since the last look, by all instances and by all list machines."""
+        """Returns the work since the last call, of all instances and of all list machines."""
         meter, machines = self.fleet.total_work(), MachineMeter()
         for machine in self.fleet.list_machines:
             for field in fields(machines):
@@ -67,11 +68,12 @@
         return work
 
     def change(self, number: int) -> None:
-        """The next change: a server drains, or the one that drained last is ready again."""
+        """Makes change `number`: a server drains, or the one that drained last is ready again."""
         server = f"h{number // 2 % self.size.servers}"
         self.fleet.change_lifecycle(server, "Ready" if number % 2 else "Terminating")
 
     def schedule_changes(self, start: float, count: int, gap: float) -> None:
+        """Schedules `count` changes from `start` on, `gap` seconds apart."""
         for number in range(count):
             self.fleet.world.at(round((start + number * gap) * SECOND), self.change, number)
 
@@ -115,17 +117,17 @@
 
 
 CHANGE_COUNT = 10
-"""Changes that a change's cost is the mean of."""
+"""The cost of a change is the mean over this many."""
 
 
 def measure_full_list_and_change(size: Size) -> dict[str, Figure]:
-    """What a whole list costs an instance, what one change costs it, and its ticks, at this many servers."""
+    """Cost of a full list and of one change at an instance, and its ticks, at this many servers."""
     fleet_run, before = FleetRun(size), resident()
     fleet_run.run_until(WARMUP_S)
     gc.collect()
     memory = (resident() - before) / size.nodes / MIB
     first, _ = fleet_run.take_counts()
-    for process in fleet_run.fleet.processes():  # as after an answer that could not be read
+    for process in fleet_run.fleet.processes():  # as after an answer that could not be parsed
         process.discovery.need_full_list = True
     fleet_run.run_until(WARMUP_S + 2.55)
     whole, _ = fleet_run.take_counts()
@@ -133,7 +135,7 @@
     fleet_run.run_until(WARMUP_S + 2.6 + CHANGE_COUNT)
     change, _ = fleet_run.take_counts()
     nodes, events = size.nodes, size.nodes * CHANGE_COUNT
-    assert whole.entries == nodes * size.servers, "each asks for one whole list"
+    assert whole.entries == nodes * size.servers, "each node must read the full list once"
     return {
         "whole_list_bytes": Figure(whole.bytes_in / nodes, "B a whole list"),
         "whole_list_entries": Figure(whole.entries / nodes, "entries a whole list"),
@@ -152,7 +154,7 @@
 
 @dataclass(frozen=True)
 class SweepPlan:
-    """A sweep: sizes that differ in one variable, and what plays each."""
+    """A sweep: sizes that differ in one variable, and the function that measures each."""
 
     name: str
     description: str
@@ -199,14 +201,14 @@
 
 
 def scaled_down(sweep: SweepPlan) -> SweepPlan:
-    """The same sweep at sizes that are played in a second or two."""
+    """The same sweep at sizes that take a second or two."""
     base = sweep.base
     base = replace(base, nodes=3, servers=min(base.servers, 20), connections=min(2, base.connections))
     if sweep.variable != "servers":
         base = replace(base, seconds=10.0)
-    if sweep.kind == "sockets":  # its seconds are real ones
+    if sweep.kind == "sockets":  # it runs in real time
         base = replace(base, seconds=4.0)
-    if sweep.variable == "setup_us":  # one node of each zone
+    if sweep.variable == "setup_us":  # one node in each zone
         base = replace(base, nodes=8, servers=16)
     if hasattr(base, "phases"):
         base = replace(base, phases=2)
@@ -214,8 +216,11 @@
 
 
 def override_sizes(sweep: SweepPlan, **sizes: int | None) -> SweepPlan:
-    """The sweep with other sizes: a variable that is swept goes up to its top by doubling; one that is fixed
-    takes it as it is."""
+    """The sweep with other sizes.
+
+    A variable that is swept takes the size as its largest value, reached by doubling; one that is fixed takes
+    it as it is.
+    """
     for name, size in sizes.items():
         if size is None:
             continue
@@ -227,29 +232,29 @@
 
 
 def measure_point(sweep: SweepPlan, value: float, seed: int) -> dict[str, Figure]:
-    """One point, in this process. A small play before it fills what every play shares."""
-    logging.getLogger("cottonspread").addHandler(logging.NullHandler())  # failed calls are played, not news
+    """Measures one point in this process. A small run before it fills what all runs share."""
+    logging.getLogger("cottonspread").addHandler(logging.NullHandler())  # failed calls are part of the runs
     measure_full_list_and_change(Size(nodes=1, servers=4))
     gc.collect()
     return sweep.measure(replace(sweep.base, **{sweep.variable: value}, seed=seed))
 
 
 def run_in_subprocess(function, *arguments):
-    """Calls it in a process of its own, and waits."""
+    """Calls the function in a process of its own and returns its result."""
     context = multiprocessing.get_context("spawn")
     with ProcessPoolExecutor(1, mp_context=context) as pool:
         return pool.submit(function, *arguments).result()
 
 
 def run_inline(function, *arguments):
-    """Calls it in this process: quicker, and its memory is not its alone."""
+    """Calls the function in this process: faster, but memory is shared with other points."""
     return function(*arguments)
 
 
 def run_sweep(
     one: SweepPlan, command: str, seed: int, alone: bool, on_point=lambda *_: None, call=run_in_subprocess
 ) -> Sweep:
-    """Plays every size of it; `tell` is given each value of the variable with its figures."""
+    """Measures every size of a sweep; `on_point` gets each value of the variable with its figures."""
     points = {}
     for value in one.values:
         points[value] = call(measure_point, one, value, seed)
--- a/cottonspread/lab/scale/measuring.py
+++ b/cottonspread/lab/scale/measuring.py
@@ -1,7 +1,7 @@
-"""How one piece of work is measured: processor time of this thread, lines of code run, memory taken.
+"""Cost of a piece of work: processor time of this thread, lines of Python executed, memory allocated.
 
-Lines are counted by the interpreter's trace hook, each turn of a loop anew. They are the same in every run
-with the same seed, whatever else the machine does, and grow as the work does.
+Lines are counted by the interpreter's trace hook, each iteration of a loop anew. The count is the same in
+every run with the same seed, however busy the machine is, and grows with the work.
 """
 
 import gc
@@ -14,16 +14,16 @@
 
 
 def processor_time(work):
-    """Runs `work()`; returns microseconds of processor time that this thread took for it."""
+    """Runs `work()`; returns microseconds of processor time that this thread used for it."""
     started = time.thread_time_ns()
     work()
     return (time.thread_time_ns() - started) / MICROSECOND
 
 
 def lines_run(work):
-    """Runs `work()`; returns how many lines of Python code it ran, each turn of a loop counted.
+    """Runs `work()`; returns how many lines of Python code it executed, loop iterations counted.
 
-    The garbage collector is off meanwhile: what it calls in the midst of the work is Python code too.
+    The garbage collector is off meanwhile: its callbacks and finalizers are Python code too and would be counted.
     """
     count, collects = 0, gc.isenabled()
 
@@ -45,7 +45,7 @@
 
 
 def memory_taken(build):
-    """Runs `build()`; returns (what it returned, bytes of memory that it left allocated)."""
+    """Runs `build()`; returns (its result, bytes of memory that it left allocated)."""
     tracemalloc.start()
     try:
         built = build()
@@ -56,16 +56,16 @@
 
 @dataclass
 class Cost:
-    """What one kind of work cost in several plays."""
+    """What one kind of work cost in several runs."""
 
     microseconds: list
     lines: list
 
     @classmethod
     def measure(cls, tasks):
-        """Measures each of `works`: every other one by time, the others by lines run.
+        """Measures each of `tasks`: every other one by time, the others by lines executed.
 
-        A work is a callable, or has `ready()`, which does what comes before, unmeasured, and returns one.
+        A task is a callable, or an object whose `prepare()` does what is not measured and returns one.
         """
         microseconds, lines = [], []
         for n, one in enumerate(tasks):
@@ -78,15 +78,15 @@
 
     @property
     def median(self):
-        """Microseconds, the middle play."""
+        """Microseconds of the median run."""
         return sorted(self.microseconds)[len(self.microseconds) // 2]
 
     @property
     def longest(self):
-        """Microseconds, the longest play."""
+        """Microseconds of the longest run."""
         return max(self.microseconds)
 
     @property
     def max_lines(self):
-        """Lines run in the play that ran most."""
+        """Lines executed in the run that executed most."""
         return max(self.lines)
--- a/cottonspread/lab/scale/processes.py
+++ b/cottonspread/lab/scale/processes.py
@@ -1,4 +1,4 @@
-"""Real processes beside hollow ones: list stand-ins of the lab, and what a process uses of the machine."""
+"""Real processes to compare hollow nodes with: list stubs of the lab, nodes, and the resources they use."""
 
 import contextlib
 import os
@@ -19,22 +19,22 @@
 ROOT = Path(__file__).resolve().parents[3]
 TERMINATE_TIMEOUT = 5.0
 CPU_CLOCK_OF_PROCESS = 2
-"""Linux: the kind of clock that `clock_getcpuclockid` gives; its id holds the process's id."""
+"""Linux: the clock type that `clock_getcpuclockid` puts into a clock id, beside the process id."""
 
 
 def processor_ns(pid: int) -> int:
-    """Processor time of all threads of a process, ended ones too."""
+    """Processor time of a process: all its threads, ended ones included."""
     return time.clock_gettime_ns((~pid << 3) | CPU_CLOCK_OF_PROCESS)
 
 
 def resident(pid: int) -> int:
-    """Bytes of a process in memory."""
+    """Resident memory of a process in bytes."""
     with open(f"/proc/{pid}/statm") as file:
         return int(file.read().split()[1]) * os.sysconf("SC_PAGE_SIZE")
 
 
 def start_cottonspread(words: list[str], folder: Path, name: str, **options) -> subprocess.Popen:
-    """`python -m cottonspread WORDS` with its standard error in the folder."""
+    """Starts `python -m cottonspread WORDS`; its standard error goes to a log in the folder."""
     with open(folder / f"{name}.log", "ab") as log:
         return subprocess.Popen(
             [sys.executable, "-m", "cottonspread", *words],
@@ -46,7 +46,7 @@
 
 
 def terminate(process: subprocess.Popen) -> None:
-    """Asks it to end, and kills it if it does not."""
+    """Sends SIGTERM, then SIGKILL if the process does not end in time."""
     process.terminate()
     try:
         process.wait(TERMINATE_TIMEOUT)
@@ -56,13 +56,13 @@
 
 
 def address_block(number: int) -> tuple[int, int]:
-    """The two middle numbers of addresses that no other play on this machine uses."""
+    """The two middle numbers of addresses that no other run on this machine uses."""
     own = os.getpid() * 8 + number
     return 64 + own % 128, own // 128 % 256
 
 
 class LabProcess:
-    """A process of the lab that plays a part of a plan: `hosts`, `list` or `load`."""
+    """A process of the lab that executes a part of a plan: `hosts`, `list` or `load`."""
 
     def __init__(self, kind: str, folder: Path, plan: plans.Plan, number: int = 0):
         folder.mkdir(exist_ok=True)
@@ -74,25 +74,29 @@
         reply = self.process.stdout.readline().strip()
         if reply != "ready":
             self.end()
-            raise RuntimeError(f"lab {kind} said {reply!r}")
+            raise RuntimeError(f"lab {kind} did not start: expected 'ready', got {reply!r}")
 
     def begin(self, at: float) -> None:
-        """Its time runs from then on; seconds of the monotonic clock."""
+        """Starts the plan's clock at `at`, seconds of the monotonic clock."""
         self.process.stdin.write(f"begin {round(at * SECOND)}\n")
         self.process.stdin.flush()
 
     def processor_ns(self) -> int:
+        """Processor time that the process has used."""
         return processor_ns(self.process.pid)
 
     def end(self) -> None:
+        """Ends the process."""
         self.process.stdin.close()
         terminate(self.process)
         self.process.stdout.close()
 
 
 class ListStub(LabProcess):
-    """One process of the lab's list. `changes`: seconds after the begin at which a server drains, each time
-    another one."""
+    """One process of the lab's list.
+
+    `changes`: seconds after the begin at which a server drains, each time another one.
+    """
 
     def __init__(self, folder: Path, number: int, servers: int, changes: list[float] | tuple = ()):
         self.folder = folder / f"list{number}"
@@ -106,17 +110,18 @@
 
     @property
     def address(self) -> tuple[str, int]:
+        """Where it listens."""
         node = self.plan.nodes[0]
         return node.ip, node.list_port
 
     def version_times(self) -> dict[int, int]:
-        """After its end: when each version was made, microseconds of the monotonic clock."""
+        """After its end: when each version was made, in microseconds of the monotonic clock."""
         lines = record.read(str(self.folder), "list")
         return {line["version"]: line["t"] for line in lines if line["k"] == "change"}
 
 
 class RealNode:
-    """`serve` with the configuration of a plan's first node, asking the list at `discovery`."""
+    """`cottonspread serve` with the configuration of a plan's first node, reading the list at `discovery`."""
 
     def __init__(self, folder: Path, plan: plans.Plan, discovery: tuple[str, int]):
         values = tuning.values(plan, 0) | {"discovery": f"{discovery[0]}:{discovery[1]}"}
@@ -127,17 +132,20 @@
         )
 
     def processor_ns(self) -> int:
+        """Processor time that the process has used."""
         return processor_ns(self.process.pid)
 
     def resident(self) -> int:
+        """Resident memory of the process in bytes."""
         return resident(self.process.pid)
 
     def end(self) -> None:
+        """Ends the process."""
         terminate(self.process)
 
 
 class Relay:
-    """Takes a node's connections to its list and passes them on, counting bytes each way."""
+    """A TCP relay between a node and its list that counts the bytes of each direction."""
 
     def __init__(self, target: tuple[str, int]):
         self.target, self.bytes_out, self.bytes_in = target, 0, 0
@@ -146,6 +154,7 @@
         threading.Thread(target=self.accept, daemon=True).start()
 
     def accept(self) -> None:
+        """Accepts connections until the listener is closed."""
         while True:
             try:
                 node, _ = self.listener.accept()
@@ -156,6 +165,7 @@
             threading.Thread(target=self.forward, args=(upstream, node, "bytes_in"), daemon=True).start()
 
     def forward(self, source, sink, count: str) -> None:
+        """Copies from `source` to `sink` until either closes; adds the bytes to the attribute `count`."""
         with contextlib.suppress(OSError):
             while data := source.recv(65536):
                 setattr(self, count, getattr(self, count) + len(data))
@@ -165,4 +175,5 @@
                 sock.shutdown(socket.SHUT_RDWR)
 
     def end(self) -> None:
+        """Closes the listener."""
         self.listener.close()
--- a/cottonspread/lab/scale/reducer_node.py
+++ b/cottonspread/lab/scale/reducer_node.py
@@ -1,6 +1,6 @@
-"""One node's reducer filled to a size, driven by the events of its workers. No sockets, no threads.
+"""One node's reducer filled to a size and driven by the events of its workers. No sockets, no threads.
 
-Every write is done at once and every host answers well. Times are microseconds of a simulated clock.
+Every write completes at once and every host answers. Times are microseconds of a simulated clock.
 """
 
 from cottonspread import config
@@ -13,7 +13,7 @@
 MAX_SOCKETS = 1_000_000
 CONNECT_TIMEOUT = SECOND // 20
 TYPE = "listen"
-LINE_LEAD_US = 1000  # microseconds
+LINE_LEAD_US = 1000  # a busy client sends its line so long before the timer
 
 
 def address(number):
@@ -22,7 +22,7 @@
 
 
 class ReducerNode:
-    """A reducer with `servers` listed and `connections` standing, of `groups` groups in turn."""
+    """A reducer with `servers` listed and `connections` established, in turn of `groups` groups."""
 
     def __init__(self, connections, servers, groups, seed=1):
         self.now, self.version, self.servers, self.groups = SECOND, 0, servers, groups
@@ -30,18 +30,18 @@
         names = config.Names({TYPE: 0}, {}, {}, {})
         host_protocol = config.HostProtocol(CONNECT_TIMEOUT, True, True)
         self.reducer = Reducer(self.now, node_config(seed), names, host_protocol, MAX_SOCKETS)
-        self.hosts = {}  # a client's end: its host's end
+        self.hosts = {}  # client's connection end: host's connection end
         self.step(ev.Tick())
         self.send_full_list()
         for number in range(connections):
             self.adopt(number, f"group-{number % groups}")
 
     def step(self, event):
-        """One event; returns what the reducer asks for."""
+        """Runs one event; returns the effects that the reducer requests."""
         return self.reducer.step(self.now, event)
 
     def send_full_list(self):
-        """The whole list is read, all servers up."""
+        """The full list is read, all servers up."""
         self.version += 1
         entries = tuple(entry(n) for n in range(self.servers))
         addresses = {one.host: address(n) for n, one in enumerate(entries)}
@@ -50,8 +50,10 @@
         )
 
     def adopt(self, number, group, waiting=()):
-        """A connection that stands already; they are spread evenly, as the module keeps them. `waiting`: when
-        lines without an echo were sent."""
+        """Adds an established connection; the servers take them in turn, as the balancer spreads them.
+
+        `waiting`: when lines without an echo were sent.
+        """
         server = number % self.servers
         client, host = ev.ConnectionEnd(True), ev.ConnectionEnd(False)
         client.worker = host.worker = "a thread"
@@ -64,7 +66,7 @@
         self.hosts[client] = host
 
     def advance_to_timer(self, wanted, busy=()):
-        """Goes to when timers of one kind alone ("sweep" or "listen") are due; returns that step.
+        """Advances to when timers of one kind alone ("sweep" or "listen") are due; returns that step.
 
         `busy`: clients that send a line just before.
         """
@@ -83,17 +85,17 @@
         return lambda: self.step(ev.Tick())
 
     def send_line(self, client):
-        """A line of a client goes on to its host."""
+        """A line of the client is passed on to its host."""
         self.step(ev.LinesRead(client, b"hello\n"))
         self.step(ev.WriteDone(self.hosts[client], True, self.now))
 
     def echo(self, client):
-        """The host's echo goes back to the client."""
+        """The host's echo is passed back to the client."""
         self.step(ev.LinesRead(self.hosts[client], b"hello\n"))
         self.step(ev.WriteDone(client, True, self.now))
 
     def send_load_report(self, client):
-        """The host tells a load on the client's connection."""
+        """The host reports a load on the client's connection."""
         return self.step(ev.LinesRead(self.hosts[client], b"LOAD 12000\n"))
 
     def line_and_echo(self, client):
@@ -102,7 +104,7 @@
         self.echo(client)
 
     def run_call(self, group):
-        """A client comes, is taken by a host, and leaves."""
+        """A client connects, is accepted by a host, and leaves."""
         self.call_count += 1
         self.now += 10
         client = ev.ConnectionEnd(True, worker="a thread")
@@ -125,9 +127,9 @@
         return self.step(ev.DrainRequested(True))
 
     def resume(self):
-        """And take that back."""
+        """The operators end the drain."""
         return self.step(ev.DrainRequested(False))
 
     def hand_over(self):
-        """A successor asks for what it needs."""
+        """A successor process asks for the node's state."""
         return self.step(ev.HandOverRequested(lambda handed: None))
