--- a/benchmarks/scale/processes.py
+++ b/benchmarks/scale/processes.py
@@ -1,10 +1,10 @@
-"""What real processes cost: idle ones of a fleet; one node by connections, deliveries, PINGs and reloads.
+"""Cost of real processes: an idle fleet; one node by connections, deliveries, PINGs and reloads.
 
     python benchmarks/scale/processes.py [SWEEP ...] [--small] [--out DIR]
 
 Each sweep ends within two minutes and becomes a result (real-processes, real-connections, real-lines,
-real-pings, real-reloads). Servers, list and clients are stand-ins (standins.py), on loopback. Processor time
-is the kernel's, of the whole process that is measured, children of its own not counted.
+real-pings, real-reloads). Servers, list and clients are stubs (stubs.py) on loopback. Processor time is the
+kernel's, of the whole measured process without its children.
 """
 
 import argparse
@@ -36,14 +36,14 @@
 TIMEOUT = 60.0
 MB = 1_000_000
 RETRY_DELAY = 0.2
-"""Seconds until a client that was turned away comes again."""
+"""Seconds until a client that got BUSY tries again."""
 MEASURE_S = 10.0
-"""Seconds over which processor time is counted."""
+"""Seconds over which processor time is measured."""
 
 
 @dataclass(frozen=True)
 class Figure:
-    """One measured value: its unit, and whether it is control or clients' lines."""
+    """One measured value, its unit, and whether it belongs to control or to clients' lines."""
 
     value: float
     unit: str
@@ -55,7 +55,7 @@
 
 @dataclass(frozen=True)
 class Plan:
-    """A sweep: the sizes, and what plays one of them."""
+    """A sweep: its sizes, and the function that measures one of them."""
 
     what: str
     variable: str
@@ -66,39 +66,39 @@
     measure: Callable[[int], Figures]
 
 
-# What is read of a process
+# Resources of a process
 
 
 def processor_ms(pid: int) -> float:
-    """Processor time that a process has used, all its threads: the kernel's clock of another process."""
+    """Processor time that a process has used in all its threads, by its kernel clock."""
     return time.clock_gettime_ns((~pid << 3) | 2) / 1e6
 
 
 def memory_mb(pid: int, key: str = "Pss") -> float:
-    """Its memory, what it shares with others counted in parts."""
+    """Its memory in MB; with `Pss` pages shared with other processes count in proportion."""
     text = Path(f"/proc/{pid}/smaps_rollup").read_text()
     return int(re.search(rf"^{key}:\s+(\d+)", text, re.MULTILINE)[1]) * 1024 / MB
 
 
 def descriptors(pid: int) -> int:
-    """Those that it holds."""
+    """Number of open file descriptors."""
     return len(os.listdir(f"/proc/{pid}/fd"))
 
 
 def threads(pid: int) -> int:
-    """Those that it has."""
+    """Number of threads."""
     return len(os.listdir(f"/proc/{pid}/task"))
 
 
 def rate_ms(pid: int, span: float = MEASURE_S, meanwhile: Callable[[float], None] = time.sleep) -> float:
-    """Processor time a second, in milliseconds, over the span."""
+    """Milliseconds of processor time a second, while `meanwhile(span)` runs."""
     began, before = time.monotonic(), processor_ms(pid)
     meanwhile(span)
     return (processor_ms(pid) - before) / (time.monotonic() - began)
 
 
 def wait_until(condition: Callable[[], bool], what: str, pause: float = 0.02) -> float:
-    """Waits for it; the seconds that it took. TimeoutError after a minute."""
+    """Waits until the condition holds and returns the seconds it took; TimeoutError after a minute."""
     began = time.monotonic()
     while not condition():
         if time.monotonic() - began > TIMEOUT:
@@ -111,7 +111,7 @@
 
 
 def settings(listing: str, listen: str, sockets: int = 1024) -> dict:
-    """A node's configuration: the example's, at these addresses."""
+    """A node's configuration: the example's, with these addresses."""
     values = json.loads((ROOT / "examples" / "node.json").read_text())
     values |= {"discovery": listing, "listen": listen, "limits": {"memory_mb": 4096, "sockets": sockets}}
     values.pop("operator")
@@ -122,7 +122,7 @@
 
 @contextlib.contextmanager
 def node(listing: str, sockets: int = 1024) -> Iterator[tuple[subprocess.Popen, tuple[str, int], Path]]:
-    """A node process that serves: (process, its address, its configuration file)."""
+    """Runs a node process: (process, its address, its configuration file)."""
     with socket.create_server(("127.0.0.1", 0)) as placeholder:
         listen, name = placeholder.getsockname(), address_of(placeholder)
     with tempfile.TemporaryDirectory() as folder:
@@ -132,7 +132,7 @@
             words = [sys.executable, "-m", "cottonspread", "serve", "--config", str(file)]
             process = subprocess.Popen(words, cwd=ROOT, stderr=log)
         try:
-            wait_until(lambda: ping(listen) == b"PONG\r\n", "no PONG")
+            wait_until(lambda: ping(listen) == b"PONG\r\n", "node does not answer PING with PONG")
             yield process, listen, file
         finally:
             process.send_signal(signal.SIGTERM)
@@ -140,7 +140,7 @@
 
 
 def ping(address: tuple[str, int]) -> bytes:
-    """The node's answer to a PING; nothing where it does not listen."""
+    """The node's answer to a PING; empty if it does not listen."""
     try:
         with socket.create_connection(address, timeout=5) as sock:
             sock.sendall(b"PING\r\n")
@@ -150,7 +150,7 @@
 
 
 def open_client(address: tuple[str, int], number: int) -> socket.socket | None:
-    """A client with its UP; None where the node turned it away."""
+    """Connects a client and waits for UP; None if the node answered BUSY."""
     sock = socket.create_connection(address, timeout=TIMEOUT)
     words = secrets.token_hex(8), secrets.token_hex(8), number % 997
     sock.sendall("OPEN {} {} c=chat,d=8000,g=group-{}\r\n".format(*words).encode())
@@ -159,12 +159,12 @@
         return sock
     sock.close()
     if not reply.startswith(b"BUSY"):
-        raise RuntimeError(f"connection {number}: {reply!r}")
+        raise RuntimeError(f"connection {number}: expected UP or BUSY, got {reply!r}")
     return None
 
 
 def open_clients(address: tuple[str, int], count: int) -> tuple[list[socket.socket], int]:
-    """So many clients one after the other, each with its UP; how often one was told to come again."""
+    """Connects so many clients, one after the other; also returns how often BUSY was answered."""
     clients, turned_away = [], 0
     while len(clients) < count:
         sock = open_client(address, len(clients))
@@ -173,13 +173,13 @@
             continue
         turned_away += 1
         if turned_away > count:
-            raise RuntimeError(f"turned away {turned_away} times, {len(clients)} connections stand")
+            raise RuntimeError(f"got BUSY {turned_away} times with {len(clients)} connections established")
         time.sleep(RETRY_DELAY)
     return clients, turned_away
 
 
 def measure_connections(count: int) -> Figures:
-    """A node with so many standing connections on which nothing happens."""
+    """A node with so many established connections that carry nothing."""
     with start_stubs() as (listing, _), node(listing, 3 * count + 256) as (process, address, _):
         pid = process.pid
         base, used = memory_mb(pid), processor_ms(pid)
@@ -240,7 +240,7 @@
 
 
 def measure_pings(rate: int) -> Figures:
-    """A node that a front asks so many times a second."""
+    """A node that gets so many PINGs a second from a front."""
     with start_stubs() as (listing, _), node(listing) as (process, address, _):
 
         def ask(span: float) -> None:
@@ -248,7 +248,7 @@
             for number in range(round(span * rate)):
                 time.sleep(max(0.0, began + number / rate - time.monotonic()))
                 if ping(address) != b"PONG\r\n":
-                    raise RuntimeError("no PONG")
+                    raise RuntimeError("node does not answer PING with PONG")
             time.sleep(max(0.0, began + span - time.monotonic()))
 
         return {"processor": Figure(rate_ms(process.pid, MEASURE_S, ask), "ms/s", True)}
@@ -258,7 +258,7 @@
 
 
 def padded(values: dict, size: int) -> str:
-    """The configuration with traffic types added until it has the size in bytes."""
+    """The configuration, padded with traffic types to this size in bytes."""
     types = values["settings"]["TrafficTypes"]
     while len(json.dumps(values)) < size:
         types.append(types[0] | {"Name": f"type-{len(types):04}-{'x' * 40}"})
@@ -267,7 +267,7 @@
 
 
 def measure_reloads(size: int) -> Figures:
-    """A node that takes over configuration files of this size, one after the other."""
+    """A node that reloads configuration files of this size, one after the other."""
     with start_stubs() as (listing, _), node(listing) as (process, address, file):
         log = file.with_name("log")
         values = settings(listing, "{}:{}".format(*address))
@@ -277,7 +277,11 @@
             file.write_text(padded(values, size))
             before, seen = processor_ms(process.pid), log.read_bytes().count(b"event=reload")
             process.send_signal(signal.SIGHUP)
-            wait_until(lambda seen=seen: log.read_bytes().count(b"event=reload") > seen, "no reload", 0.005)
+            wait_until(
+                lambda seen=seen: log.read_bytes().count(b"event=reload") > seen,
+                "node did not log a reload",
+                0.005,
+            )
             used += processor_ms(process.pid) - before
         if b"level=error" in log.read_bytes():
             raise RuntimeError(log.read_text()[-1000:])
@@ -304,17 +308,17 @@
 
 
 def free_ports(count: int) -> int:
-    """The first of so many ports in a row that nobody listens on."""
+    """The first of so many consecutive ports on which nothing listens."""
     for first in range(21_000, 31_000, count):
         with contextlib.ExitStack() as stack, contextlib.suppress(OSError):
             for number in range(count):
                 stack.enter_context(socket.create_server(("127.0.0.1", first + number)))
             return first
-    raise RuntimeError("no ports are free")
+    raise RuntimeError(f"no {count} consecutive ports are free")
 
 
 def fleet_status(folder: Path) -> dict:
-    """What the supervisor says; nothing while it does not answer."""
+    """The supervisor's status; empty while it does not answer."""
     try:
         with control.connect(str(folder / "s" / "fleet.sock")) as sock:
             sock.sendall(b'{"do": "status"}\n')
@@ -324,14 +328,14 @@
 
 
 def measured_status(file: Path) -> Figures:
-    """One call of `fleet status` as staff make it."""
+    """The cost of one `fleet status` as operators run it."""
     words = [sys.executable, "-m", "cottonspread", "fleet", "status", "--json", "--operator", str(file)]
     with tempfile.TemporaryFile() as told:
         process = subprocess.Popen(words, cwd=ROOT, stdout=told)
         _, code, usage = os.wait4(process.pid, 0)
         process.returncode = os.waitstatus_to_exitcode(code)
         if process.returncode:
-            raise RuntimeError(f"fleet status: exit {process.returncode}")
+            raise RuntimeError(f"fleet status exited with {process.returncode}")
         return {
             "status_processor": Figure((usage.ru_utime + usage.ru_stime) * 1000, "ms", True),
             "status_memory": Figure(usage.ru_maxrss * 1024 / MB, "MB", True),
@@ -348,7 +352,7 @@
         with open(folder / "run.log", "wb") as log:
             supervisor = subprocess.Popen(words, cwd=ROOT, stdout=log, stderr=log)
         try:
-            ready = wait_until(lambda: bool(fleet_status(folder).get("ready")), "not ready", 0.05)
+            ready = wait_until(lambda: bool(fleet_status(folder).get("ready")), "fleet is not ready", 0.05)
             time.sleep(2.0)
             return {"all_ready": Figure(ready, "s", True), **idle_fleet(supervisor.pid, folder, file)}
         finally:
@@ -357,7 +361,7 @@
 
 
 def idle_fleet(supervisor: int, folder: Path, file: Path) -> Figures:
-    """What its supervisor and its processes take while nothing happens."""
+    """Resources that the supervisor and its processes use while idle."""
     pids = [row["pid"] for row in fleet_status(folder)["instances"]]
     before, began = [processor_ms(pid) for pid in (supervisor, *pids)], time.monotonic()
     time.sleep(MEASURE_S)
@@ -427,7 +431,7 @@
 
 
 def sweep(name: str, plan: Plan, small: bool, alone: bool, suffix: str) -> results.Sweep:
-    """Plays every size."""
+    """Measures every size."""
     points: dict[int, Figures] = {}
     sizes = plan.small if small else plan.sizes
     for size in sizes:
@@ -459,13 +463,15 @@
 
 
 def main() -> int:
-    """The command; its exit code."""
+    """Runs the command; returns its exit code."""
     parser = argparse.ArgumentParser(description=__doc__.split("\n")[0])
-    parser.add_argument("sweeps", nargs="*", choices=[*SWEEPS, []], help="all, if left out")
-    parser.add_argument("--small", action="store_true", help="sizes that end within a minute")
-    parser.add_argument("--alone", action="store_true", help="say that nothing else ran on the machine")
-    parser.add_argument("--out", type=Path, help="folder for the results; printed alone, if left out")
-    parser.add_argument("--suffix", default="", help="added to each result's name")
+    parser.add_argument("sweeps", nargs="*", choices=[*SWEEPS, []], help="sweeps to run (default: all)")
+    parser.add_argument("--small", action="store_true", help="small sizes; a sweep takes under a minute")
+    parser.add_argument(
+        "--alone", action="store_true", help="note in the results that nothing else ran on the machine"
+    )
+    parser.add_argument("--out", type=Path, help="folder for the results (default: print them only)")
+    parser.add_argument("--suffix", default="", help="text appended to each result's name")
     options = parser.parse_args()
     for name in options.sweeps or SWEEPS:
         result = sweep(name, SWEEPS[name], options.small, options.alone, options.suffix)
--- a/benchmarks/scale/stubs.py
+++ b/benchmarks/scale/stubs.py
@@ -1,4 +1,4 @@
-"""Stand-ins for `processes.py`, in one process: servers that answer UP and push lines, and the list."""
+"""Stubs for `processes.py`, in one process: servers that answer UP and push lines, and the server list."""
 
 import contextlib
 import json
@@ -13,18 +13,18 @@
 from multiprocessing.connection import Connection
 
 STOP_TIMEOUT = 60.0
-"""Seconds until the stand-ins' process has to be gone."""
+"""Seconds within which the stubs' process has to end."""
 
 
 def address_of(sock: socket.socket) -> str:
-    """As the configuration writes it."""
+    """The socket's address, as the configuration writes it."""
     host, port = sock.getsockname()
     return f"{host}:{port}"
 
 
 @dataclass
 class Stubs:
-    """Servers that answer UP and then push lines as they are told, and the list that names them."""
+    """Servers that answer UP and then push lines at a set rate, and the list that names them."""
 
     control_pipe: Connection
     listeners: dict = field(default_factory=dict)
@@ -32,12 +32,12 @@
     established: list = field(default_factory=list)
     watches: list = field(default_factory=list)
     push_interval: float = 0.0
-    """Seconds between two lines; 0: none are pushed."""
+    """Seconds between two lines; 0 to push none."""
     next_push: float = 0.0
     next_index: int = 0
 
     def run(self, servers: int) -> None:
-        """Until told to end."""
+        """Serves until the control pipe is closed."""
         hosts, listing = self.listener(self.accept_host), self.listener(self.accept_watch)
         self.entries_json = json.dumps(entries(servers, hosts)).encode()
         self.control_pipe.send(listing)
@@ -56,6 +56,7 @@
         return address_of(sock)
 
     def read_command(self, control_pipe: Connection) -> None:
+        """Sets the interval between pushed lines; ends the process when the pipe is closed."""
         try:
             self.push_interval = control_pipe.recv()
         except EOFError:
@@ -63,11 +64,13 @@
         self.next_push = time.monotonic()
 
     def accept_host(self, listener: socket.socket) -> None:
+        """Accepts a connection to a server."""
         sock, _ = listener.accept()
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         self.loop.register(sock, selectors.EVENT_READ, self.first_line)
 
     def first_line(self, sock: socket.socket) -> None:
+        """Answers a first line with UP."""
         data = sock.recv(4096)
         if not data:
             self.drop(sock)
@@ -77,16 +80,18 @@
         self.loop.modify(sock, selectors.EVENT_READ, self.host_readable)
 
     def host_readable(self, sock: socket.socket) -> None:
+        """Discards what arrives on a server's connection; closes it when the peer has."""
         if not sock.recv(4096):
             self.established.remove(sock)
             self.drop(sock)
 
     def drop(self, sock: socket.socket) -> None:
+        """Closes a connection."""
         self.loop.unregister(sock)
         sock.close()
 
     def push(self) -> None:
-        """The lines that are due: each holds the time at which it was due."""
+        """Pushes the lines that are due; each contains the time at which it was due."""
         now = time.monotonic()
         while self.push_interval and self.established and self.next_push <= now:
             self.next_index = (self.next_index + 1) % len(self.established)
@@ -94,10 +99,12 @@
             self.next_push += self.push_interval
 
     def accept_watch(self, listener: socket.socket) -> None:
+        """Accepts a connection to the list."""
         sock, _ = listener.accept()
         self.loop.register(sock, selectors.EVENT_READ, self.watch)
 
     def watch(self, sock: socket.socket) -> None:
+        """Answers a request for the full list at once; keeps a watch until its time is over."""
         data = sock.recv(4096)
         if not data:
             self.watches = [one for one in self.watches if one[1] is not sock]
@@ -108,12 +115,14 @@
             self.answer(sock, b'{"generation": 1, "reset": true, "instances": %s}' % self.entries_json)
 
     def answer_expired_watches(self) -> None:
+        """Answers the watches whose time is over: no change."""
         now = time.monotonic()
         for _, sock in [one for one in self.watches if one[0] <= now]:
             self.answer(sock, b'{"generation": 1, "reset": false, "instances": []}')
         self.watches = [one for one in self.watches if one[0] > now]
 
     def answer(self, sock: socket.socket, body: bytes) -> None:
+        """Sends an HTTP response."""
         with contextlib.suppress(OSError):  # the node has ended
             sock.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body))
 
@@ -125,14 +134,14 @@
 
 
 def run_stubs(control_pipe: Connection, servers: int) -> None:
-    """In a process of its own."""
+    """Runs the stubs in a process of their own."""
     signal.signal(signal.SIGINT, signal.SIG_IGN)
     Stubs(control_pipe).run(servers)
 
 
 @contextlib.contextmanager
 def start_stubs(servers: int = 60) -> Iterator[tuple[str, Callable[[float], None]]]:
-    """(the list's address, what sets the seconds between two pushed lines)."""
+    """Starts the stubs; yields (the list's address, a function that sets the interval between lines)."""
     ours, theirs = multiprocessing.Pipe()
     process = multiprocessing.get_context("spawn").Process(target=run_stubs, args=(theirs, servers))
     process.start()
--- a/benchmarks/sizes/instances.py
+++ b/benchmarks/sizes/instances.py
@@ -2,8 +2,8 @@
 
     python benchmarks/sizes/instances.py [INSTANCES] > benchmarks/sizes/results/instances.json
 
-The example's stand-in servers and discovery, the example's configuration, one supervisor; each instance on
-its own address. Ready is when `fleet status` says so of all.
+Uses the example's server stubs, discovery and configuration, and one supervisor; each instance has its own
+address. The fleet is ready when `fleet status` reports all instances ready.
 """
 
 import importlib.util
@@ -24,6 +24,7 @@
 
 
 def main(instances):
+    """Runs a fleet of so many instances; returns the figures."""
     spec = importlib.util.spec_from_file_location("toy", ROOT / "examples" / "toy.py")
     module = importlib.util.module_from_spec(spec)
     spec.loader.exec_module(module)
@@ -54,7 +55,9 @@
                 timeout=600,
             )
             if done.returncode:
-                raise RuntimeError(f"{word}: {done.returncode}: {done.stdout[-500:]} {done.stderr[-500:]}")
+                raise RuntimeError(
+                    f"fleet {word} exited with {done.returncode}: {done.stdout[-500:]} {done.stderr[-500:]}"
+                )
             return time.perf_counter() - at
 
         at = time.perf_counter()
@@ -65,11 +68,11 @@
             while True:
                 time.sleep(1)
                 if supervisor.poll() is not None:
-                    raise RuntimeError(f"the supervisor exited with {supervisor.returncode}")
+                    raise RuntimeError(f"supervisor exited with {supervisor.returncode}")
                 try:
                     run("status")
                     break
-                except RuntimeError:  # not there yet, or not all ready
+                except RuntimeError:  # not listening yet, or not all ready
                     pass
             found = {"instances": instances, "all_ready_s": round(time.perf_counter() - at, 1)}
             found["status_s"] = round(run("status"), 2)
@@ -86,7 +89,7 @@
 
 
 if __name__ == "__main__":
-    threading.excepthook = lambda fault: None  # the list's connections break as the instances end
+    threading.excepthook = lambda fault: None  # the list's connections break when the instances end
     print(
         json.dumps(
             main(int(sys.argv[1]) if len(sys.argv) > 1 else 240) | {"cores": len(os.sched_getaffinity(0))},
--- a/benchmarks/sizes/lists.py
+++ b/benchmarks/sizes/lists.py
@@ -2,11 +2,11 @@
 
     python benchmarks/sizes/lists.py [SERVERS ...] > benchmarks/sizes/results/lists.json
 
-One node on one core for each length, with a list of its own: all servers named there are one stand-in that
-answers UP. Timed from outside: the start to the first PONG, a change of one server to the word in the log,
-calls one after the other (each of another group, so that its order of servers is made), the end on SIGTERM;
-the memory is what the kernel says at most. `compact`, `indented` and `pieces` (the body in parts of 1,400
-bytes) are forms in which the whole list comes.
+One node on one core for each length, with its own list; all servers in the list are one stub that answers UP.
+Measured from outside: the start until the first PONG, a change of one server until the node logs the update,
+calls one after the other (each of another group, so that the group's server order is computed), the end on
+SIGTERM. Memory is the kernel's peak value. The full list comes in one of three forms: `compact`, `indented`,
+or `pieces` (the body sent in parts of 1,400 bytes).
 """
 
 import contextlib
@@ -28,6 +28,8 @@
 
 
 def accept_in_threads(listener, handle_connection):
+    """Accepts connections for ever, each handled in a thread of its own."""
+
     def accept():
         while True:
             sock, _ = listener.accept()
@@ -37,6 +39,7 @@
 
 
 def host(sock):
+    """Answers a first line with UP and each further line with an echo."""
     with sock, sock.makefile("rb") as file:
         if file.readline():
             sock.sendall(b"UP r1\r\n")
@@ -45,7 +48,7 @@
 
 
 class Listing:
-    """The list: whole at first, then one change at a time, when `change` is called."""
+    """The list: in full at first, then one change for each call of `change`."""
 
     def __init__(self, servers, address, form):
         self.servers = [
@@ -64,13 +67,15 @@
         self.form, self.version, self.changed = form, 1, threading.Condition()
 
     def change(self):
+        """Changes the first server and answers the waiting requests."""
         with self.changed:
             self.version += 1
             self.servers[0]["startedAtMs"] = self.version
             self.changed.notify_all()
 
     def handle_connection(self, sock):
-        with contextlib.suppress(ConnectionError), sock, sock.makefile("rb") as file:  # the node has ended
+        """Answers a node's requests; a request with `since` waits for a change."""
+        with contextlib.suppress(ConnectionError), sock, sock.makefile("rb") as file:  # the node has closed
             while line := file.readline():
                 while file.readline().strip():
                     pass
@@ -89,12 +94,14 @@
 
 
 def exchange(address, line, timeout=5):
+    """Sends a line on a new connection; returns the answer."""
     with socket.create_connection(address, timeout=timeout) as sock:
         sock.sendall(line + b"\r\n")
         return sock.recv(100)
 
 
 def first_pong(address, started_at, timeout=30):
+    """Seconds from `started_at` until the node answers PONG."""
     while time.perf_counter() - started_at < timeout:
         try:
             if exchange(address, b"PING") == b"PONG\r\n":
@@ -102,21 +109,22 @@
         except OSError:
             pass
         time.sleep(0.005)
-    raise TimeoutError("no PONG")
+    raise TimeoutError(f"no PONG within {timeout} s")
 
 
 def processor_seconds(pid):
-    """Seconds that the process has used."""
+    """Processor time that the process has used."""
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
 
 def peak_memory_mb(pid):
-    """MB at most, as the kernel says."""
+    """Peak resident memory in MB."""
     return int(re.search(r"VmHWM:\s+(\d+)", Path(f"/proc/{pid}/status").read_text())[1]) / 1024
 
 
 def measure(servers, form):
+    """Runs a node with a list of so many servers; returns the figures."""
     with socket.create_server(("127.0.0.1", 0)) as placeholder:
         listen = placeholder.getsockname()
     hosts, discovery = (
@@ -162,7 +170,7 @@
                 )
                 calls.append(time.perf_counter() - at)
                 if not answer.startswith(b"UP "):
-                    raise RuntimeError(f"{servers} {form}: call {n} was answered {answer!r}")
+                    raise RuntimeError(f"{servers} {form}: call {n}: expected UP, got {answer!r}")
             cpu = (processor_seconds(node.pid) - before) / CALLS
             peak_mb = peak_memory_mb(node.pid)
             at = time.perf_counter()
--- a/cottonspread/lab/scale/hollow_faults.py
+++ b/cottonspread/lab/scale/hollow_faults.py
@@ -5,9 +5,9 @@
 in the results) when no client is lost any more and every node has applied each list change. Rules are
 checked by the invariants of `lab/sim` at every step and by `lab/ledger.py` over the record.
 
-A lost machine's connections break at once, as if its process had ended. Servers are those of the lab, smaller:
-the established connections use two thirds of them, and reconnecting a lost zone's clients takes 50 ms of the
-servers' set-up time.
+A lost machine's connections break at once, as if its process had ended. Servers are those of the lab, but
+smaller: the established connections use two thirds of them, and reconnecting a lost zone's clients takes
+50 ms of the servers' set-up time.
 """
 
 import logging
--- a/cottonspread/lab/scale/hollow_sockets.py
+++ b/cottonspread/lab/scale/hollow_sockets.py
@@ -181,7 +181,7 @@
 
 
 def measure_over_sockets(size: Size) -> dict[str, Figure]:
-    """`size.nodes` clients with `size.changes_a_minute`, and a hollow fleet of the same size for comparison."""
+    """`size.nodes` clients with `size.changes_a_minute`, and a hollow fleet of this size to compare."""
     count = round(size.seconds * size.changes_a_minute / 60)
     changes = [WARMUP_S + size.seconds * (n + 0.5) / count for n in range(count)]
     with tempfile.TemporaryDirectory(prefix="cottonspread-scale-") as folder:
@@ -198,7 +198,7 @@
 
 
 def run_clients(size: Size, lists: list[ListStub]) -> tuple[list[ProcessResult], int]:
-    """Runs all clients in a few processes; also returns the list stubs' processor time in the window."""
+    """Runs all clients in a few processes; returns (their results, the list stubs' processor time)."""
     addresses = [lists[n % len(lists)].address for n in range(size.nodes)]
     parts = [addresses[n::CLIENT_PROCESSES] for n in range(CLIENT_PROCESSES)]
     context = multiprocessing.get_context("spawn")
--- a/cottonspread/lab/scale/measuring.py
+++ b/cottonspread/lab/scale/measuring.py
@@ -21,9 +21,9 @@
 
 
 def lines_run(work):
-    """Runs `work()`; returns how many lines of Python code it executed, loop iterations counted.
+    """Runs `work()`; returns how many lines of Python it executed, each loop iteration counted.
 
-    The garbage collector is off meanwhile: its callbacks and finalizers are Python code too and would be counted.
+    The garbage collector is off meanwhile: its callbacks and finalizers are Python code too.
     """
     count, collects = 0, gc.isenabled()
 
--- a/cottonspread/lab/scale/module_sweeps.py
+++ b/cottonspread/lab/scale/module_sweeps.py
@@ -1,8 +1,9 @@
-"""Sweeps of the decision module alone: what one event costs, at sizes up to the target's.
+"""Sweeps of the balancer (the decision module) alone: the cost of one event, at sizes up to the target's.
 
     python -m cottonspread.lab.scale.module_sweeps [--small] [--sweep NAME] [--out DIR] [--suffix TEXT]
 
-Each sweep varies one size and measures each kind of event by processor time and by lines run (measuring.py).
+Each sweep varies one size and measures each kind of event by processor time and by lines executed, see
+measuring.py.
 """
 
 import argparse
@@ -17,9 +18,9 @@
 from cottonspread.lab.scale.balancer_node import LOAD, REVIEW_INTERVAL, BalancerNode
 from cottonspread.lab.scale.measuring import Cost, memory_taken
 
-REPEATS = 6  # of each event of the list: half by time, half by lines
+REPEATS = 6  # runs of each list event: half are timed, half have their lines counted
 CALLS = 60
-LARGE_GROUP_NODES = 420  # nodes: a node has this part of a large topic's listeners
+LARGE_GROUP_NODES = 420  # nodes that share the listeners of a large group evenly
 
 SIZES = {
     "connections": (1_000, 5_000, 10_000, 20_000, 40_000, 76_190),
@@ -49,7 +50,7 @@
 
 
 def node_of(sweep, size, fixed, probed=False):
-    """The node that a sweep has at one size."""
+    """The node of a sweep at one size."""
     shape = dict(fixed)
     if sweep == "large-group":
         shape["large_group"] = min(size // LARGE_GROUP_NODES, shape["connections"])
@@ -59,20 +60,20 @@
 
 
 class NodeBenchmark:
-    """Everything that is measured of one node, in an order in which nothing disturbs what comes after."""
+    """All measurements of one node, ordered so that none disturbs a later one."""
 
     def __init__(self, node, probed, seed=3):
         self.node, self.probed, self.chance = node, probed, Random(seed)
         self.figures = {}  # (name, unit, whether it is control): value
 
     def record(self, name, cost, control, longest=False):
-        """Keeps one kind of event's cost."""
+        """Records the cost of one kind of event."""
         value = cost.longest if longest else cost.median
         self.figures[f"{name}_us", "us", control] = round(value, 1)
         self.figures[f"{name}_lines", "lines run", control] = cost.max_lines
 
     def random_groups(self):
-        """A group for each call: any of those that the node may know."""
+        """A random group for each call, of all that the node may know."""
         return [f"group-{self.chance.randrange(self.node.groups)}" for _ in range(CALLS)]
 
     def new_groups(self):
@@ -94,13 +95,13 @@
         self.record("look", Cost.measure([ReviewAfterLoad(node)] * REPEATS), True)
 
     def measure_load_reports(self):
-        """Loads told on standing connections."""
+        """Load reports on established connections."""
         calls = self.chance.sample(sorted(self.node.established), CALLS)
         tasks = [lambda call=call: self.node.handle(io.LoadReported(call, 12_000.0)) for call in calls]
         self.record("load_told", Cost.measure(tasks), False)
 
     def measure_list_updates(self):
-        """Words of the list: unchanged, a drain, a start."""
+        """List updates: the full list unchanged, a server that drains, a server that started."""
         node = self.node
         self.record("whole_list", Cost.measure([node.send_full_list] * REPEATS), True, longest=True)
         numbers = range(node.servers - 1, node.servers - 1 - REPEATS, -1)
@@ -110,7 +111,10 @@
         self.record("started", Cost.measure(tasks), True, longest=True)
 
     def measure_server_loss(self):
-        """An eighth of the servers vanishes at once (timed), another (lines counted); connections break."""
+        """An eighth of the servers disappears at once (timed), then another (lines counted).
+
+        Their connections break.
+        """
         node, eighth = self.node, self.node.servers // 8
         parts = [range(eighth), range(eighth, 2 * eighth)]
         tasks = [lambda numbers=numbers: node.remove_servers(numbers) for numbers in parts]
@@ -121,7 +125,7 @@
         self.record("call_after_loss", Cost.measure([node.run_call, node.run_call]), False, longest=True)
 
     def run_all(self):
-        """Plays all of it; returns the figures."""
+        """Runs all measurements; returns the figures."""
         self.measure_calls()
         self.measure_load_reports()
         self.measure_list_updates()
@@ -130,13 +134,13 @@
 
 
 class ReviewAfterLoad:
-    """A look at the servers after one load was told, as nearly every look is in service."""
+    """A review of the servers after one load report, as nearly every review is in production."""
 
     def __init__(self, node):
         self.node, self.call, self.told = node, next(iter(node.established)), LOAD
 
     def prepare(self):
-        """Tells a load, other than the last; returns the look."""
+        """Reports a load other than the last; returns the review."""
         self.told += 1
         self.node.handle(io.LoadReported(self.call, self.told))
         return self.node.review_servers
@@ -153,17 +157,17 @@
 
 @dataclass(frozen=True)
 class SweepFamily:
-    """What a family of sweeps varies, holds fixed and measures."""
+    """What the sweeps of one kind vary, hold fixed and measure."""
 
     kind: str  # "module" or "reducer"
     sizes: dict  # sweep: sizes
     fixed: dict  # sweep: {name: value}
     units: dict  # sweep: what the size counts
-    measure: object  # (sweep, size, fixed) to {(name, unit, control): value}
+    measure: object  # function (sweep, size, fixed) -> {(name, unit, control): value}
     small: bool
 
     def run_sweep(self, sweep, suffix=""):
-        """Plays one sweep; returns it as a result."""
+        """Runs one sweep; returns its result."""
         measures = {}
         for size in self.sizes[sweep]:
             print(f"{sweep} {size}", file=sys.stderr, flush=True)
@@ -187,7 +191,7 @@
 
 
 def table(result):
-    """The result as text: a row for each measure."""
+    """The result as text, a row for each measure."""
     rows = [f"{result.name}: " + ", ".join(f"{name}={value}" for name, value in result.fixed.items())]
     for one in result.measures:
         values = "".join(f"{point.value:>14,.0f}" for point in one.points)
@@ -196,12 +200,12 @@
 
 
 def run_command(kind, sizes, small_sizes, fixed, small_fixed, units, measure, text):
-    """Plays the sweeps that the command line names, all of them if none."""
+    """Runs the sweeps that the command line names, or all of them."""
     parser = argparse.ArgumentParser(description=text.split("\n")[0])
-    parser.add_argument("--small", action="store_true", help="sizes that end in seconds")
-    parser.add_argument("--sweep", choices=sorted(sizes), help="one sweep; all, if left out")
-    parser.add_argument("--out", type=Path, help="folder for the results; printed alone, if left out")
-    parser.add_argument("--suffix", default="", help="added to each result's name")
+    parser.add_argument("--small", action="store_true", help="small sizes; a sweep takes seconds")
+    parser.add_argument("--sweep", choices=sorted(sizes), help="sweep to run (default: all)")
+    parser.add_argument("--out", type=Path, help="folder for the results (default: print them only)")
+    parser.add_argument("--suffix", default="", help="text appended to each result's name")
     options = parser.parse_args()
     if options.small:
         sizes = small_sizes
--- a/cottonspread/lab/scale/reducer_sweeps.py
+++ b/cottonspread/lab/scale/reducer_sweeps.py
@@ -1,9 +1,9 @@
-"""Sweeps of the reducer with its module, no sockets: what a tick, a line, a call and an order of staff cost.
+"""Sweeps of the reducer with its balancer, no sockets: cost of timers, lines, calls, operators' commands.
 
     python -m cottonspread.lab.scale.reducer_sweeps [--small] [--sweep NAME] [--out DIR] [--suffix TEXT]
 
-The measures `sweep` and `listen` are the reducer's own timers, four and ten times a second;
-`timers_a_second` is what both take of a second of processor time.
+The measures `sweep` and `listen` are the reducer's own timers, which run four and ten times a second;
+`timers_a_second` is the processor time that both take in a second.
 """
 
 import gc
@@ -13,7 +13,7 @@
 from cottonspread.lab.scale.reducer_node import ReducerNode
 from cottonspread.net.reducer import ECHO_CHECK_INTERVAL, SECOND, SWEEP_INTERVAL
 
-UNECHOED_DIVISOR = 10  # one connection in so many has a line out without an echo
+UNECHOED_DIVISOR = 10  # one connection in so many has a line that awaits its echo
 SIZES = {
     "connections": (1_000, 5_000, 10_000, 20_000, 40_000, 76_190),
     "servers": (50, 200, 400, 1_000, 3_000),
@@ -28,14 +28,14 @@
 
 
 class ReducerBenchmark(NodeBenchmark):
-    """Everything that is measured of one reducer."""
+    """All measurements of one reducer."""
 
     def __init__(self, node):
         super().__init__(node, None)
         self.clients = list(node.hosts)
 
     def measure_timers(self):
-        """The two timers of the reducer with nothing under way, then with lines out."""
+        """The reducer's two timers while nothing is in progress, then with lines that await an echo."""
         node = self.node
         for state, busy in (("idle", []), ("lines_out", self.clients[::UNECHOED_DIVISOR])):
             for kind in ("sweep", "listen"):
@@ -47,7 +47,7 @@
             self.figures[f"timers_a_second_{state}_us", "us a second", True] = second
 
     def measure_lines_and_calls(self):
-        """What clients cause: lines, calls."""
+        """Events caused by clients: lines, calls."""
         node = self.node
         tasks = [lambda client=client: node.line_and_echo(client) for client in self.clients[1 : CALLS + 1]]
         self.record("line_and_echo", Cost.measure(tasks), False)
@@ -57,7 +57,7 @@
         self.record("call_new_group", Cost.measure(tasks), False)
 
     def measure_list_and_operator_events(self):
-        """What the list and staff cause."""
+        """Events caused by the list and by operators."""
         node = self.node
         self.record("whole_list", Cost.measure([node.send_full_list] * REPEATS), True, longest=True)
         self.record("hand_over", Cost.measure([node.hand_over] * 2), True, longest=True)
@@ -66,7 +66,7 @@
         )
 
     def run_all(self):
-        """Plays all of it; returns the figures."""
+        """Runs all measurements; returns the figures."""
         self.measure_lines_and_calls()
         self.measure_timers()
         self.measure_list_and_operator_events()
@@ -74,13 +74,13 @@
 
 
 class TimerRun:
-    """The next run of one timer alone: waited for as it is made ready, outside what is measured."""
+    """The next run of one timer alone; advancing to it is not measured."""
 
     def __init__(self, node, kind, busy):
         self.node, self.kind, self.busy, self.sent = node, kind, busy, []
 
     def prepare(self):
-        """Goes to the moment at which it is due, a line just sent by each of `busy`; returns the work."""
+        """Advances to when it is due, just after each of `busy` sent a line; returns the work."""
         self.echo()
         work = self.node.advance_to_timer(self.kind, self.busy)
         self.sent = self.busy
--- a/tests/scale/test_balancer_work.py
+++ b/tests/scale/test_balancer_work.py
@@ -1,7 +1,7 @@
-"""What the decision module looks at for one event, counted at two sizes: no more than the event touches.
+"""The balancer's work for one event, counted at two sizes: no more than the event touches.
 
-Work is counted in lines of code run, each turn of a loop anew (`lab/scale/measuring.py`), or by structures.
-The times at the target's sizes stand in benchmarks/scale/results/module-*.json.
+Work is counted in lines of code executed, each loop iteration anew (`lab/scale/measuring.py`), or by the
+structures themselves. The times at the target's sizes are in benchmarks/scale/results/module-*.json.
 """
 
 import pytest
@@ -12,11 +12,11 @@
 from cottonspread.policy.records import Records
 from cottonspread.state import SECOND
 
-SLACK = 1.1  # what chance draws may make of the same work
+SLACK = 1.1  # random draws may change the same work by so much
 
 
 def add_connections(node, count, host="server-0"):
-    """So many connections more, each of a group of its own, all on one server."""
+    """Adds so many connections, each of a group of its own, all on one server."""
     for _ in range(count):
         call = node.new_call_id()
         node.handle(io.CallArrived(call, 0, GUARD, None, f"held-{call}", held_by=host))
@@ -24,7 +24,7 @@
 
 
 def settled(node):
-    """The node after its groups' parts of all calls have become small, and a look at all servers."""
+    """The node after each group's share of all calls has become small and the servers were reviewed."""
     for n in range(600):
         node.handle(io.CallArrived(f"warm-{n}", 0, 0, None, f"warm-{n}"))
     node.review_servers()
@@ -32,7 +32,7 @@
 
 
 def test_servers_that_vanish_cost_their_own_records_and_no_others():
-    """All records were walked for each server: 125 of 1,000 lost took 2.4 s at 40,000 connections."""
+    """All records were iterated for each server: losing 125 of 1,000 took 2.4 s at 40,000 connections."""
 
     def work(others):
         node = BalancerNode(80, 40, 80)
@@ -45,7 +45,7 @@
 
 @pytest.mark.parametrize("group", (None, "a new group"))
 def test_a_call_looks_at_the_servers_that_it_may_go_to(group):
-    """The rotation was copied and walked, all servers sorted for a group: 1,256 us at 3,000 servers."""
+    """The rotation was copied and iterated, all servers sorted for a group: 1,256 us at 3,000 servers."""
 
     def work(servers):
         node = settled(BalancerNode(servers * 2, servers, 200))
@@ -53,7 +53,7 @@
         return lines_run(lambda: node.run_call(group))
 
     few, many = work(50), work(500)
-    assert many <= few * 1.6, (few, many)  # names of one length more, and a server or two
+    assert many <= few * 1.6, (few, many)  # slack for longer names and one or two more servers
 
 
 def test_a_group_s_order_is_made_in_one_pass_and_made_once():
@@ -66,7 +66,7 @@
 
 
 def test_a_call_in_a_zone_without_servers_does_not_walk_the_others_for_one():
-    """With its zone lost each call asked every server for its zone."""
+    """With its zone lost each call compared every server's zone."""
 
     def work(servers):
         node = BalancerNode(0, servers, 1)
@@ -80,7 +80,7 @@
 
 
 def test_a_look_at_the_servers_does_not_walk_those_that_are_as_ever():
-    """Four times a second all servers were asked thrice whether they are slow, cut or set aside."""
+    """Four times a second all servers were checked thrice: slow, recently cut, ejected."""
 
     def work(servers):
         node = BalancerNode(20, servers, 20)
@@ -102,7 +102,7 @@
 
 
 def test_a_look_after_a_load_was_told_takes_three_lines_a_connection():
-    """The mean of all loads has moved: each connection weighs otherwise. It was eight lines, two calls."""
+    """A new mean load changes each connection's weight. It took eight lines and two calls each."""
 
     def work(connections):
         node = BalancerNode(connections, 40, 40)
@@ -115,7 +115,7 @@
 
 
 def test_the_end_of_a_leg_costs_the_same_however_many_groups_its_server_has():
-    """Every group of the server was looked at for those that are gone."""
+    """All groups of the server were searched for those that are gone."""
 
     def work(groups):
         node = BalancerNode(0, 4, 1)
@@ -128,7 +128,7 @@
 
 
 def test_a_call_does_not_sum_over_servers_that_stand_apart():
-    """Servers started in a release stand apart for 20 s: each call summed their legs, load and size."""
+    """Servers started in a rollout are excluded for 20 s: each call summed their legs, load and size."""
 
     def work(fresh):
         node = BalancerNode(400, 200, 400)
@@ -136,7 +136,7 @@
         started = [entry(n, started=node.now - SECOND) for n in range(fresh)]
         node.update(io.ListUpdateKind.CHANGES, started)
         node.review_servers()
-        group = "group-150"  # it has a record: the call goes there at once
+        group = "group-150"  # it has a record, which decides the call at once
         node.run_call(group)
         return lines_run(lambda: node.run_call(group))
 
@@ -145,7 +145,7 @@
 
 
 def test_no_record_of_a_connection_that_stands_is_dropped_for_their_number(monkeypatch):
-    """50,000 were kept at most, and a node holds 76,190 connections."""
+    """At most 50,000 records were kept, and a node has up to 76,190 connections."""
     monkeypatch.setattr(Records, "MAX_IDLE_KEYS", 20)
     node = BalancerNode(60, 4, 60)
     node.run_call("group-0")
@@ -157,7 +157,7 @@
     node = BalancerNode(60, 4, 60)
     for n in range(100):
         node.run_call(f"passing-{n}")
-    assert len(node.balancer.records) <= 20 + 61 + 1  # the call itself is held, and then has its record
+    assert len(node.balancer.records) <= 20 + 61 + 1  # one more for the call itself, and one for its record
     for call in node.established:
         node.handle(io.LegEnded(call, 0, io.Ending.OK, True))
     node.now += REVIEW_INTERVAL
--- a/tests/scale/test_hollow_command.py
+++ b/tests/scale/test_hollow_command.py
@@ -1,4 +1,4 @@
-"""`lab scale` end to end at small sizes, and hollow calls beside real ones over sockets."""
+"""`lab scale` end to end at small sizes, and hollow requests compared with real ones over sockets."""
 
 import time
 
@@ -63,7 +63,7 @@
 
 
 def test_a_hollow_node_s_bytes_are_those_of_real_calls(list_stub):
-    """A whole list and a watch that ends without news, over sockets and hollow."""
+    """A full list and a watch that ends without a change, over sockets and simulated."""
     relay = Relay(list_stub.address)
     client = ListClient(relay.address)
     for _ in range(2):
--- a/tests/scale/test_hollow_counts.py
+++ b/tests/scale/test_hollow_counts.py
@@ -1,4 +1,4 @@
-"""Hollow fleets: control is counted, and its counts grow no faster with size than the capacity page says."""
+"""Hollow fleets: control is metered, and grows with size no faster than the capacity page states."""
 
 import sys
 
@@ -46,12 +46,12 @@
     assert counts(short, "whole_list_entries") == [20] and counts(long, "whole_list_entries") == [160]
     grown = long["whole_list_bytes"].value / short["whole_list_bytes"].value
     assert grown <= 8 * 1.02
-    assert 140 <= long["whole_list_bytes"].value / 160 <= 180  # bytes an entry
+    assert 140 <= long["whole_list_bytes"].value / 160 <= 180  # bytes per entry
 
 
 @pytest.mark.parametrize("rate", (60, 600))
 def test_bytes_follow_the_changes(rate):
-    """An answer and a request a change, and no watch that ends with nothing between them."""
+    """One request and one answer a change; no watch ends without a change in between."""
     figures = measure_control(Size(nodes=2, servers=20, changes_a_minute=rate, seconds=10.0))
     assert figures["entries_read"].value == pytest.approx(rate / 60, rel=0.02)
     assert figures["control_messages"].value == pytest.approx(2 * rate / 60, rel=0.05)
@@ -59,7 +59,7 @@
 
 
 def steps_made(what):
-    """Steps of the interpreter while it runs: work that is the same on every machine."""
+    """Bytecode instructions that it executes: work that is the same on every machine."""
     made = 0
 
     def count(frame, event, _):
@@ -77,7 +77,7 @@
 
 
 def work(servers):
-    """Steps of an instance for a whole list, for one change and for a second of ticks."""
+    """Instructions of an instance for a full list, for one change and for a second of ticks."""
     fleet_run = FleetRun(Size(nodes=1, servers=servers, seconds=30.0))
     fleet_run.run_until(WARMUP_S + 0.01)
     fleet_run.fleet.processes()[0].discovery.need_full_list = True
@@ -91,10 +91,10 @@
 
 
 def test_no_control_work_grows_faster_than_the_list():
-    """What the second hundred servers add is twice what the first fifty added, and no more."""
+    """The second hundred servers add at most twice what the first fifty added: no quadratic work."""
     counted = [work(servers) for servers in (50, 100, 200)]
     for name, few, some, many in zip(("whole list", "change", "ticks"), *counted, strict=True):
-        assert many - some <= 2.1 * (some - few) + 500, f"{name}: {few}, {some}, {many} steps"
+        assert many - some <= 2.1 * (some - few) + 500, f"{name}: {few}, {some}, {many} instructions"
 
 
 def test_one_seed_gives_one_trace_and_another_a_different_one():
--- a/tests/scale/test_hollow_faults.py
+++ b/tests/scale/test_hollow_faults.py
@@ -1,4 +1,4 @@
-"""Faults on small hollow fleets: the same from one seed, whole again, no rule broken; breaches are seen."""
+"""Faults in small hollow fleets: reproducible by seed, recovered, no rule broken; violations are found."""
 
 import pytest
 
@@ -19,7 +19,7 @@
 
 @pytest.fixture(scope="module")
 def played():
-    """Each event once, as it is asked for."""
+    """Runs each event once, when a test first needs it."""
     kept = {}
 
     def play(name):
@@ -53,7 +53,7 @@
 
 def test_a_lost_zone_loses_its_clients_and_they_come_again_to_the_rest(played):
     figures = played("zone-lost").figures
-    assert figures["lost_reset"] >= 3  # one of eight nodes holds some six of 48 clients
+    assert figures["lost_reset"] >= 3  # one of eight nodes has about six of 48 clients
     assert figures["back_last_s"] < 5
     assert played("node-lost").figures["lost"] < figures["lost"]
 
@@ -79,7 +79,7 @@
     cut = hollow_faults.REGION_CUT_S
     assert one.figures["changes_in_force_over_3_s"] == 2 * 6
     assert cut < one.seconds_until_whole <= cut + 4.5
-    # Three servers changed, two of them drained and gone; then an idle watch or two.
+    # Three servers changed, two of them drained and removed; then an idle watch or two.
     assert 500 < one.figures["catching_up_bytes_in_an_instance"] < 2000
 
 
@@ -92,14 +92,14 @@
 
 
 def test_a_client_that_is_never_served_again_is_told(monkeypatch):
-    """A fleet that is not whole says so: here no client comes back."""
+    """A fleet that has not recovered is reported as such: here no client reconnects."""
     monkeypatch.setattr(hollow_faults.CountedClients, "schedule_call", lambda *_: None)
     one = run_named_event("node-lost", small("node-lost"))
     assert one.seconds_until_whole is None and one.figures["not_back_at_the_end"] > 0
 
 
 def test_a_node_that_breaks_its_clients_off_is_an_offence(monkeypatch):
-    """What stands is reset where SIGTERM should have asked it to move."""
+    """The node resets its connections on SIGTERM instead of asking the clients to move."""
     monkeypatch.setattr(Process, "stop", lambda self: self.exit("stopped"))
     one = run_named_event("node-restarted", small("node-restarted"))
     assert one.rules_broken >= 1 and one.violations
--- a/tests/scale/test_measuring.py
+++ b/tests/scale/test_measuring.py
@@ -1,12 +1,11 @@
-"""A count of lines run is the work's alone.
-
-What happened: `test_a_look_after_a_load_was_told_takes_three_lines_a_connection` counted 1,809 lines more
-for 360 connections more, where 1,800 are allowed, once in two runs of the whole suite. Why: the garbage
-collector may run in the midst of the work, and calls Python code: the functions in `gc.callbacks` and
-finalizers of what it finds. The trace hook counts their lines too. hypothesis puts such a function there,
-so that the order of the tests on a worker decides. What showed it: that work takes 1,800 lines, five a
-connection, without a callback; with that of hypothesis one of 30 plays took 1,809, nine lines more, and an
-eager collector adds 117.
+"""A count of executed lines contains only the lines of the measured work.
+
+The garbage collector may run during the work and calls Python code: the functions in `gc.callbacks` and the
+finalizers of what it frees. The trace hook counted their lines too. hypothesis registers such a callback, so
+that the order of the tests on a worker decided: the work of
+`test_a_review_after_a_load_report_takes_three_lines_a_connection` takes 1,800 lines for 360 connections, five
+each and as many as the test allows; with the callback of hypothesis one of 30 runs took 1,809, and that test
+failed once in two runs of the whole suite. A collector that runs at each allocation adds 117 lines.
 """
 
 import gc
@@ -22,7 +21,7 @@
 
 @pytest.fixture
 def eager_collector():
-    """The collector runs at each allocation, and calls a function of several lines before and after."""
+    """The collector runs at each allocation and calls a function of several lines before and after."""
     before, called = gc.get_threshold(), []
 
     def callback(phase, info):
--- a/tests/scale/test_reducer_work.py
+++ b/tests/scale/test_reducer_work.py
@@ -1,6 +1,6 @@
-"""What the reducer's timers look at, counted at two sizes: it does not grow with what merely stands.
+"""The work of the reducer's timers, counted at two sizes: it does not grow with idle connections.
 
-Work is counted in lines of code run, each turn of a loop anew (`lab/scale/measuring.py`).
+Work is counted in lines of code executed, each loop iteration anew (`lab/scale/measuring.py`).
 """
 
 import pytest
@@ -9,11 +9,11 @@
 from cottonspread.lab.scale.reducer_node import ReducerNode
 
 SERVERS, GROUPS, FEW, MANY = 20, 50, 100, 400
-BUSY = 10  # connections with a line out, at both sizes
+BUSY = 10  # connections with a line that awaits its echo, at both sizes
 
 
 def work_of(kind, connections, busy):
-    """Lines that one run of a timer of that kind takes, with so many standing and so many with a line out."""
+    """Lines that one run of a timer of that kind executes, `busy` of the connections awaiting an echo."""
     node = ReducerNode(connections, SERVERS, GROUPS)
     return lines_run(node.advance_to_timer(kind, list(node.hosts)[:busy]))
 
@@ -21,20 +21,20 @@
 @pytest.mark.parametrize("busy", (0, BUSY))
 @pytest.mark.parametrize("kind", ("sweep", "listen"))
 def test_a_timer_looks_at_what_is_under_way_and_not_at_what_stands(kind, busy):
-    """All connections and legs were walked fourteen times a second: over 17 ms of a core a second."""
+    """All connections and legs were checked fourteen times a second: over 17 ms of a core a second."""
     few, many = work_of(kind, FEW, busy), work_of(kind, MANY, busy)
     assert many <= few * 1.05, (few, many)
 
 
 @pytest.mark.parametrize("kind", ("sweep", "listen"))
 def test_a_timer_does_look_at_all_that_is_under_way(kind):
-    """Each connection with a line out costs its part: none is passed over."""
+    """Each connection that awaits an echo adds work: none is skipped."""
     few, many = work_of(kind, MANY, BUSY), work_of(kind, MANY, 4 * BUSY)
     assert many >= few + 3 * BUSY, (few, many)
 
 
 def test_a_load_told_looks_at_those_that_wait_for_an_echo():
-    """Every line with a load walked all legs on its host for the oldest line out."""
+    """Every load line searched all legs of its host for the oldest line without an echo."""
 
     def work(connections):
         node = ReducerNode(connections, 1, GROUPS)
@@ -45,7 +45,7 @@
 
 
 def test_a_drain_makes_one_timer_however_many_are_to_move():
-    """One was made for each: the node was away for 0.1 s or more at 76,190 connections."""
+    """One was created for each: the node did not respond for 0.1 s or more at 76,190 connections."""
 
     def work(connections):
         node = ReducerNode(connections, SERVERS, GROUPS)
--- a/tests/scale/test_structures_against_naive.py
+++ b/tests/scale/test_structures_against_naive.py
@@ -1,6 +1,6 @@
-"""The structures under rotation, group orders and records do as plain copies of what they replaced.
+"""The structures behind rotation, group orders and records behave as the naive versions that they replaced.
 
-The plain copies walk or sort everything, as the text before did; many seeds are played against them.
+The naive versions iterate or sort everything; both run the same random operations, for many seeds.
 """
 
 from collections import OrderedDict
@@ -16,21 +16,21 @@
 
 
 def server(name, rng):
-    """A server as far as these structures know one."""
+    """A server with the attributes that these structures use."""
     entry = SimpleNamespace(zone=rng.randrange(4))
     size = rng.choice((1.0, 1.0, 0.5, 3.0))
     return IdentityNamespace(name=name, entry=entry, size=size, turn_credit=0.0, skip_until=0)
 
 
 class IdentityNamespace(SimpleNamespace):
-    """Two of them are the same only if they are one."""
+    """A namespace that is compared by identity."""
 
     __hash__ = object.__hash__
     __eq__ = object.__eq__
 
 
 def random_servers(rng, max_count):
-    """Servers with names of several lengths, some of them no text."""
+    """Servers with names of several lengths."""
     count = rng.randrange(1, max_count)
     names = rng.sample([f"server-{n}" for n in range(2 * max_count)] + [f"s{n:x}" for n in range(99)], count)
     return [server(name, rng) for name in names]
@@ -40,7 +40,7 @@
 
 
 def sorted_order(key, servers):
-    """The order as it was made before: all servers sorted."""
+    """The order as it was computed before: all servers sorted."""
     start = crc32(str(key).encode())
 
     def place(one):
@@ -91,7 +91,7 @@
 
 
 class NaiveRotation:
-    """The rotation as it was: the whole order copied and filtered at each call."""
+    """The rotation as it was before: the whole order copied and filtered at each call."""
 
     def __init__(self):
         self.order, self.at, self.largest = [], 0, 1
@@ -104,7 +104,7 @@
         self.at, self.largest = 0, max((h.size for h in hosts), default=1)
 
     def next(self, fits, now):
-        """The next that fits."""
+        """The next server that fits."""
         left = [h for h in self.order[self.at :] + self.order[: self.at] if h.skip_until <= now]
         while left:
             waiting = []
@@ -121,7 +121,7 @@
 
 
 def copy_of(one):
-    """Another of the same."""
+    """A copy with the same attributes."""
     return IdentityNamespace(**vars(one))
 
 
@@ -131,7 +131,7 @@
 
 
 def name_of(one):
-    """The name of a server, None of none."""
+    """The name of a server; None for None."""
     return one and one.name
 
 
@@ -169,7 +169,7 @@
 
 
 def test_servers_that_are_looked_at_may_shut_themselves_as_they_are():
-    """What `fits` does to the server that it looks at, as a call that finds it not open."""
+    """`fits` changes the server that it checks, as a call does that finds it unavailable."""
     rotation = CyclicOrder()
     servers = [server(f"s{n}", Random(n)) for n in range(5)]
     rotation.keep(servers)
@@ -190,7 +190,7 @@
 
 
 class NaiveRecords:
-    """The map as it was: all entries walked for each value that is dropped."""
+    """The map as it was before: all entries iterated for each value that is dropped."""
 
     def __init__(self):
         self.entries = OrderedDict()
@@ -200,7 +200,7 @@
         return self.entries.get(key, (None,))[0]
 
     def put(self, key, value, now):
-        """Sets it."""
+        """Sets the key's value."""
         self.entries[key] = value, now
         self.entries.move_to_end(key)
 
@@ -210,17 +210,17 @@
             self.put(key, value, now)
 
     def drop(self, key, value):
-        """Takes out the key."""
+        """Removes the key."""
         if self.get(key) is value:
             del self.entries[key]
 
     def drop_value(self, value):
-        """Takes out all keys of a value."""
+        """Removes all keys of a value."""
         for key in [k for k, (v, _) in self.entries.items() if v is value]:
             del self.entries[key]
 
     def trim(self, oldest, max_count):
-        """Takes out the idle ones."""
+        """Removes the entries that were idle longest."""
         while self.entries:
             key, (_, used) = next(iter(self.entries.items()))
             if used >= oldest and len(self.entries) <= max_count:
