--- a/tests/scale/test_balancer_work.py
+++ b/tests/scale/test_balancer_work.py
@@ -23,7 +23,7 @@
         node.handle(io.LoadReported(call, LOAD))
 
 
-def settled(node):
+def warmed_up(node):
     """The node after each group's share of all calls has become small and the servers were reviewed."""
     for n in range(600):
         node.handle(io.CallArrived(f"warm-{n}", 0, 0, None, f"warm-{n}"))
@@ -31,7 +31,7 @@
     return node
 
 
-def test_servers_that_vanish_cost_their_own_records_and_no_others():
+def test_removing_servers_visits_only_their_own_records():
     """All records were iterated for each server: losing 125 of 1,000 took 2.4 s at 40,000 connections."""
 
     def work(others):
@@ -44,11 +44,11 @@
 
 
 @pytest.mark.parametrize("group", (None, "a new group"))
-def test_a_call_looks_at_the_servers_that_it_may_go_to(group):
+def test_a_call_visits_only_servers_that_it_may_go_to(group):
     """The rotation was copied and iterated, all servers sorted for a group: 1,256 us at 3,000 servers."""
 
     def work(servers):
-        node = settled(BalancerNode(servers * 2, servers, 200))
+        node = warmed_up(BalancerNode(servers * 2, servers, 200))
         node.run_call("another")
         return lines_run(lambda: node.run_call(group))
 
@@ -56,8 +56,8 @@
     assert many <= few * 1.6, (few, many)  # slack for longer names and one or two more servers
 
 
-def test_a_group_s_order_is_made_in_one_pass_and_made_once():
-    node = settled(BalancerNode(1000, 500, 200))
+def test_a_group_s_order_is_computed_in_one_pass_and_only_once():
+    node = warmed_up(BalancerNode(1000, 500, 200))
     orders = node.balancer.rotation.group_orders
     before = orders.passes
     for _ in range(5):
@@ -65,7 +65,7 @@
     assert orders.passes - before == 1
 
 
-def test_a_call_in_a_zone_without_servers_does_not_walk_the_others_for_one():
+def test_a_call_in_a_zone_without_servers_does_not_search_all_others():
     """With its zone lost each call compared every server's zone."""
 
     def work(servers):
@@ -79,7 +79,7 @@
     assert many <= few * SLACK, (few, many)
 
 
-def test_a_look_at_the_servers_does_not_walk_those_that_are_as_ever():
+def test_a_review_does_not_visit_unexceptional_servers():
     """Four times a second all servers were checked thrice: slow, recently cut, ejected."""
 
     def work(servers):
@@ -91,7 +91,7 @@
     assert many <= few * SLACK, (few, many)
 
 
-def test_a_look_weighs_no_connection_anew_while_no_load_was_told():
+def test_a_review_recomputes_no_weight_without_a_load_report():
     def work(connections):
         node = BalancerNode(connections, 40, 40)
         node.review_servers()
@@ -101,7 +101,7 @@
     assert many <= few * SLACK, (few, many)
 
 
-def test_a_look_after_a_load_was_told_takes_three_lines_a_connection():
+def test_a_review_after_a_load_report_takes_three_lines_a_connection():
     """A new mean load changes each connection's weight. It took eight lines and two calls each."""
 
     def work(connections):
@@ -127,13 +127,13 @@
     assert many <= few * SLACK, (few, many)
 
 
-def test_a_call_does_not_sum_over_servers_that_stand_apart():
+def test_a_call_does_not_sum_over_servers_that_are_excluded():
     """Servers started in a rollout are excluded for 20 s: each call summed their legs, load and size."""
 
-    def work(fresh):
+    def work(cold_count):
         node = BalancerNode(400, 200, 400)
         node.now += 10 * SECOND
-        started = [entry(n, started=node.now - SECOND) for n in range(fresh)]
+        started = [entry(n, started=node.now - SECOND) for n in range(cold_count)]
         node.update(io.ListUpdateKind.CHANGES, started)
         node.review_servers()
         group = "group-150"  # it has a record, which decides the call at once
@@ -144,7 +144,7 @@
     assert many <= few * SLACK, (few, many)
 
 
-def test_no_record_of_a_connection_that_stands_is_dropped_for_their_number(monkeypatch):
+def test_no_record_of_an_established_connection_is_evicted(monkeypatch):
     """At most 50,000 records were kept, and a node has up to 76,190 connections."""
     monkeypatch.setattr(Records, "MAX_IDLE_KEYS", 20)
     node = BalancerNode(60, 4, 60)
--- a/tests/scale/test_hollow_command.py
+++ b/tests/scale/test_hollow_command.py
@@ -13,7 +13,7 @@
 from cottonspread.lab.scale.results import read, read_fault_run
 
 
-def test_a_small_run_shows_its_points_and_keeps_its_result(tmp_path, capsys):
+def test_a_small_run_prints_its_points_and_writes_its_result(tmp_path, capsys):
     words = ["lab", "scale", "--small", "--seed", "3", "--only", "hollow-changes", "fault-node-lost"]
     assert main([*words, "--out", str(tmp_path)]) == 0
     shown = capsys.readouterr().out
@@ -23,19 +23,19 @@
     assert read_fault_run(tmp_path / "fault-node-lost.json").seed == 3
 
 
-def test_each_quick_sweep_has_a_small_form_that_plays():
+def test_each_quick_sweep_runs_at_small_sizes():
     sweeps = [*command.hollow_propagation.SWEEPS[2:], *command.hollow_faults.SWEEPS]
     for sweep in map(command.scaled_down, sweeps):
         figures = command.run_inline(command.hollow_sweeps.measure_point, sweep, sweep.values[0], 1)
         assert figures and all(figure.value >= 0 for figure in figures.values())
 
 
-def test_an_unknown_run_is_named(tmp_path, capsys):
+def test_an_unknown_run_is_an_error_that_names_it(tmp_path, capsys):
     assert main(["lab", "scale", "--only", "no-such-run", "--out", str(tmp_path)]) == 2
     assert "no-such-run: one of hollow-nodes" in capsys.readouterr().err
 
 
-def test_names_are_told_apart_and_small_plays_leave_real_time_out():
+def test_run_names_are_unique_and_small_runs_exclude_real_time_sweeps():
     names = [run.name for run in command.runs()]
     assert len(set(names)) == len(names)
     quick = {run.name for run in command.chosen(command.Asked(small=True))}
--- a/tests/scale/test_hollow_counts.py
+++ b/tests/scale/test_hollow_counts.py
@@ -17,7 +17,7 @@
     return [figures[name].value for name in names]
 
 
-def test_an_idle_instance_sends_and_hears_one_watch_in_two_seconds():
+def test_an_idle_instance_makes_one_watch_request_every_two_seconds():
     figures = measure_control(IDLE)
     request = b"GET /api/targets?since=1&timeout_ms=2000 HTTP/1.1\r\nHost: 127.64.0.10:8400\r\n"
     request += b"Accept: application/json\r\n\r\n"
@@ -41,7 +41,7 @@
     assert counts(long, "change_bytes") == pytest.approx(counts(short, "change_bytes"), rel=0.02)
 
 
-def test_a_whole_list_costs_its_entries_and_no_more():
+def test_the_cost_of_a_full_list_is_proportional_to_its_entries():
     short, long = (measure_full_list_and_change(Size(nodes=2, servers=servers)) for servers in (20, 160))
     assert counts(short, "whole_list_entries") == [20] and counts(long, "whole_list_entries") == [160]
     grown = long["whole_list_bytes"].value / short["whole_list_bytes"].value
@@ -50,7 +50,7 @@
 
 
 @pytest.mark.parametrize("rate", (60, 600))
-def test_bytes_follow_the_changes(rate):
+def test_bytes_are_proportional_to_changes(rate):
     """One request and one answer a change; no watch ends without a change in between."""
     figures = measure_control(Size(nodes=2, servers=20, changes_a_minute=rate, seconds=10.0))
     assert figures["entries_read"].value == pytest.approx(rate / 60, rel=0.02)
@@ -58,22 +58,22 @@
     assert figures["control_bytes_in"].value == pytest.approx(282 * rate / 60, rel=0.05)
 
 
-def steps_made(what):
+def count_instructions(function):
     """Bytecode instructions that it executes: work that is the same on every machine."""
-    made = 0
+    count = 0
 
-    def count(frame, event, _):
-        nonlocal made
+    def trace(frame, event, _):
+        nonlocal count
         frame.f_trace_opcodes, frame.f_trace_lines = True, False
-        made += event == "opcode"
-        return count
+        count += event == "opcode"
+        return trace
 
-    sys.settrace(count)
+    sys.settrace(trace)
     try:
-        what()
+        function()
     finally:
         sys.settrace(None)
-    return made
+    return count
 
 
 def work(servers):
@@ -81,12 +81,12 @@
     fleet_run = FleetRun(Size(nodes=1, servers=servers, seconds=30.0))
     fleet_run.run_until(WARMUP_S + 0.01)
     fleet_run.fleet.processes()[0].discovery.need_full_list = True
-    whole = steps_made(lambda: fleet_run.run_until(WARMUP_S + 2.1))
+    whole = count_instructions(lambda: fleet_run.run_until(WARMUP_S + 2.1))
     at = WARMUP_S + 4.0
     fleet_run.run_until(at)
-    idle = steps_made(lambda: fleet_run.run_until(at + 1))
+    idle = count_instructions(lambda: fleet_run.run_until(at + 1))
     fleet_run.schedule_changes(at + 1.05, 1, 1.0)
-    changed = steps_made(lambda: fleet_run.run_until(at + 2))
+    changed = count_instructions(lambda: fleet_run.run_until(at + 2))
     return whole, changed, idle
 
 
@@ -98,7 +98,7 @@
 
 
 def test_one_seed_gives_one_trace_and_another_a_different_one():
-    def played(seed):
+    def run(seed):
         size = Size(nodes=6, servers=10, connections=3, seed=seed)
         fleet = HollowFleet(fleet_plan(size, 8.0), checked=False)
         fleet.world.run(8 * SECOND)
@@ -106,25 +106,25 @@
         meter = fleet.total_work()
         return fleet.world.trace_digest(), meter.bytes_in, meter.line_steps
 
-    assert played(3) == played(3)
-    assert played(3)[0] != played(4)[0]
+    assert run(3) == run(3)
+    assert run(3)[0] != run(4)[0]
 
 
-def test_a_change_is_in_force_everywhere_within_a_message_s_way():
+def test_a_change_is_applied_everywhere_within_a_message_s_delay():
     figures = hollow_propagation.measure_propagation(Size(nodes=9, servers=10))
     assert figures["in_force_last"].value < 0.005
 
 
 @pytest.mark.parametrize("refuses", (False, True))
 @pytest.mark.parametrize("away_s, back_s", ((0.1, 0), (4.0, 0), (8.0, 1.0)))
-def test_after_failed_watches_a_change_is_in_force_within_the_reckoned_longest(away_s, back_s, refuses):
+def test_after_an_outage_a_change_is_applied_within_the_computed_maximum(away_s, back_s, refuses):
     size = hollow_propagation.OutageSize(nodes=6, servers=10, away_s=away_s, back_s=back_s, refuses=refuses)
     figures = hollow_propagation.measure_after_outage(size)
     assert figures["list_failures"].value >= 1
     assert figures["in_force_last"].value <= 4.5
 
 
-def test_a_lost_list_machine_is_felt_by_its_own_nodes_alone():
+def test_a_lost_list_machine_affects_only_its_own_nodes():
     fleet_run = FleetRun(Size(nodes=6, servers=10, seconds=30.0))
     fleet_run.run_until(WARMUP_S)
     fleet_run.fleet.list_machines[1].drop_traffic(8 * SECOND)
@@ -133,13 +133,13 @@
     assert failed == [False, True, False] * 2
     fleet_run.change(0)
     fleet_run.run_until(WARMUP_S + 7.5)
-    (reached,) = fleet_run.fleet.applied_at.values()
-    assert sorted(reached) == ["n0", "n2", "n3", "n5"]
+    (applied,) = fleet_run.fleet.applied_at.values()
+    assert sorted(applied) == ["n0", "n2", "n3", "n5"]
     fleet_run.run_until(WARMUP_S + 8 + 4.5)
-    assert len(reached) == 6 and fleet_run.fleet.nodes_with_servers() == 6
+    assert len(applied) == 6 and fleet_run.fleet.nodes_with_servers() == 6
 
 
-def test_an_older_list_puts_no_later_change_in_force():
+def test_an_older_list_applies_no_later_change():
     fleet_run = FleetRun(Size(nodes=2, servers=10))
     fleet_run.run_until(WARMUP_S)
     fleet, node = fleet_run.fleet, fleet_run.fleet.nodes[0]
@@ -150,15 +150,15 @@
     assert list(fleet.applied_at[version]) == [node.name]
 
 
-def test_a_further_control_client_is_begun_with_each_process():
-    begun = []
+def test_an_additional_control_client_is_started_with_each_process():
+    started = []
 
-    class Beat:
+    class Heartbeat:
         def __init__(self, process):
             self.process = process
 
         def begin(self):
-            begun.append(self.process.node.name)
+            started.append(self.process.node.name)
             self.process.world.after(SECOND, self.beat)
 
         def beat(self):
@@ -167,31 +167,31 @@
                 self.process.world.after(SECOND, self.beat)
 
     size = Size(nodes=3, servers=4)
-    fleet = HollowFleet(fleet_plan(size, 20.0), control=(Beat,), checked=False)
+    fleet = HollowFleet(fleet_plan(size, 20.0), control=(Heartbeat,), checked=False)
     plain = HollowFleet(fleet_plan(size, 20.0), checked=False)
     for one in (fleet, plain):
         one.world.run(13 * SECOND)
-    assert sorted(begun) == ["n0", "n1", "n2"]
+    assert sorted(started) == ["n0", "n1", "n2"]
     beats = (fleet.total_work().bytes_out - plain.total_work().bytes_out) / 10
     assert 3 * 11 <= beats <= 3 * 12
     fleet.nodes[1].process.kill()
     fleet.nodes[1].start()
-    assert begun[-1] == "n1" and len(begun) == 4
+    assert started[-1] == "n1" and len(started) == 4
     assert (
         fleet.total_work().bytes_out > plain.total_work().bytes_out
     )  # the ended process's work still counts
 
 
-def test_a_small_sweep_is_a_result_that_can_be_kept(tmp_path):
+def test_a_small_sweep_gives_a_result_that_can_be_written_and_read(tmp_path):
     from cottonspread.lab.scale.results import read_sweep, write
 
     one = hollow_sweeps.scaled_down(hollow_sweeps.SWEEPS[1])
-    told = []
+    reported = []
     result = hollow_sweeps.run_sweep(
-        one, "the test", 1, False, lambda value, _: told.append(value), hollow_sweeps.run_inline
+        one, "the test", 1, False, lambda value, _: reported.append(value), hollow_sweeps.run_inline
     )
     kept = read_sweep(write(result, tmp_path))
-    assert told == list(one.values)
+    assert reported == list(one.values)
     entries = kept.measure("entries_read")
     assert [point.value for point in entries.points] == pytest.approx([n / 60 for n in one.values], rel=0.02)
     assert {m.control for m in kept.measures} == {True}
--- a/tests/scale/test_hollow_faults.py
+++ b/tests/scale/test_hollow_faults.py
@@ -18,21 +18,21 @@
 
 
 @pytest.fixture(scope="module")
-def played():
+def result_of():
     """Runs each event once, when a test first needs it."""
-    kept = {}
+    results = {}
 
-    def play(name):
-        if name not in kept:
-            kept[name] = run_named_event(name, small(name))
-        return kept[name]
+    def run(name):
+        if name not in results:
+            results[name] = run_named_event(name, small(name))
+        return results[name]
 
-    return play
+    return run
 
 
 @pytest.mark.parametrize("name", BY_NAME)
-def test_no_rule_is_broken_and_the_fleet_is_whole_again(played, name):
-    one = played(name)
+def test_no_rule_is_broken_and_the_fleet_recovers(result_of, name):
+    one = result_of(name)
     assert one.violations == [] and one.rules_broken == 0
     assert one.figures["standing_before"] == one.figures["clients"]
     assert one.seconds_until_whole is not None
@@ -40,9 +40,9 @@
     assert one.figures["nodes_without_a_change"] == 0
 
 
-def test_the_same_seed_gives_the_same_trace_and_another_a_different_one(played):
+def test_the_same_seed_gives_the_same_trace_and_another_a_different_one(result_of):
     again = run_named_event("zone-lost", small("zone-lost"))
-    first = played("zone-lost")
+    first = result_of("zone-lost")
     measured = {"real_s", "peak_mib"}
     assert again.trace == first.trace
     assert {k: v for k, v in again.figures.items() if k not in measured} == {
@@ -51,31 +51,31 @@
     assert run_named_event("zone-lost", small("zone-lost", seed=2)).trace != first.trace
 
 
-def test_a_lost_zone_loses_its_clients_and_they_come_again_to_the_rest(played):
-    figures = played("zone-lost").figures
+def test_a_lost_zone_loses_its_clients_and_they_reconnect_elsewhere(result_of):
+    figures = result_of("zone-lost").figures
     assert figures["lost_reset"] >= 3  # one of eight nodes has about six of 48 clients
     assert figures["back_last_s"] < 5
-    assert played("node-lost").figures["lost"] < figures["lost"]
+    assert result_of("node-lost").figures["lost"] < figures["lost"]
 
 
-def test_a_release_passes_standing_clients_on(played):
-    figures = played("rolling-release").figures
+def test_a_rollout_hands_established_clients_over(result_of):
+    figures = result_of("rolling-release").figures
     assert figures["lost"] < 0.2 * figures["clients"]
     assert figures.get("lost_reset", 0) == 0
 
 
-def test_lost_list_machines_cost_their_nodes_the_news_alone(played):
-    one, two = played("list-machine-lost"), played("two-list-machines-lost")
+def test_lost_list_machines_only_delay_changes_at_their_nodes(result_of):
+    one, two = result_of("list-machine-lost"), result_of("two-list-machines-lost")
     assert one.figures["lost"] == two.figures["lost"] == 0
     # eight nodes, three machines, four changes while they are away
     assert one.figures["changes_in_force_over_3_s"] == 3 * 4
     assert two.figures["changes_in_force_over_3_s"] == 6 * 4
-    for play in (one, two):
-        assert 20 < play.seconds_until_whole <= 20 + 4.5
+    for run in (one, two):
+        assert 20 < run.seconds_until_whole <= 20 + 4.5
 
 
-def test_a_region_that_hears_no_list_catches_up_after_its_return(played):
-    one = played("region-cut-off")
+def test_a_region_without_the_list_catches_up_afterwards(result_of):
+    one = result_of("region-cut-off")
     cut = hollow_faults.REGION_CUT_S
     assert one.figures["changes_in_force_over_3_s"] == 2 * 6
     assert cut < one.seconds_until_whole <= cut + 4.5
@@ -83,35 +83,35 @@
     assert 500 < one.figures["catching_up_bytes_in_an_instance"] < 2000
 
 
-def test_a_row_can_be_kept(tmp_path):
+def test_a_fault_run_can_be_written_and_read(tmp_path):
     event = BY_NAME["node-restarted"]
     result = fault_run(event, small(event.name), "the test", False, run_inline)
-    kept = read_fault_run(write(result, tmp_path))
-    assert kept.name == "fault-node-restarted" and kept.nodes == 8
-    assert "Trace " in kept.rows[0].notes and kept.rows[0].rules_broken == 0
+    loaded = read_fault_run(write(result, tmp_path))
+    assert loaded.name == "fault-node-restarted" and loaded.nodes == 8
+    assert "Trace " in loaded.rows[0].notes and loaded.rows[0].rules_broken == 0
 
 
-def test_a_client_that_is_never_served_again_is_told(monkeypatch):
+def test_a_client_that_is_never_served_again_is_reported(monkeypatch):
     """A fleet that has not recovered is reported as such: here no client reconnects."""
     monkeypatch.setattr(hollow_faults.CountedClients, "schedule_call", lambda *_: None)
     one = run_named_event("node-lost", small("node-lost"))
     assert one.seconds_until_whole is None and one.figures["not_back_at_the_end"] > 0
 
 
-def test_a_node_that_breaks_its_clients_off_is_an_offence(monkeypatch):
+def test_a_node_that_resets_its_clients_violates_a_rule(monkeypatch):
     """The node resets its connections on SIGTERM instead of asking the clients to move."""
     monkeypatch.setattr(Process, "stop", lambda self: self.exit("stopped"))
     one = run_named_event("node-restarted", small("node-restarted"))
     assert one.rules_broken >= 1 and one.violations
 
 
-def test_a_node_that_is_never_told_is_missed(monkeypatch):
+def test_a_node_that_never_gets_the_list_is_reported(monkeypatch):
     monkeypatch.setattr(ListMachine, "is_unreachable", lambda self, process: process.node.name == "n5")
     one = run_named_event("list-machine-lost", small("list-machine-lost"))
     assert one.seconds_until_whole is None
     assert one.figures["nodes_without_a_change"] == 1
 
 
-def test_the_plays_are_long_enough_for_what_they_wait_for():
+def test_the_runs_last_longer_than_what_they_wait_for():
     for event in EVENTS:
         assert event.seconds * SECOND > 10 * SECOND and max(event.changes) + 2 < event.seconds
--- a/tests/scale/test_reducer_work.py
+++ b/tests/scale/test_reducer_work.py
@@ -20,20 +20,20 @@
 
 @pytest.mark.parametrize("busy", (0, BUSY))
 @pytest.mark.parametrize("kind", ("sweep", "listen"))
-def test_a_timer_looks_at_what_is_under_way_and_not_at_what_stands(kind, busy):
+def test_a_timer_checks_active_connections_and_not_idle_ones(kind, busy):
     """All connections and legs were checked fourteen times a second: over 17 ms of a core a second."""
     few, many = work_of(kind, FEW, busy), work_of(kind, MANY, busy)
     assert many <= few * 1.05, (few, many)
 
 
 @pytest.mark.parametrize("kind", ("sweep", "listen"))
-def test_a_timer_does_look_at_all_that_is_under_way(kind):
+def test_a_timer_checks_all_active_connections(kind):
     """Each connection that awaits an echo adds work: none is skipped."""
     few, many = work_of(kind, MANY, BUSY), work_of(kind, MANY, 4 * BUSY)
     assert many >= few + 3 * BUSY, (few, many)
 
 
-def test_a_load_told_looks_at_those_that_wait_for_an_echo():
+def test_a_load_report_checks_only_connections_that_await_an_echo():
     """Every load line searched all legs of its host for the oldest line without an echo."""
 
     def work(connections):
@@ -44,7 +44,7 @@
     assert many <= few * 1.05, (few, many)
 
 
-def test_a_drain_makes_one_timer_however_many_are_to_move():
+def test_a_drain_creates_one_timer_for_all_connections():
     """One was created for each: the node did not respond for 0.1 s or more at 76,190 connections."""
 
     def work(connections):
--- a/tests/scale/test_structures_against_naive.py
+++ b/tests/scale/test_structures_against_naive.py
@@ -74,7 +74,7 @@
     assert list(orders.first("k", 5)) == sorted_order("k", servers)
 
 
-def test_orders_kept_are_bounded():
+def test_cached_orders_are_bounded():
     servers, orders = [server(f"s{n}", Random(n)) for n in range(100)], OrderCache(500)
     orders.keep(servers)
     for n in range(1000):
@@ -136,7 +136,7 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_the_rotation_goes_on_as_the_plain_one_does(seed):
+def test_the_rotation_behaves_as_the_naive_one(seed):
     rng = Random(seed)
     servers = random_servers(rng, 40)
     copies = {one.name: copy_of(one) for one in servers}
@@ -168,7 +168,7 @@
         assert [one.turn_credit for one in rotation.order] == [one.turn_credit for one in naive.order]
 
 
-def test_servers_that_are_looked_at_may_shut_themselves_as_they_are():
+def test_servers_may_become_skipped_while_they_are_checked():
     """`fits` changes the server that it checks, as a call does that finds it unavailable."""
     rotation = CyclicOrder()
     servers = [server(f"s{n}", Random(n)) for n in range(5)]
@@ -229,7 +229,7 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_records_hold_what_the_plain_map_holds(seed):
+def test_records_hold_what_the_naive_map_holds(seed):
     rng, values = Random(seed), [server(f"s{n}", Random(n)) for n in range(6)]
     naive, indexed = NaiveRecords(), LruMap()
     for now in range(800):
