--- a/tests/test_active_set.py
+++ b/tests/test_active_set.py
@@ -103,7 +103,7 @@
 
 def test_items_without_pending_work_are_not_examined_again():
     node, client, host = idle_connection()
-    node.there_and_back(client)
+    node.line_and_echo(client)
     pass_time(node, IDLE_TIME)
     reducer = node.reducer
     before = reducer.active_conns.examined, reducer.active_hosts.examined
