--- a/cottonspread/cli/configuration.py
+++ b/cottonspread/cli/configuration.py
@@ -87,15 +87,15 @@
 
     until = time.monotonic() + wait
     while True:
-        seen = overview.summarize(driver.read_states(replicas, 1.0))
-        late = seen.behind + seen.refused
-        if seen.version > version or (seen.quorum and not late):
+        summary = overview.summarize(driver.read_states(replicas, 1.0))
+        lagging = summary.behind + summary.refused
+        if summary.version > version or (summary.quorum and not lagging):
             break
         if time.monotonic() >= until:
             break
         time.sleep(0.05)
-    print("\n".join(overview.format_overview(seen)))
-    return 1 if late or not seen.quorum else 0
+    print("\n".join(overview.format_overview(summary)))
+    return 1 if lagging or not summary.quorum else 0
 
 
 def status(given):
@@ -107,14 +107,14 @@
 
     from cottonspread.configstore import driver, overview
 
-    seen = overview.summarize(driver.read_states(read_replicas(given.replicas), given.wait))
+    summary = overview.summarize(driver.read_states(read_replicas(given.replicas), given.wait))
     if given.json:
-        print(json.dumps(msgspec.to_builtins(seen), indent=1))
+        print(json.dumps(msgspec.to_builtins(summary), indent=1))
     else:
-        print("\n".join(overview.format_overview(seen)))
-    if not seen.quorum:
+        print("\n".join(overview.format_overview(summary)))
+    if not summary.quorum:
         return NO_QUORUM
-    return 1 if seen.behind or seen.refused else 0
+    return 1 if summary.behind or summary.refused else 0
 
 
 def add(commands):
--- a/cottonspread/cli/initial_list.py
+++ b/cottonspread/cli/initial_list.py
@@ -11,13 +11,13 @@
 
 def newer_list(saved, parts):
     """The saved list, or the one in the configuration if its version is higher; both as parsed JSON."""
-    known = parts[-1]
+    configured = parts[-1]
     try:
         version = discovery.read_list(saved, parts[2])[0] if saved else -1
     except discovery.ListError as fault:
         log.warning("saved-list", extra={"pairs": {"why": fault, "kept": "none"}})
-        return known
-    return saved if version >= discovery.read_list(known, parts[2])[0] else known
+        return configured
+    return saved if version >= discovery.read_list(configured, parts[2])[0] else configured
 
 
 class InitialList:
--- a/cottonspread/cli/node.py
+++ b/cottonspread/cli/node.py
@@ -218,9 +218,9 @@
         node.post_urgent(ev.ReloadRejected())
         log.exception("fault", extra={"pairs": {"while": "reload"}})
         return f"internal error: {type(fault).__name__}: {fault}"
-    endpoints, resource_limits, _, _, begin, _ = parts
+    endpoints, resource_limits, _, _, node_config, _ = parts
     # what cannot change while the node runs still has the values of the start
-    old_endpoints, old_limits, _, _, old_begin, _ = active.parts
+    old_endpoints, old_limits, _, _, old_config, _ = active.parts
     node.reload(*parts[:-1])
     kept = [
         key
@@ -229,8 +229,8 @@
             ("listen", endpoints.listen == old_endpoints.listen),
             ("operator", endpoints.operator == old_endpoints.operator),
             ("limits", resource_limits == old_limits),
-            ("settings.MembershipMode", begin.server_list.polled == old_begin.server_list.polled),
-            ("settings.Weights", begin.dynamic_weights == old_begin.dynamic_weights),
+            ("settings.MembershipMode", node_config.server_list.polled == old_config.server_list.polled),
+            ("settings.Weights", node_config.dynamic_weights == old_config.dynamic_weights),
         )
         if not same
     ]
@@ -240,7 +240,7 @@
         extra={
             "pairs": {
                 "discovery": "{}:{}".format(*endpoints.discovery),
-                "types": ",".join(t.name for t in begin.types),
+                "types": ",".join(t.name for t in node_config.types),
             }
             | ({"at_next_start": ",".join(kept)} if kept else {})
         },
@@ -260,7 +260,7 @@
             + ", ".join("{} on {}:{}".format(s.name, *s.address) for s in specs.values())
         )
         return 0
-    endpoints, resource_limits, names, _, begin, known = read(require_path(path))
+    endpoints, resource_limits, names, _, node_config, initial_list = read(require_path(path))
     print(
         f"{endpoints.name}: listens on {endpoints.listen[0]}:{endpoints.listen[1]}, "
         f"discovery at {endpoints.discovery[0]}:{endpoints.discovery[1]}, "
@@ -272,13 +272,13 @@
     )
     print(
         f"{len(names.types)} traffic types, "
-        f"node {begin.node_number} of {begin.nodes or 'an unknown number'}, "
-        f"{len(known['instances'])} servers in the initial list, "
+        f"node {node_config.node_number} of {node_config.nodes or 'an unknown number'}, "
+        f"{len(initial_list['instances'])} servers in the initial list, "
         f"at most {socket_limit(resource_limits, endpoints.operator)} connections"
     )
     print(
-        f"weights in the list {'change with load' if begin.dynamic_weights else 'are fixed sizes'}, "
-        f"host load {'requested by probes' if begin.probes_report_load else 'not requested'}"
+        f"weights in the list {'change with load' if node_config.dynamic_weights else 'are fixed sizes'}, "
+        f"host load {'requested by probes' if node_config.probes_report_load else 'not requested'}"
     )
     return 0
 
--- a/cottonspread/config/platform.py
+++ b/cottonspread/config/platform.py
@@ -179,7 +179,7 @@
         for n, t in enumerate(c.objects("TrafficTypes"))
     )
     report = c.object("LoadReport")
-    probes, how, told = (
+    probes, how, reported_names = (
         limits.flag("Probes"),
         report.choice("How", "none", LOAD_REPORTING),
         report.values_of("Names", str),
@@ -227,7 +227,7 @@
         probes,
         limits.flag("PeerMessages"),
         kind.flag("Groups"),
-        probes and how == "probe" and "x0" in told,
+        probes and how == "probe" and "x0" in reported_names,
         c.choice("Weights", "nominal", WEIGHTS_MOVE),
         i.AvailabilityGoal(goal.number("NinesPart", 0), goal.positive_number("NinesFull", 3)),
     )
@@ -354,42 +354,42 @@
 KEYED_ONLY = ["KeyScope", "KeyTtl"]  # keys that only traffic types with the effect "keyed" need
 
 
-def check_no_key_missing(was, now, path=""):
+def check_no_key_missing(old, new, path=""):
     """Raises ConfigurationError if the new configuration lacks a key of the one in force.
 
     Such a file is truncated or half written, and a default in place of the key would apply half a change. In
     a list of objects, only the keys that all of them have are required.
     """
-    if isinstance(was, dict):
-        if not isinstance(now, dict):
+    if isinstance(old, dict):
+        if not isinstance(new, dict):
             raise ConfigurationError(f"{path or 'configuration'}: not an object")
-        check_object(was, now, path)
-    elif isinstance(was, list):
-        if not isinstance(now, list):
+        check_object(old, new, path)
+    elif isinstance(old, list):
+        if not isinstance(new, list):
             raise ConfigurationError(f"{path or 'configuration'}: not a list")
-        if was and all(isinstance(one, dict) for one in was):
-            check_list(was, now, path)
+        if old and all(isinstance(one, dict) for one in old):
+            check_list(old, new, path)
 
 
-def check_object(was, now, path):
+def check_object(old, new, path):
     """`check_no_key_missing` for two objects."""
-    for key, value in was.items():
+    for key, value in old.items():
         at = f"{path}.{key}" if path else key
-        if value is not None and now.get(key) is None:
+        if value is not None and new.get(key) is None:
             raise ConfigurationError(f"{at}: missing, but present in the configuration in force")
         if value is not None and at != "known":
-            check_no_key_missing(value, now[key], at)
+            check_no_key_missing(value, new[key], at)
 
 
-def check_list(was, now, path):
+def check_list(old, new, path):
     """`check_no_key_missing` for two lists of objects."""
 
     def in_all(key, among):
         return among and all(one.get(key) is not None for one in among)
 
-    common = [key for key in was[0] if key not in KEYED_ONLY and in_all(key, was)]
-    keyed = [key for key in KEYED_ONLY if in_all(key, [one for one in was if one.get("Effect") == "keyed"])]
-    for n, one in enumerate(now):
+    common = [key for key in old[0] if key not in KEYED_ONLY and in_all(key, old)]
+    keyed = [key for key in KEYED_ONLY if in_all(key, [one for one in old if one.get("Effect") == "keyed"])]
+    for n, one in enumerate(new):
         if not isinstance(one, dict):
             raise ConfigurationError(f"{path}[{n}]: not an object")
         for key in common + keyed * (one.get("Effect") == "keyed"):
--- a/cottonspread/lists/saved.py
+++ b/cottonspread/lists/saved.py
@@ -82,8 +82,8 @@
     """The saved list as parsed JSON, or None if it is missing or unreadable: a node also starts without."""
     try:
         with open(path, encoding="utf-8") as file:
-            said = json.load(file)
-        return said if isinstance(said, dict) and isinstance(said.get("instances"), list) else None
+            saved = json.load(file)
+        return saved if isinstance(saved, dict) and isinstance(saved.get("instances"), list) else None
     except FileNotFoundError:
         return None
     except (OSError, ValueError, RecursionError) as fault:
--- a/cottonspread/net/connection_transfer.py
+++ b/cottonspread/net/connection_transfer.py
@@ -33,8 +33,8 @@
     def send(self, order):
         """Transfers one connection: (whether the successor has it; if not, whether it was busy reading)."""
         workers = order.client.worker, order.host.worker
-        gatherers = [worker.gatherer for worker in workers]
-        if None in gatherers or not lines.try_release(gatherers):
+        readers = [worker.line_reader for worker in workers]
+        if None in readers or not lines.try_release(readers):
             return False, True
         try:
             socket.send_fds(
@@ -42,14 +42,14 @@
                 [handover.pack_connection(order.connection)],
                 [worker.sock.fileno() for worker in workers],
             )
-            taken = self.sock.recv(1) == ACCEPTED
+            accepted = self.sock.recv(1) == ACCEPTED
         except OSError as fault:
             log.warning("passing", extra={"pairs": {"why": fault}})
-            taken = False
-        for worker in workers if not taken else ():
-            if worker.gatherer.reclaim():
+            accepted = False
+        for worker in workers if not accepted else ():
+            if worker.line_reader.reclaim():
                 worker.orders.put(ev.Read(worker.end))
-        return taken, False
+        return accepted, False
 
 
 def receive_connections(sock, adopt):
@@ -63,12 +63,12 @@
             return
         while not data.endswith(b"\n") and (more := sock.recv(1 << 16)):
             data += more
-        sockets, taken = [socket.socket(fileno=fd) for fd in fds], False
+        sockets, accepted = [socket.socket(fileno=fd) for fd in fds], False
         try:
-            standing, (client, host) = handover.unpack_connection(data), sockets
-            taken = adopt(standing, client, host)
+            connection, (client, host) = handover.unpack_connection(data), sockets
+            accepted = adopt(connection, client, host)
         except ValueError as fault:
             log.warning("passing", extra={"pairs": {"why": fault}})
             for one in sockets:
                 one.close()
-        sock.sendall(ACCEPTED if taken else DECLINED)
+        sock.sendall(ACCEPTED if accepted else DECLINED)
--- a/cottonspread/net/discovery.py
+++ b/cottonspread/net/discovery.py
@@ -48,23 +48,23 @@
 UNREADABLE = KeyError, TypeError, ValueError, AttributeError, OverflowError
 
 
-def read_list(said, names, news=None, before=None):
+def read_list(response, names, news=None, previous=None):
     """Reads a response as JSON.
 
     Returns (version, ListUpdate, addresses by server, {server: why its entry is invalid}).
 
     An invalid entry does not invalidate the list. Its server keeps the entry and address that it had in
-    `before` ({server: (entry, address)}), but a readable change to draining or gone is applied, because no
-    calls may go there any more. A server that is not in `before` is left out.
+    `previous` ({server: (entry, address)}), but a readable change to draining or gone is applied, because no
+    calls may go there any more. A server that is not in `previous` is left out.
     """
     try:
-        version, instances = int(said["generation"]), said["instances"]
-        news = news or (io.ListUpdateKind.FULL if said["reset"] else io.ListUpdateKind.CHANGES)
+        version, instances = int(response["generation"]), response["instances"]
+        news = news or (io.ListUpdateKind.FULL if response["reset"] else io.ListUpdateKind.CHANGES)
         if not isinstance(instances, list):
             raise TypeError("instances: not a list")
     except UNREADABLE as fault:
         raise ListError(f"{type(fault).__name__}: {fault}") from fault
-    entries, addresses, unread = {}, {}, {}
+    entries, addresses, invalid = {}, {}, {}
     for one in instances:
         name, state = None, None
         try:
@@ -72,11 +72,11 @@
             if state is None:
                 raise ValueError(f"lifecycle: {one.get('lifecycle')!r}")
             if name in entries:  # the later entry wins
-                unread[name + " again"] = "listed twice"
+                invalid[name + " again"] = "listed twice"
             entry, address = read_entry(one, names, state)
         except UNREADABLE as fault:
-            unread[str(name)] = f"{type(fault).__name__}: {fault}"
-            entry, address = (before or {}).get(name, (None, None))
+            invalid[str(name)] = f"{type(fault).__name__}: {fault}"
+            entry, address = (previous or {}).get(name, (None, None))
             if entry is None:
                 continue
             entry = entry._replace(state=state or entry.state)
@@ -84,7 +84,7 @@
         addresses.pop(name, None)
         if entry.state is not io.HostState.GONE:
             addresses[name] = address
-    return version, io.ListUpdate(news, version, tuple(entries.values())), addresses, unread
+    return version, io.ListUpdate(news, version, tuple(entries.values())), addresses, invalid
 
 
 class Discovery:
@@ -118,7 +118,7 @@
         self.version, self.need_full_list, self.lower_versions, self.failures = version, not known, 0, 0
         self.ask, self.enabled, self.stopped, self.initial = ask, threading.Event(), False, None
         self.wake = threading.Event()  # ends the current retry delay, or the next one
-        self.last_entries, self.unread = {}, {}  # the last valid entry of each server; invalid entries
+        self.last_entries, self.invalid = {}, {}  # the last valid entry of each server; invalid entries
         self.on_list = on_list
         self.target = self.http  # the client to use from the next request on
 
@@ -136,14 +136,14 @@
         self.enabled.set()
         self.wake.set()
 
-    def start_with(self, listed, addresses, unread, trusted):
+    def start_with(self, update, addresses, invalid, trusted):
         """Sets the list that the process starts with.
 
         If it is `trusted` it is posted at once. Otherwise discovery is asked first, because its list is
         authoritative, and the initial list is posted only if that request fails.
         """
-        self.record(listed, addresses, unread)
-        self.initial = events.ListReceived(listed, addresses)
+        self.record(update, addresses, invalid)
+        self.initial = events.ListReceived(update, addresses)
         if trusted:
             self.publish_initial()
 
@@ -212,11 +212,11 @@
         """Makes the request and posts its list; raises OSError, ResponseError or ListError."""
         body = self.http.get(*self.next_request())
         try:
-            said = json.loads(body)
+            response = json.loads(body)
         except (ValueError, RecursionError) as fault:
             raise ListError(f"invalid JSON: {fault}") from fault
-        version, listed, addresses, unread = read_list(said, self.names, before=self.last_entries)
-        full = listed.kind is io.ListUpdateKind.FULL
+        version, update, addresses, invalid = read_list(response, self.names, previous=self.last_entries)
+        full = update.kind is io.ListUpdateKind.FULL
         if version < self.version:
             # A stale response must not bring back servers that are gone. Only a discovery service that has
             # restarted its version count repeats a lower version.
@@ -228,34 +228,34 @@
         elif self.need_full_list and not full:
             raise ListError("got changes in response to a request for the full list")
         self.version, self.need_full_list, self.lower_versions, self.initial = version, False, 0, None
-        self.record(listed, addresses, unread)
-        self.post(events.ListReceived(listed, addresses))
+        self.record(update, addresses, invalid)
+        self.post(events.ListReceived(update, addresses))
         if self.on_list:
             self.on_list(
                 version,
                 [
                     one
-                    for one in said["instances"]
-                    if isinstance(one, dict) and str(one.get("instanceId")) not in unread
+                    for one in response["instances"]
+                    if isinstance(one, dict) and str(one.get("instanceId")) not in invalid
                 ],
                 full,
             )
 
-    def record(self, listed, addresses, unread):
+    def record(self, update, addresses, invalid):
         """Remembers the entries. Invalid entries are logged only when they differ from the last ones, because
         each full list repeats them.
         """
-        self.last_entries = self.last_entries if listed.kind is io.ListUpdateKind.CHANGES else {}
-        for entry in listed.entries:
+        self.last_entries = self.last_entries if update.kind is io.ListUpdateKind.CHANGES else {}
+        for entry in update.entries:
             self.last_entries[entry.host] = entry, addresses.get(entry.host)
             if entry.state is io.HostState.GONE:
                 del self.last_entries[entry.host]
-        if unread and unread != self.unread:
-            name, why = next(iter(unread.items()))
+        if invalid and invalid != self.invalid:
+            name, why = next(iter(invalid.items()))
             log.warning(
-                "list-entry", extra={"pairs": {"entries": len(unread), "first": name[:64], "why": why[:200]}}
+                "list-entry", extra={"pairs": {"entries": len(invalid), "first": name[:64], "why": why[:200]}}
             )
-        self.unread = unread
+        self.invalid = invalid
 
     def stop(self):
         """Ends the thread. Called from another thread."""
--- a/cottonspread/net/node.py
+++ b/cottonspread/net/node.py
@@ -68,24 +68,24 @@
     )
 
 
-def admission_target(begin):
+def admission_target(node_config):
     """The target for the time that first lines wait here, see `AdmissionLimiter`."""
-    return min(t.setup_target for t in begin.types) // 4
+    return min(t.setup_target for t in node_config.types) // 4
 
 
-def watch_at_once(begin, listed, follows):
-    """Whether to watch the initial list from its version on. A process that `follows` another one requests
+def watch_at_once(node_config, update, has_predecessor):
+    """Whether to watch the initial list from its version on. A process that has a predecessor requests
     the full list instead.
     """
-    return begin.server_list.polled and not follows and bool(listed.entries)
+    return node_config.server_list.polled and not has_predecessor and bool(update.entries)
 
 
-def reloadable(begin, was):
+def reloadable(node_config, current):
     """The new settings, with the old values of those that cannot change while the node runs."""
     return replace(
-        begin,
-        server_list=replace(begin.server_list, polled=was.server_list.polled),
-        dynamic_weights=was.dynamic_weights,
+        node_config,
+        server_list=replace(node_config.server_list, polled=current.server_list.polled),
+        dynamic_weights=current.dynamic_weights,
     )
 
 
@@ -110,7 +110,7 @@
         resource_limits,
         names,
         host_protocol,
-        begin,
+        node_config,
         initial_list,
         on_list=None,
         on_ended=lambda: None,
@@ -127,21 +127,21 @@
         )
         self.limiter_lock, self.admission_limiter = (
             threading.Lock(),
-            AdmissionLimiter(admission_target(begin)),
+            AdmissionLimiter(admission_target(node_config)),
         )
-        version, listed, addresses, unread = discovery.read_list(initial_list, names, ListUpdateKind.SAVED)
+        version, update, addresses, unread = discovery.read_list(initial_list, names, ListUpdateKind.SAVED)
         self.discovery = discovery.Discovery(
             endpoints.discovery,
             names,
             self.post,
             version,
-            begin.server_list.polled,
+            node_config.server_list.polled,
             on_list,
-            watch_at_once(begin, listed, on_list is not None),
+            watch_at_once(node_config, update, on_list is not None),
         )
-        self.reducer = Reducer(self.clock.now(), begin, names, host_protocol, self.max_sockets)
+        self.reducer = Reducer(self.clock.now(), node_config, names, host_protocol, self.max_sockets)
         self.discovery.start_with(
-            listed, addresses, unread, trusted=begin.server_list.polled or on_list is not None
+            update, addresses, unread, trusted=node_config.server_list.polled or on_list is not None
         )
         self.listener, self.shared, self.steps, self.end_reasons = None, False, 0, Counter()
         self.closer = Closer(self.max_closing)
@@ -252,17 +252,17 @@
         self.max_sockets = self.reducer.max_sockets
         return state
 
-    def reload(self, endpoints, resource_limits, names, host_protocol, begin):
+    def reload(self, endpoints, resource_limits, names, host_protocol, node_config):
         """Applies another configuration; the list, calls and connections stay."""
-        begin = reloadable(begin, self.reducer.config)
+        node_config = reloadable(node_config, self.reducer.config)
         renamed = (names.zones, names.kinds) != (self.discovery.names.zones, self.discovery.names.kinds)
         self.discovery.names = names
-        self.post_urgent(ev.SettingsReloaded(begin, names, host_protocol))
+        self.post_urgent(ev.SettingsReloaded(node_config, names, host_protocol))
         with self.limiter_lock:
-            self.admission_limiter.target = admission_target(begin)
+            self.admission_limiter.target = admission_target(node_config)
         self.change_discovery(endpoints.discovery, renamed)
 
-    def adopt_connection(self, standing, client, host):
+    def adopt_connection(self, connection, client, host):
         """Takes over an established connection of the previous process, with its two sockets.
 
         Returns whether it did.
@@ -274,15 +274,15 @@
                     left.close()
                 return False
         reply = queue.SimpleQueue()
-        self.post(ev.TransferOffered(*ends, standing, reply.put))
-        taken = reply.get()  # without a timeout: only the reducer knows whether it took the connection
-        if taken:  # its share of the socket limit comes with it
+        self.post(ev.TransferOffered(*ends, connection, reply.put))
+        adopted = reply.get()  # without a timeout: only the reducer knows whether it took the connection
+        if adopted:  # its share of the socket limit comes with it
             self.limit_sockets(self.max_sockets + 2)
-        return taken
+        return adopted
 
-    def shut_down(self, handed, successor=None):
-        """Stops accepting and ends the node. The listener's queue is left to a successor (`handed`) or to the
-        supervisor.
+    def shut_down(self, has_successor, successor=None):
+        """Stops accepting and ends the node. The listener's queue is left to a successor (`has_successor`) or
+        to the supervisor.
 
         `successor`: a socket connected to a successor that also takes established connections.
         """
@@ -291,7 +291,7 @@
         if successor:
             self.connection_sender = connection_transfer.ConnectionSender(successor, self.post)
             workers.start_thread(self.connection_sender.run, stack=workers.LARGE_STACK_SIZE)
-        self.post(ev.StopRequested(handed, successor is not None))
+        self.post(ev.StopRequested(has_successor, successor is not None))
 
     def ping(self, wait=1.0):
         """Whether the reducer and the workers answer a PING, sent like a client's over a socket pair."""
--- a/cottonspread/net/workers.py
+++ b/cottonspread/net/workers.py
@@ -70,7 +70,7 @@
     def __init__(self, end, sock, pool, post, live, clock):
         """`post(event)` passes events to the reducer; `live`: the set of workers that hold a socket."""
         self.end, self.sock, self.pool, self.post, self.live, self.clock = end, sock, pool, post, live, clock
-        self.orders, self.gatherer = queue.SimpleQueue(), None
+        self.orders, self.line_reader = queue.SimpleQueue(), None
         end.worker = self
 
     def run(self):
@@ -111,12 +111,12 @@
 
     def read(self):
         """Reads whole lines, blocking; returns the event for the reducer, None if the socket was released."""
-        if self.gatherer is None:
-            self.gatherer = lines.LineReader(self.sock, self.pool, PARTIAL_LINE_TIMEOUT)
+        if self.line_reader is None:
+            self.line_reader = lines.LineReader(self.sock, self.pool, PARTIAL_LINE_TIMEOUT)
         try:
-            data = self.gatherer.read_lines()
+            data = self.line_reader.read_lines()
             return (
-                ev.LinesRead(self.end, data, self.gatherer.filled > 0, self.clock() - self.gatherer.age)
+                ev.LinesRead(self.end, data, self.line_reader.filled > 0, self.clock() - self.line_reader.age)
                 if data
                 else (ev.ReadEnded(self.end, "end"))
             )
@@ -135,8 +135,8 @@
         more than MAX_DISCARDED does not read our lines anyway, and the reset tells it to stop. The reducer
         shuts it down in the end.
         """
-        if self.gatherer is not None:
-            self.gatherer.drop()
+        if self.line_reader is not None:
+            self.line_reader.drop()
         try:
             at_once, rest = 0, MAX_DISCARDED
             while rest > 0 and (got := self.discard_some()):
@@ -170,8 +170,8 @@
 
     def release(self):
         """Closes the socket and detaches the thread from its connection end."""
-        if self.gatherer is not None:
-            self.gatherer.drop()
+        if self.line_reader is not None:
+            self.line_reader.drop()
         if self.sock is not None:
             self.sock.close()
         self.end.worker = None
@@ -292,7 +292,7 @@
             else:
                 self.write(worker.sock, effect)
         elif isinstance(effect, ev.Free):  # behind the others: no order may meet a number used again
-            if worker.gatherer is not None and worker.gatherer.released:
+            if worker.line_reader is not None and worker.line_reader.released:
                 worker.sock.close()  # its thread is blocked in a read until input for the new owner arrives
             worker.orders.put(effect)
         elif isinstance(effect, ev.ShutdownWrite):
--- a/tests/crossings/test_floods.py
+++ b/tests/crossings/test_floods.py
@@ -167,13 +167,13 @@
     data = b"OPEN a b c=d,d=1\r\nM 1 \x00\xff\r\n" + tail.replace(b"\n", b"") + b"\r\n"
     ours, theirs = socket.socketpair()
     with ours, theirs:
-        gatherer, got, at = lines.LineReader(ours, BufferPool(), 1), b"", 0
+        line_reader, got, at = lines.LineReader(ours, BufferPool(), 1), b"", 0
         for cut in cuts + [len(data)]:
             theirs.sendall(data[at : at + cut])
             at = min(len(data), at + cut)
             while data.rfind(b"\n", 0, at) + 1 > len(got):
-                got += gatherer.read_lines()
-        assert got == data and gatherer.buffer is None
+                got += line_reader.read_lines()
+        assert got == data and line_reader.buffer is None
 
 
 JSON = st.recursive(
--- a/tests/crossings/test_pieces.py
+++ b/tests/crossings/test_pieces.py
@@ -36,9 +36,9 @@
     one.sock.sendall(data)
 
     def held():
-        gatherers = [worker.gatherer for worker in list(node.workers.live)]
+        readers = [worker.line_reader for worker in list(node.workers.live)]
         lies = [waiting.sock for waiting in list(node.admission.pending.clients.values())]
-        return any(g and g.buffer is not None and bytes(g.buffer[: g.filled]) == data for g in gatherers) or (
+        return any(g and g.buffer is not None and bytes(g.buffer[: g.filled]) == data for g in readers) or (
             any(peeked(sock) == data for sock in lies)
         )
 
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -42,17 +42,17 @@
 def test_lines_come_whole_and_idle_connections_hold_no_buffer():
     ours, theirs = pair()
     pool = BufferPool()
-    gatherer = lines.LineReader(ours, pool, 1)
+    reader = lines.LineReader(ours, pool, 1)
     theirs.sendall(b"one\r\ntwo\r\nthr")
-    assert gatherer.read_lines() == b"one\r\ntwo\r\n" and gatherer.filled == 3
+    assert reader.read_lines() == b"one\r\ntwo\r\n" and reader.filled == 3
     theirs.sendall(b"ee\r\n")
     assert (
-        gatherer.read_lines() == b"three\r\n"
-        and gatherer.buffer is None
+        reader.read_lines() == b"three\r\n"
+        and reader.buffer is None
         and pool.allocated == 1 == len(pool.free)
     )
     theirs.close()
-    assert gatherer.read_lines() == b""
+    assert reader.read_lines() == b""
 
 
 @pytest.mark.parametrize("sent, reason", [(b"x" * BUFFER_SIZE, "long-line"), (b"half", "half-line")])
@@ -349,9 +349,9 @@
     """One invalid entry among sixty made the node reject the whole list, and every later one."""
     names = config.Names({}, {"here": 0}, {}, {})
 
-    def read(*instances, before=None):
+    def read(*instances, previous=None):
         version, listed, addresses, unread = discovery.read_list(
-            {"generation": 3, "reset": True, "instances": list(instances)}, names, before=before or {}
+            {"generation": 3, "reset": True, "instances": list(instances)}, names, previous=previous or {}
         )
         return {entry.host: entry for entry in listed.entries}, addresses, unread
 
@@ -359,7 +359,7 @@
     assert not unread and first["b"].weight == 2
     before = {name: (entry, addresses[name]) for name, entry in first.items()}
     now, addresses, unread = read(
-        instance("a", startedAtMs=9), instance("b", **bad), instance("c", **bad), before=before
+        instance("a", startedAtMs=9), instance("b", **bad), instance("c", **bad), previous=before
     )
     # an invalid entry of an unknown server is left out
     assert now["a"].started == 9000 and now["b"] == first["b"] and "c" not in now
@@ -367,7 +367,7 @@
     if "lifecycle" not in bad:  # draining or gone is applied all the same
         for word, state in (("Terminating", io.HostState.DRAINING), ("Gone", io.HostState.GONE)):
             now, addresses, unread = read(
-                instance("a"), instance("b", **bad | {"lifecycle": word}), before=before
+                instance("a"), instance("b", **bad | {"lifecycle": word}), previous=before
             )
             assert now["b"].state is state and ("b" in addresses) is (state is io.HostState.DRAINING)
 
--- a/tests/test_succession.py
+++ b/tests/test_succession.py
@@ -488,39 +488,39 @@
 
 def test_an_idle_reader_releases_its_socket_and_leaves_later_input_to_the_next(service_ends):
     """Two processes reading one socket would split its lines."""
-    (ours, gatherer), done = service_ends, threading.Event()
+    (ours, reader), done = service_ends, threading.Event()
     started = threading.Thread(
-        target=lambda: (pytest.raises(lines.SocketReleasedError, gatherer.read_lines), done.set()),
+        target=lambda: (pytest.raises(lines.SocketReleasedError, reader.read_lines), done.set()),
         daemon=True,
     )
     started.start()
-    while not gatherer.idle:
+    while not reader.idle:
         pass
-    assert lines.try_release([gatherer]) and not done.is_set()
+    assert lines.try_release([reader]) and not done.is_set()
     ours.sendall(b"for the next\r\n")
-    assert done.wait(WAIT) and gatherer.sock.recv(100) == b"for the next\r\n"
-    assert gatherer.reclaim()  # its reader has left: it is to be asked anew
+    assert done.wait(WAIT) and reader.sock.recv(100) == b"for the next\r\n"
+    assert reader.reclaim()  # its thread has stopped reading and must be started again
     ours.sendall(b"here again\r\n")
-    assert gatherer.read_lines() == b"here again\r\n"
+    assert reader.read_lines() == b"here again\r\n"
 
 
 def test_a_reader_in_the_middle_of_a_line_does_not_release_its_socket(service_ends):
-    ours, gatherer = service_ends
-    assert not lines.try_release([gatherer])  # no thread is reading it
-    other = lines.LineReader(gatherer.sock, BufferPool(), 1)
+    ours, reader = service_ends
+    assert not lines.try_release([reader])  # no thread is reading it
+    other = lines.LineReader(reader.sock, BufferPool(), 1)
     other.idle = True
-    assert not lines.try_release([other, gatherer]) and not other.released
+    assert not lines.try_release([other, reader]) and not other.released
 
 
 def test_a_reader_reclaimed_before_any_input_goes_on_reading(service_ends):
-    (ours, gatherer), heard = service_ends, []
-    reader = threading.Thread(target=lambda: heard.append(gatherer.read_lines()), daemon=True)
-    reader.start()
-    while not gatherer.idle:
+    (ours, reader), heard = service_ends, []
+    thread = threading.Thread(target=lambda: heard.append(reader.read_lines()), daemon=True)
+    thread.start()
+    while not reader.idle:
         pass
-    assert lines.try_release([gatherer]) and not gatherer.reclaim()
+    assert lines.try_release([reader]) and not reader.reclaim()
     ours.sendall(b"as ever\r\n")
-    reader.join(WAIT)
+    thread.join(WAIT)
     assert heard == [b"as ever\r\n"]
 
 
