--- a/cottonspread/cli/takeover.py
+++ b/cottonspread/cli/takeover.py
@@ -98,11 +98,11 @@
                     self.listen_for_connections(node)
                     self.write_file(self.request_path, self.token)
         elif self.state == "asking":
-            answer, over = self.read_reply(), now - self.requested_at >= ANSWER_TIMEOUT
-            if answer or over:
-                if not answer:
+            reply, timed_out = self.read_reply(), now - self.requested_at >= ANSWER_TIMEOUT
+            if reply or timed_out:
+                if not reply:
                     log.warning("hand-over", extra={"pairs": {"why": "no answer", "kept": "none"}})
-                self.start_serving(node, answer)
+                self.start_serving(node, reply)
         else:
             if not self.has_lock and self.lock.acquire():  # the predecessor has exited
                 self.has_lock = True
@@ -112,13 +112,13 @@
                     self.transfer_listener = None
             self.answer_request(node)
 
-    def start_serving(self, node, handed):
+    def start_serving(self, node, handover_state):
         """Starts accepting connections, with the predecessor's state if there is any."""
         self.state = "serving"
-        if handed:
-            node.inherit_state(handed)
+        if handover_state:
+            node.inherit_state(handover_state)
         node.start_accepting()
-        log.info("takes", extra={"pairs": {"handed": bool(handed), "alone": self.has_lock}})
+        log.info("takes", extra={"pairs": {"handed": bool(handover_state), "alone": self.has_lock}})
 
     def listen_for_connections(self, node):
         """Listens for the predecessor, which passes its established connections on when it stops.
@@ -153,7 +153,7 @@
                     log.warning("hand-over", extra={"pairs": {"why": fault}})
         listener.close()
 
-    def stop(self, node, force):
+    def stop(self, node, active):
         """SIGTERM: stops the node. Connections not yet accepted are left to the successor, and established
         ones are passed to it.
         """
@@ -191,15 +191,19 @@
         if token == self.token:  # this process's own request, which nobody answered
             self.remove_file(self.request_path)
             return
-        handed = node.hand_over_state()
-        if handed:
+        handover_state = node.hand_over_state()
+        if handover_state:
             self.remove_file(self.request_path)
             self.successor_token = token
-            self.write_file(self.reply_path, handover.pack(handed, token))
+            self.write_file(self.reply_path, handover.pack(handover_state, token))
             log.info(
                 "hands-over",
                 extra={
-                    "pairs": {"records": len(handed.records), "calls": len(handed.ids), "room": handed.room}
+                    "pairs": {
+                        "records": len(handover_state.records),
+                        "calls": len(handover_state.ids),
+                        "room": handover_state.room,
+                    }
                 },
             )
 
--- a/cottonspread/net/discovery.py
+++ b/cottonspread/net/discovery.py
@@ -48,7 +48,7 @@
 UNREADABLE = KeyError, TypeError, ValueError, AttributeError, OverflowError
 
 
-def read_list(response, names, news=None, previous=None):
+def read_list(response, names, kind=None, previous=None):
     """Reads a response as JSON.
 
     Returns (version, ListUpdate, addresses by server, {server: why its entry is invalid}).
@@ -59,7 +59,7 @@
     """
     try:
         version, instances = int(response["generation"]), response["instances"]
-        news = news or (io.ListUpdateKind.FULL if response["reset"] else io.ListUpdateKind.CHANGES)
+        kind = kind or (io.ListUpdateKind.FULL if response["reset"] else io.ListUpdateKind.CHANGES)
         if not isinstance(instances, list):
             raise TypeError("instances: not a list")
     except UNREADABLE as fault:
@@ -84,7 +84,7 @@
         addresses.pop(name, None)
         if entry.state is not io.HostState.GONE:
             addresses[name] = address
-    return version, io.ListUpdate(news, version, tuple(entries.values())), addresses, invalid
+    return version, io.ListUpdate(kind, version, tuple(entries.values())), addresses, invalid
 
 
 class Discovery:
@@ -105,10 +105,10 @@
     RETRY_DELAY, MAX_RETRY_DELAY = 0.05, 1.0  # seconds; the delay doubles with each failure
     MAX_LOWER_VERSIONS = 3  # full lists in a row with a lower version: discovery has restarted its count
 
-    def __init__(self, address, names, post, version, ask=False, on_list=None, known=False):
+    def __init__(self, address, names, post, version, polled=False, on_list=None, known=False):
         """`post(event)` passes events to the reducer; `version`: of the initial list.
 
-        `ask`: the list is polled when the policy says so (MembershipMode "ask"), not watched all the time.
+        `polled`: the list is polled when the policy says so (MembershipMode "ask"), not watched all the time.
         `on_list(version, instances, full)` gets each valid list as JSON after it has been posted.
         `known`: the initial list is watched from its version on.
         """
@@ -116,7 +116,7 @@
         # Where requests are limited, a known list is watched from its version on: fetching all of it first
         # would be a second request to a server that may have capacity for neither.
         self.version, self.need_full_list, self.lower_versions, self.failures = version, not known, 0, 0
-        self.ask, self.enabled, self.stopped, self.initial = ask, threading.Event(), False, None
+        self.polled, self.enabled, self.stopped, self.initial = polled, threading.Event(), False, None
         self.wake = threading.Event()  # ends the current retry delay, or the next one
         self.last_entries, self.invalid = {}, {}  # the last valid entry of each server; invalid entries
         self.on_list = on_list
@@ -178,7 +178,7 @@
         if self.http is not self.target:
             self.switch_address()
         self.wake.clear()
-        began = time.monotonic()
+        started_at = time.monotonic()
         try:
             self.fetch()
             self.failures = 0
@@ -194,9 +194,9 @@
             self.need_full_list |= isinstance(fault, ListError)
             if self.failures in (1, 10, 100):
                 log.warning("discovery-fails", extra={"pairs": {"why": fault, "times": self.failures}})
-            if self.ask:  # the policy learns of the failure and decides when to ask again
+            if self.polled:  # the policy learns of the failure and decides when to ask again
                 self.enabled.clear()
-            self.post(events.ListFailed(round((time.monotonic() - began) * 1_000_000)))
+            self.post(events.ListFailed(round((time.monotonic() - started_at) * 1_000_000)))
             return min(self.RETRY_DELAY * 2 ** min(self.failures, 10), self.MAX_RETRY_DELAY)
 
     def next_request(self):
--- a/cottonspread/net/workers.py
+++ b/cottonspread/net/workers.py
@@ -47,9 +47,9 @@
 
     Asks the kernel and does not block.
     """
-    look = select.poll()
-    look.register(sock, select.POLLIN | select.POLLRDHUP)
-    ready = dict(look.poll(0)).get(sock.fileno(), 0)
+    poller = select.poll()
+    poller.register(sock, select.POLLIN | select.POLLRDHUP)
+    ready = dict(poller.poll(0)).get(sock.fileno(), 0)
     if ready & (select.POLLRDHUP | select.POLLHUP | select.POLLERR | select.POLLNVAL):
         return True
     try:
@@ -138,16 +138,16 @@
         if self.line_reader is not None:
             self.line_reader.drop()
         try:
-            at_once, rest = 0, MAX_DISCARDED
-            while rest > 0 and (got := self.discard_some()):
-                at_once, rest = at_once + got, rest - got
-                if at_once >= DISCARD_BURST:
-                    at_once = 0
+            burst, remaining = 0, MAX_DISCARDED
+            while remaining > 0 and (got := self.discard_some()):
+                burst, remaining = burst + got, remaining - got
+                if burst >= DISCARD_BURST:
+                    burst = 0
                     time.sleep(DISCARD_PAUSE)
-            if rest <= 0:
-                look = select.poll()  # wait until the reducer shuts it down, or it fails
-                look.register(self.sock, select.POLLRDHUP)
-                look.poll(CUT_TIMEOUT_MS)
+            if remaining <= 0:
+                poller = select.poll()  # wait until the reducer shuts it down, or it fails
+                poller.register(self.sock, select.POLLRDHUP)
+                poller.poll(CUT_TIMEOUT_MS)
         except OSError:
             pass
         return ev.ReadEnded(self.end, "end")
@@ -208,12 +208,12 @@
 
         A lack of local resources, such as descriptors, is not reported as a failure of the host.
         """
-        began, data = time.monotonic(), b""
+        started_at, data = time.monotonic(), b""
         try:
             with socket.create_connection(order.address, timeout=order.timeout / 1e6) as sock:
                 sock.sendall(lines.STATS)
                 while not data.endswith(b"\n") and len(data) < lines.MAX_REPORT_BYTES:
-                    sock.settimeout(max(0.001, order.timeout / 1e6 - (time.monotonic() - began)))
+                    sock.settimeout(max(0.001, order.timeout / 1e6 - (time.monotonic() - started_at)))
                     got = sock.recv(lines.MAX_REPORT_BYTES)
                     if not got:
                         raise ConnectionResetError
@@ -222,15 +222,15 @@
         except TimeoutError:
             ending, report = Ending.TIMEOUT, {}
         except OSError as fault:
-            ours = fault.errno in (
+            local_failure = fault.errno in (
                 errno.EMFILE,
                 errno.ENFILE,
                 errno.ENOBUFS,
                 errno.ENOMEM,
                 errno.EADDRNOTAVAIL,
             )
-            ending, report = Ending.FULL if ours else Ending.CONNECT_FAILED, {}
-        self.post(ev.ProbeDone(order.host, ending, report, round((time.monotonic() - began) * 1e6)))
+            ending, report = Ending.FULL if local_failure else Ending.CONNECT_FAILED, {}
+        self.post(ev.ProbeDone(order.host, ending, report, round((time.monotonic() - started_at) * 1e6)))
 
     def execute(self, effect):
         """Passes an effect of the reducer to the thread that executes it."""
@@ -291,7 +291,7 @@
                 self.post(ev.WriteDone(effect.end, False, skip_reason=why))
             else:
                 self.write(worker.sock, effect)
-        elif isinstance(effect, ev.Free):  # behind the others: no order may meet a number used again
+        elif isinstance(effect, ev.Free):  # after all others: no order may hit a reused descriptor
             if worker.line_reader is not None and worker.line_reader.released:
                 worker.sock.close()  # its thread is blocked in a read until input for the new owner arrives
             worker.orders.put(effect)
