--- a/tests/crossings/test_handover.py
+++ b/tests/crossings/test_handover.py
@@ -12,10 +12,10 @@
 from cottonspread.front import handover
 from cottonspread.net import connection_transfer
 
-STANDING = handover.pack_connection(handover.OpenConnection("id", "plain", "s-1", 1, 2))
+MESSAGE = handover.pack_connection(handover.OpenConnection("id", "plain", "s-1", 1, 2))
 
 
-def on_its_way(message, fds=2):
+def receive_after_sender_died(message, fds=2):
     """What the successor does with a message whose sender has died: (the connections it accepted, the other
     sides of the two sockets).
     """
@@ -25,18 +25,18 @@
     theirs.close()
     for end, _ in ends:
         end.close()  # the dead sender's copies
-    taken = []
+    accepted = []
     with ours, contextlib.suppress(OSError):  # nobody receives the answer
         connection_transfer.receive_connections(
-            ours, lambda standing, client, host: taken.append((standing, client, host)) or True
+            ours, lambda connection, client, host: accepted.append((connection, client, host)) or True
         )
-    return taken, [other for _, other in ends]
+    return accepted, [other for _, other in ends]
 
 
 def test_a_connection_sent_completely_is_the_successors_even_if_the_sender_died():
-    taken, others = on_its_way(STANDING)
-    ((standing, *mine),) = taken
-    assert standing.id == "id"
+    accepted, others = receive_after_sender_died(MESSAGE)
+    ((connection, *mine),) = accepted
+    assert connection.id == "id"
     for one, other in zip(mine, others, strict=True):
         other.settimeout(WAIT)
         one.sendall(b"M 1\r\n")
@@ -45,12 +45,12 @@
         other.close()
 
 
-@pytest.mark.parametrize("cut", (1, len(STANDING) // 2, len(STANDING) - 2))
+@pytest.mark.parametrize("cut", (1, len(MESSAGE) // 2, len(MESSAGE) - 2))
 @pytest.mark.parametrize("fds", (2, 1))
 def test_a_connection_sent_partly_is_closed(cut, fds):
     """The sender died while sending: the received sockets are closed, and both sides see the end."""
-    taken, others = on_its_way(STANDING[:cut], fds)
-    assert not taken
+    accepted, others = receive_after_sender_died(MESSAGE[:cut], fds)
+    assert not accepted
     for other in others:
         other.settimeout(WAIT)
         assert other.recv(10) == b""
@@ -58,8 +58,8 @@
 
 
 def test_a_complete_message_without_both_sockets_is_rejected():
-    taken, others = on_its_way(STANDING, 1)
-    assert not taken
+    accepted, others = receive_after_sender_died(MESSAGE, 1)
+    assert not accepted
     for other in others:
         other.settimeout(WAIT)
         assert other.recv(10) == b""
--- a/tests/crossings/test_list.py
+++ b/tests/crossings/test_list.py
@@ -29,7 +29,7 @@
 from cottonspread.net import events as ev
 from cottonspread.net.http import HttpClient
 
-TOLD = 6.0 / 10
+MAX_DELAY = 6.0 / 10
 ROOM = 0.25  # seconds, for a machine that is busy with other tests; the bound itself is computed below
 
 
@@ -60,7 +60,7 @@
     assert longest_call < 4.5
 
 
-def watching(list_server):
+def next_watch(list_server):
     """The next watch request."""
     while True:
         request = list_server.requests.get(timeout=WAIT)
@@ -131,7 +131,7 @@
         began = time.monotonic()
         list_server.change(hosts[0], "Terminating")
         wait_for_list(node, list_server.version)
-        assert time.monotonic() - began < TOLD + ROOM
+        assert time.monotonic() - began < MAX_DELAY + ROOM
         assert all(e.update.entries for e in node.seen.events if isinstance(e, ev.ListReceived)), (
             "a bad response must not remove any server"
         )
@@ -287,7 +287,7 @@
     with running(list_server, settings=SETTINGS | {"MembershipMode": "ask", "AskEvery": 10_000}) as node:
         wait_for_list(node)
         first = list_server.requests.get(timeout=WAIT)
-        watch = watching(list_server)
+        watch = next_watch(list_server)
         assert "since=" not in first.path and "since=1" in watch.path
         node.seen.wait(ev.ListReceived, lambda e: e.update.entries)
         assert not any(isinstance(e, ev.ListFailed) for e in node.seen.events)
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -26,7 +26,7 @@
 
 
 @pytest.fixture
-def door():
+def admin_server():
     """A server of the operators' address without a node, which echoes each command."""
     one = admin.Admin(("127.0.0.1", 0), lambda word: b"200 " + word.encode() + b"\n")
     thread = threading.Thread(target=one.run, daemon=True)
@@ -50,37 +50,37 @@
         (b"x" * 400 + b"\n", b"400"),
     ],
 )
-def test_one_line_gets_one_answer_and_anything_else_gets_400(door, said, answer):
-    assert call(door[1], said).startswith(answer)
+def test_one_line_gets_one_answer_and_anything_else_gets_400(admin_server, said, answer):
+    assert call(admin_server[1], said).startswith(answer)
 
 
-def test_an_incomplete_line_gets_400_and_no_input_gets_no_answer(door):
-    assert call(door[1], b"heal", end=True).startswith(b"400")
-    assert call(door[1], b"", end=True) == b""
+def test_an_incomplete_line_gets_400_and_no_input_gets_no_answer(admin_server):
+    assert call(admin_server[1], b"heal", end=True).startswith(b"400")
+    assert call(admin_server[1], b"", end=True) == b""
 
 
-def test_a_line_in_pieces_is_one_line(door):
-    with socket.create_connection(door[1], timeout=WAIT) as sock:
+def test_a_line_in_pieces_is_one_line(admin_server):
+    with socket.create_connection(admin_server[1], timeout=WAIT) as sock:
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         for piece in (b"he", b"al", b"th\r", b"\n"):
             sock.sendall(piece)
         assert sock.makefile("rb").read() == b"200 health\n"
 
 
-def test_idle_callers_do_not_lock_others_out(door):
+def test_idle_callers_do_not_lock_others_out(admin_server):
     """At the limit the oldest caller is evicted for a new one: with the timeout alone the thirteenth caller
     waited two seconds.
     """
-    silent = [socket.create_connection(door[1], timeout=WAIT) for _ in range(3 * admin.MAX_CALLERS)]
+    silent = [socket.create_connection(admin_server[1], timeout=WAIT) for _ in range(3 * admin.MAX_CALLERS)]
     for sock in silent:
         sock.sendall(b"hea")
-    assert call(door[1], b"health\n") == b"200 health\n"
-    assert len(door[0].callers) <= admin.MAX_CALLERS
+    assert call(admin_server[1], b"health\n") == b"200 health\n"
+    assert len(admin_server[0].callers) <= admin.MAX_CALLERS
 
 
-def test_an_incomplete_line_is_closed_after_the_timeout(door, monkeypatch):
+def test_an_incomplete_line_is_closed_after_the_timeout(admin_server, monkeypatch):
     monkeypatch.setattr(admin, "LINE_TIMEOUT", 0.05)
-    with socket.create_connection(door[1], timeout=WAIT) as sock:
+    with socket.create_connection(admin_server[1], timeout=WAIT) as sock:
         sock.sendall(b"heal")
         assert sock.makefile("rb").read().startswith(b"400")
 
@@ -150,7 +150,7 @@
 
 
 @pytest.fixture
-def operated(monkeypatch, toy):  # noqa: F811
+def node_with_admin(monkeypatch, toy):  # noqa: F811
     parts = list(config.read_node(NODE, {}))
     parts[0] = config.Endpoints("n1", ("127.0.0.1", 0), discovery_of(toy.Toy(2)), ("127.0.0.1", 0))
     node = Node(*parts)
@@ -167,11 +167,11 @@
     return answer
 
 
-def test_a_node_answers_operators_and_is_drained_and_resumed(operated):
-    node, address, operators = operated
+def test_a_node_answers_operators_and_is_drained_and_resumed(node_with_admin):
+    node, address, operators = node_with_admin
     until(operators, b"health\n", lambda a: a == b"200 yes\n")
     client = Client(address, b"OPEN 01 02 c=chat,d=2000,g=0a")
-    assert client.hear().startswith(b"UP ")
+    assert client.read_line().startswith(b"UP ")
     text = call(operators, b"counters\r\n")
     assert text.startswith(b"200") and text.endswith(b"\nEOF\n")
     for line in (
@@ -184,15 +184,17 @@
     assert call(operators, b"stop\n").startswith(b"400") and call(operators, b"\n").startswith(b"400")
     assert call(operators, b"quiesce\n").startswith(b"200")
     assert call(address, b"PING\r\n").startswith(b"ERR")
-    assert client.hear() == b"MOVE" and client.hear() == b""
+    assert client.read_line() == b"MOVE" and client.read_line() == b""
     assert call(operators, b"resume\n").startswith(b"200")
     ping = Client(address, b"PING")
-    assert ping.hear() == b"PONG"
+    assert ping.read_line() == b"PONG"
 
 
-def test_operators_are_answered_while_the_reducer_does_nothing_and_its_queue_is_full(operated, monkeypatch):
+def test_operators_are_answered_while_the_reducer_does_nothing_and_its_queue_is_full(
+    node_with_admin, monkeypatch
+):
     """A command that went through the reducer's queue waited as long as the node was busy."""
-    node, address, operators = operated
+    node, address, operators = node_with_admin
     until(operators, b"health\n", lambda a: a == b"200 yes\n")
     go, held = threading.Event(), threading.Event()
 
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -29,7 +29,7 @@
 EXAMPLES = Path(__file__).parent.parent / "examples"
 NODE = (EXAMPLES / "node.json").read_text()
 WAIT = 10
-USUAL = 40_000  # the mean of the reported loads
+MEAN_LOAD = 40_000  # the mean of the reported loads
 
 
 def pair():
@@ -93,7 +93,7 @@
     """Delay reports of a congested host were read as loads: its connections then counted as almost idle, and
     the congestion went unnoticed.
     """
-    notes, heard = MessageDelays(slow_threshold=17_000), ConnectionSignals()
+    delays, signals = MessageDelays(slow_threshold=17_000), ConnectionSignals()
     told = []
     for at, value in (
         (0, 41_000),
@@ -105,86 +105,86 @@
         (4_732, 11_000),
         (9_731, 20.1),
     ):
-        delay = notes.classify(at * 1000, heard, value, 0, USUAL)
+        delay = delays.classify(at * 1000, signals, value, 0, MEAN_LOAD)
         told.append(delay)
         if delay is None:
-            heard.load = value
+            signals.load = value
     assert told == [None, 18_500, 294_800, None, 349_700, 9_900, 0, 20_100]
 
 
 def test_a_delay_of_many_seconds_is_accepted_only_with_a_matching_silence():
     """A load report that arrives at the host's reporting second would otherwise be taken for a hang."""
-    notes, heard = MessageDelays(slow_threshold=17_000), ConnectionSignals(load=40_000)
-    assert notes.classify(5_000_000, heard, 14_236.5, 0, USUAL) is None
-    assert notes.confirmed_claim(5_050_000, 0) is None
-    assert notes.confirmed_claim(5_400_000, 60_000) is None
-    assert notes.confirmed_claim(5_800_000, 500_000) == (15_036_500, heard, 40_000)
-    assert notes.classify(6_000_000, heard, 14_986.5, 500_000, USUAL) == 14_986_500
+    delays, signals = MessageDelays(slow_threshold=17_000), ConnectionSignals(load=40_000)
+    assert delays.classify(5_000_000, signals, 14_236.5, 0, MEAN_LOAD) is None
+    assert delays.confirmed_claim(5_050_000, 0) is None
+    assert delays.confirmed_claim(5_400_000, 60_000) is None
+    assert delays.confirmed_claim(5_800_000, 500_000) == (15_036_500, signals, 40_000)
+    assert delays.classify(6_000_000, signals, 14_986.5, 500_000, MEAN_LOAD) == 14_986_500
 
 
 def test_a_load_reported_during_a_silence_stays_a_load():
     """A load of 250,419 was read as a delay of 250 s, and its connection lost its load."""
-    notes = MessageDelays(slow_threshold=17_000)
-    assert notes.classify(5_000_000, ConnectionSignals(load=200_000), 250_419, 0, USUAL) is None
-    assert notes.confirmed_claim(5_500_000, 500_000) is None
+    delays = MessageDelays(slow_threshold=17_000)
+    assert delays.classify(5_000_000, ConnectionSignals(load=200_000), 250_419, 0, MEAN_LOAD) is None
+    assert delays.confirmed_claim(5_500_000, 500_000) is None
 
 
 def test_a_delay_that_grows_with_time_is_a_hang():
     """The host's lines are two seconds apart, so a silence may be noticed late."""
-    notes, heard, other = (
+    delays, signals, other = (
         MessageDelays(slow_threshold=17_000),
         ConnectionSignals(load=40_000),
         ConnectionSignals(load=8_000),
     )
-    assert notes.classify(5_000_000, heard, 13_986.5, 0, USUAL) is None
-    assert notes.classify(5_400_000, other, 9_000, 0, USUAL) is None
-    assert notes.classify(6_000_500, heard, 14_900.2, 0, USUAL) is None
-    assert notes.classify(6_001_000, heard, 14_986.5, 0, USUAL) == 14_986_500
+    assert delays.classify(5_000_000, signals, 13_986.5, 0, MEAN_LOAD) is None
+    assert delays.classify(5_400_000, other, 9_000, 0, MEAN_LOAD) is None
+    assert delays.classify(6_000_500, signals, 14_900.2, 0, MEAN_LOAD) is None
+    assert delays.classify(6_001_000, signals, 14_986.5, 0, MEAN_LOAD) == 14_986_500
 
 
 def test_a_light_load_is_not_congestion():
     """A connection whose load fell to 380 us per second was taken for a host whose messages take 380 ms, and
     all its connections were moved.
     """
-    notes, heard = MessageDelays(slow_threshold=17_000), ConnectionSignals(load=2_212)
-    assert notes.classify(5_000_000, heard, 379.956, 0, USUAL) == 0
-    assert notes.resolved_loads(5_900_000) == [] and notes.resolved_loads(6_200_000) == [(heard, 379.956)]
-    assert notes.classify(8_000_000, heard, 379.956, 0, USUAL) == 0
-    assert notes.classify(9_001_000, heard, 441.2, 0, USUAL) == 441_200
+    delays, signals = MessageDelays(slow_threshold=17_000), ConnectionSignals(load=2_212)
+    assert delays.classify(5_000_000, signals, 379.956, 0, MEAN_LOAD) == 0
+    assert delays.resolved_loads(5_900_000) == [] and delays.resolved_loads(6_200_000) == [(signals, 379.956)]
+    assert delays.classify(8_000_000, signals, 379.956, 0, MEAN_LOAD) == 0
+    assert delays.classify(9_001_000, signals, 441.2, 0, MEAN_LOAD) == 441_200
 
 
 def test_a_new_host_may_report_a_long_delay_at_once():
     """Delays of 1.4 to 3 s reported by a slow host were read as loads, and it kept getting calls."""
-    notes, heard = MessageDelays(slow_threshold=17_000, connected_since=2_200_000), ConnectionSignals()
-    assert notes.classify(2_200_000, heard, 297_243, 0, USUAL) is None
-    heard.load = 297_243
-    assert notes.classify(2_380_000, heard, 1354.567, 0, USUAL) == 1_354_567
-    assert notes.classify(3_381_000, heard, 1820.216, 0, USUAL) == 1_820_216
+    delays, signals = MessageDelays(slow_threshold=17_000, connected_since=2_200_000), ConnectionSignals()
+    assert delays.classify(2_200_000, signals, 297_243, 0, MEAN_LOAD) is None
+    signals.load = 297_243
+    assert delays.classify(2_380_000, signals, 1354.567, 0, MEAN_LOAD) == 1_354_567
+    assert delays.classify(3_381_000, signals, 1820.216, 0, MEAN_LOAD) == 1_820_216
 
 
 def test_the_first_report_on_a_connection_may_be_a_delay():
     """A connection reports load only when it is used; read as a load, a congested host's delay was lost."""
-    notes, fresh = MessageDelays(slow_threshold=17_000), ConnectionSignals()
+    delays, fresh = MessageDelays(slow_threshold=17_000), ConnectionSignals()
     # small for a load: not reported as one yet
-    assert notes.classify(7_380_000, fresh, 2784.4, 0, USUAL) == 0
-    assert notes.classify(8_380_500, fresh, 2114.3, 0, USUAL) == 2_114_300 and not notes.misread_loads
-    assert notes.classify(8_400_000, ConnectionSignals(), 52_000, 0, USUAL) is None
+    assert delays.classify(7_380_000, fresh, 2784.4, 0, MEAN_LOAD) == 0
+    assert delays.classify(8_380_500, fresh, 2114.3, 0, MEAN_LOAD) == 2_114_300 and not delays.misread_loads
+    assert delays.classify(8_400_000, ConnectionSignals(), 52_000, 0, MEAN_LOAD) is None
 
 
 def test_three_reports_at_the_same_second_are_recognised_as_delays_and_the_load_is_corrected():
-    notes, light = MessageDelays(slow_threshold=17_000), ConnectionSignals(load=700)
+    delays, light = MessageDelays(slow_threshold=17_000), ConnectionSignals(load=700)
     for at, value, delay in (
         (1_000, 2245.1, None),
         (1_400, 820, None),
         (2_001, 2463.7, None),
         (3_001, 2725.4, 2_725_400),
     ):
-        assert notes.classify(at * 1000, light, value, 0, USUAL) == delay
+        assert delays.classify(at * 1000, light, value, 0, MEAN_LOAD) == delay
         light.load = value
-    assert notes.misread_loads == [(light, 820), (light, 700)]
+    assert delays.misread_loads == [(light, 820), (light, 700)]
     # the reporting second is known now: from here on one report suffices
-    assert notes.classify(4_001_000, light, 9.5, 0, USUAL) == 9_500 and not notes.reported_delay
-    assert notes.classify(9_002_000, light, 310, 0, USUAL) == 310_000
+    assert delays.classify(4_001_000, light, 9.5, 0, MEAN_LOAD) == 9_500 and not delays.reported_delay
+    assert delays.classify(9_002_000, light, 310, 0, MEAN_LOAD) == 310_000
 
 
 # Probes
@@ -593,12 +593,12 @@
     def __init__(self, address, first):
         self.sock = socket.create_connection(address, timeout=WAIT)
         self.file = self.sock.makefile("rb")
-        self.say(first)
+        self.send_line(first)
 
-    def say(self, line):
+    def send_line(self, line):
         self.sock.sendall(line + b"\r\n")
 
-    def hear(self):
+    def read_line(self):
         return self.file.readline().rstrip()
 
 
@@ -654,22 +654,22 @@
 def test_a_node_serves_moves_and_stops(service):
     node, address = service
     ping = Client(address, b"PING")
-    assert ping.hear() == b"PONG"
+    assert ping.read_line() == b"PONG"
     client = Client(address, b"OPEN 01 02 c=chat,d=2000,g=0a")
-    assert client.hear().startswith(b"UP ")
+    assert client.read_line().startswith(b"UP ")
     for line in (b"M 1 ab", b"x" * 4000):
-        client.say(line)
-        assert client.hear() == line
+        client.send_line(line)
+        assert client.read_line() == line
     bad = Client(address, b"HELLO")
-    assert bad.hear() == b"ERR" and bad.hear() == b""
+    assert bad.read_line() == b"ERR" and bad.read_line() == b""
     ended = Client(address, b"OPEN 03 04 c=chat,d=2000,g=0b")
-    assert ended.hear().startswith(b"UP ")
-    ended.say(b"BYE")
-    assert ended.hear() == b"BYE" and ended.hear() == b""
+    assert ended.read_line().startswith(b"UP ")
+    ended.send_line(b"BYE")
+    assert ended.read_line() == b"BYE" and ended.read_line() == b""
     node.stop()
     late = Client(address, b"OPEN 05 06 c=chat,d=2000,g=0c")
-    assert late.hear().startswith(b"BUSY") and late.hear() == b""
-    assert client.hear() == b"MOVE" and client.hear() == b""
+    assert late.read_line().startswith(b"BUSY") and late.read_line() == b""
+    assert client.read_line() == b"MOVE" and client.read_line() == b""
     assert node.join(WAIT)
 
 
@@ -702,7 +702,7 @@
     handler.setFormatter(logfmt.KeyValueFormatter("n1"))
     logging.getLogger("cottonspread").addHandler(handler)
     stands = Client(address, b"OPEN 01 02 c=chat,d=2000,g=0a")
-    assert stands.hear().startswith(b"UP ")
+    assert stands.read_line().startswith(b"UP ")
 
     def broken(now, event):
         raise RuntimeError("decisions broken")
@@ -710,9 +710,9 @@
     with monkeypatch.context() as patch:
         patch.setattr(node.reducer.balancer, "handle", broken)
         struck = Client(address, b"OPEN 03 04 c=chat,d=2000,g=0b")
-        assert struck.hear() == b"ERR"
-    stands.say(b"still here")
-    assert stands.hear() == b"still here"
+        assert struck.read_line() == b"ERR"
+    stands.send_line(b"still here")
+    assert stands.read_line() == b"still here"
     logging.getLogger("cottonspread").removeHandler(handler)
     assert "event=fault" in said.getvalue() and "decisions broken" in said.getvalue()
 
@@ -753,14 +753,14 @@
             address = wait_for("listening")["address"].split(":")
             wait_for("list", news="full")
             stands = Client((address[0], int(address[1])), b"OPEN 01 02 c=chat,d=2000,g=0a")
-            rest.append(stands.hear()[:3])
+            rest.append(stands.read_line()[:3])
             for text in ("{", json.dumps(config_of | {"discovery": "{}:{}".format(*discovery_of(second))})):
                 file.write_text(text)
                 os.kill(os.getpid(), signal.SIGHUP)
                 rest.append(sorted(wait_for("reload")))
             rest.append(wait_for("list", news="full")["entries"])
-            stands.say(b"still here")
-            rest.append(stands.hear())
+            stands.send_line(b"still here")
+            rest.append(stands.read_line())
         finally:
             os.kill(os.getpid(), signal.SIGTERM)
 
--- a/tests/test_succession.py
+++ b/tests/test_succession.py
@@ -64,10 +64,10 @@
     return values
 
 
-OWN = ("KeyScope", "KeyTtl")  # only one of the two types has these
+KEYED_KEYS = ("KeyScope", "KeyTtl")  # only one of the two types has these
 
 
-class Told:
+class NodeStub:
     """Stands in for a node and records the calls."""
 
     def __init__(self):
@@ -81,14 +81,14 @@
 
 
 @pytest.mark.parametrize(
-    "path", [p for p in keys(WHOLE) if p[-1] not in OWN], ids=lambda p: ".".join(map(str, p))
+    "path", [p for p in keys(WHOLE) if p[-1] not in KEYED_KEYS], ids=lambda p: ".".join(map(str, p))
 )
 def test_a_file_with_a_missing_key_changes_nothing(path, tmp_path, monkeypatch, caplog):
     """A default in place of a missing key would apply half a change, and the environment in place of a
     missing address an old one.
     """
     monkeypatch.setenv("PROXY_DISCOVERY", "127.0.0.1:1")
-    file, node = tmp_path / "node.json", Told()
+    file, node = tmp_path / "node.json", NodeStub()
     file.write_text(json.dumps(WHOLE))
     active = ActiveConfiguration(str(file))
     before = active.values, active.parts
@@ -133,7 +133,7 @@
     ],
 )
 def test_an_invalid_file_changes_nothing_and_the_log_names_its_key(text, key, tmp_path, caplog):
-    file, node = tmp_path / "node.json", Told()
+    file, node = tmp_path / "node.json", NodeStub()
     file.write_text(json.dumps(WHOLE))
     active = ActiveConfiguration(str(file))
     before = active.values, active.parts
@@ -150,9 +150,9 @@
 def test_keys_that_only_keyed_types_need_are_required_only_of_them():
     more = WHOLE["settings"]["TrafficTypes"][1]
     config.check_no_key_missing(
-        [more], [more, {key: more[key] for key in more if key not in OWN} | {"Effect": "safe"}]
+        [more], [more, {key: more[key] for key in more if key not in KEYED_KEYS} | {"Effect": "safe"}]
     )
-    for key in OWN:
+    for key in KEYED_KEYS:
         with pytest.raises(config.ConfigurationError, match=rf"\[0\]\.{key}"):
             config.check_no_key_missing(
                 [WHOLE["settings"]["TrafficTypes"][0], more], [{k: v for k, v in more.items() if k != key}]
@@ -160,7 +160,7 @@
 
 
 def test_types_may_be_added_dropped_and_changed_and_fixed_settings_are_logged(tmp_path, caplog):
-    file, node = tmp_path / "node.json", Told()
+    file, node = tmp_path / "node.json", NodeStub()
     file.write_text(json.dumps(WHOLE))
     active = ActiveConfiguration(str(file))
     for change, names in (
@@ -282,20 +282,20 @@
                     return self
             except OSError:  # not there yet
                 pass
-        raise AssertionError(self.said())
+        raise AssertionError(self.log_text())
 
-    def said(self):
+    def log_text(self):
         self.log.seek(0)
         return self.log.read().decode()
 
-    def says(self, text):
+    def wait_for_log(self, text):
         """Waits for a text in the log, which a separate thread writes with a short delay."""
         by = time.monotonic() + WAIT
-        while text not in self.said():
-            assert time.monotonic() < by, self.said()
+        while text not in self.log_text():
+            assert time.monotonic() < by, self.log_text()
         return True
 
-    def counted(self, name):
+    def counter(self, name):
         text = call(self.operators, b"counters\n").decode()
         return int(next(line for line in text.splitlines() if line.startswith(f"app_{name}")).split()[-1])
 
@@ -303,14 +303,14 @@
 @pytest.fixture
 def platform(tmp_path, toy):  # noqa: F811
     discovery = discovery_of(toy.Toy(2))
-    listener, begun = socket.create_server(("127.0.0.1", 0), backlog=200), []
+    listener, processes = socket.create_server(("127.0.0.1", 0), backlog=200), []
 
-    def begin(**more):
-        begun.append(Process(tmp_path, listener, discovery, **more))
-        return begun[-1]
+    def start(**more):
+        processes.append(Process(tmp_path, listener, discovery, **more))
+        return processes[-1]
 
-    yield begin, listener.getsockname()
-    for one in begun:
+    yield start, listener.getsockname()
+    for one in processes:
         one.process.kill()
         one.process.wait(WAIT)
 
@@ -319,71 +319,71 @@
     return Client(address, b"OPEN %s 02 c=chat,d=2000,g=%s" % (id, key))
 
 
-def standing(address, count):
+def open_connections(address, count):
     """Opens `count` connections, one after the other: a server that has not answered yet gets at most four
     call setups at a time.
     """
     clients = []
     for n in range(count):
         clients.append(open_call(address, b"a%d" % n, b"g%d" % n))
-        assert clients[-1].hear().startswith(b"UP ")
+        assert clients[-1].read_line().startswith(b"UP ")
     return clients
 
 
 def test_a_process_is_replaced_and_no_client_is_refused(platform):
     """The second process failed to bind its address and exited."""
-    begin, address = platform
-    first = begin().ready()
-    stands = standing(address, 6)
-    second = begin().ready()
-    assert second.says("handed=True") and first.says("hands-over")
+    start, address = platform
+    first = start().ready()
+    clients = open_connections(address, 6)
+    second = start().ready()
+    assert second.wait_for_log("handed=True") and first.wait_for_log("hands-over")
     twice = open_call(address, b"a0")  # whichever of the two takes it
-    assert twice.hear() == b"ERR"
-    came, done = [], threading.Event()
+    assert twice.read_line() == b"ERR"
+    answers, done = [], threading.Event()
 
-    def come():
+    def open_calls():
         n = 0
         while not done.is_set():
             n += 1
             one = open_call(address, b"b%d" % n, b"g%d" % (n % 9))
-            came.append(one.hear())
+            answers.append(one.read_line())
             one.sock.close()
 
-    crowd = threading.Thread(target=come, daemon=True)
+    crowd = threading.Thread(target=open_calls, daemon=True)
     crowd.start()
     first.process.send_signal(signal.SIGTERM)
     assert first.process.wait(WAIT) == 0
     done.set()
     crowd.join(WAIT)
-    assert len(came) > 10 and all(answer.startswith(b"UP ") for answer in came)
-    for n, client in enumerate(stands):  # established connections go on at the second process
-        client.say(b"still here %d" % n)
-        assert client.hear() == b"still here %d" % n
-    assert open_call(address, b"a0").hear() == b"ERR"
+    assert len(answers) > 10 and all(answer.startswith(b"UP ") for answer in answers)
+    for n, client in enumerate(clients):  # established connections go on at the second process
+        client.send_line(b"still here %d" % n)
+        assert client.read_line() == b"still here %d" % n
+    assert open_call(address, b"a0").read_line() == b"ERR"
     assert (
-        second.counted("inflight") >= 6
-        and second.counted('success{tier="chat"}') > 0
+        second.counter("inflight") >= 6
+        and second.counter('success{tier="chat"}') > 0
         and second.process.poll() is None
     )
-    assert first.said().count("reason=handed-over") >= 6 and "moved" not in first.said()
+    assert first.log_text().count("reason=handed-over") >= 6 and "moved" not in first.log_text()
 
 
 def test_lines_sent_during_the_transfer_arrive_once_and_in_order(platform):
-    begin, address = platform
-    first = begin().ready()
-    stands = standing(address, 12)
-    begin().ready()
+    start, address = platform
+    first = start().ready()
+    clients = open_connections(address, 12)
+    start().ready()
     said, done = [[] for _ in range(6)], threading.Event()  # half of them send without a pause
 
     def talk(client, heard):
         n = 0
         while (not done.is_set() or n < 50) and b"MOVE" not in heard:
-            client.say(b"line %d" % n)
-            heard.append(client.hear())
+            client.send_line(b"line %d" % n)
+            heard.append(client.read_line())
             n += 1
 
     talkers = [
-        threading.Thread(target=talk, args=pair, daemon=True) for pair in zip(stands[:6], said, strict=True)
+        threading.Thread(target=talk, args=pair, daemon=True) for pair in zip(clients[:6], said, strict=True)
     ]
     for one in talkers:
         one.start()
@@ -392,7 +392,7 @@
     done.set()
     for one in talkers:
         one.join(WAIT)
-    passed = first.said().count("reason=handed-over")
+    passed = first.log_text().count("reason=handed-over")
     assert passed + sum(b"MOVE" in heard for heard in said) == 12 and passed >= 6
     for heard in said:  # a connection that was never idle when checked is moved
         ours = heard[: heard.index(b"MOVE")] if b"MOVE" in heard else heard
@@ -401,74 +401,74 @@
 
 def test_a_successor_stopped_during_the_transfer_loses_no_connection(platform):
     """Some connections have been transferred and some are not idle yet when both processes stop."""
-    begin, address = platform
-    first = begin().ready()
-    stands = standing(address, 12)
-    second = begin().ready()
-    told = [[] for _ in stands]
+    start, address = platform
+    first = start().ready()
+    clients = open_connections(address, 12)
+    second = start().ready()
+    received = [[] for _ in clients]
 
     def talk(client, heard):
         while b"MOVE" not in heard and b"" not in heard:
-            client.say(b"line")
-            heard.append(client.hear())
-        heard.append(client.hear())
+            client.send_line(b"line")
+            heard.append(client.read_line())
+        heard.append(client.read_line())
 
     talkers = [
-        threading.Thread(target=talk, args=pair, daemon=True) for pair in zip(stands, told, strict=True)
+        threading.Thread(target=talk, args=pair, daemon=True) for pair in zip(clients, received, strict=True)
     ]
     for one in talkers[:6]:
         one.start()
     first.process.send_signal(signal.SIGTERM)
-    assert second.says("event=adopted")
+    assert second.wait_for_log("event=adopted")
     second.process.send_signal(signal.SIGTERM)
     for one in talkers[6:]:
         one.start()
     for one in talkers:
         one.join(WAIT)
     assert first.process.wait(WAIT) == 0 and second.process.wait(WAIT) == 0
-    for heard in told:
+    for heard in received:
         assert heard[-2:] == [b"MOVE", b""] and set(heard[:-2]) <= {b"line"}
-    assert "Traceback" not in first.said() + second.said()
+    assert "Traceback" not in first.log_text() + second.log_text()
 
 
 def test_half_a_line_waits_for_its_other_half_and_is_not_lost(platform):
-    begin, address = platform
-    first = begin().ready()
-    (client,) = standing(address, 1)
-    begin().ready()
+    start, address = platform
+    first = start().ready()
+    (client,) = open_connections(address, 1)
+    start().ready()
     client.sock.sendall(b"first ha")
     first.process.send_signal(signal.SIGTERM)
-    assert first.says("event=stopping")
+    assert first.wait_for_log("event=stopping")
     client.sock.sendall(b"lf\r\n")
-    assert client.hear() == b"first half" and first.process.wait(WAIT) == 0
-    client.say(b"more")
-    assert client.hear() == b"more" and first.says("reason=handed-over")
+    assert client.read_line() == b"first half" and first.process.wait(WAIT) == 0
+    client.send_line(b"more")
+    assert client.read_line() == b"more" and first.wait_for_log("reason=handed-over")
 
 
 def test_when_the_successor_has_exited_the_predecessor_moves_the_clients(platform):
-    begin, address = platform
-    first = begin().ready()
-    (client,) = standing(address, 1)
-    second = begin().ready()
+    start, address = platform
+    first = start().ready()
+    (client,) = open_connections(address, 1)
+    second = start().ready()
     second.process.kill()
     second.process.wait(WAIT)
     first.process.send_signal(signal.SIGTERM)
-    assert client.hear() == b"MOVE" and client.hear() == b"" and first.process.wait(WAIT) == 0
+    assert client.read_line() == b"MOVE" and client.read_line() == b"" and first.process.wait(WAIT) == 0
 
 
 def test_a_hanging_successor_delays_one_connection_and_the_others_are_moved(platform):
-    begin, address = platform
-    first = begin().ready()
-    stands = standing(address, 4)
-    second = begin().ready()
-    assert second.says("handed=True")
+    start, address = platform
+    first = start().ready()
+    clients = open_connections(address, 4)
+    second = start().ready()
+    assert second.wait_for_log("handed=True")
     second.process.send_signal(signal.SIGSTOP)
     first.process.send_signal(signal.SIGTERM)
     assert first.process.wait(WAIT) == 0
     second.process.send_signal(signal.SIGCONT)
-    for client in stands:
-        client.say(b"still here")
-    assert sorted(client.hear() for client in stands) == [b"MOVE"] * 3 + [b"still here"]
+    for client in clients:
+        client.send_line(b"still here")
+    assert sorted(client.read_line() for client in clients) == [b"MOVE"] * 3 + [b"still here"]
 
 
 @pytest.mark.parametrize("folder", ["short", "a" * 90])
@@ -486,9 +486,9 @@
 # Connections in transfer
 
 
-def test_an_idle_reader_releases_its_socket_and_leaves_later_input_to_the_next(service_ends):
+def test_an_idle_reader_releases_its_socket_and_leaves_later_input_to_the_next(socket_and_reader):
     """Two processes reading one socket would split its lines."""
-    (ours, reader), done = service_ends, threading.Event()
+    (ours, reader), done = socket_and_reader, threading.Event()
     started = threading.Thread(
         target=lambda: (pytest.raises(lines.SocketReleasedError, reader.read_lines), done.set()),
         daemon=True,
@@ -504,16 +504,16 @@
     assert reader.read_lines() == b"here again\r\n"
 
 
-def test_a_reader_in_the_middle_of_a_line_does_not_release_its_socket(service_ends):
-    ours, reader = service_ends
+def test_a_reader_in_the_middle_of_a_line_does_not_release_its_socket(socket_and_reader):
+    ours, reader = socket_and_reader
     assert not lines.try_release([reader])  # no thread is reading it
     other = lines.LineReader(reader.sock, BufferPool(), 1)
     other.idle = True
     assert not lines.try_release([other, reader]) and not other.released
 
 
-def test_a_reader_reclaimed_before_any_input_goes_on_reading(service_ends):
-    (ours, reader), heard = service_ends, []
+def test_a_reader_reclaimed_before_any_input_goes_on_reading(socket_and_reader):
+    (ours, reader), heard = socket_and_reader, []
     thread = threading.Thread(target=lambda: heard.append(reader.read_lines()), daemon=True)
     thread.start()
     while not reader.idle:
@@ -525,18 +525,18 @@
 
 
 @pytest.fixture
-def service_ends():
+def socket_and_reader():
     ours, theirs = socket.socketpair()
     yield ours, lines.LineReader(theirs, BufferPool(), 1)
     ours.close()
     theirs.close()
 
 
-STANDING = handover.OpenConnection("id1", "chat", "s-1", 5, 6, "k", None, 0, 7.5, (1, 2))
+CONNECTION = handover.OpenConnection("id1", "chat", "s-1", 5, 6, "k", None, 0, 7.5, (1, 2))
 
 
 def test_an_established_connection_is_read_as_written():
-    assert handover.unpack_connection(handover.pack_connection(STANDING)) == STANDING
+    assert handover.unpack_connection(handover.pack_connection(CONNECTION)) == CONNECTION
 
 
 @pytest.mark.parametrize(
@@ -545,10 +545,10 @@
         b"\n",
         b"{\n",
         b"[]\n",
-        handover.pack_connection(STANDING)[:-9],
-        handover.pack_connection(STANDING).replace(b'"version": 1', b'"version": 2'),
-        handover.pack_connection(STANDING).replace(b'"type"', b'"odd"'),
-        handover.pack_connection(STANDING).replace(b'"began": 5', b'"began": null'),
+        handover.pack_connection(CONNECTION)[:-9],
+        handover.pack_connection(CONNECTION).replace(b'"version": 1', b'"version": 2'),
+        handover.pack_connection(CONNECTION).replace(b'"type"', b'"odd"'),
+        handover.pack_connection(CONNECTION).replace(b'"began": 5', b'"began": null'),
     ],
 )
 def test_an_invalid_transfer_message_leaves_the_connection_with_the_sender(line):
@@ -568,53 +568,53 @@
 
 
 def test_a_successor_that_cannot_start_leaves_the_other_serving(platform):
-    begin, address = platform
-    first = begin().ready()
+    start, address = platform
+    first = start().ready()
     for more in ({"seed": "no"}, {"known": {"instances": 1}}):
-        second = begin(**more)
+        second = start(**more)
         assert second.process.wait(WAIT) == 2
-    assert open_call(address, b"a1").hear().startswith(b"UP ") and first.process.poll() is None
+    assert open_call(address, b"a1").read_line().startswith(b"UP ") and first.process.poll() is None
 
 
 def test_after_a_kill_the_next_process_starts_with_the_saved_list(platform):
-    begin, address = platform
-    first = begin().ready()
+    start, address = platform
+    first = start().ready()
     first.process.kill()
     first.process.wait(WAIT)
-    second = begin(discovery="127.0.0.1:1").ready()  # discovery does not answer
-    assert second.says("alone=True") and open_call(address, b"a1").hear().startswith(b"UP ")
+    second = start(discovery="127.0.0.1:1").ready()  # discovery does not answer
+    assert second.wait_for_log("alone=True") and open_call(address, b"a1").read_line().startswith(b"UP ")
 
 
 def test_a_hanging_predecessor_does_not_keep_the_successor_from_serving(platform):
-    begin, address = platform
-    first = begin().ready()
+    start, address = platform
+    first = start().ready()
     first.process.send_signal(signal.SIGSTOP)
     try:
-        second = begin().ready()
-        assert second.says("handed=False")
+        second = start().ready()
+        assert second.wait_for_log("handed=False")
     finally:
         first.process.send_signal(signal.SIGCONT)
 
 
 def test_sighup_changes_the_types_of_a_serving_node(platform, tmp_path):
-    begin, address = platform
-    one = begin().ready()
-    stands = open_call(address, b"a1")
-    assert stands.hear().startswith(b"UP ")
+    start, address = platform
+    one = start().ready()
+    client = open_call(address, b"a1")
+    assert client.read_line().startswith(b"UP ")
     values = json.loads((tmp_path / "node.json").read_text())
     for text, figure in (("{", "reconfig_failed"), (json.dumps(without(("name",))), "reconfig_failed")):
         (tmp_path / "node.json").write_text(text)
-        before = one.counted(figure)
+        before = one.counter(figure)
         one.process.send_signal(signal.SIGHUP)
-        while one.counted(figure) == before:
+        while one.counter(figure) == before:
             pass
-    assert one.counted("reconfig_failed") == 2 and one.counted("reconfig_ok") == 0
+    assert one.counter("reconfig_failed") == 2 and one.counter("reconfig_ok") == 0
     values["settings"]["TrafficTypes"][0]["Name"] = "talk"
     (tmp_path / "node.json").write_text(json.dumps(values))
     one.process.send_signal(signal.SIGHUP)
-    while not one.counted("reconfig_ok"):
+    while not one.counter("reconfig_ok"):
         pass
-    assert Client(address, b"OPEN a2 02 c=talk,d=2000,g=0b").hear().startswith(b"UP ")
-    assert Client(address, b"OPEN a3 02 c=chat,d=2000,g=0b").hear() == b"ERR"
-    stands.say(b"still here")
-    assert stands.hear() == b"still here"
+    assert Client(address, b"OPEN a2 02 c=talk,d=2000,g=0b").read_line().startswith(b"UP ")
+    assert Client(address, b"OPEN a3 02 c=chat,d=2000,g=0b").read_line() == b"ERR"
+    client.send_line(b"still here")
+    assert client.read_line() == b"still here"
