--- a/tests/crossings/stubs.py
+++ b/tests/crossings/stubs.py
@@ -318,7 +318,7 @@
 
 def serve(hosts):
     """Accepts the next attempt at any of the hosts and reads its first line."""
-    wait_until(lambda: any(h.has_connection() for h in hosts), "nobody came")
+    wait_until(lambda: any(h.has_connection() for h in hosts), "no connection")
     peer = next(h for h in hosts if h.has_connection()).accept()
     peer.line = peer.read_line()
     return peer
--- a/tests/crossings/test_closing.py
+++ b/tests/crossings/test_closing.py
@@ -61,9 +61,9 @@
     def before(node):
         refuse = node.refuse
 
-        def held(*told):
+        def held(*args):
             gate.wait()  # the decision is made, BUSY and the close are not sent yet
-            refuse(*told)
+            refuse(*args)
 
         node.refuse = held
 
@@ -107,7 +107,7 @@
     with running(list_server) as node:
         wait_for_list(node)
         one = client(node, open_line(1))
-        wait_until(lambda: any(h.has_connection() for h in hosts), "nobody came")
+        wait_until(lambda: any(h.has_connection() for h in hosts), "no connection")
         host = next(h for h in hosts if h.has_connection())
         peer = serve([host])
         peer.send_lines(b"UP r")
--- a/tests/crossings/test_floods.py
+++ b/tests/crossings/test_floods.py
@@ -124,7 +124,7 @@
         one, line = client(node), open_line(1) + b"\r\n"
         for at in range(0, len(line), size):
             one.sock.sendall(line[at : at + size])
-        wait_until(lambda: any(h.has_connection() for h in hosts), "nobody came")
+        wait_until(lambda: any(h.has_connection() for h in hosts), "no connection")
         peer = next(h for h in hosts if h.has_connection()).accept()
         assert peer.read_line().startswith(b"OPEN 00000001 ")
         for at in range(0, 6, size):
--- a/tests/crossings/test_shutdown.py
+++ b/tests/crossings/test_shutdown.py
@@ -215,11 +215,11 @@
         assert not asked.is_alive(), "stop() blocks"
         gate.open.set()
         node.seen.wait(ev.StopRequested)
-        told = node.seen.events
+        events = node.seen.events
         assert (
             sum(
                 isinstance(e, ev.Tick)
-                for e in told[: next(n for n, e in enumerate(told) if isinstance(e, ev.StopRequested))]
+                for e in events[: next(n for n, e in enumerate(events) if isinstance(e, ev.StopRequested))]
             )
             < 100
         )
@@ -287,7 +287,7 @@
         text=True,
     )
 
-    def come(*lines):
+    def open_connection(*lines):
         peer = Peer(socket.create_connection(address, timeout=WAIT))
         peer.send_lines(*lines)
         return peer
@@ -297,18 +297,18 @@
             if "event=list news=full" in line:
                 break
         threading.Thread(target=process.stderr.read, daemon=True).start()
-        stands, resting, half = come(open_line(1)), come(), come()
+        established, resting, half = open_connection(open_line(1)), open_connection(), open_connection()
         resting.sock.sendall(b"")
         half.sock.sendall(b"OPEN 0")
         peer = serve(hosts)
         peer.send_lines(b"UP r")
-        assert stands.read_line() == b"UP r"
-        hangs = come(open_line(2, "once"))
+        assert established.read_line() == b"UP r"
+        hangs = open_connection(open_line(2, "once"))
         other = serve(hosts)
         process.send_signal(signal.SIGTERM)
-        late = come(open_line(3))
+        late = open_connection(open_line(3))
         process.send_signal(signal.SIGTERM)
-        for one, word in ((late, b"BUSY"), (half, b"BUSY"), (stands, b"MOVE"), (hangs, b"ERR")):
+        for one, word in ((late, b"BUSY"), (half, b"BUSY"), (established, b"MOVE"), (hangs, b"ERR")):
             assert one.read_line().startswith(word), word
             assert one.read_line() == b""
         assert other.read_all() == b"" and peer.read_all() == b""
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -94,7 +94,7 @@
     the congestion went unnoticed.
     """
     delays, signals = MessageDelays(slow_threshold=17_000), ConnectionSignals()
-    told = []
+    results = []
     for at, value in (
         (0, 41_000),
         (731, 18.5),
@@ -106,10 +106,10 @@
         (9_731, 20.1),
     ):
         delay = delays.classify(at * 1000, signals, value, 0, MEAN_LOAD)
-        told.append(delay)
+        results.append(delay)
         if delay is None:
             signals.load = value
-    assert told == [None, 18_500, 294_800, None, 349_700, 9_900, 0, 20_100]
+    assert results == [None, 18_500, 294_800, None, 349_700, 9_900, 0, 20_100]
 
 
 def test_a_delay_of_many_seconds_is_accepted_only_with_a_matching_silence():
@@ -191,7 +191,7 @@
 
 
 @pytest.mark.parametrize(
-    "line, told",
+    "line, expected",
     [
         (b"PONG x0:0.41,x1:0.02\r\n", (io.Ending.OK, {"x0": 0.41, "x1": 0.02})),
         (b"PONG\r\n", (io.Ending.OK, {})),
@@ -201,14 +201,14 @@
         (b"", (io.Ending.FULL, {})),
     ],
 )
-def test_a_load_report_is_read_and_invalid_numbers_are_skipped(line, told):
-    assert lines.parse_probe_answer(line) == told
+def test_a_load_report_is_read_and_invalid_numbers_are_skipped(line, expected):
+    assert lines.parse_probe_answer(line) == expected
 
 
 def probe(address, wait=WAIT):
-    told = queue.Queue()
-    Workers(BufferPool(), told.put, lambda: 0).execute(ev.Probe("s-1", address, round(wait * 1_000_000)))
-    return told.get(timeout=WAIT)
+    events = queue.Queue()
+    Workers(BufferPool(), events.put, lambda: 0).execute(ev.Probe("s-1", address, round(wait * 1_000_000)))
+    return events.get(timeout=WAIT)
 
 
 def test_a_probe_is_answered_whatever_the_host_does():
@@ -418,14 +418,14 @@
     monkeypatch.setattr(discovery.time, "sleep", lambda _: None)
     one.enabled.set()
     start_thread(one.run, stack=LARGE_STACK_SIZE)  # with less, deeply nested JSON crashed the process
-    told = [heard.get(timeout=WAIT) for _ in range(4)]
+    received = [heard.get(timeout=WAIT) for _ in range(4)]
     one.stop()
-    assert [e.update.version for e in told] == [41, 43, 44, 45] and len(failed) == 4
-    assert told[0].update.entries[0] == io.Entry("s-1", 0, -1, 1.0, 0, 7000) and told[0].addresses == {
-        "s-1": ("10.1.0.18", 8080)
-    }
-    assert told[1].update.entries[0].state is io.HostState.DRAINING
-    assert told[3].update.entries[0].state is io.HostState.GONE and not told[3].addresses
+    assert [e.update.version for e in received] == [41, 43, 44, 45] and len(failed) == 4
+    assert received[0].update.entries[0] == io.Entry("s-1", 0, -1, 1.0, 0, 7000) and received[
+        0
+    ].addresses == {"s-1": ("10.1.0.18", 8080)}
+    assert received[1].update.entries[0].state is io.HostState.DRAINING
+    assert received[3].update.entries[0].state is io.HostState.GONE and not received[3].addresses
 
 
 @pytest.mark.parametrize("known, first", ((True, "/api/targets?since=41&"), (False, "/api/targets")))
@@ -701,8 +701,8 @@
     handler = logging.StreamHandler(said)
     handler.setFormatter(logfmt.KeyValueFormatter("n1"))
     logging.getLogger("cottonspread").addHandler(handler)
-    stands = Client(address, b"OPEN 01 02 c=chat,d=2000,g=0a")
-    assert stands.read_line().startswith(b"UP ")
+    client = Client(address, b"OPEN 01 02 c=chat,d=2000,g=0a")
+    assert client.read_line().startswith(b"UP ")
 
     def broken(now, event):
         raise RuntimeError("decisions broken")
@@ -711,8 +711,8 @@
         patch.setattr(node.reducer.balancer, "handle", broken)
         struck = Client(address, b"OPEN 03 04 c=chat,d=2000,g=0b")
         assert struck.read_line() == b"ERR"
-    stands.send_line(b"still here")
-    assert stands.read_line() == b"still here"
+    client.send_line(b"still here")
+    assert client.read_line() == b"still here"
     logging.getLogger("cottonspread").removeHandler(handler)
     assert "event=fault" in said.getvalue() and "decisions broken" in said.getvalue()
 
@@ -752,15 +752,15 @@
         try:
             address = wait_for("listening")["address"].split(":")
             wait_for("list", news="full")
-            stands = Client((address[0], int(address[1])), b"OPEN 01 02 c=chat,d=2000,g=0a")
-            rest.append(stands.read_line()[:3])
+            client = Client((address[0], int(address[1])), b"OPEN 01 02 c=chat,d=2000,g=0a")
+            rest.append(client.read_line()[:3])
             for text in ("{", json.dumps(config_of | {"discovery": "{}:{}".format(*discovery_of(second))})):
                 file.write_text(text)
                 os.kill(os.getpid(), signal.SIGHUP)
                 rest.append(sorted(wait_for("reload")))
             rest.append(wait_for("list", news="full")["entries"])
-            stands.send_line(b"still here")
-            rest.append(stands.read_line())
+            client.send_line(b"still here")
+            rest.append(client.read_line())
         finally:
             os.kill(os.getpid(), signal.SIGTERM)
 
