--- a/cottonspread/net/discovery.py
+++ b/cottonspread/net/discovery.py
@@ -48,23 +48,23 @@
 UNREADABLE = KeyError, TypeError, ValueError, AttributeError, OverflowError
 
 
-def read_list(said, names, news=None, before=None):
+def read_list(response, names, kind=None, previous=None):
     """Reads a response as JSON.
 
     Returns (version, ListUpdate, addresses by server, {server: why its entry is invalid}).
 
     An invalid entry does not invalidate the list. Its server keeps the entry and address that it had in
-    `before` ({server: (entry, address)}), but a readable change to draining or gone is applied, because no
-    calls may go there any more. A server that is not in `before` is left out.
+    `previous` ({server: (entry, address)}), but a readable change to draining or gone is applied, because no
+    calls may go there any more. A server that is not in `previous` is left out.
     """
     try:
-        version, instances = int(said["generation"]), said["instances"]
-        news = news or (io.ListUpdateKind.FULL if said["reset"] else io.ListUpdateKind.CHANGES)
+        version, instances = int(response["generation"]), response["instances"]
+        kind = kind or (io.ListUpdateKind.FULL if response["reset"] else io.ListUpdateKind.CHANGES)
         if not isinstance(instances, list):
             raise TypeError("instances: not a list")
     except UNREADABLE as fault:
         raise ListError(f"{type(fault).__name__}: {fault}") from fault
-    entries, addresses, unread = {}, {}, {}
+    entries, addresses, invalid = {}, {}, {}
     for one in instances:
         name, state = None, None
         try:
@@ -72,11 +72,11 @@
             if state is None:
                 raise ValueError(f"lifecycle: {one.get('lifecycle')!r}")
             if name in entries:  # the later entry wins
-                unread[name + " again"] = "listed twice"
+                invalid[name + " again"] = "listed twice"
             entry, address = read_entry(one, names, state)
         except UNREADABLE as fault:
-            unread[str(name)] = f"{type(fault).__name__}: {fault}"
-            entry, address = (before or {}).get(name, (None, None))
+            invalid[str(name)] = f"{type(fault).__name__}: {fault}"
+            entry, address = (previous or {}).get(name, (None, None))
             if entry is None:
                 continue
             entry = entry._replace(state=state or entry.state)
@@ -84,7 +84,7 @@
         addresses.pop(name, None)
         if entry.state is not io.HostState.GONE:
             addresses[name] = address
-    return version, io.ListUpdate(news, version, tuple(entries.values())), addresses, unread
+    return version, io.ListUpdate(kind, version, tuple(entries.values())), addresses, invalid
 
 
 class Discovery:
@@ -105,10 +105,10 @@
     RETRY_DELAY, MAX_RETRY_DELAY = 0.05, 1.0  # seconds; the delay doubles with each failure
     MAX_LOWER_VERSIONS = 3  # full lists in a row with a lower version: discovery has restarted its count
 
-    def __init__(self, address, names, post, version, ask=False, on_list=None, known=False):
+    def __init__(self, address, names, post, version, polled=False, on_list=None, known=False):
         """`post(event)` passes events to the reducer; `version`: of the initial list.
 
-        `ask`: the list is polled when the policy says so (MembershipMode "ask"), not watched all the time.
+        `polled`: the list is polled when the policy says so (MembershipMode "ask"), not watched all the time.
         `on_list(version, instances, full)` gets each valid list as JSON after it has been posted.
         `known`: the initial list is watched from its version on.
         """
@@ -116,9 +116,9 @@
         # Where requests are limited, a known list is watched from its version on: fetching all of it first
         # would be a second request to a server that may have capacity for neither.
         self.version, self.need_full_list, self.lower_versions, self.failures = version, not known, 0, 0
-        self.ask, self.enabled, self.stopped, self.initial = ask, threading.Event(), False, None
+        self.polled, self.enabled, self.stopped, self.initial = polled, threading.Event(), False, None
         self.wake = threading.Event()  # ends the current retry delay, or the next one
-        self.last_entries, self.unread = {}, {}  # the last valid entry of each server; invalid entries
+        self.last_entries, self.invalid = {}, {}  # the last valid entry of each server; invalid entries
         self.on_list = on_list
         self.target = self.http  # the client to use from the next request on
 
@@ -136,14 +136,14 @@
         self.enabled.set()
         self.wake.set()
 
-    def start_with(self, listed, addresses, unread, trusted):
+    def start_with(self, update, addresses, invalid, trusted):
         """Sets the list that the process starts with.
 
         If it is `trusted` it is posted at once. Otherwise discovery is asked first, because its list is
         authoritative, and the initial list is posted only if that request fails.
         """
-        self.record(listed, addresses, unread)
-        self.initial = events.ListReceived(listed, addresses)
+        self.record(update, addresses, invalid)
+        self.initial = events.ListReceived(update, addresses)
         if trusted:
             self.publish_initial()
 
@@ -178,7 +178,7 @@
         if self.http is not self.target:
             self.switch_address()
         self.wake.clear()
-        began = time.monotonic()
+        started_at = time.monotonic()
         try:
             self.fetch()
             self.failures = 0
@@ -194,9 +194,9 @@
             self.need_full_list |= isinstance(fault, ListError)
             if self.failures in (1, 10, 100):
                 log.warning("discovery-fails", extra={"pairs": {"why": fault, "times": self.failures}})
-            if self.ask:  # the policy learns of the failure and decides when to ask again
+            if self.polled:  # the policy learns of the failure and decides when to ask again
                 self.enabled.clear()
-            self.post(events.ListFailed(round((time.monotonic() - began) * 1_000_000)))
+            self.post(events.ListFailed(round((time.monotonic() - started_at) * 1_000_000)))
             return min(self.RETRY_DELAY * 2 ** min(self.failures, 10), self.MAX_RETRY_DELAY)
 
     def next_request(self):
@@ -212,11 +212,11 @@
         """Makes the request and posts its list; raises OSError, ResponseError or ListError."""
         body = self.http.get(*self.next_request())
         try:
-            said = json.loads(body)
+            response = json.loads(body)
         except (ValueError, RecursionError) as fault:
             raise ListError(f"invalid JSON: {fault}") from fault
-        version, listed, addresses, unread = read_list(said, self.names, before=self.last_entries)
-        full = listed.kind is io.ListUpdateKind.FULL
+        version, update, addresses, invalid = read_list(response, self.names, previous=self.last_entries)
+        full = update.kind is io.ListUpdateKind.FULL
         if version < self.version:
             # A stale response must not bring back servers that are gone. Only a discovery service that has
             # restarted its version count repeats a lower version.
@@ -228,34 +228,34 @@
         elif self.need_full_list and not full:
             raise ListError("got changes in response to a request for the full list")
         self.version, self.need_full_list, self.lower_versions, self.initial = version, False, 0, None
-        self.record(listed, addresses, unread)
-        self.post(events.ListReceived(listed, addresses))
+        self.record(update, addresses, invalid)
+        self.post(events.ListReceived(update, addresses))
         if self.on_list:
             self.on_list(
                 version,
                 [
                     one
-                    for one in said["instances"]
-                    if isinstance(one, dict) and str(one.get("instanceId")) not in unread
+                    for one in response["instances"]
+                    if isinstance(one, dict) and str(one.get("instanceId")) not in invalid
                 ],
                 full,
             )
 
-    def record(self, listed, addresses, unread):
+    def record(self, update, addresses, invalid):
         """Remembers the entries. Invalid entries are logged only when they differ from the last ones, because
         each full list repeats them.
         """
-        self.last_entries = self.last_entries if listed.kind is io.ListUpdateKind.CHANGES else {}
-        for entry in listed.entries:
+        self.last_entries = self.last_entries if update.kind is io.ListUpdateKind.CHANGES else {}
+        for entry in update.entries:
             self.last_entries[entry.host] = entry, addresses.get(entry.host)
             if entry.state is io.HostState.GONE:
                 del self.last_entries[entry.host]
-        if unread and unread != self.unread:
-            name, why = next(iter(unread.items()))
+        if invalid and invalid != self.invalid:
+            name, why = next(iter(invalid.items()))
             log.warning(
-                "list-entry", extra={"pairs": {"entries": len(unread), "first": name[:64], "why": why[:200]}}
+                "list-entry", extra={"pairs": {"entries": len(invalid), "first": name[:64], "why": why[:200]}}
             )
-        self.unread = unread
+        self.invalid = invalid
 
     def stop(self):
         """Ends the thread. Called from another thread."""
--- a/tests/crossings/test_pieces.py
+++ b/tests/crossings/test_pieces.py
@@ -36,7 +36,7 @@
     one.sock.sendall(data)
 
     def received():
-        readers = [worker.gatherer for worker in list(node.workers.live)]
+        readers = [worker.line_reader for worker in list(node.workers.live)]
         pending = [waiting.sock for waiting in list(node.admission.pending.clients.values())]
         return any(g and g.buffer is not None and bytes(g.buffer[: g.filled]) == data for g in readers) or (
             any(unread(sock) == data for sock in pending)
