--- a/cottonspread/lab/scale/configuration.py
+++ b/cottonspread/lab/scale/configuration.py
@@ -16,82 +16,85 @@
 from cottonspread.configstore import messages as m
 from cottonspread.configstore import replica as re
 from cottonspread.lab.scale import results
-from cottonspread.lab.scale.configuration_network import Shape, to_response
-from cottonspread.lab.scale.configuration_plays import (
-    PLAYS,
-    Play,
-    RandomPlay,
-    RandomPublishers,
-    idle_size,
-    replica_with,
+from cottonspread.lab.scale.configuration_network import FleetParameters, to_response
+from cottonspread.lab.scale.configuration_scenarios import (
+    SCENARIOS,
+    RandomPublisherScenario,
+    RandomScenario,
+    ScenarioRun,
+    measure_idle,
+    replica_with_watches,
 )
 from cottonspread.lab.sim.world import SECOND
 
 COMMAND = "python -m cottonspread.lab.scale.configuration"
-SMALL = Shape(nodes=24, body_bytes=512)
+SMALL = FleetParameters(nodes=24, body_bytes=512)
 IDLE_SIZES = 52, 105, 210, 420
 REPLICA_SIZES = 105, 210, 420, 840, 1_680
 BODY_SIZES = 1_024, 4_096, 16_384, 65_536
 RANDOM_SEEDS, RANDOM_SEEDS_SMALL = 400, 10
-PLAYS_OF_A_TIME = 5
+CPU_TIME_REPEATS = 5
 """The least of so many processor times is taken."""
 
 
-def plays(shape: Shape, seed: int, small: bool, names) -> list[results.FaultRow]:
+def run_scenarios(parameters: FleetParameters, seed: int, small: bool, names) -> list[results.FaultRow]:
     """A row for each play, told as it ends."""
     rows = []
-    for play in PLAYS:
-        if names and play.__name__ not in names:
+    for scenario in SCENARIOS:
+        if names and scenario.__name__ not in names:
             continue
-        row = play(Play(f"{seed}:{play.__name__}", shape, small))
+        row = scenario(ScenarioRun(f"{seed}:{scenario.__name__}", parameters, small))
         rows.append(row)
-        _tell(row)
+        _print_row(row)
     return rows
 
 
-def random_row(event: str, kind, first: int, count: int) -> results.FaultRow:
+def run_random_scenarios(event: str, kind, first: int, count: int) -> results.FaultRow:
     """Plays of that kind drawn from so many seeds."""
-    played = [kind(seed) for seed in range(first, first + count)]
-    bad = [str(first + number) for number, play in enumerate(played) if play.run()]
-    wholes = [play.whole for play in played]
+    scenarios = [kind(seed) for seed in range(first, first + count)]
+    failed = [str(first + number) for number, scenario in enumerate(scenarios) if scenario.run()]
+    convergence_times = [scenario.convergence_s for scenario in scenarios]
     row = results.FaultRow(
         event=event,
         figures={
             "plays": count,
-            "plays_broken": len(bad),
-            "events": sum(play.fleet.world.events for play in played),
-            "checks": sum(play.fleet.promises.steps for play in played),
+            "plays_broken": len(failed),
+            "events": sum(scenario.fleet.world.events for scenario in scenarios),
+            "checks": sum(scenario.fleet.invariants.steps for scenario in scenarios),
         },
-        seconds_until_whole=None if None in wholes else round(max(wholes), 3),
-        rules_broken=sum(len(play.fleet.promises.broken) for play in played),
-        notes=f"seeds {first} to {first + count - 1}" + (f"; broken: {' '.join(bad[:10])}" if bad else ""),
+        seconds_until_whole=None if None in convergence_times else round(max(convergence_times), 3),
+        rules_broken=sum(len(scenario.fleet.invariants.violations) for scenario in scenarios),
+        notes=f"seeds {first} to {first + count - 1}"
+        + (f"; broken: {' '.join(failed[:10])}" if failed else ""),
     )
-    _tell(row)
+    _print_row(row)
     return row
 
 
-def _tell(row: results.FaultRow) -> None:
+def _print_row(row: results.FaultRow) -> None:
     verdict = "broken " + str(row.rules_broken) if row.rules_broken else "holds"
-    whole = "-" if row.seconds_until_whole is None else f"{row.seconds_until_whole:.2f} s"
+    convergence_s = "-" if row.seconds_until_whole is None else f"{row.seconds_until_whole:.2f} s"
     figures = ", ".join(f"{name} {value:g}" for name, value in row.figures.items())
-    print(f"{verdict:9} whole {whole:8} {row.event}: {figures}", flush=True)
+    print(f"{verdict:9} whole {convergence_s:8} {row.event}: {figures}", flush=True)
     if row.rules_broken:
         print(f"          {row.notes}", flush=True)
 
 
 def idle_sweep(seed: int, sizes) -> results.Sweep:
     """Bytes and messages of an idle fleet against its nodes."""
-    told = {nodes: idle_size(nodes, seed) for nodes in sizes}
+    traffic = {nodes: measure_idle(nodes, seed) for nodes in sizes}
     measures = [
-        _measure(f"{name}_s", "B/s" if "bytes" in name else "messages/s", {n: told[n][name] for n in sizes})
-        for name in told[sizes[0]]
+        _measure(
+            f"{name}_s", "B/s" if "bytes" in name else "messages/s", {n: traffic[n][name] for n in sizes}
+        )
+        for name in traffic[sizes[0]]
     ]
     return _sweep(
         "config-idle",
         "Watches of an idle fleet: mean of a node and the busiest of three replicas, both directions.",
         measures,
         "nodes",
-        Shape().fixed() | {"seed": seed, "watch_s": 10},
+        FleetParameters().fixed() | {"seed": seed, "watch_s": 10},
         sizes,
     )
 
@@ -118,12 +121,12 @@
 def replica_sweep(sizes) -> results.Sweep:
     """Memory of a replica, and its processor time for a change and a watch, against its nodes."""
     memory = {nodes: _memory_of_replica(nodes) for nodes in sizes}
-    change = {nodes: _least(_change_at_replica, nodes) * 1000 for nodes in sizes}
-    watch = {nodes: _least(_watches_at_replica, nodes) * 1e6 / (2 * nodes) for nodes in sizes}
+    change = {nodes: _min_of_repeats(_change_at_replica, nodes) * 1000 for nodes in sizes}
+    watch = {nodes: _min_of_repeats(_watches_at_replica, nodes) * 1e6 / (2 * nodes) for nodes in sizes}
     measures = [
         _measure("state_kb", "KB", memory),
-        _measure("change_cpu_ms", "ms", change, PLAYS_OF_A_TIME),
-        _measure("watch_cpu_us", "us", watch, PLAYS_OF_A_TIME),
+        _measure("change_cpu_ms", "ms", change, CPU_TIME_REPEATS),
+        _measure("watch_cpu_us", "us", watch, CPU_TIME_REPEATS),
     ]
     what = (
         "One replica with two watches of every node: memory, processor time of one change told to all, of one"
@@ -135,15 +138,15 @@
 
 def _memory_of_replica(nodes: int) -> float:
     tracemalloc.start()
-    replica = replica_with(nodes)
+    replica = replica_with_watches(nodes)
     held = tracemalloc.get_traced_memory()[0] / 1000
     tracemalloc.stop()
     assert replica.watches == 2 * nodes
     return round(held, 1)
 
 
-def _least(measure, size) -> float:
-    return min(measure(size) for _ in range(PLAYS_OF_A_TIME))
+def _min_of_repeats(measure, size) -> float:
+    return min(measure(size) for _ in range(CPU_TIME_REPEATS))
 
 
 def _record(generation: int, body_bytes: int) -> m.Record:
@@ -152,21 +155,21 @@
 
 def _change_at_replica(nodes: int) -> float:
     """Processor seconds from the commit to all answers' bytes."""
-    replica = replica_with(nodes)
+    replica = replica_with_watches(nodes)
     effects = replica.step(0, re.RequestReceived(10**6, m.Commit(record=_record(2, 4_096))))
     token = next(effect.token for effect in effects if isinstance(effect, re.Store))
     began = time.process_time()
-    told = [
+    responses = [
         to_response(e.message) for e in replica.step(1, re.Stored(token, True)) if isinstance(e, re.Reply)
     ]
     taken = time.process_time() - began
-    assert len(told) == 2 * nodes + 1
+    assert len(responses) == 2 * nodes + 1
     return taken
 
 
 def _watches_at_replica(nodes: int) -> float:
     """Processor seconds until all watches have ended without news and been asked again."""
-    replica, number = replica_with(nodes), 10**6
+    replica, number = replica_with_watches(nodes), 10**6
     began = time.process_time()
     for effect in replica.step(11 * SECOND, re.Tick()):
         if isinstance(effect, re.Reply):
@@ -179,11 +182,11 @@
 
 def body_sweep(sizes) -> results.Sweep:
     """What a change costs a node against the size of its body, the node's own check left out."""
-    cost = {size: _least(_change_at_node, size) * 1e6 for size in sizes}
-    told = {size: float(len(to_response(_answer(size)))) for size in sizes}
+    cost = {size: _min_of_repeats(_change_at_node, size) * 1e6 for size in sizes}
+    response_bytes = {size: float(len(to_response(_answer(size)))) for size in sizes}
     measures = [
-        _measure("node_change_cpu_us", "us", cost, PLAYS_OF_A_TIME),
-        _measure("answer_bytes", "B", told),
+        _measure("node_change_cpu_us", "us", cost, CPU_TIME_REPEATS),
+        _measure("answer_bytes", "B", response_bytes),
     ]
     what = "One change at one node: its answer read, checked for damage, carried through save and apply."
     return _sweep("config-body", what, measures, "body_bytes", {"nodes": 1}, sizes)
@@ -206,53 +209,55 @@
     return taken
 
 
-def main(given=None) -> int:
+def main(arguments=None) -> int:
     """0: nothing broken."""
     parser = argparse.ArgumentParser(prog=COMMAND, description=__doc__.splitlines()[0])
     parser.add_argument("--small", action="store_true", help="24 nodes, a few seeds; ends in seconds")
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--out", type=Path, default=results.FOLDER, help="folder of the results")
     parser.add_argument("--only", nargs="*", default=[], metavar="NAME", help="plays or sweeps")
-    args = parser.parse_args(given)
-    shape = SMALL if args.small else Shape()
+    args = parser.parse_args(arguments)
+    parameters = SMALL if args.small else FleetParameters()
     commit = results.current_commit()  # of the code that runs, whatever is committed meanwhile
-    written, drawn, rows = [], [], plays(shape, args.seed, args.small, args.only)
-    if _wants(args, "random"):
-        drawn = _random_rows(args.seed, RANDOM_SEEDS_SMALL if args.small else RANDOM_SEEDS)
-        written.append(_fault_run("config-random", RandomPlay.shape, args.seed, drawn))
+    written, random_rows, rows = [], [], run_scenarios(parameters, args.seed, args.small, args.only)
+    if _is_selected(args, "random"):
+        random_rows = _random_rows(args.seed, RANDOM_SEEDS_SMALL if args.small else RANDOM_SEEDS)
+        written.append(_fault_run("config-random", RandomScenario.parameters, args.seed, random_rows))
     if rows:
-        written.append(_fault_run("config-faults", shape, args.seed, rows))
-    if _wants(args, "idle"):
+        written.append(_fault_run("config-faults", parameters, args.seed, rows))
+    if _is_selected(args, "idle"):
         written.append(idle_sweep(args.seed, (6, 12, 18, 24) if args.small else IDLE_SIZES))
-    if _wants(args, "replica"):
+    if _is_selected(args, "replica"):
         written.append(replica_sweep((6, 12, 18, 24) if args.small else REPLICA_SIZES))
-    if _wants(args, "body"):
+    if _is_selected(args, "body"):
         written.append(body_sweep(BODY_SIZES))
     for result in written:
         result.commit = commit
         print(results.write(result, args.out))
-    return 1 if any(row.rules_broken for row in rows + drawn) else 0
+    return 1 if any(row.rules_broken for row in rows + random_rows) else 0
 
 
-def _wants(args, name: str) -> bool:
+def _is_selected(args, name: str) -> bool:
     return not args.only or name in args.only
 
 
 def _random_rows(first: int, count: int) -> list[results.FaultRow]:
     return [
-        random_row("drawn faults, 8 nodes", RandomPlay, first, count),
-        random_row("drawn publishers before replicas that restart, 3 nodes", RandomPublishers, first, count),
+        run_random_scenarios("drawn faults, 8 nodes", RandomScenario, first, count),
+        run_random_scenarios(
+            "drawn publishers before replicas that restart, 3 nodes", RandomPublisherScenario, first, count
+        ),
     ]
 
 
-def _fault_run(name: str, shape: Shape, seed: int, rows) -> results.FaultRun:
+def _fault_run(name: str, parameters: FleetParameters, seed: int, rows) -> results.FaultRun:
     return results.FaultRun(
         name=name,
         what="Changes of configuration through three replicas to all nodes under faults, in simulated time.",
         command=COMMAND,
         kind="hollow",
         alone=False,
-        nodes=shape.nodes,
+        nodes=parameters.nodes,
         seed=seed,
         rows=rows,
     )
--- a/cottonspread/lab/scale/configuration_fleet.py
+++ b/cottonspread/lab/scale/configuration_fleet.py
@@ -10,23 +10,23 @@
 from cottonspread.configstore import messages as m
 from cottonspread.configstore import publisher as pu
 from cottonspread.configstore import replica as re
+from cottonspread.lab.scale.configuration_invariants import Invariants
 from cottonspread.lab.scale.configuration_network import (
     Call,
+    FleetParameters,
     Host,
+    Location,
     Network,
-    Place,
-    Shape,
     from_request,
     from_response,
-    places,
+    locations,
     to_request,
     to_response,
 )
-from cottonspread.lab.scale.configuration_promises import Promises
 from cottonspread.lab.sim.world import SECOND, World
 
-FAR = 2**61
-TICKS_AT_ONE_TIME = 1_000
+NEVER = 2**61
+MAX_TICKS_AT_ONE_TIME = 1_000
 
 
 class CoreHost(Host):
@@ -34,56 +34,56 @@
 
     tick = None
 
-    def __init__(self, fleet: "Fleet", name: str, place: Place):
-        super().__init__(name, place)
+    def __init__(self, fleet: "Fleet", name: str, location: Location):
+        super().__init__(name, location)
         self.fleet, self.world = fleet, fleet.world
-        self.chance = self.world.random_stream(name).random
-        self.core, self._wakes_at, self._ticks_at = None, FAR, (0, 0)
+        self.uniform = self.world.random_stream(name).random
+        self.core, self._next_wake, self._ticks_at = None, NEVER, (0, 0)
 
-    def tell(self, event) -> None:
+    def handle(self, event) -> None:
         """An event, and what follows."""
         for effect in self.core.step(self.world.now, event):
-            self.carry_out(effect)
-        self._plan_wake()
+            self.execute(effect)
+        self._schedule_wake()
 
-    def carry_out(self, effect) -> None:
+    def execute(self, effect) -> None:
         """One effect."""
         raise NotImplementedError
 
-    def _plan_wake(self):
+    def _schedule_wake(self):
         at = self.core.wake_at
-        if at < self._wakes_at and at < FAR:
-            self._wakes_at = at
+        if at < self._next_wake and at < NEVER:
+            self._next_wake = at
             self.world.at(at, self._wake, self.epoch, at)
 
     def _wake(self, epoch, at):
-        if epoch != self.epoch or not self.is_running or at != self._wakes_at:
+        if epoch != self.epoch or not self.is_running or at != self._next_wake:
             return
-        self._wakes_at = FAR
+        self._next_wake = NEVER
         if self.core.wake_at <= self.world.now:
-            self.tell(self.tick)
-            self._check_pace(at)
+            self.handle(self.tick)
+            self._check_tick_rate(at)
         else:
-            self._plan_wake()
+            self._schedule_wake()
 
-    def _check_pace(self, at):
+    def _check_tick_rate(self, at):
         """A core that wants `Tick` at once again, time after time, would take its whole processor."""
         self._ticks_at = (at, self._ticks_at[1] + 1) if self._ticks_at[0] == at else (at, 1)
-        if self._ticks_at[1] > TICKS_AT_ONE_TIME:
+        if self._ticks_at[1] > MAX_TICKS_AT_ONE_TIME:
             raise RuntimeError(f"{self.name} wants ticks without pause")
 
-    def later(self, least: int, event) -> None:
+    def handle_later(self, minimum: int, event) -> None:
         """An event of this process after `least`, or up to twice that."""
-        self.world.after(least + int(least * self.chance()), self._told, self.epoch, event)
+        self.world.after(minimum + int(minimum * self.uniform()), self._handle_if_current, self.epoch, event)
 
-    def _told(self, epoch, event):
+    def _handle_if_current(self, epoch, event):
         if epoch == self.epoch and self.is_running:
-            self.tell(event)
+            self.handle(event)
 
-    def new_process(self) -> None:
+    def begin_process(self) -> None:
         """All that the process before had on its way is void."""
         self.epoch += 1
-        self.is_running, self.is_silent, self._wakes_at = True, False, FAR
+        self.is_running, self.is_silent, self._next_wake = True, False, NEVER
 
     def end_process(self, silently=False) -> None:
         """The process ends; `silently`: with its machine, so that nobody is told."""
@@ -91,17 +91,17 @@
         self.is_silent = silently
         self.epoch += 1
 
-    def call(self, to: Host, message, deadline: int, kind, then) -> None:
+    def call(self, to: Host, message, deadline: int, kind, on_done) -> None:
         """Asks; `then(reply, why)`, where None is no usable reply."""
 
-        def end(response, why):
+        def on_end(response, why):
             try:
                 reply = from_response(response, kind) if response is not None else None
             except m.MessageError as fault:
                 reply, why = None, str(fault)
-            then(reply, why)
+            on_done(reply, why)
 
-        self.fleet.network.call(self, to, to_request(to.name, message), deadline, end)
+        self.fleet.network.call(self, to, to_request(to.name, message), deadline, on_end)
 
 
 class ReplicaHost(CoreHost):
@@ -109,22 +109,22 @@
 
     tick = re.Tick()
 
-    def __init__(self, fleet, name, place):
-        super().__init__(fleet, name, place)
+    def __init__(self, fleet, name, location):
+        super().__init__(fleet, name, location)
         self.disk = m.encode(m.ReplicaState())
         self.calls: dict[int, Call] = {}
         self._number, self._busy_until = 0, 0
-        self.lies = None
+        self.corrupt_reply = None
         """Changes an answer on its way out (a broken replica), or None."""
 
     def start(self) -> None:
         """A process, from what the disk has."""
-        self.new_process()
+        self.begin_process()
         peers = tuple(name for name in self.fleet.replica_names if name != self.name)
-        self.core = re.Replica(self.name, peers, m.decode(self.disk, m.ReplicaState), self.chance)
+        self.core = re.Replica(self.name, peers, m.decode(self.disk, m.ReplicaState), self.uniform)
         self.calls, self._busy_until = {}, self.world.now
         self.world.add_trace_line("start", self.name)
-        self.tell(re.Tick())
+        self.handle(re.Tick())
 
     def stop(self, silently=False) -> None:
         """Its process ends, or its machine."""
@@ -135,19 +135,19 @@
             for call in calls.values():
                 call.close("closed")
 
-    def asked(self, call):
+    def on_request(self, call):
         """A request; it waits for the processor."""
-        self._work(self._ask, call)
+        self._enqueue_work(self._handle_request, call)
 
-    def _work(self, what, *args):
-        self._busy_until = max(self._busy_until, self.world.now) + self.fleet.shape.replica_message
-        self.world.at(self._busy_until, self._do, self.epoch, what, args)
+    def _enqueue_work(self, what, *args):
+        self._busy_until = max(self._busy_until, self.world.now) + self.fleet.parameters.replica_message
+        self.world.at(self._busy_until, self._run_work, self.epoch, what, args)
 
-    def _do(self, epoch, what, args):
+    def _run_work(self, epoch, what, args):
         if epoch == self.epoch and self.is_running:
             what(*args)
 
-    def _ask(self, call):
+    def _handle_request(self, call):
         try:
             message = from_request(call.request)
         except m.MessageError:
@@ -155,30 +155,30 @@
             return
         self._number += 1
         self.calls[self._number] = call
-        self.tell(re.RequestReceived(self._number, message))
+        self.handle(re.RequestReceived(self._number, message))
 
-    def gone(self, call):
+    def on_caller_gone(self, call):
         """A caller has left."""
         for number, one in list(self.calls.items()):
             if one is call:
                 del self.calls[number]
-                self.tell(re.RequestAbandoned(number))
+                self.handle(re.RequestAbandoned(number))
 
-    def carry_out(self, effect):
+    def execute(self, effect):
         """One effect of the core."""
         match effect:
             case re.Store(token=token, state=state):
-                self.world.after(self._store_span(), self._stored, self.epoch, token, m.encode(state))
+                self.world.after(self._store_delay(), self._stored, self.epoch, token, m.encode(state))
             case re.Reply(request=number, message=message):
-                self._work(self._reply, self.calls.pop(number, None), message)
+                self._enqueue_work(self._reply, self.calls.pop(number, None), message)
             case re.Reject(request=number):
-                self._work(self._reply, self.calls.pop(number, None), None)
+                self._enqueue_work(self._reply, self.calls.pop(number, None), None)
             case re.CallPeer():
-                self._ask_peer(effect)
+                self._call_peer(effect)
 
-    def _store_span(self):
-        store = self.fleet.shape.store
-        return store + int(store * self.chance())
+    def _store_delay(self):
+        store = self.fleet.parameters.store
+        return store + int(store * self.uniform())
 
     def _stored(self, epoch, token, data):
         if epoch != self.epoch or not self.is_running:
@@ -186,26 +186,26 @@
         self.disk = data
         state = m.decode(data, m.ReplicaState)
         self.world.add_trace_line("stored", self.name, state.accepted and state.accepted.checksum)
-        self.fleet.promises.stored(self.name, state)
-        self.tell(re.Stored(token, True))
+        self.fleet.invariants.on_stored(self.name, state)
+        self.handle(re.Stored(token, True))
 
     def _reply(self, call, message):
         if call is None:
             return
-        if self.lies is not None and isinstance(message, m.WatchReply):
-            call.reply(self.lies(message))
+        if self.corrupt_reply is not None and isinstance(message, m.WatchReply):
+            call.reply(self.corrupt_reply(message))
         else:
             call.reply(to_response(message))
 
-    def _ask_peer(self, effect):
-        def then(reply, why):
+    def _call_peer(self, effect):
+        def on_reply(reply, why):
             if reply is None:
-                self.tell(re.PeerFailed(effect.call, why))
+                self.handle(re.PeerFailed(effect.call, why))
             else:
-                self.tell(re.PeerReplied(effect.call, reply))
+                self.handle(re.PeerReplied(effect.call, reply))
 
         peer = self.fleet.replicas[effect.peer]
-        self.call(peer, effect.message, effect.deadline, m.StateReply, then)
+        self.call(peer, effect.message, effect.deadline, m.StateReply, on_reply)
 
 
 class NodeHost(CoreHost):
@@ -213,16 +213,16 @@
 
     tick = fo.Tick()
 
-    def __init__(self, fleet, name, place):
-        super().__init__(fleet, name, place)
+    def __init__(self, fleet, name, location):
+        super().__init__(fleet, name, location)
         self.disk: bytes | None = None
-        self.refuses_all = False
+        self.rejects_all = False
         """The node's own fault: it refuses every record."""
 
     def start(self) -> None:
         """A process, from the saved record."""
-        self.new_process()
-        self.core = fo.Follower(self.name, self.fleet.replica_names, self.chance)
+        self.begin_process()
+        self.core = fo.Follower(self.name, self.fleet.replica_names, self.uniform)
         saved, why = None, ""
         if self.disk is not None:
             try:
@@ -230,53 +230,55 @@
             except m.MessageError as fault:
                 why = str(fault)
         if saved is None or not saved.is_valid():
-            self.fleet.promises.node_begins(self.name)
-        self.tell(fo.Started(saved, why))
+            self.fleet.invariants.on_node_reset(self.name)
+        self.handle(fo.Started(saved, why))
 
     def stop(self, silently=False) -> None:
         """Its process ends, or its machine."""
         self.end_process(silently)
-        self.fleet.promises.forget(self.name)
+        self.fleet.invariants.on_node_stopped(self.name)
 
-    def carry_out(self, effect):
+    def execute(self, effect):
         """One effect of the core."""
-        shape = self.fleet.shape
+        parameters = self.fleet.parameters
         match effect:
             case fo.SendWatch():
-                self._ask(effect)
+                self._send_watch(effect)
             case fo.Check(record=record):
                 self._check(record)
             case fo.Save(record=record):
-                span = shape.save + int(shape.save * self.chance())
-                self.world.after(span, self._saved, self.epoch, record)
+                duration = parameters.save + int(parameters.save * self.uniform())
+                self.world.after(duration, self._saved, self.epoch, record)
             case fo.Apply(record=record):
-                span = shape.apply + int(shape.apply * self.chance())
-                self.world.after(span, self._applied, self.epoch, record)
+                duration = parameters.apply + int(parameters.apply * self.uniform())
+                self.world.after(duration, self._applied, self.epoch, record)
             case fo.Notice(kind=what, version=version):
                 self.world.add_trace_line("notice", self.name, what, version)
 
-    def _ask(self, effect):
-        def then(answer, why):
+    def _send_watch(self, effect):
+        def on_reply(answer, why):
             if answer is None:
-                self.tell(fo.WatchFailed(effect.call, why))
+                self.handle(fo.WatchFailed(effect.call, why))
             else:
-                self.tell(fo.WatchReplied(effect.call, answer))
+                self.handle(fo.WatchReplied(effect.call, answer))
 
         replica = self.fleet.replicas[effect.replica]
-        self.call(replica, effect.request, effect.deadline, m.WatchReply, then)
+        self.call(replica, effect.request, effect.deadline, m.WatchReply, on_reply)
 
     def _check(self, record):
-        self.fleet.promises.checked(self.name, record)
+        self.fleet.invariants.on_checked(self.name, record)
         if record.body.startswith("hangs"):
-            self.world.after(fo.STEP_TIMEOUT, self._told, self.epoch, fo.Checked(False, "check hangs"))
+            self.world.after(
+                fo.STEP_TIMEOUT, self._handle_if_current, self.epoch, fo.Checked(False, "check hangs")
+            )
             return
-        ok = not record.body.startswith("refused") and not self.refuses_all
-        self.later(self.fleet.shape.check, fo.Checked(ok, "" if ok else "refused by its check"))
+        ok = not record.body.startswith("refused") and not self.rejects_all
+        self.handle_later(self.fleet.parameters.check, fo.Checked(ok, "" if ok else "refused by its check"))
 
     def _saved(self, epoch, record):
         if epoch == self.epoch and self.is_running:
             self.disk = m.encode(record) if record is not None else None
-            self.tell(fo.Saved(True))
+            self.handle(fo.Saved(True))
 
     def _applied(self, epoch, record):
         if epoch != self.epoch or not self.is_running:
@@ -284,10 +286,10 @@
         ok = not record.body.startswith("unfit")
         if ok:
             self.world.add_trace_line("in force", self.name, record.version)
-            self.fleet.promises.applied(self.name, record)
-        self.tell(fo.Applied(ok, "" if ok else "does not start"))
+            self.fleet.invariants.on_applied(self.name, record)
+        self.handle(fo.Applied(ok, "" if ok else "does not start"))
         if record.body.startswith("ill"):
-            self.later(200_000, fo.HealthReported(record.version, False, "many errors"))
+            self.handle_later(200_000, fo.HealthReported(record.version, False, "many errors"))
 
 
 class PublisherHost(CoreHost):
@@ -295,16 +297,16 @@
 
     tick = pu.Tick()
 
-    def __init__(self, fleet, name, place, order):
-        super().__init__(fleet, name, place)
+    def __init__(self, fleet, name, location, order):
+        super().__init__(fleet, name, location)
         self.began, self.done, self.ended = self.world.now, None, None
-        self.then = None
+        self.on_done = None
         """Called with this host at the end."""
-        self.dies_at = None
+        self.crash_at = None
         """A step at whose beginning the process ends."""
-        self.core = pu.Publisher(fleet.replica_names, order, self.chance)
+        self.core = pu.Publisher(fleet.replica_names, order, self.uniform)
 
-    def carry_out(self, effect):
+    def execute(self, effect):
         """One effect of the core."""
         if not self.is_running:
             return
@@ -314,49 +316,49 @@
             case pu.Progress(step=step, version=version, stage=stage):
                 self.world.add_trace_line("publisher", self.name, step, version, stage)
                 if step == pu.Step.COMMITTING and stage != m.Stage.WITHDRAWN:
-                    self.fleet.promises.change_begins(version, self.began, list(self.fleet.nodes))
-                if step == self.dies_at:
+                    self.fleet.invariants.on_change_accepted(version, self.began, list(self.fleet.nodes))
+                if step == self.crash_at:
                     self.end_process()
             case pu.Done():
                 self.done, self.ended = effect, self.world.now
                 self.world.add_trace_line("done", self.name, effect.outcome, effect.version)
-                if self.then is not None:
-                    self.then(self)
+                if self.on_done is not None:
+                    self.on_done(self)
 
     def _call(self, effect):
         kinds = {m.ReadState: m.StateReply, m.Accept: m.AcceptReply, m.Commit: m.CommitReply}
 
-        def then(reply, why):
+        def on_reply(reply, why):
             if reply is None:
-                self.tell(pu.CallFailed(effect.call, why))
+                self.handle(pu.CallFailed(effect.call, why))
             else:
-                self.tell(pu.Replied(effect.call, reply))
+                self.handle(pu.Replied(effect.call, reply))
 
         kind = kinds[type(effect.message)]
-        self.call(self.fleet.replicas[effect.replica], effect.message, effect.deadline, kind, then)
+        self.call(self.fleet.replicas[effect.replica], effect.message, effect.deadline, kind, on_reply)
 
 
 class Fleet:
     """Replicas, nodes and publishers in one world."""
 
-    def __init__(self, seed, shape: Shape | None = None, traced=False):
-        self.shape, self.world = shape or Shape(), World(seed, traced)
-        self.network = Network(self.world, self.shape)
-        zones = places(self.shape)
-        self.replica_names = tuple(f"r{region + 1}" for region in range(len(self.shape.zones)))
-        self.promises = Promises(self.world, len(self.replica_names))
+    def __init__(self, seed, parameters: FleetParameters | None = None, traced=False):
+        self.parameters, self.world = parameters or FleetParameters(), World(seed, traced)
+        self.network = Network(self.world, self.parameters)
+        zones = locations(self.parameters)
+        self.replica_names = tuple(f"r{region + 1}" for region in range(len(self.parameters.zones)))
+        self.invariants = Invariants(self.world, len(self.replica_names))
         self.replicas, self.nodes, self.publishers = {}, {}, []
         for region, name in enumerate(self.replica_names):
-            place = next(place for place in zones if place.region == region)
-            self.replicas[name] = ReplicaHost(self, name, place)
-        for number in range(self.shape.nodes):
-            place = zones[number % len(zones)]
-            name = f"z{place.zone + 1}-node-{number:03}"
-            self.nodes[name] = NodeHost(self, name, place)
+            location = next(location for location in zones if location.region == region)
+            self.replicas[name] = ReplicaHost(self, name, location)
+        for number in range(self.parameters.nodes):
+            location = zones[number % len(zones)]
+            name = f"z{location.zone + 1}-node-{number:03}"
+            self.nodes[name] = NodeHost(self, name, location)
         for host in [*self.replicas.values(), *self.nodes.values()]:
             host.start()
         self._had_quorum = dict.fromkeys(self.replica_names, 0)
-        self.world.after(SECOND, self._look)
+        self.world.after(SECOND, self._check_reachability)
 
     # Truth
 
@@ -380,90 +382,92 @@
             if node.is_running and any(self.network.reaches(node, one) for one in serving)
         ]
 
-    def _look(self):
+    def _check_reachability(self):
         """Once a second: who can reach whom, and what the nodes say."""
-        now, can = self.world.now, set(self.reachable())
+        now, reachable = self.world.now, set(self.reachable())
         for replica in self.replicas.values():
             if self.has_quorum(replica):
                 self._had_quorum[replica.name] = now
         for name, node in self.nodes.items():
             if node.is_running:
-                told_of = [
+                quorum_seen_at = [
                     self._had_quorum[replica.name]
                     for replica in self.replicas.values()
                     if replica.is_running and self.network.reaches(node, replica)
                 ]
-                self.promises.reach(name, name in can, max(told_of, default=0), not self.network.loss)
-                self.promises.said(name, node.core.is_cut_off(self.world.now))
-        self.world.after(SECOND, self._look)
+                self.invariants.on_reachability(
+                    name, name in reachable, max(quorum_seen_at, default=0), not self.network.loss
+                )
+                self.invariants.said(name, node.core.is_cut_off(self.world.now))
+        self.world.after(SECOND, self._check_reachability)
 
     # What happens
 
-    def publish(self, order, region=0, then=None, dies_at=None) -> PublisherHost:
+    def publish(self, order, region=0, on_done=None, crash_at=None) -> PublisherHost:
         """A publisher starts now."""
-        place = next(place for place in places(self.shape) if place.region == region)
-        host = PublisherHost(self, f"p{len(self.publishers) + 1}", place, order)
-        host.then, host.dies_at = then, dies_at
+        location = next(location for location in locations(self.parameters) if location.region == region)
+        host = PublisherHost(self, f"p{len(self.publishers) + 1}", location, order)
+        host.on_done, host.crash_at = on_done, crash_at
         self.publishers.append(host)
-        host.tell(pu.Started())
+        host.handle(pu.Started())
         return host
 
     def run_for(self, seconds: float) -> None:
         """On."""
         self.world.run(self.world.now + int(seconds * SECOND))
 
-    def run_until_done(self, host: PublisherHost, most_seconds: float = 60) -> pu.Done | None:
+    def run_until_done(self, host: PublisherHost, max_seconds: float = 60) -> pu.Done | None:
         """On until that publisher has ended, or so long."""
-        until = self.world.now + int(most_seconds * SECOND)
+        until = self.world.now + int(max_seconds * SECOND)
         while host.done is None and self.world.now < until and host.is_running:
             self.run_for(0.05)
         return host.done
 
     def lagging(self) -> list[str]:
         """Reachable nodes without the newest version that is EVERYWHERE."""
-        return self.promises.whole(self.reachable())
+        return self.invariants.lagging(self.reachable())
 
-    def run_until_whole(self, most_seconds: float = 120) -> float | None:
+    def run_until_converged(self, max_seconds: float = 120) -> float | None:
         """On until no reachable node lags; seconds that took, None: longer."""
         began = self.world.now
-        while self.world.now < began + int(most_seconds * SECOND):
+        while self.world.now < began + int(max_seconds * SECOND):
             if not self.lagging():
                 return (self.world.now - began) / SECOND
             self.run_for(0.05)
         return None
 
 
-def corrupt(fleet: Fleet, name: str):
+def reply_corrupter(fleet: Fleet, name: str):
     """A replica that now and then tells damaged, older or other answers; for `ReplicaHost.lies`."""
-    draws, told = fleet.world.random_stream("lies", name), []
+    rng, sent = fleet.world.random_stream("lies", name), []
 
     def change(answer: m.WatchReply) -> bytes:
         if answer.record is not None:
-            told.append(answer)
-        way = draws.randbelow(5)
-        if way == 0 and told:
-            return to_response(draws.choice(told))
-        if way == 1:
-            return _flip(to_response(answer), draws)
-        if way == 2 and answer.record is not None:
-            return to_response(_renumbered(answer, draws))
-        if way == 3 and answer.record is None and told:
-            return to_response(_other_digest(told[-1]))
+            sent.append(answer)
+        choice = rng.randbelow(5)
+        if choice == 0 and sent:
+            return to_response(rng.choice(sent))
+        if choice == 1:
+            return _flip_bit(to_response(answer), rng)
+        if choice == 2 and answer.record is not None:
+            return to_response(_renumbered(answer, rng))
+        if choice == 3 and answer.record is None and sent:
+            return to_response(_other_digest(sent[-1]))
         return to_response(answer)
 
     return change
 
 
-def _flip(data: bytes, draws) -> bytes:
+def _flip_bit(data: bytes, rng) -> bytes:
     changed = bytearray(data)
     start = changed.index(b"\r\n\r\n") + 4
-    at = start + draws.randbelow(len(changed) - start)
-    changed[at] ^= 1 << draws.randbelow(7)
+    at = start + rng.randbelow(len(changed) - start)
+    changed[at] ^= 1 << rng.randbelow(7)
     return bytes(changed)
 
 
-def _renumbered(answer: m.WatchReply, draws) -> m.WatchReply:
-    record = msgspec.structs.replace(answer.record, version=answer.record.version + 1 + draws.randbelow(3))
+def _renumbered(answer: m.WatchReply, rng) -> m.WatchReply:
+    record = msgspec.structs.replace(answer.record, version=answer.record.version + 1 + rng.randbelow(3))
     return msgspec.structs.replace(answer, record=record)
 
 
--- a/cottonspread/lab/scale/configuration_promises.py
+++ b/cottonspread/lab/scale/configuration_invariants.py
@@ -10,10 +10,10 @@
 
 CANARY, EVERYWHERE = 1, 2
 SECOND = 1_000_000
-SAYS_SO_WITHIN = 24 * SECOND
+MAX_CUT_OFF_REPORT_DELAY = 24 * SECOND
 """A node that no majority can be reached from says so by then: 20 s, as its core states, and what a replica
 without a majority may still have told of an age when it was cut."""
-BACK_WITHIN = 16 * SECOND
+MAX_CUT_OFF_CLEAR_DELAY = 16 * SECOND
 """A node is no longer cut off so long after it can reach a majority again: a watch into the void ends after
 12 s, a replica needs up to 4 s itself."""
 
@@ -25,8 +25,8 @@
 
 def is_canary(node: str, version: int, below: int) -> bool:
     """The node is among the first for this version."""
-    drawn = hashlib.sha256(f"{version}:{node}".encode()).digest()
-    return drawn[0] << 24 | drawn[1] << 16 | drawn[2] << 8 | drawn[3] < below
+    random_rows = hashlib.sha256(f"{version}:{node}".encode()).digest()
+    return random_rows[0] << 24 | random_rows[1] << 16 | random_rows[2] << 8 | random_rows[3] < below
 
 
 @dataclass
@@ -42,12 +42,12 @@
     """Microseconds until in force, for each node."""
 
 
-class Promises:
+class Invariants:
     """The books."""
 
     def __init__(self, world, replicas: int):
         self._world, self._majority = world, replicas // 2 + 1
-        self.broken: list[str] = []
+        self.violations: list[str] = []
         self._acceptors: dict[tuple, set] = {}
         self._durable: dict[str, object] = {}
         self._by_version: dict[int, str] = {}
@@ -57,20 +57,20 @@
         self.in_force: dict[str, int] = {}
         self.reached_by_faulty: set[str] = set()
         self.changes: dict[int, Change] = {}
-        self._open: dict[int, Change] = {}
+        self._pending: dict[int, Change] = {}
         self.steps = 0
         self._cut_since: dict[str, int] = {}
         self._reached_since: dict[str, int] = {}
 
-    def need(self, true, *words) -> None:
+    def check(self, condition, *words) -> None:
         """Notes what is broken where it is not true."""
         self.steps += 1
-        if not true:
-            self.broken.append(f"{self._world.now} {' '.join(map(str, words))}")
+        if not condition:
+            self.violations.append(f"{self._world.now} {' '.join(map(str, words))}")
 
     # Replicas
 
-    def stored(self, replica: str, state) -> None:
+    def on_stored(self, replica: str, state) -> None:
         """This is durable at the replica now."""
         before = self._durable.get(replica)
         self._durable[replica] = state
@@ -83,11 +83,11 @@
         if is_commit:
             old = before.committed if before is not None else None
             if old is not None:
-                self.need(committed.generation > old.generation, replica, "generation went back")
-                self.need(committed.version >= old.version, replica, "committed version went back")
+                self.check(committed.generation > old.generation, replica, "generation went back")
+                self.check(committed.version >= old.version, replica, "committed version went back")
             self._committed(replica, committed)
         if state.good is not None and (before is None or before.good != state.good):
-            self.need(state.good.stage == EVERYWHERE, replica, "good is not everywhere")
+            self.check(state.good.stage == EVERYWHERE, replica, "good is not everywhere")
             self._committed(replica, state.good)
 
     def _key(self, record) -> tuple:
@@ -96,72 +96,72 @@
     def _committed(self, replica: str, record) -> None:
         key = self._key(record)
         accepted = self._acceptors.get(key, ())
-        self.need(len(accepted) >= self._majority, replica, "committed without a majority", key)
+        self.check(len(accepted) >= self._majority, replica, "committed without a majority", key)
         known = self._by_version.setdefault(record.version, key[3])
-        self.need(known == key[3], "two digests for version", record.version)
-        self.need(
+        self.check(known == key[3], "two digests for version", record.version)
+        self.check(
             self._by_generation.setdefault(record.generation, key) == key,
             "two records for generation",
             record.generation,
         )
         if record.stage == EVERYWHERE:
             self.everywhere = max(self.everywhere, record.version)
-            self.need(not is_faulty(record.body), "a faulty version went everywhere", record.version)
+            self.check(not is_faulty(record.body), "a faulty version went everywhere", record.version)
 
     # Nodes
 
-    def node_begins(self, node: str) -> None:
+    def on_node_reset(self, node: str) -> None:
         """A node that has no file."""
         self.in_force.pop(node, None)
 
-    def checked(self, node: str, record) -> None:
+    def on_checked(self, node: str, record) -> None:
         """A node was told this record and begins to check it."""
         if is_faulty(record.body):
             self.reached_by_faulty.add(node)
-            self.need(
+            self.check(
                 is_canary(node, record.version, record.canary_below), node, "faulty beyond the canaries"
             )
 
-    def applied(self, node: str, record) -> None:
+    def on_applied(self, node: str, record) -> None:
         """A node put this record into force."""
         version, now = record.version, self._world.now
-        self.need(version >= self.in_force.get(node, 0), node, "went back to", version)
+        self.check(version >= self.in_force.get(node, 0), node, "went back to", version)
         self.in_force[node] = version
-        self.need(self._by_version.get(version) == digest(record.body), node, "another digest", version)
-        self.need(len(self._acceptors.get(self._key(record), ())) >= self._majority, node, "no majority")
-        self.need(not refuses(record.body), node, "a faulty version in force", version)
+        self.check(self._by_version.get(version) == digest(record.body), node, "another digest", version)
+        self.check(len(self._acceptors.get(self._key(record), ())) >= self._majority, node, "no majority")
+        self.check(not cannot_be_applied(record.body), node, "a faulty version in force", version)
         if record.stage != EVERYWHERE:
-            self.need(is_canary(node, version, record.canary_below), node, "no canary of", version)
-        for change in list(self._open.values()):
+            self.check(is_canary(node, version, record.canary_below), node, "no canary of", version)
+        for change in list(self._pending.values()):
             if change.version <= version and node in change.waiting:
                 change.waiting.discard(node)
                 change.times[node] = now - change.began
                 if not change.waiting:
-                    del self._open[change.version]
+                    del self._pending[change.version]
 
-    def change_begins(self, version: int, began: int, nodes) -> None:
+    def on_change_accepted(self, version: int, began: int, nodes) -> None:
         """A publisher, started at `began`, has a majority's word for this version."""
         if version not in self.changes:
             waiting = {node for node in nodes if self.in_force.get(node, 0) < version}
-            self.changes[version] = self._open[version] = Change(version, began, waiting)
+            self.changes[version] = self._pending[version] = Change(version, began, waiting)
 
     # Reach
 
-    def reach(self, node: str, can: bool, told_of: int, is_sure: bool) -> None:
+    def on_reachability(self, node: str, is_reachable: bool, quorum_seen_at: int, is_lossless: bool) -> None:
         """Whether the node can reach a replica that can reach a majority, from now on. `told_of`: when such a
         replica, of those that it can reach, last could. `is_sure`: no message is lost.
         """
         now = self._world.now
-        if can:
+        if is_reachable:
             self._cut_since.pop(node, None)
         else:
-            self._cut_since[node] = max(self._cut_since.get(node, now), told_of)
-        if can and is_sure:
+            self._cut_since[node] = max(self._cut_since.get(node, now), quorum_seen_at)
+        if is_reachable and is_lossless:
             self._reached_since.setdefault(node, now)
         else:
             self._reached_since.pop(node, None)
 
-    def forget(self, node: str) -> None:
+    def on_node_stopped(self, node: str) -> None:
         """The node's process ended."""
         self._cut_since.pop(node, None)
         self._reached_since.pop(node, None)
@@ -169,12 +169,12 @@
     def said(self, node: str, cut_off: bool) -> None:
         """What the node says of itself now."""
         now = self._world.now
-        if node in self._cut_since and now - self._cut_since[node] > SAYS_SO_WITHIN:
-            self.need(cut_off, node, "is cut off and does not say so")
-        if node in self._reached_since and now - self._reached_since[node] > BACK_WITHIN:
-            self.need(not cut_off, node, "says it is cut off and is not")
+        if node in self._cut_since and now - self._cut_since[node] > MAX_CUT_OFF_REPORT_DELAY:
+            self.check(cut_off, node, "is cut off and does not say so")
+        if node in self._reached_since and now - self._reached_since[node] > MAX_CUT_OFF_CLEAR_DELAY:
+            self.check(not cut_off, node, "says it is cut off and is not")
 
-    def whole(self, nodes, refusing=()) -> list[str]:
+    def lagging(self, nodes, refusing=()) -> list[str]:
         """Nodes that lack the newest version that is EVERYWHERE."""
         return [
             node for node in nodes if self.in_force.get(node, 0) < self.everywhere and node not in refusing
@@ -189,6 +189,6 @@
     return body.startswith(("refused", "unfit", "ill", "hangs"))
 
 
-def refuses(body: str) -> bool:
+def cannot_be_applied(body: str) -> bool:
     """A body that no node can put into force."""
     return body.startswith(("refused", "unfit", "hangs"))
--- a/cottonspread/lab/scale/configuration_network.py
+++ b/cottonspread/lab/scale/configuration_network.py
@@ -13,7 +13,7 @@
 
 
 @dataclass(frozen=True)
-class Shape:
+class FleetParameters:
     """The fleet and its network; spans in microseconds. All are assumptions and stand in the results."""
 
     nodes: int = 420
@@ -57,67 +57,67 @@
 
 
 @dataclass(frozen=True)
-class Place:
+class Location:
     """Where a machine stands."""
 
     region: int
     zone: int
 
 
-def places(shape: Shape) -> list[Place]:
+def locations(parameters: FleetParameters) -> list[Location]:
     """Of every zone, in order."""
     found = []
-    for region, zones in enumerate(shape.zones):
-        found += [Place(region, len(found) + zone) for zone in range(zones)]
+    for region, zones in enumerate(parameters.zones):
+        found += [Location(region, len(found) + zone) for zone in range(zones)]
     return found
 
 
 class Host:
     """A machine with one process. `epoch` changes with each process."""
 
-    def __init__(self, name: str, place: Place):
-        self.name, self.place, self.epoch = name, place, 0
+    def __init__(self, name: str, location: Location):
+        self.name, self.location, self.epoch = name, location, 0
         self.is_running, self.is_silent = True, False
         self.bytes_in = self.bytes_out = self.messages = 0
 
-    def asked(self, call: "Call") -> None:
+    def on_request(self, call: "Call") -> None:
         """A request came in."""
 
-    def gone(self, call: "Call") -> None:
+    def on_caller_gone(self, call: "Call") -> None:
         """Who asked has closed."""
 
 
 class Call:
     """One request and its reply, over the network."""
 
-    def __init__(self, network, caller: Host, callee: Host, request: bytes, then):
+    def __init__(self, network, caller: Host, callee: Host, request: bytes, on_done):
         self.network, self.caller, self.callee, self.request = network, caller, callee, request
-        self.then, self.epoch, self.is_over = then, caller.epoch, False
+        self.on_done, self.epoch, self.is_over = on_done, caller.epoch, False
         self.callee_epoch = None
 
-    def arrive(self):
+    def deliver_request(self):
         """The request reaches the other machine."""
         callee = self.callee
         if callee.is_silent or not self.network.reaches(self.caller, callee):
             return
         if not callee.is_running:
-            self.network.carry(callee, self.caller, 0, self.end, None, "refused")
+            self.network.send(callee, self.caller, 0, self.finish, None, "refused")
             return
         callee.bytes_in += len(self.request)
         callee.messages += 1
         self.callee_epoch = callee.epoch
-        callee.asked(self)
+        callee.on_request(self)
 
     def reply(self, response: bytes):
         """The reply is sent."""
         if self.callee.epoch == self.callee_epoch and self.callee.is_running:
-            self.network.carry(self.callee, self.caller, len(response), self.end, response, "")
+            self.network.send(self.callee, self.caller, len(response), self.finish, response, "")
 
     def close(self, why):
         """The other process has ended."""
-        self.network.carry(self.callee, self.caller, 0, self.end, None, why)
+        self.network.send(self.callee, self.caller, 0, self.finish, None, why)
 
-    def end(self, response: bytes | None, why: str):
+    def finish(self, response: bytes | None, why: str):
         """The end, at the caller: once."""
         if self.is_over or self.caller.epoch != self.epoch or not self.caller.is_running:
             return
@@ -125,54 +125,56 @@
         if response is not None:
             self.caller.bytes_in += len(response)
             self.caller.messages += 1
-        self.then(response, why)
+        self.on_done(response, why)
 
     def expire(self):
         """The deadline."""
         if not self.is_over and self.caller.epoch == self.epoch:
-            self.network.carry(self.caller, self.callee, 0, self.leave)
-            self.end(None, "deadline")
+            self.network.send(self.caller, self.callee, 0, self.notify_callee)
+            self.finish(None, "deadline")
 
-    def leave(self):
+    def notify_callee(self):
         """The callee sees the connection closed."""
         if self.callee.is_running and self.callee.epoch == self.callee_epoch:
-            self.callee.gone(self)
+            self.callee.on_caller_gone(self)
 
 
 class Network:
     """Carries messages between hosts."""
 
-    def __init__(self, world, shape: Shape):
-        self.world, self.shape, self.loss = world, shape, shape.loss
-        self._draws = world.random_stream("network")
-        self.cuts: set[frozenset[int]] = set()
+    def __init__(self, world, parameters: FleetParameters):
+        self.world, self.parameters, self.loss = world, parameters, parameters.loss
+        self._rng = world.random_stream("network")
+        self.partitions: set[frozenset[int]] = set()
         self.counts = Counter()
 
     def reaches(self, one: Host, other: Host) -> bool:
         """No cut lies between them, and neither machine is off."""
         if one.is_silent or other.is_silent:
             return False
-        return frozenset((one.place.region, other.place.region)) not in self.cuts
+        return frozenset((one.location.region, other.location.region)) not in self.partitions
 
-    def cut_region(self, region: int) -> None:
+    def isolate_region(self, region: int) -> None:
         """Off from all other regions."""
-        self.cuts |= {frozenset((region, other)) for other in range(len(self.shape.zones)) if other != region}
+        self.partitions |= {
+            frozenset((region, other)) for other in range(len(self.parameters.zones)) if other != region
+        }
 
-    def mend(self) -> None:
+    def heal(self) -> None:
         """No cut any more."""
-        self.cuts.clear()
+        self.partitions.clear()
 
     def latency(self, one: Host, other: Host) -> int:
         """One way, drawn."""
-        if one.place.zone == other.place.zone:
-            least = self.shape.within_zone
-        elif one.place.region == other.place.region:
-            least = self.shape.within_region
+        if one.location.zone == other.location.zone:
+            base = self.parameters.within_zone
+        elif one.location.region == other.location.region:
+            base = self.parameters.within_region
         else:
-            least = self.shape.between_regions
-        return least + int(least * self.shape.jitter * self._draws.random())
+            base = self.parameters.between_regions
+        return base + int(base * self.parameters.jitter * self._rng.random())
 
-    def carry(self, one: Host, other: Host, size: int, then, *args) -> None:
+    def send(self, one: Host, other: Host, size: int, on_arrival, *args) -> None:
         """A message of `size` bytes, or a word of TCP's own where it is 0."""
         self.counts["messages"] += 1
         one.bytes_out += size
@@ -182,20 +184,20 @@
         self.world.add_trace_line("net", one.name, other.name, size)
         if not self.reaches(one, other):
             self.counts["cut"] += 1
-        elif self.loss and self._draws.random() < self.loss:
+        elif self.loss and self._rng.random() < self.loss:
             self.counts["lost"] += 1
         else:
-            self.world.after(latency, self._deliver, one, other, then, args)
+            self.world.after(latency, self._deliver, one, other, on_arrival, args)
 
-    def _deliver(self, one: Host, other: Host, then, args):
+    def _deliver(self, one: Host, other: Host, on_arrival, args):
         if self.reaches(one, other):
-            then(*args)
+            on_arrival(*args)
 
-    def call(self, caller: Host, callee: Host, request: bytes, deadline: int, then) -> None:
+    def call(self, caller: Host, callee: Host, request: bytes, deadline: int, on_done) -> None:
         """A request; `then(response, why)` once, by the deadline."""
-        call = Call(self, caller, callee, request, then)
+        call = Call(self, caller, callee, request, on_done)
         self.world.at(deadline, call.expire)
-        self.carry(caller, callee, len(request), call.arrive)
+        self.send(caller, callee, len(request), call.deliver_request)
 
 
 PATHS = {m.Accept: "accept", m.Commit: "commit", m.ReadState: "state"}
--- a/cottonspread/lab/scale/configuration_plays.py
+++ b/cottonspread/lab/scale/configuration_scenarios.py
@@ -11,11 +11,11 @@
 from cottonspread.configstore import publisher as pu
 from cottonspread.configstore import replica as re
 from cottonspread.lab.scale import results
-from cottonspread.lab.scale.configuration_fleet import Fleet, corrupt
-from cottonspread.lab.scale.configuration_network import Shape
+from cottonspread.lab.scale.configuration_fleet import Fleet, reply_corrupter
+from cottonspread.lab.scale.configuration_network import FleetParameters
 from cottonspread.lab.sim.world import SECOND
 
-UNTIL_AT_MOST_S = 60
+MAX_WAIT_S = 60
 """A play waits no longer for something to come true."""
 TARGET_S = 3.0
 """A change is in force so long after its publish,"""
@@ -24,7 +24,7 @@
 
 
 @dataclass
-class Times:
+class PropagationTimes:
     """When nodes had changes in force, in seconds after the publish."""
 
     seconds: list[float] = field(default_factory=list)
@@ -32,7 +32,7 @@
     """Nodes reachable over the whole span, times changes."""
     in_time: int = 0
 
-    def part(self, share: float) -> float:
+    def percentile(self, share: float) -> float:
         """The time until so large a share had it; 0 without times."""
         ranked = sorted(self.seconds)
         return ranked[max(0, math.ceil(len(ranked) * share) - 1)] if ranked else 0.0
@@ -40,29 +40,29 @@
     def figures(self) -> dict[str, float]:
         """For a row."""
         return {
-            "in_force_50_s": round(self.part(0.5), 3),
-            "in_force_99_s": round(self.part(0.99), 3),
-            "in_force_last_s": round(self.part(1.0), 3),
+            "in_force_50_s": round(self.percentile(0.5), 3),
+            "in_force_99_s": round(self.percentile(0.99), 3),
+            "in_force_last_s": round(self.percentile(1.0), 3),
             "share_within_3_s": round(self.in_time / self.cases, 5) if self.cases else 0.0,
             "cases": self.cases,
         }
 
 
-class Play:
+class ScenarioRun:
     """A fleet with version 1 in force, and the changes that are made to it."""
 
-    def __init__(self, seed, shape: Shape, small: bool):
-        self.fleet, self.small, self.times = Fleet(seed, shape), small, Times()
-        self.draws = self.fleet.world.random_stream("play")
+    def __init__(self, seed, parameters: FleetParameters, small: bool):
+        self.fleet, self.small, self.times = Fleet(seed, parameters), small, PropagationTimes()
+        self.rng = self.fleet.world.random_stream("play")
         self._number = 0
         self.fleet.run_for(12)
         self.publish(self.body(), timed=False)
-        self.fleet.run_until_whole()
+        self.fleet.run_until_converged()
 
     def body(self, kind="fine") -> str:
         """Another body of the shape's size; its first word is what nodes find of it."""
         self._number += 1
-        return f"{kind} {self._number}\n".ljust(self.fleet.shape.body_bytes, "x")
+        return f"{kind} {self._number}\n".ljust(self.fleet.parameters.body_bytes, "x")
 
     def publish(self, body, timed=True, region=0, **more) -> pu.Done | None:
         """A change from its publish to 3 s later, and no earlier than its publisher's end."""
@@ -73,11 +73,11 @@
         if timed:
             fleet.world.run(max(fleet.world.now, host.began + int(TARGET_S * SECOND)))
         if timed and host.done is not None and host.done.outcome == pu.Outcome.IN_FORCE:
-            self._time(host, before & set(fleet.reachable()))
+            self._record_times(host, before & set(fleet.reachable()))
         return host.done
 
-    def _time(self, host, nodes) -> None:
-        change = self.fleet.promises.changes[host.done.version]
+    def _record_times(self, host, nodes) -> None:
+        change = self.fleet.invariants.changes[host.done.version]
         for node in nodes:
             taken = change.times.get(node)
             self.times.cases += 1
@@ -85,41 +85,43 @@
             if taken is not None:
                 self.times.seconds.append(taken / SECOND)
 
-    def expect(self, true, *words) -> None:
+    def expect(self, condition, *words) -> None:
         """A promise of this play."""
-        self.fleet.promises.need(true, *words)
+        self.fleet.invariants.check(condition, *words)
 
-    def row(self, event: str, notes: str = "", whole: float | None = None, **figures) -> results.FaultRow:
+    def row(
+        self, event: str, notes: str = "", convergence_s: float | None = None, **figures
+    ) -> results.FaultRow:
         """The end: whole, in time, and nothing broken."""
-        taken = self.fleet.run_until_whole()
-        whole = whole if whole is not None else taken
+        taken = self.fleet.run_until_converged()
+        convergence_s = convergence_s if convergence_s is not None else taken
         self.expect(taken is not None, "reachable nodes lag:", *self.fleet.lagging()[:3])
         if self.times.cases:
             share = self.times.in_time / self.times.cases
             self.expect(share >= TARGET_SHARE, "in force within 3 s at", share)
             figures = self.times.figures() | figures
-        broken = self.fleet.promises.broken
+        violations = self.fleet.invariants.violations
         return results.FaultRow(
             event=event,
             figures={name: float(value) for name, value in figures.items()},
-            seconds_until_whole=whole,
-            rules_broken=len(broken),
-            notes="; ".join(filter(None, [notes, *broken[:3], f"sum {self.fleet.world.trace_digest()}"])),
+            seconds_until_whole=convergence_s,
+            rules_broken=len(violations),
+            notes="; ".join(filter(None, [notes, *violations[:3], f"sum {self.fleet.world.trace_digest()}"])),
         )
 
 
-def calm(play: Play):
+def calm(run: ScenarioRun):
     """Idle for two minutes, then one change."""
-    fleet = play.fleet
-    span = 120
+    fleet = run.fleet
+    duration = 120
     before = _traffic(fleet)
-    fleet.run_for(span)
-    idle = {name: value / span for name, value in _since(before, _traffic(fleet)).items()}
+    fleet.run_for(duration)
+    idle = {name: value / duration for name, value in _traffic_difference(before, _traffic(fleet)).items()}
     before = _traffic(fleet)
-    play.publish(play.body())
-    fleet.run_until_whole()
-    change = _since(before, _traffic(fleet))
-    return play.row(
+    run.publish(run.body())
+    fleet.run_until_converged()
+    change = _traffic_difference(before, _traffic(fleet))
+    return run.row(
         "calm: one change",
         idle_node_bytes_s=round(idle["node_bytes"], 1),
         idle_node_messages_s=round(idle["node_messages"], 3),
@@ -142,25 +144,25 @@
     }
 
 
-def _since(before, now):
+def _traffic_difference(before, now):
     return {name: now[name] - before[name] for name in now}
 
 
 def _faulty(kind: str, what: str):
-    def faulty(play: Play):
-        fleet = play.fleet
-        began, held = fleet.world.now, dict(fleet.promises.in_force)
-        done = play.publish(play.body(kind), timed=False)
+    def faulty(run: ScenarioRun):
+        fleet = run.fleet
+        began, held = fleet.world.now, dict(fleet.invariants.in_force)
+        done = run.publish(run.body(kind), timed=False)
         ended = (fleet.world.now - began) / SECOND
-        whole = fleet.run_until_whole()
-        reached = fleet.promises.reached_by_faulty
-        play.expect(done is not None and done.outcome == pu.Outcome.WITHDRAWN, "not withdrawn", done)
+        convergence_s = fleet.run_until_converged()
+        reached = fleet.invariants.reached_by_faulty
+        run.expect(done is not None and done.outcome == pu.Outcome.WITHDRAWN, "not withdrawn", done)
         canaries = max(2, math.ceil(len(fleet.nodes) * 0.02))
-        play.expect(len(reached) <= canaries, "reached", len(reached), "nodes")
-        play.expect(set(held) == set(fleet.nodes), "a node had nothing in force")
-        return play.row(
+        run.expect(len(reached) <= canaries, "reached", len(reached), "nodes")
+        run.expect(set(held) == set(fleet.nodes), "a node had nothing in force")
+        return run.row(
             f"a faulty change: {what}",
-            whole=round((ended + whole), 3) if whole is not None else None,
+            convergence_s=round((ended + convergence_s), 3) if convergence_s is not None else None,
             reached_nodes=len(reached),
             canaries=canaries,
             seconds_until_withdrawn=round(ended, 3),
@@ -170,94 +172,96 @@
     return faulty
 
 
-def day_in_a_row(play: Play):
+def day_in_a_row(run: ScenarioRun):
     """380 changes, each begun when the one before is committed everywhere."""
-    fleet, changes = play.fleet, 12 if play.small else 380
+    fleet, changes = run.fleet, 12 if run.small else 380
     began, left = fleet.world.now, [changes]
 
-    def then(host):
-        play.expect(host.done.outcome == pu.Outcome.IN_FORCE, "ended", host.done)
+    def on_done(host):
+        run.expect(host.done.outcome == pu.Outcome.IN_FORCE, "ended", host.done)
         left[0] -= 1
         if left[0]:
-            fleet.publish(pu.Publish(play.body()), then=then)
+            fleet.publish(pu.Publish(run.body()), on_done=on_done)
 
     nodes = set(fleet.reachable())
-    fleet.publish(pu.Publish(play.body()), then=then)
+    fleet.publish(pu.Publish(run.body()), on_done=on_done)
     while left[0] and fleet.world.now < began + changes * 10 * SECOND:
         fleet.run_for(1)
     fleet.run_for(TARGET_S)
-    play.expect(left[0] == 0, left[0], "changes not made")
+    run.expect(left[0] == 0, left[0], "changes not made")
     for host in fleet.publishers[1:]:
-        play._time(host, nodes)
-    return play.row(
+        run._record_times(host, nodes)
+    return run.row(
         f"{changes} changes in a row",
         changes=changes,
         span_s=round((fleet.world.now - began) / SECOND - TARGET_S, 1),
     )
 
 
-def one_replica_lost(play: Play):
+def one_replica_lost(run: ScenarioRun):
     """Each replica in turn: its machine goes silent, a change, it returns."""
-    fleet, seconds = play.fleet, []
+    fleet, seconds = run.fleet, []
     for name in fleet.replica_names:
         fleet.replicas[name].stop(silently=True)
         fleet.run_for(1)
-        _must_publish(play)
+        _publish_and_check(run)
         fleet.run_for(30)
-        _must_publish(play)
+        _publish_and_check(run)
         fleet.replicas[name].start()
-        taken = _until(fleet, lambda: _is_level(fleet))
-        play.expect(taken is not None, name, "does not catch up")
-        seconds.append(taken if taken is not None else UNTIL_AT_MOST_S)
+        taken = _wait_until(fleet, lambda: _replicas_agree(fleet))
+        run.expect(taken is not None, name, "does not catch up")
+        seconds.append(taken if taken is not None else MAX_WAIT_S)
         fleet.run_for(5)
-    return play.row("one of three replicas lost, each in turn", replica_caught_up_s=round(max(seconds), 2))
+    return run.row("one of three replicas lost, each in turn", replica_caught_up_s=round(max(seconds), 2))
 
 
-def _is_level(fleet: Fleet) -> bool:
+def _replicas_agree(fleet: Fleet) -> bool:
     """All replicas have committed the same."""
     return len({one.core.state.committed.generation for one in fleet.replicas.values()}) == 1
 
 
-def _must_publish(play: Play, **more):
-    done = play.publish(play.body(), **more)
-    play.expect(done is not None and done.outcome == pu.Outcome.IN_FORCE, "ended", done)
+def _publish_and_check(run: ScenarioRun, **more):
+    done = run.publish(run.body(), **more)
+    run.expect(done is not None and done.outcome == pu.Outcome.IN_FORCE, "ended", done)
 
 
-def one_replica_lost_in_the_midst(play: Play):
+def one_replica_lost_in_the_midst(run: ScenarioRun):
     """Its machine goes silent at each moment of a publish."""
-    fleet = play.fleet
-    for part in range(4 if play.small else 10):
-        name = play.draws.choice(fleet.replica_names)
-        fleet.world.after(part * 160_000, fleet.replicas[name].stop, True)
-        _must_publish(play)
+    fleet = run.fleet
+    for number in range(4 if run.small else 10):
+        name = run.rng.choice(fleet.replica_names)
+        fleet.world.after(number * 160_000, fleet.replicas[name].stop, True)
+        _publish_and_check(run)
         fleet.run_for(10)
         fleet.replicas[name].start()
         fleet.run_for(10)
-    return play.row("one of three replicas lost in the midst of a publish")
+    return run.row("one of three replicas lost in the midst of a publish")
 
 
-def two_replicas_lost(play: Play):
+def two_replicas_lost(run: ScenarioRun):
     """Two machines go silent in the midst of a publish; later they return."""
-    fleet = play.fleet
-    host = fleet.publish(pu.Publish(play.body()))
+    fleet = run.fleet
+    host = fleet.publish(pu.Publish(run.body()))
     fleet.run_for(0.25)
     for name in fleet.replica_names[1:]:
         fleet.replicas[name].stop(silently=True)
     fleet.run_until_done(host)
-    play.expect(host.done.outcome == pu.Outcome.NO_QUORUM, "ended", host.done)
+    run.expect(host.done.outcome == pu.Outcome.NO_QUORUM, "ended", host.done)
     refused = (host.ended - host.began) / SECOND
     fleet.run_for(40)
     said = sum(node.core.is_cut_off(fleet.world.now) for node in fleet.nodes.values())
-    held = sum(fleet.promises.in_force.get(name, 0) > 0 for name in fleet.nodes)
+    held = sum(fleet.invariants.in_force.get(name, 0) > 0 for name in fleet.nodes)
     for name in fleet.replica_names[1:]:
         fleet.replicas[name].start()
     began = fleet.world.now
-    back = _until(fleet, lambda: not any(n.core.is_cut_off(fleet.world.now) for n in fleet.nodes.values()))
+    back = _wait_until(
+        fleet, lambda: not any(n.core.is_cut_off(fleet.world.now) for n in fleet.nodes.values())
+    )
     fleet.run_until_done(fleet.publish(pu.Resume()))
-    _must_publish(play)
-    return play.row(
+    _publish_and_check(run)
+    return run.row(
         "two of three replicas lost in the midst of a publish",
-        whole=round(back, 2) if back is not None else None,
+        convergence_s=round(back, 2) if back is not None else None,
         seconds_until_no_quorum=round(refused, 2),
         nodes_that_said_cut_off=said,
         nodes_that_kept_a_version=held,
@@ -265,71 +269,73 @@
     )
 
 
-def _until(fleet: Fleet, true, most=UNTIL_AT_MOST_S) -> float | None:
+def _wait_until(fleet: Fleet, condition, max_seconds=MAX_WAIT_S) -> float | None:
     began = fleet.world.now
-    while fleet.world.now < began + most * SECOND:
-        if true():
+    while fleet.world.now < began + max_seconds * SECOND:
+        if condition():
             return (fleet.world.now - began) / SECOND
         fleet.run_for(0.05)
     return None
 
 
-def region_cut_off(play: Play):
+def region_cut_off(run: ScenarioRun):
     """A region cut off for three minutes, changes meanwhile, its return."""
-    fleet, region = play.fleet, 2
-    inside = [node for node in fleet.nodes.values() if node.place.region == region]
-    fleet.network.cut_region(region)
-    for _ in range(2 if play.small else 5):
+    fleet, region = run.fleet, 2
+    inside = [node for node in fleet.nodes.values() if node.location.region == region]
+    fleet.network.isolate_region(region)
+    for _ in range(2 if run.small else 5):
         fleet.run_for(30)
-        _must_publish(play)
+        _publish_and_check(run)
     fleet.run_for(30)
-    behind = sum(fleet.promises.in_force.get(node.name, 0) < fleet.promises.everywhere for node in inside)
+    behind = sum(fleet.invariants.in_force.get(node.name, 0) < fleet.invariants.everywhere for node in inside)
     said = sum(node.core.is_cut_off(fleet.world.now) for node in inside)
     wrongly = sum(node.core.is_cut_off(fleet.world.now) for node in fleet.nodes.values()) - said
     before = sum(node.bytes_in + node.bytes_out for node in inside)
-    fleet.network.mend()
-    whole = fleet.run_until_whole()
+    fleet.network.heal()
+    convergence_s = fleet.run_until_converged()
     after = sum(node.bytes_in + node.bytes_out for node in inside)
-    back = _until(fleet, lambda: not any(n.core.is_cut_off(fleet.world.now) for n in inside))
-    return play.row(
+    back = _wait_until(fleet, lambda: not any(n.core.is_cut_off(fleet.world.now) for n in inside))
+    return run.row(
         "a region cut off, changes meanwhile, its return",
-        whole=whole,
+        convergence_s=convergence_s,
         nodes_cut_off=len(inside),
         nodes_that_said_so=said,
         others_that_said_so=wrongly,
         nodes_behind=behind,
         bytes_a_node_to_catch_up=round((after - before) / len(inside)),
-        seconds_until_all_said_back=round(whole + back, 2) if None not in (whole, back) else -1,
+        seconds_until_all_said_back=round(convergence_s + back, 2)
+        if None not in (convergence_s, back)
+        else -1,
     )
 
 
-def publisher_in_the_cut_off_region(play: Play):
+def publisher_in_the_cut_off_region(run: ScenarioRun):
     """Staff publish from a region that is cut off: refused, and from outside it goes on."""
-    fleet = play.fleet
-    fleet.network.cut_region(2)
+    fleet = run.fleet
+    fleet.network.isolate_region(2)
     fleet.run_for(20)
-    done = play.publish(play.body(), region=2)
-    play.expect(done is not None and done.outcome == pu.Outcome.NO_QUORUM, "ended", done)
-    _must_publish(play)
-    fleet.network.mend()
-    whole = fleet.run_until_whole()
-    return play.row("a publish from inside a region that is cut off", whole=whole)
+    done = run.publish(run.body(), region=2)
+    run.expect(done is not None and done.outcome == pu.Outcome.NO_QUORUM, "ended", done)
+    _publish_and_check(run)
+    fleet.network.heal()
+    convergence_s = fleet.run_until_converged()
+    return run.row("a publish from inside a region that is cut off", convergence_s=convergence_s)
 
 
-def region_cut_off_just_before(play: Play):
+def region_cut_off_just_before(run: ScenarioRun):
     """A change 2 s after a region was cut off: its canaries may be silent, and then it is withdrawn."""
-    fleet, outcomes = play.fleet, []
-    for _ in range(4 if play.small else 20):
-        fleet.network.cut_region(play.draws.choice([1, 2]))
+    fleet, outcomes = run.fleet, []
+    for _ in range(4 if run.small else 20):
+        fleet.network.isolate_region(run.rng.choice([1, 2]))
         fleet.run_for(2)
-        done = play.publish(play.body())
+        done = run.publish(run.body())
         outcomes.append(done.outcome if done else None)
-        fleet.network.mend()
+        fleet.network.heal()
         fleet.run_for(30)
     in_force = outcomes.count(pu.Outcome.IN_FORCE)
     withdrawn = outcomes.count(pu.Outcome.WITHDRAWN)
-    play.expect(in_force + withdrawn == len(outcomes), "ended", outcomes)
-    return play.row(
+    run.expect(in_force + withdrawn == len(outcomes), "ended", outcomes)
+    return run.row(
         "a change 2 s after a region was cut off",
         "withdrawn where over a third of the canaries stood in the region",
         changes=len(outcomes),
@@ -337,108 +343,110 @@
     )
 
 
-def zone_lost(play: Play):
+def zone_lost(run: ScenarioRun):
     """All machines of a zone with a replica go silent in the midst of a change, and return."""
-    fleet, zone = play.fleet, 0
-    hosts = [h for h in [*fleet.replicas.values(), *fleet.nodes.values()] if h.place.zone == zone]
+    fleet, zone = run.fleet, 0
+    hosts = [h for h in [*fleet.replicas.values(), *fleet.nodes.values()] if h.location.zone == zone]
     for host in hosts:
         fleet.world.after(300_000, host.stop, True)
-    _must_publish(play, region=1)
+    _publish_and_check(run, region=1)
     fleet.run_for(60)
-    _must_publish(play, region=1)
+    _publish_and_check(run, region=1)
     for host in hosts:
         host.start()
-    whole = fleet.run_until_whole()
-    return play.row("a zone with a replica lost in the midst of a change, its return", whole=whole)
+    convergence_s = fleet.run_until_converged()
+    return run.row(
+        "a zone with a replica lost in the midst of a change, its return", convergence_s=convergence_s
+    )
 
 
-def release(play: Play):
+def release(run: ScenarioRun):
     """Every node restarted, 3.5 a second, while changes go on."""
-    fleet = play.fleet
-    rate, away = 3.5, 4 * SECOND
+    fleet = run.fleet
+    rate, downtime = 3.5, 4 * SECOND
     for number, node in enumerate(fleet.nodes.values()):
         at = int(number / rate * SECOND)
         fleet.world.after(at, node.stop)
-        fleet.world.after(at + away, node.start)
-    until = fleet.world.now + int(len(fleet.nodes) / rate * SECOND) + away
+        fleet.world.after(at + downtime, node.start)
+    until = fleet.world.now + int(len(fleet.nodes) / rate * SECOND) + downtime
     changes = 0
     while fleet.world.now < until:
-        _must_publish(play)
+        _publish_and_check(run)
         changes += 1
         fleet.run_for(3)
     fleet.run_for(5)
-    return play.row("a release that restarts every node, changes meanwhile", changes=changes)
+    return run.row("a release that restarts every node, changes meanwhile", changes=changes)
 
 
-def replica_restarts(play: Play):
+def replica_restarts(run: ScenarioRun):
     """A replica's process restarts at drawn moments of each of some changes."""
-    fleet = play.fleet
-    for _ in range(4 if play.small else 12):
-        name = play.draws.choice(fleet.replica_names)
-        at = play.draws.randbelow(1_600_000)
+    fleet = run.fleet
+    for _ in range(4 if run.small else 12):
+        name = run.rng.choice(fleet.replica_names)
+        at = run.rng.randbelow(1_600_000)
         fleet.world.after(at, fleet.replicas[name].stop)
         fleet.world.after(at + 300_000, fleet.replicas[name].start)
-        _must_publish(play)
+        _publish_and_check(run)
         fleet.run_for(3)
-    return play.row("a replica that restarts in the midst of a change")
+    return run.row("a replica that restarts in the midst of a change")
 
 
-def wrong_answers(play: Play):
+def wrong_answers(run: ScenarioRun):
     """One replica tells damaged, older and other answers to four of five watches, while changes go on."""
-    fleet = play.fleet
-    liar = fleet.replicas["r1"]
-    liar.lies = corrupt(fleet, "r1")
-    for _ in range(4 if play.small else 10):
-        _must_publish(play)
+    fleet = run.fleet
+    faulty_replica = fleet.replicas["r1"]
+    faulty_replica.corrupt_reply = reply_corrupter(fleet, "r1")
+    for _ in range(4 if run.small else 10):
+        _publish_and_check(run)
         fleet.run_for(10)
-    liar.lies = None
+    faulty_replica.corrupt_reply = None
     fleet.run_for(10)
-    return play.row("one replica tells damaged, older and other answers")
+    return run.row("one replica tells damaged, older and other answers")
 
 
-def two_publishers(play: Play):
+def two_publishers(run: ScenarioRun):
     """Two publishers at a time, from two regions, a few ms apart."""
-    fleet, outcomes = play.fleet, []
-    for _ in range(4 if play.small else 12):
-        one = fleet.publish(pu.Publish(play.body()), 0)
-        fleet.world.run(fleet.world.now + play.draws.randbelow(300_000))
-        other = fleet.publish(pu.Publish(play.body()), 1)
+    fleet, outcomes = run.fleet, []
+    for _ in range(4 if run.small else 12):
+        one = fleet.publish(pu.Publish(run.body()), 0)
+        fleet.world.run(fleet.world.now + run.rng.randbelow(300_000))
+        other = fleet.publish(pu.Publish(run.body()), 1)
         for host in (one, other):
             fleet.run_until_done(host)
             outcomes.append(host.done.outcome if host.done else None)
-        fleet.run_until_whole()
+        fleet.run_until_converged()
     won = outcomes.count(pu.Outcome.IN_FORCE)
-    play.expect(None not in outcomes, "a publisher without an end")
-    return play.row("two publishers at a time", runs=len(outcomes), in_force=won)
+    run.expect(None not in outcomes, "a publisher without an end")
+    return run.row("two publishers at a time", runs=len(outcomes), in_force=won)
 
 
-def publisher_dies(play: Play):
+def publisher_dies(run: ScenarioRun):
     """A publisher dies at each step; another resumes, and a change after it."""
-    fleet, outcomes = play.fleet, []
+    fleet, outcomes = run.fleet, []
     for step in pu.Step:
-        host = fleet.publish(pu.Publish(play.body()), dies_at=step)
+        host = fleet.publish(pu.Publish(run.body()), crash_at=step)
         fleet.run_for(3)
-        play.expect(not host.is_running, "did not die at", step)
+        run.expect(not host.is_running, "did not die at", step)
         resumed = fleet.publish(pu.Resume())
         fleet.run_until_done(resumed)
         outcomes.append(resumed.done.outcome)
-        _must_publish(play)
-    play.expect(outcomes[-1] == pu.Outcome.IN_FORCE, "canaries not resumed", outcomes)
-    return play.row("a publisher that dies at each step, another resumes", deaths=len(outcomes))
+        _publish_and_check(run)
+    run.expect(outcomes[-1] == pu.Outcome.IN_FORCE, "canaries not resumed", outcomes)
+    return run.row("a publisher that dies at each step, another resumes", deaths=len(outcomes))
 
 
-def lossy(play: Play):
+def lossy(run: ScenarioRun):
     """One message in a hundred is lost, for good, while changes go on."""
-    fleet, changes, ended = play.fleet, 5 if play.small else 20, []
+    fleet, changes, outcomes = run.fleet, 5 if run.small else 20, []
     fleet.network.loss = 0.01
     for _ in range(changes):
-        ended.append(play.publish(play.body()))
+        outcomes.append(run.publish(run.body()))
         fleet.run_for(10)
     fleet.network.loss = 0
     fleet.run_for(20)
-    good = sum(done is not None and done.outcome == pu.Outcome.IN_FORCE for done in ended)
-    share, play.times.cases = play.times.figures()["share_within_3_s"], 0
-    return play.row(
+    good = sum(done is not None and done.outcome == pu.Outcome.IN_FORCE for done in outcomes)
+    share, run.times.cases = run.times.figures()["share_within_3_s"], 0
+    return run.row(
         "one message in a hundred lost for good",
         "late ones are counted, not held against it",
         changes=changes,
@@ -447,7 +455,7 @@
     )
 
 
-PLAYS = (
+SCENARIOS = (
     calm,
     _faulty("refused", "refused by the check"),
     _faulty("unfit", "does not start"),
@@ -470,16 +478,16 @@
 )
 
 
-class RandomPlay:
+class RandomScenario:
     """Faults and changes drawn from a seed, at a small size; then all is mended and must become whole."""
 
-    shape = Shape(nodes=8, body_bytes=64)
+    parameters = FleetParameters(nodes=8, body_bytes=64)
 
     def __init__(self, seed):
-        self.fleet = Fleet(f"random:{seed}", self.shape)
-        self.draws = self.fleet.world.random_stream("faults")
+        self.fleet = Fleet(f"random:{seed}", self.parameters)
+        self.rng = self.fleet.world.random_stream("faults")
         self._bodies = 0
-        self.whole: float | None = None
+        self.convergence_s: float | None = None
         """Seconds from the last change's end until no node lagged."""
 
     def run(self, actions=25) -> list[str]:
@@ -487,100 +495,100 @@
         fleet = self.fleet
         fleet.run_for(2)
         for _ in range(actions):
-            self._act()
-            fleet.run_for(self.draws.randbelow(3_000) / 1000)
-        self._mend()
+            self._random_action()
+            fleet.run_for(self.rng.randbelow(3_000) / 1000)
+        self._heal()
         fleet.run_for(25)
         done = fleet.run_until_done(fleet.publish(pu.Resume()))
-        fleet.promises.need(done is not None, "a resume without an end")
+        fleet.invariants.check(done is not None, "a resume without an end")
         last = fleet.publish(pu.Publish("fine at last", without_canaries=True))
         done = fleet.run_until_done(last)
-        fleet.promises.need(
+        fleet.invariants.check(
             done is not None and done.outcome == pu.Outcome.IN_FORCE, "the last change ended", done
         )
-        self.whole = whole = fleet.run_until_whole(20)
-        fleet.promises.need(whole is not None, "nodes lag:", *fleet.lagging())
-        return fleet.promises.broken
+        self.convergence_s = convergence_s = fleet.run_until_converged(20)
+        fleet.invariants.check(convergence_s is not None, "nodes lag:", *fleet.lagging())
+        return fleet.invariants.violations
 
-    def _act(self) -> None:
-        draws = self.draws
-        match draws.randbelow(11):
+    def _random_action(self) -> None:
+        rng = self.rng
+        match rng.randbelow(11):
             case 0 | 1 | 2:
                 self._publish()
             case 3:
-                self._publish(pu.Resume() if draws.randbelow(2) else pu.Withdraw())
+                self._publish(pu.Resume() if rng.randbelow(2) else pu.Withdraw())
             case 4 | 5:
-                self._stop_or_start(draws.choice(list(self.fleet.replicas.values())))
+                self._stop_or_start(rng.choice(list(self.fleet.replicas.values())))
             case 6 | 7:
-                self._stop_or_start(draws.choice(list(self.fleet.nodes.values())))
+                self._stop_or_start(rng.choice(list(self.fleet.nodes.values())))
             case 8:
-                self.fleet.network.cut_region(draws.randbelow(3))
+                self.fleet.network.isolate_region(rng.randbelow(3))
             case 9:
-                self.fleet.network.mend()
+                self.fleet.network.heal()
             case 10:
                 self.fleet.network.loss = 0.0 if self.fleet.network.loss else 0.1
 
     def _publish(self, order=None) -> None:
         kinds = "fine", "fine", "refused", "unfit", "hangs"  # an illness may be told too late with losses
         self._bodies += 1
-        body = f"{self.draws.choice(kinds)} {self._bodies}"
+        body = f"{self.rng.choice(kinds)} {self._bodies}"
         steps = [None, None, None, *pu.Step]
         self.fleet.publish(
-            order or pu.Publish(body), region=self.draws.randbelow(3), dies_at=self.draws.choice(steps)
+            order or pu.Publish(body), region=self.rng.randbelow(3), crash_at=self.rng.choice(steps)
         )
 
     def _stop_or_start(self, host) -> None:
         if host.is_running:
-            host.stop(silently=bool(self.draws.randbelow(2)))
+            host.stop(silently=bool(self.rng.randbelow(2)))
         else:
             host.start()
 
-    def _mend(self) -> None:
+    def _heal(self) -> None:
         fleet = self.fleet
         fleet.network.loss = 0.0
-        fleet.network.mend()
+        fleet.network.heal()
         for host in [*fleet.replicas.values(), *fleet.nodes.values()]:
             if not host.is_running:
                 host.start()
 
 
-class RandomPublishers(RandomPlay):
+class RandomPublisherScenario(RandomScenario):
     """Publishers at the same time, before replicas that write slowly and restart often."""
 
-    shape = Shape(nodes=3, body_bytes=64, store=150_000)
+    parameters = FleetParameters(nodes=3, body_bytes=64, store=150_000)
 
-    def _act(self) -> None:
-        draws = self.draws
-        match draws.randbelow(8):
+    def _random_action(self) -> None:
+        rng = self.rng
+        match rng.randbelow(8):
             case 0 | 1 | 2 | 3:
-                for _ in range(draws.randint(1, 3)):
-                    body = f"fine {draws.next_uint32()}"
-                    order = pu.Publish(body, without_canaries=bool(draws.randbelow(4)))
-                    self.fleet.world.after(draws.randbelow(300_000), self._begin, order)
+                for _ in range(rng.randint(1, 3)):
+                    body = f"fine {rng.next_uint32()}"
+                    order = pu.Publish(body, without_canaries=bool(rng.randbelow(4)))
+                    self.fleet.world.after(rng.randbelow(300_000), self._start_publisher, order)
             case 4:
-                self._publish(pu.Resume() if draws.randbelow(2) else pu.Withdraw())
+                self._publish(pu.Resume() if rng.randbelow(2) else pu.Withdraw())
             case _:
-                replica = draws.choice(list(self.fleet.replicas.values()))
+                replica = rng.choice(list(self.fleet.replicas.values()))
                 if replica.is_running:
                     replica.stop()
-                    self.fleet.world.after(draws.randbelow(300_000), replica.start)
+                    self.fleet.world.after(rng.randbelow(300_000), replica.start)
 
-    def _begin(self, order) -> None:
-        self.fleet.publish(order, region=self.draws.randbelow(3))
+    def _start_publisher(self, order) -> None:
+        self.fleet.publish(order, region=self.rng.randbelow(3))
 
 
-def idle_size(nodes: int, seed=1, span=60) -> dict[str, float]:
+def measure_idle(nodes: int, seed=1, duration=60) -> dict[str, float]:
     """Bytes and messages a second of an idle fleet of that size, and of its busiest replica."""
-    fleet = Fleet(seed, Shape(nodes=nodes))
+    fleet = Fleet(seed, FleetParameters(nodes=nodes))
     fleet.run_for(12)
-    fleet.run_until_done(fleet.publish(pu.Publish("fine".ljust(fleet.shape.body_bytes, "x"))))
+    fleet.run_until_done(fleet.publish(pu.Publish("fine".ljust(fleet.parameters.body_bytes, "x"))))
     fleet.run_for(20)
     before = _traffic(fleet)
-    fleet.run_for(span)
-    return {name: value / span for name, value in _since(before, _traffic(fleet)).items()}
+    fleet.run_for(duration)
+    return {name: value / duration for name, value in _traffic_difference(before, _traffic(fleet)).items()}
 
 
-def replica_with(nodes: int) -> re.Replica:
+def replica_with_watches(nodes: int) -> re.Replica:
     """A replica core with the reports and both watches of so many nodes."""
     core = re.Replica("r1", ("r2", "r3"), m.ReplicaState(), lambda: 0.5)
     number = 0
--- a/tests/configstore/test_configuration_plays.py
+++ b/tests/configstore/test_configuration_plays.py
@@ -9,31 +9,42 @@
 from cottonspread.configstore import publisher as pu
 from cottonspread.lab.scale import configuration, results
 from cottonspread.lab.scale.configuration_fleet import Fleet
-from cottonspread.lab.scale.configuration_network import Shape, from_request, from_response, to_request
-from cottonspread.lab.scale.configuration_plays import (
-    PLAYS,
-    Play,
-    RandomPlay,
-    RandomPublishers,
+from cottonspread.lab.scale.configuration_invariants import (
+    MAX_CUT_OFF_CLEAR_DELAY,
+    MAX_CUT_OFF_REPORT_DELAY,
+    Invariants,
+)
+from cottonspread.lab.scale.configuration_network import (
+    FleetParameters,
+    from_request,
+    from_response,
+    to_request,
+)
+from cottonspread.lab.scale.configuration_scenarios import (
+    SCENARIOS,
+    RandomPublisherScenario,
+    RandomScenario,
+    ScenarioRun,
     calm,
-    idle_size,
     lossy,
+    measure_idle,
 )
-from cottonspread.lab.scale.configuration_promises import BACK_WITHIN, SAYS_SO_WITHIN, Promises
 
-SMALL = Shape(nodes=16, body_bytes=200)
+SMALL = FleetParameters(nodes=16, body_bytes=200)
 SEEDS, CHUNK = 200, 25
 
 
-@pytest.mark.parametrize("number", range(len(PLAYS)), ids=[play.__doc__.splitlines()[0] for play in PLAYS])
+@pytest.mark.parametrize(
+    "number", range(len(SCENARIOS)), ids=[scenario.__doc__.splitlines()[0] for scenario in SCENARIOS]
+)
 def test_each_play_holds_its_promises(number):
-    row = PLAYS[number](Play("ci", SMALL, small=True))
+    row = SCENARIOS[number](ScenarioRun("ci", SMALL, small=True))
     assert row.rules_broken == 0, row.notes
     assert row.seconds_until_whole is not None
 
 
 def test_the_same_seed_gives_the_same_play_and_another_another():
-    first, again, other = (calm(Play(seed, SMALL, small=True)) for seed in (1, 1, 2))
+    first, again, other = (calm(ScenarioRun(seed, SMALL, small=True)) for seed in (1, 1, 2))
     assert first == again and first.notes != other.notes
     assert "sum " in first.notes
 
@@ -41,21 +52,21 @@
 @pytest.mark.parametrize("first", range(0, SEEDS, CHUNK))
 def test_drawn_faults(first):
     for seed in range(first, first + CHUNK):
-        assert RandomPlay(seed).run() == [], seed
+        assert RandomScenario(seed).run() == [], seed
 
 
 @pytest.mark.parametrize("first", range(0, 60, 20))
 def test_drawn_publishers_at_the_same_time_before_replicas_that_restart(first):
     for seed in range(first, first + 20):
-        assert RandomPublishers(seed).run() == [], seed
+        assert RandomPublisherScenario(seed).run() == [], seed
 
 
 def test_a_drawn_play_is_repeatable():
     sums = set()
     for _ in range(2):
-        play = RandomPlay(3)
-        play.run()
-        sums.add(play.fleet.world.trace_digest())
+        scenario = RandomScenario(3)
+        scenario.run()
+        sums.add(scenario.fleet.world.trace_digest())
     assert len(sums) == 1
 
 
@@ -63,16 +74,16 @@
 
 
 def test_what_an_idle_node_sends_does_not_grow_with_the_fleet_and_keeps_its_budget():
-    small, large = idle_size(8), idle_size(32)
-    for told in (small, large):
-        assert told["node_bytes"] < 100 and told["node_messages"] < 0.6
+    small, large = measure_idle(8), measure_idle(32)
+    for traffic in (small, large):
+        assert traffic["node_bytes"] < 100 and traffic["node_messages"] < 0.6
     assert abs(small["node_bytes"] - large["node_bytes"]) < 0.05 * small["node_bytes"]
     assert large["replica_bytes"] < 5 * small["replica_bytes"]
 
 
 def test_a_change_costs_a_node_two_bodies_and_few_messages_at_any_size():
     for nodes in (8, 32):
-        row = calm(Play("ci", Shape(nodes=nodes, body_bytes=4_096), small=True))
+        row = calm(ScenarioRun("ci", FleetParameters(nodes=nodes, body_bytes=4_096), small=True))
         assert row.figures["change_node_bytes"] < 3 * 4_096
         assert row.figures["change_node_messages"] < 6
 
@@ -105,12 +116,12 @@
         from_response(b"HTTP/1.1 503 Service Unavailable\r\n\r\n", m.WatchReply)
 
 
-class Judge:
+class InvariantHarness:
     """The promises with a clock set by hand, and three replicas that accept what they are told."""
 
     def __init__(self):
         self.world = SimpleNamespace(now=0)
-        self.promises = Promises(self.world, 3)
+        self.invariants = Invariants(self.world, 3)
         self.disks = {}
 
     def accept(self, one, *replicas):
@@ -126,89 +137,89 @@
 
     def _store(self, name, state):
         self.disks[name] = state
-        self.promises.stored(name, state)
+        self.invariants.on_stored(name, state)
 
-    def broken(self):
-        return " ".join(self.promises.broken)
+    def violations(self):
+        return " ".join(self.invariants.violations)
 
 
 def test_the_judge_finds_a_commit_without_a_majority():
-    judge = Judge()
-    judge.accept(record(1, 1), "r1")
-    judge.commit(record(1, 1), "r1")
-    assert "without a majority" in judge.broken()
+    harness = InvariantHarness()
+    harness.accept(record(1, 1), "r1")
+    harness.commit(record(1, 1), "r1")
+    assert "without a majority" in harness.violations()
 
 
 def test_the_judge_finds_two_digests_and_two_records_of_a_generation():
-    judge = Judge()
-    judge.accept(record(1, 1), "r1", "r2")
-    judge.commit(record(1, 1), "r1")
-    judge.accept(record(1, 1, body="other"), "r2", "r3")
-    judge.commit(record(1, 1, body="other"), "r3")
-    assert "two digests" in judge.broken() and "two records" in judge.broken()
+    harness = InvariantHarness()
+    harness.accept(record(1, 1), "r1", "r2")
+    harness.commit(record(1, 1), "r1")
+    harness.accept(record(1, 1, body="other"), "r2", "r3")
+    harness.commit(record(1, 1, body="other"), "r3")
+    assert "two digests" in harness.violations() and "two records" in harness.violations()
 
 
 def test_the_judge_finds_a_committed_version_that_goes_back():
-    judge = Judge()
+    harness = InvariantHarness()
     for one in (record(1, 2), record(2, 1)):
-        judge.accept(one, "r1", "r2")
-        judge.commit(one, "r1")
-    assert "committed version went back" in judge.broken()
+        harness.accept(one, "r1", "r2")
+        harness.commit(one, "r1")
+    assert "committed version went back" in harness.violations()
 
 
 def test_the_judge_finds_what_a_node_must_not_put_into_force():
-    judge = Judge()
+    harness = InvariantHarness()
     new, canary, refused = record(2, 2), record(3, 3, CANARY, below=0), record(4, 4, body="refused by all")
     for one in (record(1, 1), new, canary, refused):
-        judge.accept(one, "r1", "r2")
-        judge.commit(one, "r1", "r2")
-    assert "faulty version went everywhere" in judge.broken()
+        harness.accept(one, "r1", "r2")
+        harness.commit(one, "r1", "r2")
+    assert "faulty version went everywhere" in harness.violations()
     for node, one, words in (
         ("n1", record(2, 2, body="other"), "another digest"),
         ("n2", canary, "no canary"),
         ("n3", refused, "a faulty version in force"),
         ("n4", record(9, 9), "no majority"),
     ):
-        judge.promises.broken.clear()
-        judge.promises.applied(node, one)
-        assert words in judge.broken()
-    judge.promises.broken.clear()
-    judge.promises.applied("n5", new)
-    assert judge.broken() == ""
-    judge.promises.applied("n5", record(1, 1))
-    assert "went back" in judge.broken()
+        harness.invariants.violations.clear()
+        harness.invariants.on_applied(node, one)
+        assert words in harness.violations()
+    harness.invariants.violations.clear()
+    harness.invariants.on_applied("n5", new)
+    assert harness.violations() == ""
+    harness.invariants.on_applied("n5", record(1, 1))
+    assert "went back" in harness.violations()
 
 
 def test_the_judge_finds_a_faulty_version_beyond_the_canaries():
-    judge = Judge()
-    judge.promises.checked("n1", record(1, 1, CANARY, body="refused by all"))
-    assert judge.broken() == ""
-    judge.promises.checked("n1", record(1, 1, CANARY, body="refused by all", below=0))
-    assert "beyond the canaries" in judge.broken()
+    harness = InvariantHarness()
+    harness.invariants.on_checked("n1", record(1, 1, CANARY, body="refused by all"))
+    assert harness.violations() == ""
+    harness.invariants.on_checked("n1", record(1, 1, CANARY, body="refused by all", below=0))
+    assert "beyond the canaries" in harness.violations()
 
 
 def test_the_judge_finds_who_does_not_say_that_it_is_cut_off_and_who_says_so_wrongly():
-    judge = Judge()
-    judge.promises.reach("n1", False, 0, True)
-    judge.promises.reach("n2", True, 0, True)
-    judge.world.now = SAYS_SO_WITHIN
-    judge.promises.said("n1", False)
-    assert judge.broken() == ""
-    judge.world.now += 1
-    judge.promises.said("n1", False)
-    assert "does not say so" in judge.broken()
-    judge.promises.broken.clear()
-    assert BACK_WITHIN <= SAYS_SO_WITHIN
-    judge.promises.said("n2", True)
-    assert "says it is cut off and is not" in judge.broken()
+    harness = InvariantHarness()
+    harness.invariants.on_reachability("n1", False, 0, True)
+    harness.invariants.on_reachability("n2", True, 0, True)
+    harness.world.now = MAX_CUT_OFF_REPORT_DELAY
+    harness.invariants.said("n1", False)
+    assert harness.violations() == ""
+    harness.world.now += 1
+    harness.invariants.said("n1", False)
+    assert "does not say so" in harness.violations()
+    harness.invariants.violations.clear()
+    assert MAX_CUT_OFF_CLEAR_DELAY <= MAX_CUT_OFF_REPORT_DELAY
+    harness.invariants.said("n2", True)
+    assert "says it is cut off and is not" in harness.violations()
 
 
 def test_a_play_finds_nodes_that_lag_and_changes_that_come_late():
-    slow = Play("ci", Shape(nodes=8, body_bytes=50, apply=4_000_000), small=True)
+    slow = ScenarioRun("ci", FleetParameters(nodes=8, body_bytes=50, apply=4_000_000), small=True)
     row = calm(slow)
     assert row.rules_broken and "in force within 3 s" in row.notes
-    stuck = Play("ci", SMALL, small=True)
-    stuck.fleet.nodes["z1-node-000"].refuses_all = True
+    stuck = ScenarioRun("ci", SMALL, small=True)
+    stuck.fleet.nodes["z1-node-000"].rejects_all = True
     row = lossy(stuck)
     assert row.rules_broken and "reachable nodes lag" in row.notes
 
