--- a/benchmarks/scale/page.py
+++ b/benchmarks/scale/page.py
@@ -21,19 +21,19 @@
 from cottonspread.lab.scale import capacity, formula, results, tables  # noqa: E402  the checkout's own
 
 
-def faults_of(page: Path, rows: Path, folder: Path) -> tuple[list[str], str]:
+def problems_of(page: Path, rows: Path, folder: Path) -> tuple[list[str], str]:
     """What is wrong with the page, nothing if it is sound; and the text that it should have."""
     text = page.read_text(encoding="utf-8")
     try:
-        worked = capacity.Capacity(capacity.read_book(rows), results.read_all(folder), ROOT)
-        wanted = tables.Page(worked, folder).write(text)
-        strays = tables.stray_figures(text, worked)
+        model = capacity.Capacity(capacity.read_definitions(rows), results.read_all(folder), ROOT)
+        wanted = tables.Page(model, folder).write(text)
+        unverified = tables.unverified_numbers(text, model)
     except (capacity.RowError, results.ResultError, formula.FormulaError) as fault:
         return [str(fault)], text
     differing = difflib.unified_diff(
         text.splitlines(), wanted.splitlines(), "page", "results", n=0, lineterm=""
     )
-    return [*differing, *(f"a figure in the prose without its run: {found}" for found in strays)], wanted
+    return [*differing, *(f"a figure in the prose without its run: {found}" for found in unverified)], wanted
 
 
 def write_plots(rows: Path, folder: Path, out: Path) -> Path:
@@ -41,8 +41,8 @@
     from cottonspread.lab.scale import plots  # matplotlib is wanted for this alone
 
     found = results.read_all(folder)
-    marks = plots.marks(capacity.Capacity(capacity.read_book(rows), found, ROOT))
-    return plots.report(found.values(), out, marks)
+    targets = plots.targets_of(capacity.Capacity(capacity.read_definitions(rows), found, ROOT))
+    return plots.report(found.values(), out, targets)
 
 
 def main(arguments: list[str] | None = None) -> int:
@@ -57,15 +57,15 @@
     if options.plots:
         print(write_plots(options.rows, options.results, options.plots))
         return 0
-    faults, wanted = faults_of(options.page, options.rows, options.results)
+    problems, wanted = problems_of(options.page, options.rows, options.results)
     if not options.check and wanted != options.page.read_text(encoding="utf-8"):
         partial = options.page.with_suffix(".md.new")
         partial.write_text(wanted, encoding="utf-8")
         os.replace(partial, options.page)
-        faults, _ = faults_of(options.page, options.rows, options.results)
-    for fault in faults:
-        print(fault, file=sys.stderr)
-    return 1 if faults else 0
+        problems, _ = problems_of(options.page, options.rows, options.results)
+    for problem in problems:
+        print(problem, file=sys.stderr)
+    return 1 if problems else 0
 
 
 if __name__ == "__main__":
--- a/cottonspread/lab/scale/capacity.py
+++ b/cottonspread/lab/scale/capacity.py
@@ -21,7 +21,7 @@
 
 Aspect = Literal["state", "messages", "processor time", "memory", "descriptors", "bytes a second", "time"]
 
-AMPLE = 2.0
+BUDGET_MARGIN = 2.0
 """A value under the budget by this factor holds; between, it holds with its factor."""
 
 
@@ -29,7 +29,7 @@
     """A row that cannot be worked out; the message names it."""
 
 
-class Told(msgspec.Struct, forbid_unknown_fields=True):
+class GivenVariable(msgspec.Struct, forbid_unknown_fields=True):
     """A variable that the operators gave."""
 
     value: float
@@ -37,7 +37,7 @@
     why: str
 
 
-class Assumed(msgspec.Struct, forbid_unknown_fields=True):
+class AssumedVariable(msgspec.Struct, forbid_unknown_fields=True):
     """A variable that nobody told, with the range in which it may lie."""
 
     value: float
@@ -47,7 +47,7 @@
     why: str
 
 
-class Derived(msgspec.Struct, forbid_unknown_fields=True):
+class DerivedVariable(msgspec.Struct, forbid_unknown_fields=True):
     """A variable that follows from others."""
 
     formula: str
@@ -113,12 +113,12 @@
     not_run: str = ""
 
 
-class Book(msgspec.Struct, forbid_unknown_fields=True):
+class Definitions(msgspec.Struct, forbid_unknown_fields=True):
     """All that the page's tables are made from, but for the results."""
 
-    told: dict[str, Told]
-    assumed: dict[str, Assumed]
-    derived: dict[str, Derived]
+    told: dict[str, GivenVariable]
+    assumed: dict[str, AssumedVariable]
+    derived: dict[str, DerivedVariable]
     tables: dict[str, list[str]]
     """Columns by table."""
     row: list[Row]
@@ -126,7 +126,7 @@
 
 
 @dataclass(frozen=True)
-class Used:
+class FittedCost:
     """A cost as a row used it."""
 
     cost: Cost
@@ -137,7 +137,7 @@
 
 
 @dataclass(frozen=True)
-class Worked:
+class EvaluatedRow:
     """A row worked out; all None where it was not run."""
 
     row: Row
@@ -145,7 +145,7 @@
     low: float | None
     high: float | None
     budget: float | None
-    used: tuple[Used, ...]
+    fitted_costs: tuple[FittedCost, ...]
 
     @property
     def verdict(self) -> str:
@@ -155,91 +155,101 @@
         if self.budget is None:
             return "no budget told"
         if self.value > self.budget:
-            return f"**does not hold**: {_times(self.value, self.budget)} the budget"
+            return f"**does not hold**: {_ratio_text(self.value, self.budget)} the budget"
         said = "holds"
-        if self.value * AMPLE > self.budget:
+        if self.value * BUDGET_MARGIN > self.budget:
             said = f"holds with a factor of {self.budget / self.value:.2g}"
         return said + "; not over the whole range" * (self.high > self.budget)
 
     @property
-    def beyond(self) -> float:
+    def extrapolation(self) -> float:
         """How many times the largest size played the target lies at, of the cost that is furthest."""
-        return max((used.fit.beyond(used.size) for used in self.used), default=0.0)
+        return max(
+            (fitted_cost.fit.extrapolation(fitted_cost.size) for fitted_cost in self.fitted_costs),
+            default=0.0,
+        )
 
 
-def _times(value: float, budget: float) -> str:
+def _ratio_text(value: float, budget: float) -> str:
     return f"{value / budget:.3g} times" if budget else "with"
 
 
-def read_book(path: Path) -> Book:
+def read_definitions(path: Path) -> Definitions:
     """The TOML file's rows; RowError names what is wrong."""
     try:
-        book = msgspec.toml.decode(path.read_bytes(), type=Book)
+        definitions = msgspec.toml.decode(path.read_bytes(), type=Definitions)
     except (OSError, msgspec.DecodeError, UnicodeDecodeError) as fault:
         raise RowError(f"{path.name}: {fault}") from None
-    variables = [*book.told, *book.assumed, *book.derived, *(row.id for row in book.row if row.id)]
-    doubled = {name for name in variables if variables.count(name) > 1}
-    if doubled:
-        raise RowError(f"{path.name}: names that are there twice: {sorted(doubled)}")
-    for name, one in book.assumed.items():
+    variables = [
+        *definitions.told,
+        *definitions.assumed,
+        *definitions.derived,
+        *(row.id for row in definitions.row if row.id),
+    ]
+    duplicates = {name for name in variables if variables.count(name) > 1}
+    if duplicates:
+        raise RowError(f"{path.name}: names that are there twice: {sorted(duplicates)}")
+    for name, one in definitions.assumed.items():
         if not one.low <= one.value <= one.high:
             raise RowError(f"{path.name}: assumed.{name}: value outside its range")
-    for line in book.line:
-        if len(line.cells) != len(book.tables.get(line.table, [])):
+    for line in definitions.line:
+        if len(line.cells) != len(definitions.tables.get(line.table, [])):
             raise RowError(f"{path.name}: table {line.table!r}: {line.cells[:1]}: other than its columns")
-    return book
+    return definitions
 
 
-class Sheet:
+class Evaluator:
     """Values of names under one choice of the assumed variables; remembers which of them were used."""
 
-    def __init__(self, book: Book, results: dict[str, Result], root: Path, chosen: dict[str, float]):
-        self.book, self.results, self.root, self.chosen = book, results, root, chosen
-        self.rows = {row.id: row for row in book.row if row.id}
-        self.touched: set[str] = set()
-        self.under_way: list[str] = []
+    def __init__(
+        self, definitions: Definitions, results: dict[str, Result], root: Path, assumptions: dict[str, float]
+    ):
+        self.definitions, self.results, self.root, self.assumptions = definitions, results, root, assumptions
+        self.rows = {row.id: row for row in definitions.row if row.id}
+        self.used_assumptions: set[str] = set()
+        self.in_progress: list[str] = []
 
     def value(self, name: str) -> float:
         """That of a variable or of a row's id."""
-        if name in self.under_way:
+        if name in self.in_progress:
             raise RowError(f"{name}: rests on itself")
-        if name in self.book.told:
-            return self.book.told[name].value
-        if name in self.book.assumed:
-            self.touched.add(name)
-            return self.chosen.get(name, self.book.assumed[name].value)
-        if name not in self.book.derived and name not in self.rows:
+        if name in self.definitions.told:
+            return self.definitions.told[name].value
+        if name in self.definitions.assumed:
+            self.used_assumptions.add(name)
+            return self.assumptions.get(name, self.definitions.assumed[name].value)
+        if name not in self.definitions.derived and name not in self.rows:
             raise RowError(f"no variable or row is named {name!r}")
-        self.under_way.append(name)
+        self.in_progress.append(name)
         try:
-            if name in self.book.derived:
-                return formula.evaluate(self.book.derived[name].formula, self.value)
+            if name in self.definitions.derived:
+                return formula.evaluate(self.definitions.derived[name].formula, self.value)
             return self.row_value(self.rows[name])
         finally:
-            self.under_way.pop()
+            self.in_progress.pop()
 
     def row_value(self, row: Row) -> float:
         """A row's value; RowError where it was not run."""
         if row.not_run:
             raise RowError(f"{row.what}: was not run, and another row rests on it")
-        return self.with_own(row.formula, self.own_values(row.costs, row.figures))
+        return self.evaluate(row.formula, self.own_values(row.costs, row.figures))
 
     def budget(self, row: Row) -> float | None:
         """A row's budget; None where there is none."""
         if not row.budget:
             return None
-        return self.with_own(row.budget, self.own_values(row.costs, row.figures))
+        return self.evaluate(row.budget, self.own_values(row.costs, row.figures))
 
-    def with_own(self, text: str, own: dict[str, float]) -> float:
+    def evaluate(self, text: str, own: dict[str, float]) -> float:
         """The value of a formula over variables and a row's own values, which go first."""
         return formula.evaluate(text, lambda name: own[name] if name in own else self.value(name))
 
     def own_values(self, costs: list[Cost], figures: list[Figure]) -> dict[str, float]:
         """The values of a row's costs and figures by name."""
-        own = {cost.name: self.used(cost).value for cost in costs}
+        own = {cost.name: self.fitted_cost(cost).value for cost in costs}
         return own | {figure.name: self.figure(figure) for figure in figures}
 
-    def used(self, cost: Cost) -> Used:
+    def fitted_cost(self, cost: Cost) -> FittedCost:
         """A cost at its size."""
         result = self.result(cost.result)
         if not isinstance(result, Sweep):
@@ -249,21 +259,23 @@
         size = formula.evaluate(cost.size, self.value)
         if cost.slope and found.term not in ("linear", "constant"):
             raise RowError(f"{cost.result}: {cost.measure}: grows by {found.term}, so that no slope tells it")
-        return Used(cost, found, measure.unit, size, found.slope if cost.slope else found.at(size))
+        return FittedCost(cost, found, measure.unit, size, found.slope if cost.slope else found.at(size))
 
     def figure(self, figure: Figure) -> float:
         """One value out of a result or of an older file."""
         where = figure.result or figure.file
         if figure.file:
-            value = self._quoted(figure) if figure.value else self._older(figure)
+            value = self._page_value(figure) if figure.value else self._json_value(figure)
         else:
             result = self.result(figure.result)
-            value = _point(result, figure) if isinstance(result, Sweep) else _of_event(result, figure)
+            value = (
+                _point_value(result, figure) if isinstance(result, Sweep) else _event_value(result, figure)
+            )
         if isinstance(value, bool) or not isinstance(value, int | float):
             raise RowError(f"{where}: {figure.name}: {value!r} is no number")
         return float(value)
 
-    def _older(self, figure: Figure) -> object:
+    def _json_value(self, figure: Figure) -> object:
         try:
             value = json.loads((self.root / figure.file).read_text())
             for key in figure.at.split("/"):
@@ -272,7 +284,7 @@
             raise RowError(f"{figure.file}: {figure.at}: {type(fault).__name__}: {fault}") from None
         return value
 
-    def _quoted(self, figure: Figure) -> float:
+    def _page_value(self, figure: Figure) -> float:
         try:
             text = (self.root / figure.file).read_text(encoding="utf-8")
         except OSError as fault:
@@ -288,7 +300,7 @@
         return self.results[name]
 
 
-def _point(sweep: Sweep, figure: Figure) -> float:
+def _point_value(sweep: Sweep, figure: Figure) -> float:
     """What was measured at one size."""
     for point in sweep.measure(figure.figure).points:
         if point.size == figure.size:
@@ -296,7 +308,7 @@
     raise RowError(f"{sweep.name}: {figure.figure}: size {figure.size:g} was not played")
 
 
-def _of_event(run: FaultRun, figure: Figure) -> float:
+def _event_value(run: FaultRun, figure: Figure) -> float:
     """One figure of an event."""
     row = run.row(figure.event)
     whole = math.inf if row.seconds_until_whole is None else row.seconds_until_whole
@@ -309,56 +321,63 @@
 class Capacity:
     """The book worked out over the results."""
 
-    def __init__(self, book: Book, results: dict[str, Result], root: Path):
-        self.book, self.results, self.root = book, results, root
+    def __init__(self, definitions: Definitions, results: dict[str, Result], root: Path):
+        self.definitions, self.results, self.root = definitions, results, root
 
-    def sheet(self, chosen: dict[str, float] | None = None) -> Sheet:
+    def evaluator(self, assumptions: dict[str, float] | None = None) -> Evaluator:
         """Values under a choice of the assumed variables; those left out have their stated value."""
-        return Sheet(self.book, self.results, self.root, chosen or {})
+        return Evaluator(self.definitions, self.results, self.root, assumptions or {})
 
-    def rows(self, role: str, control: bool) -> list[Worked]:
+    def rows(self, role: str, control: bool) -> list[EvaluatedRow]:
         """A role's rows, worked out."""
-        return [self.work(row) for row in self.book.row if (row.role, row.control) == (role, control)]
+        return [
+            self.evaluate_row(row)
+            for row in self.definitions.row
+            if (row.role, row.control) == (role, control)
+        ]
 
-    def work(self, row: Row) -> Worked:
+    def evaluate_row(self, row: Row) -> EvaluatedRow:
         """One row: value, the lowest and highest over the corners of the assumed ranges, budget."""
         if row.not_run:
-            self._demand_missing(row.what, row.costs, row.figures)
-            return Worked(row, None, None, None, None, ())
+            self._check_not_run(row.what, row.costs, row.figures)
+            return EvaluatedRow(row, None, None, None, None, ())
         try:
-            sheet = self.sheet()
-            value = sheet.row_value(row)
-            used = tuple(sheet.used(cost) for cost in row.costs)
-            corners = [self.sheet(chosen).row_value(row) for chosen in self.corners(sheet.touched)]
-            budget = self.sheet().budget(row)
+            evaluator = self.evaluator()
+            value = evaluator.row_value(row)
+            fitted_costs = tuple(evaluator.fitted_cost(cost) for cost in row.costs)
+            corners = [
+                self.evaluator(assumptions).row_value(row)
+                for assumptions in self.corners(evaluator.used_assumptions)
+            ]
+            budget = self.evaluator().budget(row)
         except (RowError, ResultError, formula.FormulaError) as fault:
             raise RowError(f"{row.role}: {row.what}: {fault}") from None
-        return Worked(row, value, min(corners), max(corners), budget, used)
+        return EvaluatedRow(row, value, min(corners), max(corners), budget, fitted_costs)
 
-    def allowed(self, row: Row, cost: Cost) -> float | None:
+    def max_cost(self, row: Row, cost: Cost) -> float | None:
         """What the cost may be until the row meets its budget, all else as it is; None: nothing tells it."""
         if row.not_run or not row.budget:
             return None
-        sheet = self.sheet()
-        own = sheet.own_values(row.costs, row.figures)
+        evaluator = self.evaluator()
+        own = evaluator.own_values(row.costs, row.figures)
 
         def total(tried: float) -> float:
-            return sheet.with_own(row.formula, own | {cost.name: tried})
+            return evaluator.evaluate(row.formula, own | {cost.name: tried})
 
         growth = total(1.0) - total(0.0)
-        budget = sheet.budget(row)
+        budget = evaluator.budget(row)
         return (budget - total(0.0)) / growth if growth > 0 and budget > total(0.0) else None
 
     def line(self, line: Line) -> dict[str, float] | None:
         """A line's values by name; None where it was not run."""
         if line.not_run:
-            self._demand_missing(line.cells[0], line.costs, line.figures)
+            self._check_not_run(line.cells[0], line.costs, line.figures)
             return None
-        sheet = self.sheet()
+        evaluator = self.evaluator()
         try:
-            own = sheet.own_values(line.costs, line.figures)
+            own = evaluator.own_values(line.costs, line.figures)
             for name, text in line.values.items():
-                own[name] = sheet.with_own(text, own)
+                own[name] = evaluator.evaluate(text, own)
         except (RowError, ResultError, formula.FormulaError) as fault:
             raise RowError(f"{line.table}: {line.cells[0]}: {fault}") from None
         return own
@@ -366,31 +385,31 @@
     def corners(self, names: set[str]) -> Iterator[dict[str, float]]:
         """Every choice of lowest and highest of these assumed variables."""
         ordered = sorted(names)
-        ends = [(self.book.assumed[name].low, self.book.assumed[name].high) for name in ordered]
+        ends = [(self.definitions.assumed[name].low, self.definitions.assumed[name].high) for name in ordered]
         for choice in itertools.product(*ends):
             yield dict(zip(ordered, choice, strict=True))
 
-    def costs(self) -> list[Used]:
+    def costs(self) -> list[FittedCost]:
         """Every cost that a row or line uses, once each."""
         found = {}
-        for one in [*self.book.row, *self.book.line]:
+        for one in [*self.definitions.row, *self.definitions.line]:
             if one.not_run:
                 continue
             for cost in one.costs:
                 key = cost.result, cost.measure, cost.size, cost.slope
-                found.setdefault(key, self.sheet().used(cost))
+                found.setdefault(key, self.evaluator().fitted_cost(cost))
         return [found[key] for key in sorted(found)]
 
     def figures(self) -> list[tuple[Figure, float]]:
         """Every figure of an older file that a row or line uses, once each."""
         found = {}
-        for one in [*self.book.row, *self.book.line]:
+        for one in [*self.definitions.row, *self.definitions.line]:
             for figure in one.figures if not one.not_run else ():
                 if figure.file:
-                    found.setdefault((figure.file, figure.at), (figure, self.sheet().figure(figure)))
+                    found.setdefault((figure.file, figure.at), (figure, self.evaluator().figure(figure)))
         return [found[key] for key in sorted(found)]
 
-    def _demand_missing(self, what: str, costs: list[Cost], figures: list[Figure]) -> None:
+    def _check_not_run(self, what: str, costs: list[Cost], figures: list[Figure]) -> None:
         """A row that names only results that are there has been run, and may not say otherwise."""
         wanted = {cost.result for cost in costs} | {figure.result for figure in figures if figure.result}
         if wanted and wanted <= self.results.keys():
--- a/cottonspread/lab/scale/fit.py
+++ b/cottonspread/lab/scale/fit.py
@@ -11,19 +11,19 @@
 
 import numpy as np
 
-from cottonspread.lab.scale.results import FEWEST_SIZES, Point
+from cottonspread.lab.scale.results import MIN_SIZES, Point
 
-FLOOR = 0.01
+RESIDUAL_FLOOR = 0.01
 """Part of the largest value under which a residual is not held against the value itself."""
 
-SAME_SIZE = 1.001
+SAME_SIZE_FACTOR = 1.001
 """A target that is larger than a size by a smaller factor was played: 76,190.5 connections are 76,190."""
 
-FLAT = 0.1
+MIN_GROWTH = 0.1
 """A cost that grows by a smaller part from the smallest size to the largest, or falls, is constant: nothing
 that a size adds makes it, and a fall carried on past the largest size would promise ever less."""
 
-MUCH_BETTER = 4.0
+MIN_IMPROVEMENT = 4.0
 """Squares of residuals have to fall by this factor before a cost is called anything but linear."""
 
 TERMS: dict[str, Callable[[float], float]] = {
@@ -60,10 +60,10 @@
         """The cost at a size, which need not have been played."""
         return self.intercept + self.slope * TERMS[self.term](size)
 
-    def beyond(self, target: float) -> float:
+    def extrapolation(self, target: float) -> float:
         """How many times the largest size played the target is; 1 and less: it was played."""
         past = target / self.largest
-        return 1.0 if 1.0 < past < SAME_SIZE else past
+        return 1.0 if 1.0 < past < SAME_SIZE_FACTOR else past
 
     def grows_faster_than(self, term: str) -> bool:
         """Whether the cost grows by a faster term than this one."""
@@ -78,29 +78,29 @@
     """
     sizes = np.array([point.size for point in points], dtype=float)
     values = np.array([point.value for point in points], dtype=float)
-    if len(set(sizes)) < FEWEST_SIZES:
-        raise FitError(f"{len(set(sizes))} sizes; {FEWEST_SIZES} at least are wanted")
+    if len(set(sizes)) < MIN_SIZES:
+        raise FitError(f"{len(set(sizes))} sizes; {MIN_SIZES} at least are wanted")
     if not (np.isfinite(sizes).all() and np.isfinite(values).all() and (sizes > 0).all()):
         raise FitError("sizes over 0 and finite values are wanted")
     fits = {term: _least_squares(term, sizes, values) for term in TERMS if term != "constant"}
-    squares = {term: found[1] for term, found in fits.items()}
-    term = min(squares, key=squares.__getitem__)
-    if squares[term] * MUCH_BETTER > squares["linear"]:
+    squared_residuals = {term: found[1] for term, found in fits.items()}
+    term = min(squared_residuals, key=squared_residuals.__getitem__)
+    if squared_residuals[term] * MIN_IMPROVEMENT > squared_residuals["linear"]:
         term = "linear"
-    if _is_flat(fits[term][0], sizes):
-        return _flat(sizes, values)
+    if _is_constant(fits[term][0], sizes):
+        return _constant_fit(sizes, values)
     return fits[term][0]
 
 
 def _least_squares(term: str, sizes: np.ndarray, values: np.ndarray) -> tuple[Fit, float]:
     """The fit by one term, and the sum of its squared relative residuals."""
-    grown = np.array([TERMS[term](size) for size in sizes])
+    term_values = np.array([TERMS[term](size) for size in sizes])
     weight = 1 / _scale(values)
-    columns = np.column_stack([np.ones_like(grown), grown]) * weight[:, None]
+    columns = np.column_stack([np.ones_like(term_values), term_values]) * weight[:, None]
     largest = np.abs(columns).max(axis=0)  # so that neither column is lost beside the other
     (intercept, slope), *_ = np.linalg.lstsq(columns / largest, values * weight, rcond=None)
     intercept, slope = intercept / largest[0], slope / largest[1]
-    residuals = np.abs(values - intercept - slope * grown) * weight
+    residuals = np.abs(values - intercept - slope * term_values) * weight
     found = Fit(
         term=term,
         intercept=float(intercept),
@@ -113,7 +113,7 @@
     return found, float((residuals**2).sum())
 
 
-def _flat(sizes: np.ndarray, values: np.ndarray) -> Fit:
+def _constant_fit(sizes: np.ndarray, values: np.ndarray) -> Fit:
     """The fit of a cost that does not grow: the mean."""
     mean = float(values.mean())
     return Fit(
@@ -127,14 +127,14 @@
     )
 
 
-def _is_flat(found: Fit, sizes: np.ndarray) -> bool:
+def _is_constant(found: Fit, sizes: np.ndarray) -> bool:
     first, last = found.at(sizes.min()), found.at(sizes.max())
-    return last - first <= FLAT * max(abs(first), abs(last))
+    return last - first <= MIN_GROWTH * max(abs(first), abs(last))
 
 
 def _scale(values: np.ndarray) -> np.ndarray:
     largest = np.abs(values).max()
-    return np.maximum(np.abs(values), FLOOR * largest) if largest else np.ones_like(values)
+    return np.maximum(np.abs(values), RESIDUAL_FLOOR * largest) if largest else np.ones_like(values)
 
 
 def _exponent(sizes: np.ndarray, values: np.ndarray) -> float:
--- a/cottonspread/lab/scale/formula.py
+++ b/cottonspread/lab/scale/formula.py
@@ -10,7 +10,7 @@
     ast.Mult: operator.mul,
     ast.Div: operator.truediv,
 }
-LONGEST = 500
+MAX_LENGTH = 500
 """Characters of a formula."""
 
 
@@ -21,31 +21,31 @@
 def evaluate(formula: str, value: Callable[[str], float]) -> float:
     """The formula's value; `value` gives that of each name. Raises FormulaError."""
     try:
-        return _walk(_parsed(formula), value)
+        return _evaluate_node(_parse(formula), value)
     except ZeroDivisionError:
         raise FormulaError(f"{formula}: division by zero") from None
     except FormulaError as fault:
         raise FormulaError(f"{formula}: {fault}") from None
 
 
-def _parsed(formula: str) -> ast.expr:
-    if len(formula) > LONGEST:
-        raise FormulaError(f"{formula[:40]}...: over {LONGEST} characters")
+def _parse(formula: str) -> ast.expr:
+    if len(formula) > MAX_LENGTH:
+        raise FormulaError(f"{formula[:40]}...: over {MAX_LENGTH} characters")
     try:
         return ast.parse(formula.strip(), mode="eval").body
     except (SyntaxError, ValueError, RecursionError, MemoryError) as fault:
         raise FormulaError(f"{formula}: {type(fault).__name__}") from None
 
 
-def _walk(node: ast.expr, value: Callable[[str], float]) -> float:
+def _evaluate_node(node: ast.expr, value: Callable[[str], float]) -> float:
     match node:
         case ast.Constant(value=float() | int() as number) if not isinstance(number, bool):
             return float(number)
         case ast.Name(id=name):
             return value(name)
         case ast.UnaryOp(op=ast.USub(), operand=operand):
-            return -_walk(operand, value)
+            return -_evaluate_node(operand, value)
         case ast.BinOp(left=left, op=op, right=right) if type(op) in OPERATORS:
-            first, second = _walk(left, value), _walk(right, value)
+            first, second = _evaluate_node(left, value), _evaluate_node(right, value)
             return OPERATORS[type(op)](first, second)
     raise FormulaError(f"{type(node).__name__} is not allowed")
--- a/cottonspread/lab/scale/plots.py
+++ b/cottonspread/lab/scale/plots.py
@@ -1,7 +1,7 @@
 """Plots of cost against size: the points played, their fit on to the target, and the budget's line.
 
-paths = plots.write(results, folder)                      # one PNG a measure
-page = plots.report(results, folder, plots.marks(capacity))  # the PNGs, and scale.html that shows them all
+paths = plots.write(results, folder)  # one PNG per measure
+page = plots.report(results, folder, plots.targets_of(capacity))  # the PNGs and scale.html
 """
 
 import base64
@@ -22,11 +22,11 @@
 import matplotlib.pyplot as plt  # noqa: E402  the backend is chosen first
 from matplotlib import ticker  # noqa: E402
 
-PIXELS_AN_INCH = 110
-STEPS = 200
+DPI = 110
+CURVE_POINTS = 200
 """Points of the fit's curve."""
 
-PAGE = jinja2.Environment(autoescape=True).from_string("""<!doctype html><meta charset="utf-8">
+REPORT_TEMPLATE = jinja2.Environment(autoescape=True).from_string("""<!doctype html><meta charset="utf-8">
 <title>Cost against size</title><style>body{font:15px sans-serif;max-width:72em;margin:2em auto;color:#222}
 table{border-collapse:collapse;margin:1em 0}td,th{border:1px solid #ccc;padding:.25em .7em;text-align:left}
 img{max-width:32%}pre{white-space:pre-wrap;background:#f4f4f4;padding:.6em}</style>
@@ -42,74 +42,74 @@
 
 
 @dataclass(frozen=True)
-class Mark:
+class Target:
     """Where a row of the capacity page wants a measure to be: under `allowed`, at the size `target`."""
 
     label: str
-    target: float
-    allowed: float | None
+    size: float
+    max_cost: float | None
 
 
-Marks = Mapping[tuple[str, str], list[Mark]]
+Targets = Mapping[tuple[str, str], list[Target]]
 """By result and measure."""
 
 
-def marks(capacity: Capacity) -> Marks:
+def targets_of(capacity: Capacity) -> Targets:
     """The targets and budgets that the capacity page's rows have for their costs."""
-    found = defaultdict(list)
-    for row in capacity.book.row:
+    targets = defaultdict(list)
+    for row in capacity.definitions.row:
         for cost in row.costs if not row.not_run else ():
-            used = capacity.sheet().used(cost)
-            mark = Mark(f"{row.role}: {row.what}", used.size, capacity.allowed(row, cost))
-            found[cost.result, cost.measure].append(mark)
-    return found
+            fitted_cost = capacity.evaluator().fitted_cost(cost)
+            target = Target(f"{row.role}: {row.what}", fitted_cost.size, capacity.max_cost(row, cost))
+            targets[cost.result, cost.measure].append(target)
+    return targets
 
 
-def write(results: Iterable[Result], folder: Path, wanted: Marks | None = None) -> list[Path]:
+def write(results: Iterable[Result], folder: Path, targets: Targets | None = None) -> list[Path]:
     """A PNG of each measure of each sweep, in the folder; their paths."""
     folder.mkdir(parents=True, exist_ok=True)
     paths = []
     for sweep in _sweeps(results):
         for measure in sweep.measures:
-            path = folder / _file(sweep, measure)
-            draw(sweep, measure, path, (wanted or {}).get((sweep.name, measure.name), []))
+            path = folder / _file_name(sweep, measure)
+            draw(sweep, measure, path, (targets or {}).get((sweep.name, measure.name), []))
             paths.append(path)
     return paths
 
 
-def report(results: Iterable[Result], folder: Path, wanted: Marks | None = None) -> Path:
+def report(results: Iterable[Result], folder: Path, targets: Targets | None = None) -> Path:
     """The plots, and `scale.html`, one file that shows them all without a network; its path."""
     sweeps = _sweeps(results)
-    write(sweeps, folder, wanted)
+    write(sweeps, folder, targets)
     images, shown = {}, []
     for sweep in sweeps:
         shown.append((sweep, [(measure, fit(measure.points)) for measure in sweep.measures]))
         for measure in sweep.measures:
-            image = (folder / _file(sweep, measure)).read_bytes()
+            image = (folder / _file_name(sweep, measure)).read_bytes()
             images[sweep.name, measure.name] = base64.b64encode(image).decode()
     path = folder / "scale.html"
-    path.write_text(PAGE.render(sweeps=shown, images=images), encoding="utf-8")
+    path.write_text(REPORT_TEMPLATE.render(sweeps=shown, images=images), encoding="utf-8")
     return path
 
 
-def draw(sweep: Sweep, measure: Measure, path: Path, wanted: list[Mark]) -> None:
+def draw(sweep: Sweep, measure: Measure, path: Path, targets: list[Target]) -> None:
     """One measure's plot, with logarithmic axes."""
     found = fit(measure.points)
-    target = max([found.largest, *(mark.target for mark in wanted)])
+    largest_size = max([found.largest, *(target.size for target in targets)])
     figure, axis = plt.subplots(figsize=(7, 4.6))
     sizes = [point.size for point in measure.points]
     values = [point.value for point in measure.points]
     axis.plot(sizes, values, "o", color="#1f4e79", label="measured", zorder=3)
-    _draw_fit(axis, found, target)
-    _draw_budgets(axis, wanted, max([*values, found.at(target)]))
-    _scale_axes(axis, sorted({*sizes, target}), all(value > 0 for value in values))
+    _draw_fit(axis, found, largest_size)
+    _draw_budgets(axis, targets, max([*values, found.at(largest_size)]))
+    _scale_axes(axis, sorted({*sizes, largest_size}), all(value > 0 for value in values))
     axis.set_xlabel(f"{sweep.variable.replace('_', ' ')} ({sweep.variable_unit})")
     axis.set_ylabel(f"{measure.name} ({measure.unit})")
     axis.set_title(f"{sweep.name}: {measure.name}, {found.term}, residual {found.residual:.0%}", fontsize=10)
     axis.grid(alpha=0.3, which="both")
     axis.legend(fontsize=8, framealpha=0.8)
     figure.tight_layout()
-    figure.savefig(path, dpi=PIXELS_AN_INCH)
+    figure.savefig(path, dpi=DPI)
     plt.close(figure)
 
 
@@ -132,28 +132,41 @@
 
 def _draw_fit(axis: plt.Axes, found: Fit, target: float) -> None:
     """A line over the sizes played, dashes from there to the target."""
-    played = np.geomspace(found.smallest, found.largest, STEPS)
+    played = np.geomspace(found.smallest, found.largest, CURVE_POINTS)
     axis.plot(played, [found.at(size) for size in played], color="#1f4e79", label="fit")
     if target > found.largest:
-        beyond = np.geomspace(found.largest, target, STEPS)
-        axis.plot(beyond, [found.at(size) for size in beyond], "--", color="#1f4e79", label="formula")
+        extrapolated_sizes = np.geomspace(found.largest, target, CURVE_POINTS)
+        axis.plot(
+            extrapolated_sizes,
+            [found.at(size) for size in extrapolated_sizes],
+            "--",
+            color="#1f4e79",
+            label="formula",
+        )
         axis.plot([target], [found.at(target)], "D", mfc="white", mec="#1f4e79", label="target, not played")
 
 
-def _draw_budgets(axis: plt.Axes, wanted: list[Mark], largest: float) -> None:
+def _draw_budgets(axis: plt.Axes, targets: list[Target], largest: float) -> None:
     """A line for each budget; one far over all values is told in the legend alone."""
     drawn = set()
-    for mark in wanted:
-        if mark.allowed is None or (mark.label, mark.allowed) in drawn:
+    for target in targets:
+        if target.max_cost is None or (target.label, target.max_cost) in drawn:
             continue
-        drawn.add((mark.label, mark.allowed))
-        if mark.allowed <= 100 * largest:
+        drawn.add((target.label, target.max_cost))
+        if target.max_cost <= 100 * largest:
             axis.axhline(
-                mark.allowed, color="#a00", linewidth=1, label=f"budget {mark.allowed:.3g}: {mark.label}"
+                target.max_cost,
+                color="#a00",
+                linewidth=1,
+                label=f"budget {target.max_cost:.3g}: {target.label}",
             )
         else:
             axis.plot(
-                [], [], color="#a00", linewidth=1, label=f"budget {mark.allowed:.3g}, above: {mark.label}"
+                [],
+                [],
+                color="#a00",
+                linewidth=1,
+                label=f"budget {target.max_cost:.3g}, above: {target.label}",
             )
 
 
@@ -161,5 +174,5 @@
     return [result for result in results if isinstance(result, Sweep)]
 
 
-def _file(sweep: Sweep, measure: Measure) -> str:
+def _file_name(sweep: Sweep, measure: Measure) -> str:
     return f"{sweep.name}-{measure.name.replace('_', '-').replace(' ', '-')}.png"
--- a/cottonspread/lab/scale/results.py
+++ b/cottonspread/lab/scale/results.py
@@ -33,16 +33,16 @@
 FOLDER = Path(__file__).resolve().parents[3] / "benchmarks" / "scale" / "results"
 """Where the results lie that docs/CAPACITY.md is made from."""
 
-FEWEST_SIZES = 4
+MIN_SIZES = 4
 """Fewer points than these tell no slope."""
 
 Kind = Literal["module", "reducer", "hollow", "real", "sockets"]
 
-NAME = re.compile(r"[a-z0-9][a-z0-9-]*")
-COMMIT = re.compile(r"[0-9a-f]{7,40}\+?")
+NAME_PATTERN = re.compile(r"[a-z0-9][a-z0-9-]*")
+COMMIT_PATTERN = re.compile(r"[0-9a-f]{7,40}\+?")
 """A trailing plus: the checkout differed from that commit."""
 
-PAIR = re.compile(rb"\[\s+([-+.\deE]+),\s+([-+.\deE]+)\s+\]")
+POINT_PATTERN = re.compile(rb"\[\s+([-+.\deE]+),\s+([-+.\deE]+)\s+\]")
 """A point in indented JSON, which is put on one line."""
 
 
@@ -77,7 +77,7 @@
     """Plays that each point was made from."""
 
 
-class Run(msgspec.Struct, kw_only=True, forbid_unknown_fields=True):
+class ResultHeader(msgspec.Struct, kw_only=True, forbid_unknown_fields=True):
     """The head of every result."""
 
     name: str
@@ -94,7 +94,11 @@
 
 
 class Sweep(
-    Run, kw_only=True, forbid_unknown_fields=True, tag_field="schema", tag="cottonspread-scale-sweep/1"
+    ResultHeader,
+    kw_only=True,
+    forbid_unknown_fields=True,
+    tag_field="schema",
+    tag="cottonspread-scale-sweep/1",
 ):
     """Values at several sizes of one variable, all else fixed."""
 
@@ -124,7 +128,11 @@
 
 
 class FaultRun(
-    Run, kw_only=True, forbid_unknown_fields=True, tag_field="schema", tag="cottonspread-scale-faults/1"
+    ResultHeader,
+    kw_only=True,
+    forbid_unknown_fields=True,
+    tag_field="schema",
+    tag="cottonspread-scale-faults/1",
 ):
     """Events played on a fleet of `nodes` from a seed."""
 
@@ -163,7 +171,7 @@
     result.commit = result.commit or current_commit()
     result.date = result.date or datetime.date.today().isoformat()
     result.machine = result.machine or current_machine()
-    text = PAIR.sub(rb"[\1, \2]", msgspec.json.format(msgspec.json.encode(result), indent=1))
+    text = POINT_PATTERN.sub(rb"[\1, \2]", msgspec.json.format(msgspec.json.encode(result), indent=1))
     _decode(text, result.name)
     path = Path(folder) / f"{result.name}.json"
     path.parent.mkdir(parents=True, exist_ok=True)
@@ -209,7 +217,7 @@
 
 def check(result: Result) -> None:
     """Raises ResultError at the first field whose type is right and whose value is not."""
-    _check_head(result)
+    _check_header(result)
     if isinstance(result, Sweep):
         _check_sweep(result)
     else:
@@ -225,66 +233,81 @@
     return result
 
 
-def _check_head(result: Run) -> None:
-    _demand(result, "name", NAME.fullmatch(result.name) is not None, "lower case letters, digits and hyphens")
-    _demand(result, "what", result.what.strip() != "", "a sentence is wanted")
-    _demand(result, "command", result.command.strip() != "", "the command is wanted")
-    _demand(result, "commit", COMMIT.fullmatch(result.commit) is not None, "a commit is wanted")
-    _demand(result, "date", _is_date(result.date), "YYYY-MM-DD is wanted")
+def _check_header(result: ResultHeader) -> None:
+    _require(
+        result,
+        "name",
+        NAME_PATTERN.fullmatch(result.name) is not None,
+        "lower case letters, digits and hyphens",
+    )
+    _require(result, "what", result.what.strip() != "", "a sentence is wanted")
+    _require(result, "command", result.command.strip() != "", "the command is wanted")
+    _require(result, "commit", COMMIT_PATTERN.fullmatch(result.commit) is not None, "a commit is wanted")
+    _require(result, "date", _is_date(result.date), "YYYY-MM-DD is wanted")
     machine = result.machine
-    _demand(result, "machine", machine is not None, "is missing")
-    _demand(result, "machine.cores", machine.cores >= 1, "one at least")
-    _demand(result, "machine.memory_gib", _is_amount(machine.memory_gib) and machine.memory_gib > 0, "over 0")
-    _demand(result, "machine.python", machine.python.strip() != "", "a version is wanted")
+    _require(result, "machine", machine is not None, "is missing")
+    _require(result, "machine.cores", machine.cores >= 1, "one at least")
+    _require(
+        result,
+        "machine.memory_gib",
+        _is_non_negative(machine.memory_gib) and machine.memory_gib > 0,
+        "over 0",
+    )
+    _require(result, "machine.python", machine.python.strip() != "", "a version is wanted")
 
 
 def _check_sweep(sweep: Sweep) -> None:
-    _demand(sweep, "variable", sweep.variable.strip() != "", "is empty")
-    _demand(sweep, "variable_unit", sweep.variable_unit.strip() != "", "is empty")
-    _demand(sweep, "measures", sweep.measures != [], "none")
+    _require(sweep, "variable", sweep.variable.strip() != "", "is empty")
+    _require(sweep, "variable_unit", sweep.variable_unit.strip() != "", "is empty")
+    _require(sweep, "measures", sweep.measures != [], "none")
     names = [measure.name for measure in sweep.measures]
-    _demand(sweep, "measures", len(set(names)) == len(names), "a name is there twice")
+    _require(sweep, "measures", len(set(names)) == len(names), "a name is there twice")
     for measure in sweep.measures:
         _check_measure(sweep, measure)
 
 
 def _check_measure(sweep: Sweep, measure: Measure) -> None:
     where = f"measures.{measure.name}"
-    _demand(
+    _require(
         sweep, where, measure.name.strip() != "" and measure.unit.strip() != "", "name and unit are wanted"
     )
-    _demand(sweep, where, measure.plays >= 1, "plays: one at least")
+    _require(sweep, where, measure.plays >= 1, "plays: one at least")
     sizes = [point.size for point in measure.points]
-    _demand(sweep, where, len(sizes) >= FEWEST_SIZES, f"points: {FEWEST_SIZES} sizes at least")
-    _demand(sweep, where, all(map(_is_amount, sizes)) and sizes[0] > 0, "points: sizes over 0 are wanted")
-    _demand(sweep, where, sizes == sorted(set(sizes)), "points: sizes have to ascend")
-    _demand(
-        sweep, where, all(_is_amount(point.value) for point in measure.points), "points: a value is under 0"
+    _require(sweep, where, len(sizes) >= MIN_SIZES, f"points: {MIN_SIZES} sizes at least")
+    _require(
+        sweep, where, all(map(_is_non_negative, sizes)) and sizes[0] > 0, "points: sizes over 0 are wanted"
+    )
+    _require(sweep, where, sizes == sorted(set(sizes)), "points: sizes have to ascend")
+    _require(
+        sweep,
+        where,
+        all(_is_non_negative(point.value) for point in measure.points),
+        "points: a value is under 0",
     )
 
 
 def _check_fault_run(run: FaultRun) -> None:
-    _demand(run, "nodes", run.nodes >= 1, "one at least")
-    _demand(run, "rows", run.rows != [], "none")
+    _require(run, "nodes", run.nodes >= 1, "one at least")
+    _require(run, "rows", run.rows != [], "none")
     events = [row.event for row in run.rows]
-    _demand(run, "rows", len(set(events)) == len(events), "an event is there twice")
+    _require(run, "rows", len(set(events)) == len(events), "an event is there twice")
     for row in run.rows:
         where = f"rows.{row.event}"
-        _demand(run, where, row.event.strip() != "", "event: is empty")
-        _demand(
+        _require(run, where, row.event.strip() != "", "event: is empty")
+        _require(
             run, where, all(math.isfinite(value) for value in row.figures.values()), "figures: not finite"
         )
         whole = row.seconds_until_whole
-        _demand(run, where, whole is None or _is_amount(whole), "seconds_until_whole: under 0")
-        _demand(run, where, row.rules_broken >= 0, "rules_broken: under 0")
+        _require(run, where, whole is None or _is_non_negative(whole), "seconds_until_whole: under 0")
+        _require(run, where, row.rules_broken >= 0, "rules_broken: under 0")
 
 
-def _demand(result: Run, field: str, held: bool, why: str) -> None:
-    if not held:
+def _require(result: ResultHeader, field: str, condition: bool, why: str) -> None:
+    if not condition:
         raise ResultError(f"{result.name}: {field}: {why}")
 
 
-def _is_amount(value: float) -> bool:
+def _is_non_negative(value: float) -> bool:
     return math.isfinite(value) and value >= 0
 
 
--- a/tests/scale/test_capacity.py
+++ b/tests/scale/test_capacity.py
@@ -89,7 +89,7 @@
 
 
 @pytest.fixture
-def book(tmp_path):
+def definitions(tmp_path):
     """Makes a book of the rows, after the given changes of their text."""
 
     def make(*changes):
@@ -99,27 +99,27 @@
             text = text.replace(old, new, 1)
         path = tmp_path / "rows.toml"
         path.write_text(text)
-        return capacity.read_book(path)
+        return capacity.read_definitions(path)
 
     return make
 
 
-def worked(book, tmp_path, *runs):
+def capacity_of(definitions, tmp_path, *runs):
     runs = runs or (sweep(), zone(lost=52.0))
-    return Capacity(book, {run.name: run for run in runs}, tmp_path)
+    return Capacity(definitions, {run.name: run for run in runs}, tmp_path)
 
 
 def first(capacity_, control=True, role="node"):
     return capacity_.rows(role, control)[0]
 
 
-def test_a_row_has_value_range_budget_and_verdict(book, tmp_path):
-    row = first(worked(book(), tmp_path))
+def test_a_row_has_value_range_budget_and_verdict(definitions, tmp_path):
+    row = first(capacity_of(definitions(), tmp_path))
     assert row.value == pytest.approx(10.1)
     assert (row.low, row.high) == (pytest.approx(4.1), pytest.approx(30.1))
     assert row.budget == 17
     assert row.verdict == "holds with a factor of 1.7; not over the whole range"
-    assert row.beyond == pytest.approx(1.25)
+    assert row.extrapolation == pytest.approx(1.25)
 
 
 @pytest.mark.parametrize(
@@ -134,34 +134,34 @@
         ("0", "**does not hold**: with the budget"),
     ],
 )
-def test_the_verdict_follows_the_budget(book, tmp_path, budget, verdict):
-    row = first(worked(book(('budget = "17"', f'budget = "{budget}"')), tmp_path))
+def test_the_verdict_follows_the_budget(definitions, tmp_path, budget, verdict):
+    row = first(capacity_of(definitions(('budget = "17"', f'budget = "{budget}"')), tmp_path))
     assert row.verdict == verdict
 
 
-def test_a_row_may_rest_on_another_and_have_no_budget(book, tmp_path):
-    row = worked(book(), tmp_path).rows("node", True)[1]
+def test_a_row_may_rest_on_another_and_have_no_budget(definitions, tmp_path):
+    row = capacity_of(definitions(), tmp_path).rows("node", True)[1]
     assert row.value == pytest.approx(20.2) and row.high == pytest.approx(60.2)
     assert row.verdict == "no budget told"
 
 
-def test_a_row_that_was_not_run_says_so(book, tmp_path):
-    row = first(worked(book(), tmp_path), False, "server")
+def test_a_row_that_was_not_run_says_so(definitions, tmp_path):
+    row = first(capacity_of(definitions(), tmp_path), False, "server")
     assert row.value is None and row.verdict == "not run"
 
 
-def test_a_slope_is_a_units_cost_and_none_where_the_cost_is_no_line(book, tmp_path):
+def test_a_slope_is_a_units_cost_and_none_where_the_cost_is_no_line(definitions, tmp_path):
     change = 'size = "servers" }', 'size = "servers", slope = true }'
-    row = first(worked(book(change), tmp_path))
+    row = first(capacity_of(definitions(change), tmp_path))
     assert row.value == pytest.approx(0.01)
     with pytest.raises(RowError, match="grows by quadratic"):
-        first(worked(book(change), tmp_path, sweep(lambda n: n * n)))
+        first(capacity_of(definitions(change), tmp_path, sweep(lambda n: n * n)))
 
 
-def test_a_cost_that_is_no_line_is_taken_by_its_own_term(book, tmp_path):
-    row = first(worked(book(), tmp_path, sweep(lambda n: n * n / 100)))
+def test_a_cost_that_is_no_line_is_taken_by_its_own_term(definitions, tmp_path):
+    row = first(capacity_of(definitions(), tmp_path, sweep(lambda n: n * n / 100)))
     assert row.value == pytest.approx(10)
-    assert row.used[0].fit.term == "quadratic"
+    assert row.fitted_costs[0].fit.term == "quadratic"
 
 
 FAULTS = [
@@ -176,29 +176,29 @@
 
 
 @pytest.mark.parametrize("change, why", FAULTS)
-def test_a_faulty_row_is_told(book, tmp_path, change, why):
-    made = worked(book(change), tmp_path)
+def test_a_faulty_row_is_told(definitions, tmp_path, change, why):
+    made = capacity_of(definitions(change), tmp_path)
     with pytest.raises(RowError, match=why or "rests on itself"):
-        first(made) if why else made.sheet().value("servers_a_node")
+        first(made) if why else made.evaluator().value("servers_a_node")
 
 
-def test_a_missing_result_is_told(book, tmp_path):
+def test_a_missing_result_is_told(definitions, tmp_path):
     with pytest.raises(RowError, match="node: one change of the list: module-servers.json: no such result"):
-        first(worked(book(), tmp_path, zone(lost=1.0)))
+        first(capacity_of(definitions(), tmp_path, zone(lost=1.0)))
 
 
-def test_a_row_cannot_rest_on_one_that_was_not_run(book, tmp_path):
-    made = worked(book(('budget = "17"', 'not_run = "later"')), tmp_path, zone(lost=1.0))
+def test_a_row_cannot_rest_on_one_that_was_not_run(definitions, tmp_path):
+    made = capacity_of(definitions(('budget = "17"', 'not_run = "later"')), tmp_path, zone(lost=1.0))
     with pytest.raises(RowError, match="was not run, and another row rests on it"):
         made.rows("node", True)
 
 
-def test_a_row_may_not_say_that_it_was_not_run_when_it_was(book, tmp_path):
+def test_a_row_may_not_say_that_it_was_not_run_when_it_was(definitions, tmp_path):
     with pytest.raises(RowError, match="its results are there"):
-        first(worked(book(('budget = "17"', 'not_run = "later"')), tmp_path))
+        first(capacity_of(definitions(('budget = "17"', 'not_run = "later"')), tmp_path))
 
 
-BOOK_FAULTS = [
+DEFINITION_FAULTS = [
     (("value = 1000", "value = 9000"), "outside its range"),
     (('id = "list_time"', 'id = "servers"'), "twice"),
     (('cells = ["a rack", ', "cells = ["), "its columns"),
@@ -209,64 +209,64 @@
 ]
 
 
-@pytest.mark.parametrize("change, why", BOOK_FAULTS)
-def test_a_faulty_book_is_told(book, change, why):
+@pytest.mark.parametrize("change, why", DEFINITION_FAULTS)
+def test_faulty_definitions_are_reported(definitions, change, why):
     with pytest.raises(RowError, match=why):
-        book(change)
+        definitions(change)
 
 
-def test_a_line_takes_its_figures_from_the_fault_run(book, tmp_path):
-    made = worked(book(), tmp_path)
-    assert made.line(made.book.line[0]) == {"lost": 52, "nodes_told": 420}
-    assert made.line(made.book.line[1]) is None
+def test_a_line_takes_its_figures_from_the_fault_run(definitions, tmp_path):
+    made = capacity_of(definitions(), tmp_path)
+    assert made.line(made.definitions.line[0]) == {"lost": 52, "nodes_told": 420}
+    assert made.line(made.definitions.line[1]) is None
     with pytest.raises(RowError, match="no figure 'lost'"):
-        worked(book(), tmp_path, sweep(), zone(gone=1.0)).line(made.book.line[0])
+        capacity_of(definitions(), tmp_path, sweep(), zone(gone=1.0)).line(made.definitions.line[0])
     with pytest.raises(RowError, match="a zone: fault-zone.json: no such result"):
-        worked(book(), tmp_path, sweep()).line(made.book.line[0])
+        capacity_of(definitions(), tmp_path, sweep()).line(made.definitions.line[0])
 
 
-def test_a_line_takes_a_point_of_a_sweep_as_it_was_measured(book, tmp_path):
+def test_a_line_takes_a_point_of_a_sweep_as_it_was_measured(definitions, tmp_path):
     old = 'result = "fault-zone", event = "zone", figure = "lost"'
     point = 'result = "module-servers", figure = "change_us", size = '
-    made = worked(book((old, point + "400")), tmp_path, sweep(lambda n: n * n))
-    assert made.line(made.book.line[0])["lost"] == 160_000
-    made = worked(book((old, point + "401")), tmp_path)
+    made = capacity_of(definitions((old, point + "400")), tmp_path, sweep(lambda n: n * n))
+    assert made.line(made.definitions.line[0])["lost"] == 160_000
+    made = capacity_of(definitions((old, point + "401")), tmp_path)
     with pytest.raises(RowError, match="size 401 was not played"):
-        made.line(made.book.line[0])
+        made.line(made.definitions.line[0])
 
 
-def test_what_was_not_whole_within_the_play_says_so_and_holds_no_budget(book, page, tmp_path):
+def test_what_was_not_whole_within_the_play_says_so_and_holds_no_budget(definitions, page, tmp_path):
     whole = 'figure = "seconds_until_whole"'
-    made = worked(book(('figure = "lost"', whole)), tmp_path)
-    assert made.line(made.book.line[0])["lost"] == math.inf
-    assert tables.number(math.inf) == "not within the play"
+    made = capacity_of(definitions(('figure = "lost"', whole)), tmp_path)
+    assert made.line(made.definitions.line[0])["lost"] == math.inf
+    assert tables.format_number(math.inf) == "not within the play"
     cost = (
         'costs = [{ name = "change_us", result = "module-servers", measure = "change_us", size = "servers" }]'
     )
     figure = f'figures = [{{ name = "change_us", result = "fault-zone", event = "zone", {whole} }}]'
-    row = first(worked(book((cost, figure)), tmp_path))
+    row = first(capacity_of(definitions((cost, figure)), tmp_path))
     assert row.verdict.startswith("**does not hold**")
 
 
-def test_a_figure_of_an_older_file_is_read_by_its_keys(book, tmp_path):
+def test_a_figure_of_an_older_file_is_read_by_its_keys(definitions, tmp_path):
     (tmp_path / "old.json").write_text(json.dumps({"plays": [{"mb": 21.3}, {"mb": "x"}]}))
     old = 'result = "fault-zone", event = "zone", figure = "lost"'
-    made = worked(book((old, 'file = "old.json", at = "plays/0/mb"')), tmp_path)
-    assert made.line(made.book.line[0])["lost"] == 21.3
+    made = capacity_of(definitions((old, 'file = "old.json", at = "plays/0/mb"')), tmp_path)
+    assert made.line(made.definitions.line[0])["lost"] == 21.3
     assert [value for _, value in made.figures()] == [21.3]
     for at in ("plays/1/mb", "plays/9/mb", "plays/0", "none"):
-        made = worked(book((old, f'file = "old.json", at = "{at}"')), tmp_path)
+        made = capacity_of(definitions((old, f'file = "old.json", at = "{at}"')), tmp_path)
         with pytest.raises(RowError, match="old.json"):
-            made.line(made.book.line[0])
+            made.line(made.definitions.line[0])
 
 
-def test_a_figure_of_an_older_page_is_the_one_that_stands_there(book, tmp_path):
+def test_a_figure_of_an_older_page_is_the_one_that_stands_there(definitions, tmp_path):
     (tmp_path / "note.md").write_text("Idle, the supervisor takes 3 % of a core, 1,200 steps.\n")
     old = 'result = "fault-zone", event = "zone", figure = "lost"'
 
     def value(at, told):
-        made = worked(book((old, f'file = "note.md", at = "{at}", value = "{told}"')), tmp_path)
-        return made.line(made.book.line[0])["lost"]
+        made = capacity_of(definitions((old, f'file = "note.md", at = "{at}", value = "{told}"')), tmp_path)
+        return made.line(made.definitions.line[0])["lost"]
 
     assert value("takes 3 % of a core", "3") == 3
     assert value("a core, 1,200 steps", "1,200") == 1200
@@ -286,7 +286,7 @@
 
 
 @pytest.fixture
-def page(book, tmp_path):
+def page(definitions, tmp_path):
     """Makes (page, its text as written) of a book and runs."""
 
     def make(*runs, text=None):
@@ -294,8 +294,10 @@
         folder = tmp_path / "results"
         for run in runs:
             results.write(run, folder)
-        made = tables.Page(Capacity(book(), results.read_all(folder), tmp_path), folder)
-        text = text or PROSE + "".join(f"<!-- table {name} -->\n<!-- end -->\n" for name in made.wanted())
+        made = tables.Page(Capacity(definitions(), results.read_all(folder), tmp_path), folder)
+        text = text or PROSE + "".join(
+            f"<!-- table {name} -->\n<!-- end -->\n" for name in made.required_tables()
+        )
         return made, made.write(text)
 
     return make
@@ -339,9 +341,9 @@
 
 def test_a_figure_in_the_prose_is_told_unless_it_is_a_variable(page):
     made, text = page()
-    assert tables.stray_figures(text, made.capacity) == []
+    assert tables.unverified_numbers(text, made.capacity) == []
     for told in ("It takes 3.5 ms.", "some 12,345 of them", "(66)"):
-        assert tables.stray_figures(text + told, made.capacity) != []
+        assert tables.unverified_numbers(text + told, made.capacity) != []
 
 
 WRITTEN = [
@@ -361,4 +363,4 @@
 
 @pytest.mark.parametrize("value, text", WRITTEN)
 def test_figures_are_written_for_people(value, text):
-    assert tables.number(value) == text
+    assert tables.format_number(value) == text
--- a/tests/scale/test_fit.py
+++ b/tests/scale/test_fit.py
@@ -73,10 +73,10 @@
 
 def test_how_far_the_target_lies_past_the_largest_size():
     found = fit(points(lambda n: n, sizes=(50, 100, 200, 400)))
-    assert found.beyond(3_000) == 7.5
-    assert found.beyond(400) == 1.0
-    assert found.beyond(100) < 1
-    assert found.beyond(400.02) == 1.0 and found.beyond(401) > 1.0
+    assert found.extrapolation(3_000) == 7.5
+    assert found.extrapolation(400) == 1.0
+    assert found.extrapolation(100) < 1
+    assert found.extrapolation(400.02) == 1.0 and found.extrapolation(401) > 1.0
 
 
 def test_a_cost_that_falls_is_not_carried_on_past_the_largest_size():
--- a/tests/scale/test_page.py
+++ b/tests/scale/test_page.py
@@ -46,7 +46,7 @@
 
 def figures_of(text):
     """(start, end) of each figure within the page's tables but the header lines."""
-    for table in tables.BEGIN.finditer(text):
+    for table in tables.TABLE_PATTERN.finditer(text):
         for cell in re.finditer(r"\| (\d[\d,.]*)(?= )", table["text"]):
             yield table.start("text") + cell.start(1), table.start("text") + cell.end(1)
 
@@ -107,8 +107,8 @@
 
 def test_a_missing_result_that_a_row_names_is_not_written_over(copy, tmp_path, capsys):
     """Writing the page anew must not hide it."""
-    worked = capacity.read_book(tmp_path / "rows.toml")
-    named = {cost.result for row in worked.row if not row.not_run for cost in row.costs}
+    definitions = capacity.read_definitions(tmp_path / "rows.toml")
+    named = {cost.result for row in definitions.row if not row.not_run for cost in row.costs}
     assert named
     (tmp_path / "results" / f"{min(named)}.json").unlink()
     before = (tmp_path / "page.md").read_text()
@@ -118,7 +118,7 @@
 
 
 def test_every_role_has_a_row_for_each_of_its_costs():
-    rows = capacity.read_book(ROOT / "benchmarks" / "scale" / "rows.toml").row
+    rows = capacity.read_definitions(ROOT / "benchmarks" / "scale" / "rows.toml").row
     assert {row.role for row in rows} == ROLES
     for role in ROLES:
         assert {row.aspect for row in rows if row.role == role} >= ASPECTS, role
@@ -126,7 +126,7 @@
 
 def test_a_row_that_was_not_run_gives_its_reason_and_no_value():
     text = (ROOT / "docs" / "CAPACITY.md").read_text()
-    for row in capacity.read_book(ROOT / "benchmarks" / "scale" / "rows.toml").row:
+    for row in capacity.read_definitions(ROOT / "benchmarks" / "scale" / "rows.toml").row:
         if row.not_run:
             assert f"| {row.what} |" in text and f"| {row.not_run} |" in text
         else:
--- a/tests/scale/test_plots.py
+++ b/tests/scale/test_plots.py
@@ -4,7 +4,7 @@
 import pytest
 
 from cottonspread.lab.scale import capacity, plots, results
-from cottonspread.lab.scale.plots import Mark
+from cottonspread.lab.scale.plots import Target
 from cottonspread.lab.scale.results import FaultRow, FaultRun, Measure, Point, Sweep
 
 HEAD = dict(what="x", command="cottonspread lab scale", alone=True, commit="d082d9a", date="2026-12-02")
@@ -40,10 +40,10 @@
 def drawn(tmp_path, sweep, monkeypatch):
     """Draws the first measure with these marks; its axis."""
 
-    def draw(*wanted):
+    def draw(*targets):
         figures = []
         monkeypatch.setattr(plots.plt, "close", figures.append)
-        plots.draw(sweep, sweep.measures[0], tmp_path / "one.png", list(wanted))
+        plots.draw(sweep, sweep.measures[0], tmp_path / "one.png", list(targets))
         monkeypatch.undo()
         plots.plt.close(figures[0])
         return figures[0].axes[0]
@@ -62,18 +62,18 @@
 
 
 def test_a_target_past_the_sizes_played_is_a_formula(drawn):
-    axis = drawn(Mark("node: one change", 3000.0, None))
+    axis = drawn(Target("node: one change", 3000.0, None))
     assert labels(axis) == ["measured", "fit", "formula", "target, not played"]
     assert axis.lines[3].get_xdata() == [3000] and axis.lines[3].get_ydata() == pytest.approx([30_100])
-    assert labels(drawn(Mark("node: one change", 400.0, None))) == ["measured", "fit"]
+    assert labels(drawn(Target("node: one change", 400.0, None))) == ["measured", "fit"]
 
 
 def test_a_budget_is_a_line_and_one_far_above_is_told_alone(drawn):
-    near = Mark("node: one change", 400.0, 17_000.0)
+    near = Target("node: one change", 400.0, 17_000.0)
     axis = drawn(near, near)
     assert labels(axis) == ["measured", "fit", "budget 1.7e+04: node: one change"]
     assert list(axis.lines[2].get_ydata()) == [17_000, 17_000]
-    axis = drawn(Mark("node: one change", 400.0, 1e9))
+    axis = drawn(Target("node: one change", 400.0, 1e9))
     assert labels(axis)[-1] == "budget 1e+09, above: node: one change"
     assert axis.get_ylim()[1] < 1e6
 
@@ -122,7 +122,7 @@
 mechanism = "x"
 costs = [{ name = "change_us", result = "module-servers", measure = "change_us", size = "3 * servers" }]
 """)
-    worked = capacity.Capacity(capacity.read_book(path), {sweep.name: sweep}, tmp_path)
-    first, second = plots.marks(worked)["module-servers", "change_us"]
-    assert first == Mark("node: changes", 1000.0, pytest.approx(4000.0))
-    assert second == Mark("node: one change", 3000.0, None)
+    model = capacity.Capacity(capacity.read_definitions(path), {sweep.name: sweep}, tmp_path)
+    first, second = plots.targets_of(model)["module-servers", "change_us"]
+    assert first == Target("node: changes", 1000.0, pytest.approx(4000.0))
+    assert second == Target("node: one change", 3000.0, None)
--- a/tests/scale/test_results.py
+++ b/tests/scale/test_results.py
@@ -65,7 +65,7 @@
 
 def test_commit_date_and_machine_are_filled_in(tmp_path):
     told, _ = written(tmp_path, sweep())
-    assert results.COMMIT.fullmatch(told["commit"])
+    assert results.COMMIT_PATTERN.fullmatch(told["commit"])
     assert told["machine"] == msgspec.to_builtins(results.current_machine())
     assert told["machine"]["cores"] >= 1 and told["machine"]["memory_gib"] > 0
     assert len(told["date"]) == 10
@@ -195,8 +195,8 @@
 def test_no_field_may_be_missing(tmp_path, make):
     told, path = written(tmp_path, make())
     for field in told:
-        lacking = {key: value for key, value in told.items() if key != field}
-        assert_refused(tmp_path, lacking, path, field)
+        missing = {key: value for key, value in told.items() if key != field}
+        assert_refused(tmp_path, missing, path, field)
 
 
 def test_names_that_are_there_twice_are_refused(tmp_path):
