--- a/cottonspread/lab/scale/configuration.py
+++ b/cottonspread/lab/scale/configuration.py
@@ -1,9 +1,9 @@
-"""The configuration store at size, in simulated time: plays of faults, sweeps of cost, results as JSON.
+"""The configuration store at fleet size, in simulated time: fault scenarios, cost sweeps, results as JSON.
 
     python -m cottonspread.lab.scale.configuration [--small] [--seed N] [--out DIR] [--only NAME ...]
 
 `--small` ends in seconds. Everything but the processor times and memory of `config-replica` and
-`config-body` is counted in simulated time and comes out the same for the same seed on every machine.
+`config-body` is counted in simulated time and is the same for the same seed on every machine.
 """
 
 import argparse
@@ -34,11 +34,11 @@
 BODY_SIZES = 1_024, 4_096, 16_384, 65_536
 RANDOM_SEEDS, RANDOM_SEEDS_SMALL = 400, 10
 CPU_TIME_REPEATS = 5
-"""The least of so many processor times is taken."""
+"""Processor times are the minimum of this many measurements."""
 
 
 def run_scenarios(parameters: FleetParameters, seed: int, small: bool, names) -> list[results.FaultRow]:
-    """A row for each play, told as it ends."""
+    """Runs the scenarios, or those in `names`; prints each row as its scenario ends."""
     rows = []
     for scenario in SCENARIOS:
         if names and scenario.__name__ not in names:
@@ -50,7 +50,7 @@
 
 
 def run_random_scenarios(event: str, kind, first: int, count: int) -> results.FaultRow:
-    """Plays of that kind drawn from so many seeds."""
+    """Runs a random scenario of class `kind` from `count` seeds, from `first` on; one row for all."""
     scenarios = [kind(seed) for seed in range(first, first + count)]
     failed = [str(first + number) for number, scenario in enumerate(scenarios) if scenario.run()]
     convergence_times = [scenario.convergence_s for scenario in scenarios]
@@ -72,16 +72,16 @@
 
 
 def _print_row(row: results.FaultRow) -> None:
-    verdict = "broken " + str(row.rules_broken) if row.rules_broken else "holds"
+    verdict = f"{row.rules_broken} violations" if row.rules_broken else "holds"
     convergence_s = "-" if row.seconds_until_whole is None else f"{row.seconds_until_whole:.2f} s"
     figures = ", ".join(f"{name} {value:g}" for name, value in row.figures.items())
-    print(f"{verdict:9} whole {convergence_s:8} {row.event}: {figures}", flush=True)
+    print(f"{verdict:14} converged {convergence_s:8} {row.event}: {figures}", flush=True)
     if row.rules_broken:
-        print(f"          {row.notes}", flush=True)
+        print(f"               {row.notes}", flush=True)
 
 
 def idle_sweep(seed: int, sizes) -> results.Sweep:
-    """Bytes and messages of an idle fleet against its nodes."""
+    """Bytes and messages of an idle fleet by number of nodes."""
     traffic = {nodes: measure_idle(nodes, seed) for nodes in sizes}
     measures = [
         _measure(
@@ -119,7 +119,7 @@
 
 
 def replica_sweep(sizes) -> results.Sweep:
-    """Memory of a replica, and its processor time for a change and a watch, against its nodes."""
+    """Memory of a replica, and its processor time for a change and a watch, by number of nodes."""
     memory = {nodes: _memory_of_replica(nodes) for nodes in sizes}
     change = {nodes: _min_of_repeats(_change_at_replica, nodes) * 1000 for nodes in sizes}
     watch = {nodes: _min_of_repeats(_watches_at_replica, nodes) * 1e6 / (2 * nodes) for nodes in sizes}
@@ -154,7 +154,7 @@
 
 
 def _change_at_replica(nodes: int) -> float:
-    """Processor seconds from the commit to all answers' bytes."""
+    """Processor seconds from the durable commit until all replies are encoded."""
     replica = replica_with_watches(nodes)
     effects = replica.step(0, re.RequestReceived(10**6, m.Commit(record=_record(2, 4_096))))
     token = next(effect.token for effect in effects if isinstance(effect, re.Store))
@@ -168,7 +168,7 @@
 
 
 def _watches_at_replica(nodes: int) -> float:
-    """Processor seconds until all watches have ended without news and been asked again."""
+    """Processor seconds until all watches have ended without a change and been sent again."""
     replica, number = replica_with_watches(nodes), 10**6
     began = time.process_time()
     for effect in replica.step(11 * SECOND, re.Tick()):
@@ -181,7 +181,7 @@
 
 
 def body_sweep(sizes) -> results.Sweep:
-    """What a change costs a node against the size of its body, the node's own check left out."""
+    """What a change costs a node by size of its body, without the node's own check."""
     cost = {size: _min_of_repeats(_change_at_node, size) * 1e6 for size in sizes}
     response_bytes = {size: float(len(to_response(_answer(size)))) for size in sizes}
     measures = [
@@ -210,15 +210,15 @@
 
 
 def main(arguments=None) -> int:
-    """0: nothing broken."""
+    """Runs the command; exit code 0 if no invariant was violated, else 1."""
     parser = argparse.ArgumentParser(prog=COMMAND, description=__doc__.splitlines()[0])
-    parser.add_argument("--small", action="store_true", help="24 nodes, a few seeds; ends in seconds")
+    parser.add_argument("--small", action="store_true", help="24 nodes, few seeds; takes seconds")
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--out", type=Path, default=results.FOLDER, help="folder of the results")
-    parser.add_argument("--only", nargs="*", default=[], metavar="NAME", help="plays or sweeps")
+    parser.add_argument("--only", nargs="*", default=[], metavar="NAME", help="scenarios or sweeps")
     args = parser.parse_args(arguments)
     parameters = SMALL if args.small else FleetParameters()
-    commit = results.current_commit()  # of the code that runs, whatever is committed meanwhile
+    commit = results.current_commit()  # before the run, which may outlast commits to the checkout
     written, random_rows, rows = [], [], run_scenarios(parameters, args.seed, args.small, args.only)
     if _is_selected(args, "random"):
         random_rows = _random_rows(args.seed, RANDOM_SEEDS_SMALL if args.small else RANDOM_SEEDS)
--- a/cottonspread/lab/scale/configuration_fleet.py
+++ b/cottonspread/lab/scale/configuration_fleet.py
@@ -1,7 +1,7 @@
-"""Hosts of the configuration store in simulated time: the real cores, with disks, checks and a network.
+"""The configuration store's hosts in simulated time: production cores with simulated disks, checks, network.
 
-Each host is a thin shell, as the real ones are: effects are carried out in their order, what is on its way
-when a process ends is lost, and only its disk is left.
+Each host is a thin shell around its core, as in production: it executes effects in their order. What is in
+progress when a process ends is lost; only the disk is kept.
 """
 
 import msgspec
@@ -30,7 +30,7 @@
 
 
 class CoreHost(Host):
-    """A host with a core that wants `Tick` at its `wake_at`."""
+    """A host whose core needs a `Tick` at its `wake_at`."""
 
     tick = None
 
@@ -41,13 +41,13 @@
         self.core, self._next_wake, self._ticks_at = None, NEVER, (0, 0)
 
     def handle(self, event) -> None:
-        """An event, and what follows."""
+        """Passes an event to the core and executes the effects."""
         for effect in self.core.step(self.world.now, event):
             self.execute(effect)
         self._schedule_wake()
 
     def execute(self, effect) -> None:
-        """One effect."""
+        """Executes one effect of the core."""
         raise NotImplementedError
 
     def _schedule_wake(self):
@@ -67,13 +67,13 @@
             self._schedule_wake()
 
     def _check_tick_rate(self, at):
-        """A core that wants `Tick` at once again, time after time, would take its whole processor."""
+        """Raises if the core asks for `Tick` endlessly at one time: a busy loop in production."""
         self._ticks_at = (at, self._ticks_at[1] + 1) if self._ticks_at[0] == at else (at, 1)
         if self._ticks_at[1] > MAX_TICKS_AT_ONE_TIME:
-            raise RuntimeError(f"{self.name} wants ticks without pause")
+            raise RuntimeError(f"{self.name}: over {MAX_TICKS_AT_ONE_TIME} ticks at one simulated time")
 
     def handle_later(self, minimum: int, event) -> None:
-        """An event of this process after `least`, or up to twice that."""
+        """Passes an event to the core after `minimum` to twice that, if the process still runs then."""
         self.world.after(minimum + int(minimum * self.uniform()), self._handle_if_current, self.epoch, event)
 
     def _handle_if_current(self, epoch, event):
@@ -81,18 +81,18 @@
             self.handle(event)
 
     def begin_process(self) -> None:
-        """All that the process before had on its way is void."""
+        """Begins a process; what the one before had in progress has no effect any more."""
         self.epoch += 1
         self.is_running, self.is_silent, self._next_wake = True, False, NEVER
 
     def end_process(self, silently=False) -> None:
-        """The process ends; `silently`: with its machine, so that nobody is told."""
+        """Ends the process; `silently`: with its machine, so that no connection is closed."""
         self.is_running = False
         self.is_silent = silently
         self.epoch += 1
 
     def call(self, to: Host, message, deadline: int, kind, on_done) -> None:
-        """Asks; `then(reply, why)`, where None is no usable reply."""
+        """Calls `on_done(reply, why)` once, with a reply of type `kind` or None for no usable reply."""
 
         def on_end(response, why):
             try:
@@ -105,7 +105,7 @@
 
 
 class ReplicaHost(CoreHost):
-    """A control machine."""
+    """A control machine with a replica."""
 
     tick = re.Tick()
 
@@ -115,10 +115,10 @@
         self.calls: dict[int, Call] = {}
         self._number, self._busy_until = 0, 0
         self.corrupt_reply = None
-        """Changes an answer on its way out (a broken replica), or None."""
+        """A function that gives the bytes of a watch reply in a faulty replica's place, or None."""
 
     def start(self) -> None:
-        """A process, from what the disk has."""
+        """Starts a process from the state on the disk."""
         self.begin_process()
         peers = tuple(name for name in self.fleet.replica_names if name != self.name)
         self.core = re.Replica(self.name, peers, m.decode(self.disk, m.ReplicaState), self.uniform)
@@ -127,7 +127,7 @@
         self.handle(re.Tick())
 
     def stop(self, silently=False) -> None:
-        """Its process ends, or its machine."""
+        """Ends the process, or with `silently` the machine."""
         self.world.add_trace_line("stop", self.name, silently)
         calls, self.calls = self.calls, {}
         self.end_process(silently)
@@ -136,7 +136,7 @@
                 call.close("closed")
 
     def on_request(self, call):
-        """A request; it waits for the processor."""
+        """Queues the request for the processor."""
         self._enqueue_work(self._handle_request, call)
 
     def _enqueue_work(self, what, *args):
@@ -158,14 +158,14 @@
         self.handle(re.RequestReceived(self._number, message))
 
     def on_caller_gone(self, call):
-        """A caller has left."""
+        """Tells the core that a caller closed its connection."""
         for number, one in list(self.calls.items()):
             if one is call:
                 del self.calls[number]
                 self.handle(re.RequestAbandoned(number))
 
     def execute(self, effect):
-        """One effect of the core."""
+        """Executes one effect of the core."""
         match effect:
             case re.Store(token=token, state=state):
                 self.world.after(self._store_delay(), self._stored, self.epoch, token, m.encode(state))
@@ -209,7 +209,7 @@
 
 
 class NodeHost(CoreHost):
-    """A node with its follower."""
+    """A node with a follower."""
 
     tick = fo.Tick()
 
@@ -217,10 +217,10 @@
         super().__init__(fleet, name, location)
         self.disk: bytes | None = None
         self.rejects_all = False
-        """The node's own fault: it refuses every record."""
+        """Whether the node's check refuses every record, a fault of this node alone."""
 
     def start(self) -> None:
-        """A process, from the saved record."""
+        """Starts a process from the saved record."""
         self.begin_process()
         self.core = fo.Follower(self.name, self.fleet.replica_names, self.uniform)
         saved, why = None, ""
@@ -234,12 +234,12 @@
         self.handle(fo.Started(saved, why))
 
     def stop(self, silently=False) -> None:
-        """Its process ends, or its machine."""
+        """Ends the process, or with `silently` the machine."""
         self.end_process(silently)
         self.fleet.invariants.on_node_stopped(self.name)
 
     def execute(self, effect):
-        """One effect of the core."""
+        """Executes one effect of the core."""
         parameters = self.fleet.parameters
         match effect:
             case fo.SendWatch():
@@ -293,7 +293,7 @@
 
 
 class PublisherHost(CoreHost):
-    """One run of the staff's command."""
+    """One run of the operators' publish command."""
 
     tick = pu.Tick()
 
@@ -301,13 +301,13 @@
         super().__init__(fleet, name, location)
         self.began, self.done, self.ended = self.world.now, None, None
         self.on_done = None
-        """Called with this host at the end."""
+        """Called with this host when the publisher ends, or None."""
         self.crash_at = None
-        """A step at whose beginning the process ends."""
+        """The step at whose beginning the process ends, or None."""
         self.core = pu.Publisher(fleet.replica_names, order, self.uniform)
 
     def execute(self, effect):
-        """One effect of the core."""
+        """Executes one effect of the core."""
         if not self.is_running:
             return
         match effect:
@@ -339,7 +339,7 @@
 
 
 class Fleet:
-    """Replicas, nodes and publishers in one world."""
+    """Replicas, nodes and publishers in one simulated world; every replica and node runs at first."""
 
     def __init__(self, seed, parameters: FleetParameters | None = None, traced=False):
         self.parameters, self.world = parameters or FleetParameters(), World(seed, traced)
@@ -360,10 +360,10 @@
         self._had_quorum = dict.fromkeys(self.replica_names, 0)
         self.world.after(SECOND, self._check_reachability)
 
-    # Truth
+    # Actual reachability
 
     def has_quorum(self, replica) -> bool:
-        """It reaches a majority, itself counted."""
+        """Whether the replica runs and reaches a majority, itself included."""
         if not replica.is_running:
             return False
         others = [
@@ -383,7 +383,7 @@
         ]
 
     def _check_reachability(self):
-        """Once a second: who can reach whom, and what the nodes say."""
+        """Once a second, compares which nodes are reachable with what the nodes report."""
         now, reachable = self.world.now, set(self.reachable())
         for replica in self.replicas.values():
             if self.has_quorum(replica):
@@ -401,10 +401,10 @@
                 self.invariants.said(name, node.core.is_cut_off(self.world.now))
         self.world.after(SECOND, self._check_reachability)
 
-    # What happens
+    # Actions
 
     def publish(self, order, region=0, on_done=None, crash_at=None) -> PublisherHost:
-        """A publisher starts now."""
+        """Starts a publisher in the region."""
         location = next(location for location in locations(self.parameters) if location.region == region)
         host = PublisherHost(self, f"p{len(self.publishers) + 1}", location, order)
         host.on_done, host.crash_at = on_done, crash_at
@@ -413,22 +413,22 @@
         return host
 
     def run_for(self, seconds: float) -> None:
-        """On."""
+        """Advances the simulation."""
         self.world.run(self.world.now + int(seconds * SECOND))
 
     def run_until_done(self, host: PublisherHost, max_seconds: float = 60) -> pu.Done | None:
-        """On until that publisher has ended, or so long."""
+        """Advances until the publisher ends, `max_seconds` at most; its outcome, None if it has none."""
         until = self.world.now + int(max_seconds * SECOND)
         while host.done is None and self.world.now < until and host.is_running:
             self.run_for(0.05)
         return host.done
 
     def lagging(self) -> list[str]:
-        """Reachable nodes without the newest version that is EVERYWHERE."""
+        """Reachable nodes without the newest version that is committed at stage EVERYWHERE."""
         return self.invariants.lagging(self.reachable())
 
     def run_until_converged(self, max_seconds: float = 120) -> float | None:
-        """On until no reachable node lags; seconds that took, None: longer."""
+        """Advances until no reachable node lags; the seconds that took, None if over `max_seconds`."""
         began = self.world.now
         while self.world.now < began + int(max_seconds * SECOND):
             if not self.lagging():
@@ -438,7 +438,7 @@
 
 
 def reply_corrupter(fleet: Fleet, name: str):
-    """A replica that now and then tells damaged, older or other answers; for `ReplicaHost.lies`."""
+    """A function for `ReplicaHost.corrupt_reply` that at times gives a damaged, older or different reply."""
     rng, sent = fleet.world.random_stream("lies", name), []
 
     def change(answer: m.WatchReply) -> bytes:
@@ -472,7 +472,7 @@
 
 
 def _other_digest(answer: m.WatchReply) -> m.WatchReply:
-    """What the node has in force already, under a later generation, with another body."""
+    """A reply with a version that was sent already, under a later generation, with another body."""
     old = answer.record
     other = m.make_record(old.generation + 1, old.version, old.stage, old.canary_below, "another body")
     return msgspec.structs.replace(answer, generation=other.generation, record=other)
--- a/cottonspread/lab/scale/configuration_invariants.py
+++ b/cottonspread/lab/scale/configuration_invariants.py
@@ -1,8 +1,8 @@
-"""What the configuration store promises, checked at every step by code that shares none with its cores.
+"""The configuration store's invariants, checked at every step by code that shares nothing with its cores.
 
-It is told what became durable at a replica, what a node began to check and put into force, and how the
-network truly stands. It reckons digests, canaries, majorities and reach of its own. A broken promise is
-noted, not raised, so that a play goes on and all of them are seen.
+The simulator reports what became durable at a replica, what a node began to check and applied, and which
+hosts the network really connects. Digests, canaries, majorities and reachability are computed here
+independently. A violation is recorded, not raised, so that a run goes on and all violations are seen.
 """
 
 import hashlib
@@ -11,39 +11,39 @@
 CANARY, EVERYWHERE = 1, 2
 SECOND = 1_000_000
 MAX_CUT_OFF_REPORT_DELAY = 24 * SECOND
-"""A node that no majority can be reached from says so by then: 20 s, as its core states, and what a replica
-without a majority may still have told of an age when it was cut."""
+"""A node that cannot reach a majority reports it by then: 20 s, as its core states, plus the age that a
+replica without a majority may still have reported when it was cut off."""
 MAX_CUT_OFF_CLEAR_DELAY = 16 * SECOND
-"""A node is no longer cut off so long after it can reach a majority again: a watch into the void ends after
-12 s, a replica needs up to 4 s itself."""
+"""A node reports that it is connected by then after it can reach a majority again: a watch that is never
+answered ends after 12 s, and a replica itself needs up to 4 s."""
 
 
 def digest(body: str) -> str:
-    """Of a body."""
+    """The SHA-256 of a body, in hexadecimal."""
     return hashlib.sha256(body.encode()).hexdigest()
 
 
 def is_canary(node: str, version: int, below: int) -> bool:
-    """The node is among the first for this version."""
+    """Whether the node is a canary for this version, among the first to get it."""
     random_rows = hashlib.sha256(f"{version}:{node}".encode()).digest()
     return random_rows[0] << 24 | random_rows[1] << 16 | random_rows[2] << 8 | random_rows[3] < below
 
 
 @dataclass
 class Change:
-    """One version on its way."""
+    """A version that is being rolled out."""
 
     version: int
     began: int
-    """When its publisher started."""
+    """When its publisher started, in microseconds of simulated time."""
     waiting: set
-    """Nodes that do not have it, or a later one, in force."""
+    """Nodes that have applied neither it nor a later one."""
     times: dict = field(default_factory=dict)
-    """Microseconds until in force, for each node."""
+    """Microseconds from `began` until each node applied it."""
 
 
 class Invariants:
-    """The books."""
+    """Records the store's events and checks the invariants against them."""
 
     def __init__(self, world, replicas: int):
         self._world, self._majority = world, replicas // 2 + 1
@@ -53,7 +53,7 @@
         self._by_version: dict[int, str] = {}
         self._by_generation: dict[int, tuple] = {}
         self.everywhere = 0
-        """The newest version committed EVERYWHERE."""
+        """The newest version committed at stage EVERYWHERE."""
         self.in_force: dict[str, int] = {}
         self.reached_by_faulty: set[str] = set()
         self.changes: dict[int, Change] = {}
@@ -63,7 +63,7 @@
         self._reached_since: dict[str, int] = {}
 
     def check(self, condition, *words) -> None:
-        """Notes what is broken where it is not true."""
+        """Records a violation unless the condition holds; counts the check."""
         self.steps += 1
         if not condition:
             self.violations.append(f"{self._world.now} {' '.join(map(str, words))}")
@@ -71,7 +71,7 @@
     # Replicas
 
     def on_stored(self, replica: str, state) -> None:
-        """This is durable at the replica now."""
+        """A replica made this state durable."""
         before = self._durable.get(replica)
         self._durable[replica] = state
         committed = state.committed
@@ -111,11 +111,11 @@
     # Nodes
 
     def on_node_reset(self, node: str) -> None:
-        """A node that has no file."""
+        """A node starts without a valid saved record."""
         self.in_force.pop(node, None)
 
     def on_checked(self, node: str, record) -> None:
-        """A node was told this record and begins to check it."""
+        """A node received this record and begins to check it."""
         if is_faulty(record.body):
             self.reached_by_faulty.add(node)
             self.check(
@@ -123,7 +123,7 @@
             )
 
     def on_applied(self, node: str, record) -> None:
-        """A node put this record into force."""
+        """A node applied this record."""
         version, now = record.version, self._world.now
         self.check(version >= self.in_force.get(node, 0), node, "went back to", version)
         self.in_force[node] = version
@@ -140,16 +140,18 @@
                     del self._pending[change.version]
 
     def on_change_accepted(self, version: int, began: int, nodes) -> None:
-        """A publisher, started at `began`, has a majority's word for this version."""
+        """A publisher that started at `began` has this version accepted by a majority."""
         if version not in self.changes:
             waiting = {node for node in nodes if self.in_force.get(node, 0) < version}
             self.changes[version] = self._pending[version] = Change(version, began, waiting)
 
-    # Reach
+    # Reachability
 
     def on_reachability(self, node: str, is_reachable: bool, quorum_seen_at: int, is_lossless: bool) -> None:
-        """Whether the node can reach a replica that can reach a majority, from now on. `told_of`: when such a
-        replica, of those that it can reach, last could. `is_sure`: no message is lost.
+        """Records whether the node can, from now on, reach a replica that can reach a majority.
+
+        `quorum_seen_at`: when a replica that the node can reach last reached a majority. `is_lossless`: no
+        message is lost.
         """
         now = self._world.now
         if is_reachable:
@@ -167,7 +169,7 @@
         self._reached_since.pop(node, None)
 
     def said(self, node: str, cut_off: bool) -> None:
-        """What the node says of itself now."""
+        """Checks the node's own report of whether it is cut off."""
         now = self._world.now
         if node in self._cut_since and now - self._cut_since[node] > MAX_CUT_OFF_REPORT_DELAY:
             self.check(cut_off, node, "is cut off and does not say so")
@@ -175,20 +177,20 @@
             self.check(not cut_off, node, "says it is cut off and is not")
 
     def lagging(self, nodes, refusing=()) -> list[str]:
-        """Nodes that lack the newest version that is EVERYWHERE."""
+        """Nodes without the newest version that is committed at stage EVERYWHERE."""
         return [
             node for node in nodes if self.in_force.get(node, 0) < self.everywhere and node not in refusing
         ]
 
 
-# Bodies of plays: the first word tells the nodes' stand-in check what it finds.
+# The first word of a simulated body decides how the simulated nodes' check and apply steps end.
 
 
 def is_faulty(body: str) -> bool:
-    """A body with a fault of any kind."""
+    """Whether the body has a fault of any kind."""
     return body.startswith(("refused", "unfit", "ill", "hangs"))
 
 
 def cannot_be_applied(body: str) -> bool:
-    """A body that no node can put into force."""
+    """Whether no node can apply the body."""
     return body.startswith(("refused", "unfit", "hangs"))
--- a/cottonspread/lab/scale/configuration_network.py
+++ b/cottonspread/lab/scale/configuration_network.py
@@ -1,7 +1,8 @@
-"""Simulated time for the configuration store: places, latencies, losses, cuts, and calls with their bytes.
+"""The configuration store's simulated network: locations, latency, loss, partitions, and calls in bytes.
 
-A message is the real JSON in a real HTTP/1.1 request or response on a kept connection; headers of TCP and IP
-are not counted. What is lost is lost: nothing sends it again below, so that a call ends at its deadline.
+Each message is the JSON that production code sends, in an HTTP/1.1 request or response on a persistent
+connection; TCP and IP headers are not counted. There is no retransmission: a call whose message is lost ends
+at its deadline.
 """
 
 from collections import Counter
@@ -14,31 +15,31 @@
 
 @dataclass(frozen=True)
 class FleetParameters:
-    """The fleet and its network; spans in microseconds. All are assumptions and stand in the results."""
+    """The fleet and its network, durations in microseconds. All are assumptions, and results record them."""
 
     nodes: int = 420
     zones: tuple[int, ...] = (3, 3, 2)
-    """Zones of each region; the first of each has the region's replica."""
+    """Number of zones in each region; the first zone of a region has the region's replica."""
     within_zone: int = 300
     within_region: int = 1 * MILLISECOND
     between_regions: int = 40 * MILLISECOND
-    """One way."""
+    """One-way latency, like the two above."""
     jitter: float = 0.2
-    """A message takes up to so much longer."""
+    """Largest random addition to a latency, as a share of it."""
     loss: float = 0.0
-    """Share of messages that never arrive."""
+    """Share of messages that are lost."""
     check: int = 20 * MILLISECOND
     save: int = 10 * MILLISECOND
     apply: int = 30 * MILLISECOND
-    """Steps of a node; each takes up to twice as long."""
+    """Shortest times of a node's steps; each takes up to twice as long."""
     store: int = 5 * MILLISECOND
-    """A replica's write with its fsyncs; up to twice as long."""
+    """Shortest time of a replica's write with its fsyncs; it takes up to twice as long."""
     replica_message: int = 200
-    """Processor time of a replica for a message; one after the other."""
+    """Processor time of a replica per message; messages are processed one after another."""
     body_bytes: int = 4_096
 
     def fixed(self) -> dict:
-        """For a result."""
+        """The parameters by the names and units that results use."""
         return {
             "nodes": self.nodes,
             "zones": sum(self.zones),
@@ -58,14 +59,14 @@
 
 @dataclass(frozen=True)
 class Location:
-    """Where a machine stands."""
+    """The region and zone of a machine; zones are numbered across all regions."""
 
     region: int
     zone: int
 
 
 def locations(parameters: FleetParameters) -> list[Location]:
-    """Of every zone, in order."""
+    """The location of every zone, in order."""
     found = []
     for region, zones in enumerate(parameters.zones):
         found += [Location(region, len(found) + zone) for zone in range(zones)]
@@ -73,7 +74,7 @@
 
 
 class Host:
-    """A machine with one process. `epoch` changes with each process."""
+    """A machine with one process. `epoch` changes whenever a process starts or ends."""
 
     def __init__(self, name: str, location: Location):
         self.name, self.location, self.epoch = name, location, 0
@@ -81,10 +82,10 @@
         self.bytes_in = self.bytes_out = self.messages = 0
 
     def on_request(self, call: "Call") -> None:
-        """A request came in."""
+        """A request arrived."""
 
     def on_caller_gone(self, call: "Call") -> None:
-        """Who asked has closed."""
+        """The caller closed the connection before the reply."""
 
 
 class Call:
@@ -96,7 +97,7 @@
         self.callee_epoch = None
 
     def deliver_request(self):
-        """The request reaches the other machine."""
+        """Delivers the request to the callee; a running machine without a process refuses the connection."""
         callee = self.callee
         if callee.is_silent or not self.network.reaches(self.caller, callee):
             return
@@ -109,16 +110,16 @@
         callee.on_request(self)
 
     def reply(self, response: bytes):
-        """The reply is sent."""
+        """Sends the reply, if the process that received the request still runs."""
         if self.callee.epoch == self.callee_epoch and self.callee.is_running:
             self.network.send(self.callee, self.caller, len(response), self.finish, response, "")
 
     def close(self, why):
-        """The other process has ended."""
+        """Tells the caller that the callee's process has ended."""
         self.network.send(self.callee, self.caller, 0, self.finish, None, why)
 
     def finish(self, response: bytes | None, why: str):
-        """The end, at the caller: once."""
+        """Ends the call at the caller; has an effect once only."""
         if self.is_over or self.caller.epoch != self.epoch or not self.caller.is_running:
             return
         self.is_over = True
@@ -128,13 +129,13 @@
         self.on_done(response, why)
 
     def expire(self):
-        """The deadline."""
+        """Ends the call at its deadline, if it is still open."""
         if not self.is_over and self.caller.epoch == self.epoch:
             self.network.send(self.caller, self.callee, 0, self.notify_callee)
             self.finish(None, "deadline")
 
     def notify_callee(self):
-        """The callee sees the connection closed."""
+        """Tells the callee that the caller closed the connection."""
         if self.callee.is_running and self.callee.epoch == self.callee_epoch:
             self.callee.on_caller_gone(self)
 
@@ -149,23 +150,23 @@
         self.counts = Counter()
 
     def reaches(self, one: Host, other: Host) -> bool:
-        """No cut lies between them, and neither machine is off."""
+        """Whether no partition separates them and neither machine is silent."""
         if one.is_silent or other.is_silent:
             return False
         return frozenset((one.location.region, other.location.region)) not in self.partitions
 
     def isolate_region(self, region: int) -> None:
-        """Off from all other regions."""
+        """Partitions the region from all other regions."""
         self.partitions |= {
             frozenset((region, other)) for other in range(len(self.parameters.zones)) if other != region
         }
 
     def heal(self) -> None:
-        """No cut any more."""
+        """Removes all partitions."""
         self.partitions.clear()
 
     def latency(self, one: Host, other: Host) -> int:
-        """One way, drawn."""
+        """A random one-way latency, in microseconds."""
         if one.location.zone == other.location.zone:
             base = self.parameters.within_zone
         elif one.location.region == other.location.region:
@@ -175,7 +176,7 @@
         return base + int(base * self.parameters.jitter * self._rng.random())
 
     def send(self, one: Host, other: Host, size: int, on_arrival, *args) -> None:
-        """A message of `size` bytes, or a word of TCP's own where it is 0."""
+        """Sends `size` bytes; a size of 0 stands for a TCP control segment (FIN or RST)."""
         self.counts["messages"] += 1
         one.bytes_out += size
         if size:
@@ -194,7 +195,7 @@
             on_arrival(*args)
 
     def call(self, caller: Host, callee: Host, request: bytes, deadline: int, on_done) -> None:
-        """A request; `then(response, why)` once, by the deadline."""
+        """Sends a request; `on_done(response, why)` is called once, by the deadline."""
         call = Call(self, caller, callee, request, on_done)
         self.world.at(deadline, call.expire)
         self.send(caller, callee, len(request), call.deliver_request)
@@ -205,7 +206,7 @@
 
 
 def to_request(replica: str, message) -> bytes:
-    """The bytes of a request."""
+    """The message as the bytes of an HTTP request."""
     host = f"Host: {replica}.control.example:7400\r\n"
     if isinstance(message, m.WatchRequest):
         return f"GET /api/configuration?{m.to_query(message)} HTTP/1.1\r\n{host}\r\n".encode()
@@ -216,7 +217,7 @@
 
 
 def from_request(request: bytes):
-    """The message in it; MessageError."""
+    """The message in the bytes of an HTTP request; raises MessageError."""
     head, _, body = request.partition(b"\r\n\r\n")
     target = head.split(b" ", 2)[1].decode()
     path, _, query = target.partition("?")
@@ -226,7 +227,7 @@
 
 
 def to_response(message) -> bytes:
-    """The bytes of a response; None is 503."""
+    """The message as the bytes of an HTTP response; None gives status 503."""
     if message is None:
         return b"HTTP/1.1 503 Service Unavailable\r\nRetry-After: 1\r\nContent-Length: 0\r\n\r\n"
     body = m.encode(message)
@@ -235,8 +236,8 @@
 
 
 def from_response(response: bytes, kind):
-    """The message in it; MessageError."""
+    """The message in the bytes of an HTTP response; raises MessageError unless its status is 200."""
     head, _, body = response.partition(b"\r\n\r\n")
     if not head.startswith(b"HTTP/1.1 200 "):
-        raise m.MessageError("turned away")
+        raise m.MessageError("HTTP status is not 200")
     return m.decode(body, kind)
--- a/cottonspread/lab/scale/configuration_scenarios.py
+++ b/cottonspread/lab/scale/configuration_scenarios.py
@@ -1,7 +1,7 @@
-"""Plays of the configuration store at size: what happens to a fleet, and what is measured.
+"""Scenarios of the configuration store at the size of a fleet: the faults, the changes, and what is measured.
 
-Each play begins with a fleet that has one version in force and ends with a row of results. Its promises are
-checked at every step; at its end no node that can reach a majority lags.
+Each scenario begins with a fleet that has applied one version and ends with a row of results. The invariants
+are checked at every step; at the end no node that can reach a majority lags.
 """
 
 import math
@@ -16,29 +16,29 @@
 from cottonspread.lab.sim.world import SECOND
 
 MAX_WAIT_S = 60
-"""A play waits no longer for something to come true."""
+"""The longest that a scenario waits for a condition."""
 TARGET_S = 3.0
-"""A change is in force so long after its publish,"""
+"""A change has to be applied within this time after its publish started,"""
 TARGET_SHARE = 0.99
-"""at this share of the nodes that can reach a majority, at least."""
+"""by at least this share of the nodes that can reach a majority."""
 
 
 @dataclass
 class PropagationTimes:
-    """When nodes had changes in force, in seconds after the publish."""
+    """When nodes applied changes, in seconds after the publish started."""
 
     seconds: list[float] = field(default_factory=list)
     cases: int = 0
-    """Nodes reachable over the whole span, times changes."""
+    """Sum over the changes of the nodes that were reachable before and after each."""
     in_time: int = 0
 
     def percentile(self, share: float) -> float:
-        """The time until so large a share had it; 0 without times."""
+        """The time until this share of the recorded times had passed; 0 without times."""
         ranked = sorted(self.seconds)
         return ranked[max(0, math.ceil(len(ranked) * share) - 1)] if ranked else 0.0
 
     def figures(self) -> dict[str, float]:
-        """For a row."""
+        """The figures for a row of results."""
         return {
             "in_force_50_s": round(self.percentile(0.5), 3),
             "in_force_99_s": round(self.percentile(0.99), 3),
@@ -49,7 +49,7 @@
 
 
 class ScenarioRun:
-    """A fleet with version 1 in force, and the changes that are made to it."""
+    """A fleet that has applied version 1, and the changes that a scenario makes to it."""
 
     def __init__(self, seed, parameters: FleetParameters, small: bool):
         self.fleet, self.small, self.times = Fleet(seed, parameters), small, PropagationTimes()
@@ -60,12 +60,12 @@
         self.fleet.run_until_converged()
 
     def body(self, kind="fine") -> str:
-        """Another body of the shape's size; its first word is what nodes find of it."""
+        """A new body of the size in the parameters; its first word decides how nodes' steps end."""
         self._number += 1
         return f"{kind} {self._number}\n".ljust(self.fleet.parameters.body_bytes, "x")
 
     def publish(self, body, timed=True, region=0, **more) -> pu.Done | None:
-        """A change from its publish to 3 s later, and no earlier than its publisher's end."""
+        """Publishes a change and advances until the publisher ends; if timed, at least 3 s from its start."""
         fleet = self.fleet
         before = set(fleet.reachable())
         host = fleet.publish(pu.Publish(body), region, **more)
@@ -86,13 +86,13 @@
                 self.times.seconds.append(taken / SECOND)
 
     def expect(self, condition, *words) -> None:
-        """A promise of this play."""
+        """Records a violation unless the condition, one of this scenario's own, holds."""
         self.fleet.invariants.check(condition, *words)
 
     def row(
         self, event: str, notes: str = "", convergence_s: float | None = None, **figures
     ) -> results.FaultRow:
-        """The end: whole, in time, and nothing broken."""
+        """Ends the scenario: checks that all reachable nodes converge and that changes came in time."""
         taken = self.fleet.run_until_converged()
         convergence_s = convergence_s if convergence_s is not None else taken
         self.expect(taken is not None, "reachable nodes lag:", *self.fleet.lagging()[:3])
@@ -134,7 +134,7 @@
 
 
 def _traffic(fleet: Fleet) -> dict[str, float]:
-    """Means: of a node both directions, of the busiest replica both directions."""
+    """Bytes and messages in both directions: the mean of a node, and those of the busiest replica."""
     nodes, replicas = fleet.nodes.values(), fleet.replicas.values()
     return {
         "node_bytes": sum(node.bytes_in + node.bytes_out for node in nodes) / len(nodes),
@@ -199,7 +199,7 @@
 
 
 def one_replica_lost(run: ScenarioRun):
-    """Each replica in turn: its machine goes silent, a change, it returns."""
+    """Each replica in turn: its machine goes silent, changes are published, it returns."""
     fleet, seconds = run.fleet, []
     for name in fleet.replica_names:
         fleet.replicas[name].stop(silently=True)
@@ -216,7 +216,7 @@
 
 
 def _replicas_agree(fleet: Fleet) -> bool:
-    """All replicas have committed the same."""
+    """Whether all replicas have committed the same generation."""
     return len({one.core.state.committed.generation for one in fleet.replicas.values()}) == 1
 
 
@@ -226,7 +226,7 @@
 
 
 def one_replica_lost_in_the_midst(run: ScenarioRun):
-    """Its machine goes silent at each moment of a publish."""
+    """A replica's machine goes silent at various moments of a publish."""
     fleet = run.fleet
     for number in range(4 if run.small else 10):
         name = run.rng.choice(fleet.replica_names)
@@ -239,7 +239,7 @@
 
 
 def two_replicas_lost(run: ScenarioRun):
-    """Two machines go silent in the midst of a publish; later they return."""
+    """Two replicas' machines go silent in the middle of a publish; later they return."""
     fleet = run.fleet
     host = fleet.publish(pu.Publish(run.body()))
     fleet.run_for(0.25)
@@ -279,7 +279,7 @@
 
 
 def region_cut_off(run: ScenarioRun):
-    """A region cut off for three minutes, changes meanwhile, its return."""
+    """A region is cut off for three minutes while changes are published, and returns."""
     fleet, region = run.fleet, 2
     inside = [node for node in fleet.nodes.values() if node.location.region == region]
     fleet.network.isolate_region(region)
@@ -310,7 +310,7 @@
 
 
 def publisher_in_the_cut_off_region(run: ScenarioRun):
-    """Staff publish from a region that is cut off: refused, and from outside it goes on."""
+    """Operators publish from a region that is cut off: it is refused; from outside it succeeds."""
     fleet = run.fleet
     fleet.network.isolate_region(2)
     fleet.run_for(20)
@@ -323,7 +323,7 @@
 
 
 def region_cut_off_just_before(run: ScenarioRun):
-    """A change 2 s after a region was cut off: its canaries may be silent, and then it is withdrawn."""
+    """A change 2 s after a region was cut off: the region's canaries may not answer; then it is withdrawn."""
     fleet, outcomes = run.fleet, []
     for _ in range(4 if run.small else 20):
         fleet.network.isolate_region(run.rng.choice([1, 2]))
@@ -344,7 +344,7 @@
 
 
 def zone_lost(run: ScenarioRun):
-    """All machines of a zone with a replica go silent in the midst of a change, and return."""
+    """All machines of a zone with a replica go silent in the middle of a change, and return."""
     fleet, zone = run.fleet, 0
     hosts = [h for h in [*fleet.replicas.values(), *fleet.nodes.values()] if h.location.zone == zone]
     for host in hosts:
@@ -361,7 +361,7 @@
 
 
 def release(run: ScenarioRun):
-    """Every node restarted, 3.5 a second, while changes go on."""
+    """Every node is restarted, 3.5 per second, while changes are published."""
     fleet = run.fleet
     rate, downtime = 3.5, 4 * SECOND
     for number, node in enumerate(fleet.nodes.values()):
@@ -379,7 +379,7 @@
 
 
 def replica_restarts(run: ScenarioRun):
-    """A replica's process restarts at drawn moments of each of some changes."""
+    """A replica's process restarts at a random moment of each change."""
     fleet = run.fleet
     for _ in range(4 if run.small else 12):
         name = run.rng.choice(fleet.replica_names)
@@ -392,7 +392,7 @@
 
 
 def wrong_answers(run: ScenarioRun):
-    """One replica tells damaged, older and other answers to four of five watches, while changes go on."""
+    """One replica sends damaged, older or other replies to four of five watches, during changes."""
     fleet = run.fleet
     faulty_replica = fleet.replicas["r1"]
     faulty_replica.corrupt_reply = reply_corrupter(fleet, "r1")
@@ -405,7 +405,7 @@
 
 
 def two_publishers(run: ScenarioRun):
-    """Two publishers at a time, from two regions, a few ms apart."""
+    """Two publishers at the same time, from two regions, up to 300 ms apart."""
     fleet, outcomes = run.fleet, []
     for _ in range(4 if run.small else 12):
         one = fleet.publish(pu.Publish(run.body()), 0)
@@ -421,7 +421,7 @@
 
 
 def publisher_dies(run: ScenarioRun):
-    """A publisher dies at each step; another resumes, and a change after it."""
+    """A publisher dies at each step; another resumes its change, and a further change is published."""
     fleet, outcomes = run.fleet, []
     for step in pu.Step:
         host = fleet.publish(pu.Publish(run.body()), crash_at=step)
@@ -436,7 +436,7 @@
 
 
 def lossy(run: ScenarioRun):
-    """One message in a hundred is lost, for good, while changes go on."""
+    """One message in a hundred is lost and not sent again, while changes are published."""
     fleet, changes, outcomes = run.fleet, 5 if run.small else 20, []
     fleet.network.loss = 0.01
     for _ in range(changes):
@@ -479,7 +479,7 @@
 
 
 class RandomScenario:
-    """Faults and changes drawn from a seed, at a small size; then all is mended and must become whole."""
+    """Random faults and changes from a seed, in a small fleet; then all faults end and it has to converge."""
 
     parameters = FleetParameters(nodes=8, body_bytes=64)
 
@@ -488,10 +488,10 @@
         self.rng = self.fleet.world.random_stream("faults")
         self._bodies = 0
         self.convergence_s: float | None = None
-        """Seconds from the last change's end until no node lagged."""
+        """Seconds from the end of the last change until no node lagged; None: not within 20 s."""
 
     def run(self, actions=25) -> list[str]:
-        """Broken promises."""
+        """Runs the scenario; the violations."""
         fleet = self.fleet
         fleet.run_for(2)
         for _ in range(actions):
@@ -529,7 +529,7 @@
                 self.fleet.network.loss = 0.0 if self.fleet.network.loss else 0.1
 
     def _publish(self, order=None) -> None:
-        kinds = "fine", "fine", "refused", "unfit", "hangs"  # an illness may be told too late with losses
+        kinds = "fine", "fine", "refused", "unfit", "hangs"  # no "ill": with losses its report may be late
         self._bodies += 1
         body = f"{self.rng.choice(kinds)} {self._bodies}"
         steps = [None, None, None, *pu.Step]
@@ -553,7 +553,7 @@
 
 
 class RandomPublisherScenario(RandomScenario):
-    """Publishers at the same time, before replicas that write slowly and restart often."""
+    """Publishers at the same time, with replicas that write slowly and restart often."""
 
     parameters = FleetParameters(nodes=3, body_bytes=64, store=150_000)
 
@@ -578,7 +578,7 @@
 
 
 def measure_idle(nodes: int, seed=1, duration=60) -> dict[str, float]:
-    """Bytes and messages a second of an idle fleet of that size, and of its busiest replica."""
+    """Bytes and messages per second of an idle fleet's mean node and of its busiest replica."""
     fleet = Fleet(seed, FleetParameters(nodes=nodes))
     fleet.run_for(12)
     fleet.run_until_done(fleet.publish(pu.Publish("fine".ljust(fleet.parameters.body_bytes, "x"))))
@@ -589,7 +589,7 @@
 
 
 def replica_with_watches(nodes: int) -> re.Replica:
-    """A replica core with the reports and both watches of so many nodes."""
+    """A replica core with the reports and both watches of `nodes` nodes."""
     core = re.Replica("r1", ("r2", "r3"), m.ReplicaState(), lambda: 0.5)
     number = 0
     for name in (f"z1-node-{one:03}" for one in range(nodes)):
