--- a/cottonspread/lab/scale/configuration.py
+++ b/cottonspread/lab/scale/configuration.py
@@ -60,7 +60,7 @@
             "plays": count,
             "plays_broken": len(failed),
             "events": sum(scenario.fleet.world.events for scenario in scenarios),
-            "checks": sum(scenario.fleet.invariants.steps for scenario in scenarios),
+            "checks": sum(scenario.fleet.invariants.checks for scenario in scenarios),
         },
         seconds_until_whole=None if None in convergence_times else round(max(convergence_times), 3),
         rules_broken=sum(len(scenario.fleet.invariants.violations) for scenario in scenarios),
--- a/cottonspread/lab/scale/configuration_fleet.py
+++ b/cottonspread/lab/scale/configuration_fleet.py
@@ -398,7 +398,7 @@
                 self.invariants.on_reachability(
                     name, name in reachable, max(quorum_seen_at, default=0), not self.network.loss
                 )
-                self.invariants.said(name, node.core.is_cut_off(self.world.now))
+                self.invariants.on_cut_off_report(name, node.core.is_cut_off(self.world.now))
         self.world.after(SECOND, self._check_reachability)
 
     # Actions
--- a/cottonspread/lab/scale/configuration_invariants.py
+++ b/cottonspread/lab/scale/configuration_invariants.py
@@ -55,16 +55,16 @@
         self.everywhere = 0
         """The newest version committed at stage EVERYWHERE."""
         self.in_force: dict[str, int] = {}
-        self.reached_by_faulty: set[str] = set()
+        self.nodes_given_faulty: set[str] = set()
         self.changes: dict[int, Change] = {}
         self._pending: dict[int, Change] = {}
-        self.steps = 0
+        self.checks = 0
         self._cut_since: dict[str, int] = {}
         self._reached_since: dict[str, int] = {}
 
     def check(self, condition, *words) -> None:
         """Records a violation unless the condition holds; counts the check."""
-        self.steps += 1
+        self.checks += 1
         if not condition:
             self.violations.append(f"{self._world.now} {' '.join(map(str, words))}")
 
@@ -85,15 +85,15 @@
             if old is not None:
                 self.check(committed.generation > old.generation, replica, "generation went back")
                 self.check(committed.version >= old.version, replica, "committed version went back")
-            self._committed(replica, committed)
+            self._check_committed(replica, committed)
         if state.good is not None and (before is None or before.good != state.good):
             self.check(state.good.stage == EVERYWHERE, replica, "good is not everywhere")
-            self._committed(replica, state.good)
+            self._check_committed(replica, state.good)
 
     def _key(self, record) -> tuple:
         return record.generation, record.version, int(record.stage), digest(record.body), record.canary_below
 
-    def _committed(self, replica: str, record) -> None:
+    def _check_committed(self, replica: str, record) -> None:
         key = self._key(record)
         accepted = self._acceptors.get(key, ())
         self.check(len(accepted) >= self._majority, replica, "committed without a majority", key)
@@ -117,7 +117,7 @@
     def on_checked(self, node: str, record) -> None:
         """A node received this record and begins to check it."""
         if is_faulty(record.body):
-            self.reached_by_faulty.add(node)
+            self.nodes_given_faulty.add(node)
             self.check(
                 is_canary(node, record.version, record.canary_below), node, "faulty beyond the canaries"
             )
@@ -168,7 +168,7 @@
         self._cut_since.pop(node, None)
         self._reached_since.pop(node, None)
 
-    def said(self, node: str, cut_off: bool) -> None:
+    def on_cut_off_report(self, node: str, cut_off: bool) -> None:
         """Checks the node's own report of whether it is cut off."""
         now = self._world.now
         if node in self._cut_since and now - self._cut_since[node] > MAX_CUT_OFF_REPORT_DELAY:
--- a/cottonspread/lab/scale/configuration_scenarios.py
+++ b/cottonspread/lab/scale/configuration_scenarios.py
@@ -155,7 +155,7 @@
         done = run.publish(run.body(kind), timed=False)
         ended = (fleet.world.now - began) / SECOND
         convergence_s = fleet.run_until_converged()
-        reached = fleet.invariants.reached_by_faulty
+        reached = fleet.invariants.nodes_given_faulty
         run.expect(done is not None and done.outcome == pu.Outcome.WITHDRAWN, "not withdrawn", done)
         canaries = max(2, math.ceil(len(fleet.nodes) * 0.02))
         run.expect(len(reached) <= canaries, "reached", len(reached), "nodes")
@@ -249,7 +249,7 @@
     run.expect(host.done.outcome == pu.Outcome.NO_QUORUM, "ended", host.done)
     refused = (host.ended - host.began) / SECOND
     fleet.run_for(40)
-    said = sum(node.core.is_cut_off(fleet.world.now) for node in fleet.nodes.values())
+    reported = sum(node.core.is_cut_off(fleet.world.now) for node in fleet.nodes.values())
     held = sum(fleet.invariants.in_force.get(name, 0) > 0 for name in fleet.nodes)
     for name in fleet.replica_names[1:]:
         fleet.replicas[name].start()
@@ -263,7 +263,7 @@
         "two of three replicas lost in the midst of a publish",
         convergence_s=round(back, 2) if back is not None else None,
         seconds_until_no_quorum=round(refused, 2),
-        nodes_that_said_cut_off=said,
+        nodes_that_said_cut_off=reported,
         nodes_that_kept_a_version=held,
         seconds_of_loss=round((began - host.began) / SECOND),
     )
@@ -288,8 +288,8 @@
         _publish_and_check(run)
     fleet.run_for(30)
     behind = sum(fleet.invariants.in_force.get(node.name, 0) < fleet.invariants.everywhere for node in inside)
-    said = sum(node.core.is_cut_off(fleet.world.now) for node in inside)
-    wrongly = sum(node.core.is_cut_off(fleet.world.now) for node in fleet.nodes.values()) - said
+    reported = sum(node.core.is_cut_off(fleet.world.now) for node in inside)
+    wrongly = sum(node.core.is_cut_off(fleet.world.now) for node in fleet.nodes.values()) - reported
     before = sum(node.bytes_in + node.bytes_out for node in inside)
     fleet.network.heal()
     convergence_s = fleet.run_until_converged()
@@ -299,7 +299,7 @@
         "a region cut off, changes meanwhile, its return",
         convergence_s=convergence_s,
         nodes_cut_off=len(inside),
-        nodes_that_said_so=said,
+        nodes_that_said_so=reported,
         others_that_said_so=wrongly,
         nodes_behind=behind,
         bytes_a_node_to_catch_up=round((after - before) / len(inside)),
@@ -532,9 +532,9 @@
         kinds = "fine", "fine", "refused", "unfit", "hangs"  # no "ill": with losses its report may be late
         self._bodies += 1
         body = f"{self.rng.choice(kinds)} {self._bodies}"
-        steps = [None, None, None, *pu.Step]
+        crash_steps = [None, None, None, *pu.Step]
         self.fleet.publish(
-            order or pu.Publish(body), region=self.rng.randbelow(3), crash_at=self.rng.choice(steps)
+            order or pu.Publish(body), region=self.rng.randbelow(3), crash_at=self.rng.choice(crash_steps)
         )
 
     def _stop_or_start(self, host) -> None:
--- a/tests/configstore/test_configuration_plays.py
+++ b/tests/configstore/test_configuration_plays.py
@@ -203,14 +203,14 @@
     harness.invariants.on_reachability("n1", False, 0, True)
     harness.invariants.on_reachability("n2", True, 0, True)
     harness.world.now = MAX_CUT_OFF_REPORT_DELAY
-    harness.invariants.said("n1", False)
+    harness.invariants.on_cut_off_report("n1", False)
     assert harness.violations() == ""
     harness.world.now += 1
-    harness.invariants.said("n1", False)
+    harness.invariants.on_cut_off_report("n1", False)
     assert "does not say so" in harness.violations()
     harness.invariants.violations.clear()
     assert MAX_CUT_OFF_CLEAR_DELAY <= MAX_CUT_OFF_REPORT_DELAY
-    harness.invariants.said("n2", True)
+    harness.invariants.on_cut_off_report("n2", True)
     assert "says it is cut off and is not" in harness.violations()
 
 
