--- a/benchmarks/scale/page.py
+++ b/benchmarks/scale/page.py
@@ -1,12 +1,12 @@
 #!/usr/bin/env python3
-"""Writes the tables of docs/CAPACITY.md from rows.toml and results/*.json.
+"""Generates the tables of docs/CAPACITY.md from rows.toml and results/*.json.
 
     python benchmarks/scale/page.py            # writes the page
-    python benchmarks/scale/page.py --check    # exit 1 if page, rows and results differ; says where
+    python benchmarks/scale/page.py --check    # exit 1 if page, rows and results differ; prints where
     python benchmarks/scale/page.py --plots DIR    # plots with targets and budgets, and scale.html
 
-The check fails too where a result that a row names is missing, where a row says that it was not run although
-its results are there, and where the prose has a figure that is no variable of the page.
+The check also fails if a result that a row names is missing, if a row is marked as not run although its
+results exist, and if the prose has a number that is not the value of a variable.
 """
 
 import argparse
@@ -18,11 +18,11 @@
 ROOT = Path(__file__).resolve().parents[2]
 sys.path.insert(0, str(ROOT))
 
-from cottonspread.lab.scale import capacity, formula, results, tables  # noqa: E402  the checkout's own
+from cottonspread.lab.scale import capacity, formula, results, tables  # noqa: E402  from this checkout
 
 
 def problems_of(page: Path, rows: Path, folder: Path) -> tuple[list[str], str]:
-    """What is wrong with the page, nothing if it is sound; and the text that it should have."""
+    """The page's problems, an empty list if it is right, and the text that it should have."""
     text = page.read_text(encoding="utf-8")
     try:
         model = capacity.Capacity(capacity.read_definitions(rows), results.read_all(folder), ROOT)
@@ -33,12 +33,15 @@
     differing = difflib.unified_diff(
         text.splitlines(), wanted.splitlines(), "page", "results", n=0, lineterm=""
     )
-    return [*differing, *(f"a figure in the prose without its run: {found}" for found in unverified)], wanted
+    return [
+        *differing,
+        *(f"a number in the prose that is not a variable's value: {found}" for found in unverified),
+    ], wanted
 
 
 def write_plots(rows: Path, folder: Path, out: Path) -> Path:
-    """Plots of all sweeps with the rows' targets and budgets; the page that shows them."""
-    from cottonspread.lab.scale import plots  # matplotlib is wanted for this alone
+    """Plots all sweeps with the rows' targets and budgets; returns the page that shows them."""
+    from cottonspread.lab.scale import plots  # imports matplotlib, which only plots need
 
     found = results.read_all(folder)
     targets = plots.targets_of(capacity.Capacity(capacity.read_definitions(rows), found, ROOT))
@@ -46,7 +49,7 @@
 
 
 def main(arguments: list[str] | None = None) -> int:
-    """The command; its exit code."""
+    """Runs the command; returns its exit code."""
     parser = argparse.ArgumentParser(description=__doc__.split("\n")[0])
     parser.add_argument("--check", action="store_true", help="write nothing; exit 1 if anything differs")
     parser.add_argument("--page", type=Path, default=ROOT / "docs" / "CAPACITY.md")
--- a/cottonspread/lab/scale/capacity.py
+++ b/cottonspread/lab/scale/capacity.py
@@ -1,8 +1,8 @@
-"""The rows of the capacity page: read from TOML, every field checked, worked out from results and variables.
+"""The capacity model: rows read from TOML, every field checked, evaluated from results and variables.
 
-A row has a formula over names. A name is a variable (told by the operators, assumed with a range, or
-derived), the `id` of another row, or one of the row's own `costs` (a fit of a result's measure, taken at a
-size) and `figures` (one value out of a result's fault rows or of an older results file).
+A row has a formula over names. A name is a variable (given by the operators, assumed with a range, or
+derived), the `id` of another row, or one of the row's own `costs` (a fit of a result's measure, evaluated at
+a size) and `figures` (a single value from a result or from an older file).
 """
 
 import itertools
@@ -22,15 +22,15 @@
 Aspect = Literal["state", "messages", "processor time", "memory", "descriptors", "bytes a second", "time"]
 
 BUDGET_MARGIN = 2.0
-"""A value under the budget by this factor holds; between, it holds with its factor."""
+"""A value below the budget by this factor holds; a value closer to the budget holds with its factor."""
 
 
 class RowError(ValueError):
-    """A row that cannot be worked out; the message names it."""
+    """A row that cannot be evaluated; the message names it."""
 
 
 class GivenVariable(msgspec.Struct, forbid_unknown_fields=True):
-    """A variable that the operators gave."""
+    """A variable that the operators gave; `[told.NAME]` in TOML."""
 
     value: float
     unit: str
@@ -38,7 +38,7 @@
 
 
 class AssumedVariable(msgspec.Struct, forbid_unknown_fields=True):
-    """A variable that nobody told, with the range in which it may lie."""
+    """A variable that nobody gave, with the range in which it may lie."""
 
     value: float
     low: float
@@ -48,7 +48,7 @@
 
 
 class DerivedVariable(msgspec.Struct, forbid_unknown_fields=True):
-    """A variable that follows from others."""
+    """A variable that is computed from others."""
 
     formula: str
     unit: str
@@ -56,7 +56,7 @@
 
 
 class Cost(msgspec.Struct, forbid_unknown_fields=True):
-    """The fit of a measure at a size (a formula); with `slope` that of the line, value a unit of size."""
+    """The fit of a measure at a size (a formula); with `slope` the line's slope, value per unit of size."""
 
     name: str
     result: str
@@ -66,11 +66,11 @@
 
 
 class Figure(msgspec.Struct, forbid_unknown_fields=True):
-    """One value.
+    """A single value.
 
-    It is `figure` of a fault run's `event`; a point of a sweep (`figure`: the measure, `size`); out of a JSON
-    file of the repository (`at`: keys joined by `/`); or out of a page (`at`: words that stand there, with
-    `value` among them). Seconds until whole that were not met within the play are infinite.
+    It is `figure` of a fault run's `event`; a point of a sweep (`figure`: the measure, `size`); from a JSON
+    file of the repository (`at`: keys joined by `/`); or from a page (`at`: words quoted from it, with
+    `value` among them). `seconds_until_whole` is infinite where the fleet did not recover within the run.
     """
 
     name: str
@@ -84,7 +84,7 @@
 
 
 class Row(msgspec.Struct, forbid_unknown_fields=True):
-    """One line of a role's table."""
+    """One row of a role's table."""
 
     role: str
     control: bool
@@ -98,11 +98,11 @@
     costs: list[Cost] = []
     figures: list[Figure] = []
     not_run: str = ""
-    """Why there is no run yet: the row has no value then."""
+    """Why there is no run yet; a row with it has no value."""
 
 
 class Line(msgspec.Struct, forbid_unknown_fields=True):
-    """One line of any other table; `{name}` in a cell stands for one of its `values`."""
+    """One line of another table; `{name}` in a cell stands for one of its values or figures."""
 
     table: str
     cells: list[str]
@@ -114,7 +114,7 @@
 
 
 class Definitions(msgspec.Struct, forbid_unknown_fields=True):
-    """All that the page's tables are made from, but for the results."""
+    """Everything that the page's tables are made from, except the results."""
 
     told: dict[str, GivenVariable]
     assumed: dict[str, AssumedVariable]
@@ -127,7 +127,7 @@
 
 @dataclass(frozen=True)
 class FittedCost:
-    """A cost as a row used it."""
+    """A cost of a row, with its fit and its value at its size."""
 
     cost: Cost
     fit: Fit
@@ -138,7 +138,7 @@
 
 @dataclass(frozen=True)
 class EvaluatedRow:
-    """A row worked out; all None where it was not run."""
+    """A row with its values, all None where it was not run."""
 
     row: Row
     value: float | None
@@ -149,7 +149,7 @@
 
     @property
     def verdict(self) -> str:
-        """Holds, holds with a factor, does not hold; said of the value, and of the whole range besides."""
+        """Whether the value is within the budget, and whether it is so over the whole assumed range."""
         if self.value is None:
             return "not run"
         if self.budget is None:
@@ -163,7 +163,7 @@
 
     @property
     def extrapolation(self) -> float:
-        """How many times the largest size played the target lies at, of the cost that is furthest."""
+        """The target over the largest measured size, for the cost where that ratio is largest."""
         return max(
             (fitted_cost.fit.extrapolation(fitted_cost.size) for fitted_cost in self.fitted_costs),
             default=0.0,
@@ -175,7 +175,7 @@
 
 
 def read_definitions(path: Path) -> Definitions:
-    """The TOML file's rows; RowError names what is wrong."""
+    """The definitions in the TOML file; RowError names what is wrong with it."""
     try:
         definitions = msgspec.toml.decode(path.read_bytes(), type=Definitions)
     except (OSError, msgspec.DecodeError, UnicodeDecodeError) as fault:
@@ -188,18 +188,20 @@
     ]
     duplicates = {name for name in variables if variables.count(name) > 1}
     if duplicates:
-        raise RowError(f"{path.name}: names that are there twice: {sorted(duplicates)}")
+        raise RowError(f"{path.name}: duplicate names: {sorted(duplicates)}")
     for name, one in definitions.assumed.items():
         if not one.low <= one.value <= one.high:
             raise RowError(f"{path.name}: assumed.{name}: value outside its range")
     for line in definitions.line:
         if len(line.cells) != len(definitions.tables.get(line.table, [])):
-            raise RowError(f"{path.name}: table {line.table!r}: {line.cells[:1]}: other than its columns")
+            raise RowError(
+                f"{path.name}: table {line.table!r}: {line.cells[:1]}: cell count differs from columns"
+            )
     return definitions
 
 
 class Evaluator:
-    """Values of names under one choice of the assumed variables; remembers which of them were used."""
+    """Evaluates names under given values of the assumed variables; remembers which of those were used."""
 
     def __init__(
         self, definitions: Definitions, results: dict[str, Result], root: Path, assumptions: dict[str, float]
@@ -210,9 +212,9 @@
         self.in_progress: list[str] = []
 
     def value(self, name: str) -> float:
-        """That of a variable or of a row's id."""
+        """The value of a variable or of the row with that id."""
         if name in self.in_progress:
-            raise RowError(f"{name}: rests on itself")
+            raise RowError(f"{name}: depends on itself")
         if name in self.definitions.told:
             return self.definitions.told[name].value
         if name in self.definitions.assumed:
@@ -231,7 +233,7 @@
     def row_value(self, row: Row) -> float:
         """A row's value; RowError where it was not run."""
         if row.not_run:
-            raise RowError(f"{row.what}: was not run, and another row rests on it")
+            raise RowError(f"{row.what}: was not run, and another row depends on it")
         return self.evaluate(row.formula, self.own_values(row.costs, row.figures))
 
     def budget(self, row: Row) -> float | None:
@@ -241,7 +243,7 @@
         return self.evaluate(row.budget, self.own_values(row.costs, row.figures))
 
     def evaluate(self, text: str, own: dict[str, float]) -> float:
-        """The value of a formula over variables and a row's own values, which go first."""
+        """The value of a formula over variables and a row's own values, which take precedence."""
         return formula.evaluate(text, lambda name: own[name] if name in own else self.value(name))
 
     def own_values(self, costs: list[Cost], figures: list[Figure]) -> dict[str, float]:
@@ -250,7 +252,7 @@
         return own | {figure.name: self.figure(figure) for figure in figures}
 
     def fitted_cost(self, cost: Cost) -> FittedCost:
-        """A cost at its size."""
+        """The cost's fit and its value at its size."""
         result = self.result(cost.result)
         if not isinstance(result, Sweep):
             raise RowError(f"{cost.result}: not a sweep")
@@ -258,11 +260,11 @@
         found = fit(measure.points)
         size = formula.evaluate(cost.size, self.value)
         if cost.slope and found.term not in ("linear", "constant"):
-            raise RowError(f"{cost.result}: {cost.measure}: grows by {found.term}, so that no slope tells it")
+            raise RowError(f"{cost.result}: {cost.measure}: grows by {found.term}, so it has no single slope")
         return FittedCost(cost, found, measure.unit, size, found.slope if cost.slope else found.at(size))
 
     def figure(self, figure: Figure) -> float:
-        """One value out of a result or of an older file."""
+        """A single value from a result or an older file."""
         where = figure.result or figure.file
         if figure.file:
             value = self._page_value(figure) if figure.value else self._json_value(figure)
@@ -272,7 +274,7 @@
                 _point_value(result, figure) if isinstance(result, Sweep) else _event_value(result, figure)
             )
         if isinstance(value, bool) or not isinstance(value, int | float):
-            raise RowError(f"{where}: {figure.name}: {value!r} is no number")
+            raise RowError(f"{where}: {figure.name}: {value!r} is not a number")
         return float(value)
 
     def _json_value(self, figure: Figure) -> object:
@@ -290,7 +292,7 @@
         except OSError as fault:
             raise RowError(f"{figure.file}: {fault.strerror}") from None
         if figure.at not in text or figure.value not in figure.at.split():
-            raise RowError(f"{figure.file}: {figure.value!r} in {figure.at!r} does not stand there")
+            raise RowError(f"{figure.file}: {figure.value!r} in {figure.at!r} not found")
         return float(figure.value.replace(",", ""))
 
     def result(self, name: str) -> Result:
@@ -301,11 +303,11 @@
 
 
 def _point_value(sweep: Sweep, figure: Figure) -> float:
-    """What was measured at one size."""
+    """The measured value at one size."""
     for point in sweep.measure(figure.figure).points:
         if point.size == figure.size:
             return point.value
-    raise RowError(f"{sweep.name}: {figure.figure}: size {figure.size:g} was not played")
+    raise RowError(f"{sweep.name}: {figure.figure}: size {figure.size:g} was not measured")
 
 
 def _event_value(run: FaultRun, figure: Figure) -> float:
@@ -319,17 +321,17 @@
 
 
 class Capacity:
-    """The book worked out over the results."""
+    """The definitions evaluated over the results."""
 
     def __init__(self, definitions: Definitions, results: dict[str, Result], root: Path):
         self.definitions, self.results, self.root = definitions, results, root
 
     def evaluator(self, assumptions: dict[str, float] | None = None) -> Evaluator:
-        """Values under a choice of the assumed variables; those left out have their stated value."""
+        """An evaluator with values for assumed variables; those left out have their stated value."""
         return Evaluator(self.definitions, self.results, self.root, assumptions or {})
 
     def rows(self, role: str, control: bool) -> list[EvaluatedRow]:
-        """A role's rows, worked out."""
+        """A role's rows, evaluated."""
         return [
             self.evaluate_row(row)
             for row in self.definitions.row
@@ -337,7 +339,7 @@
         ]
 
     def evaluate_row(self, row: Row) -> EvaluatedRow:
-        """One row: value, the lowest and highest over the corners of the assumed ranges, budget."""
+        """Evaluates a row: value, budget, lowest and highest value over the corners of the assumed ranges."""
         if row.not_run:
             self._check_not_run(row.what, row.costs, row.figures)
             return EvaluatedRow(row, None, None, None, None, ())
@@ -355,7 +357,7 @@
         return EvaluatedRow(row, value, min(corners), max(corners), budget, fitted_costs)
 
     def max_cost(self, row: Row, cost: Cost) -> float | None:
-        """What the cost may be until the row meets its budget, all else as it is; None: nothing tells it."""
+        """The cost at which the row reaches its budget, all else unchanged; None if there is no such cost."""
         if row.not_run or not row.budget:
             return None
         evaluator = self.evaluator()
@@ -383,7 +385,7 @@
         return own
 
     def corners(self, names: set[str]) -> Iterator[dict[str, float]]:
-        """Every choice of lowest and highest of these assumed variables."""
+        """Every combination of the lowest and highest values of these assumed variables."""
         ordered = sorted(names)
         ends = [(self.definitions.assumed[name].low, self.definitions.assumed[name].high) for name in ordered]
         for choice in itertools.product(*ends):
@@ -410,7 +412,7 @@
         return [found[key] for key in sorted(found)]
 
     def _check_not_run(self, what: str, costs: list[Cost], figures: list[Figure]) -> None:
-        """A row that names only results that are there has been run, and may not say otherwise."""
+        """Raises if all results that a row names exist: such a row must not be marked as not run."""
         wanted = {cost.result for cost in costs} | {figure.result for figure in figures if figure.result}
         if wanted and wanted <= self.results.keys():
-            raise RowError(f"{what}: says that it was not run, and its results are there")
+            raise RowError(f"{what}: marked as not run, but its results exist")
--- a/cottonspread/lab/scale/fit.py
+++ b/cottonspread/lab/scale/fit.py
@@ -1,8 +1,8 @@
-"""How a cost grows with a size: least squares over the points of a sweep, and the term that tells them best.
+"""How a cost grows with a size: least squares over the points of a sweep, for the term that fits best.
 
-Residuals are relative to the values, so that each size counts alike: sweeps run over two decades and more,
-and what strays in a measured cost strays in proportion to it. A value under a hundredth of the largest is
-taken for that hundredth, or noise in what is next to nothing would decide.
+Residuals are relative to the values, so that all sizes have the same weight: sweeps span two decades and
+more, and the noise of a measured cost is proportional to it. For a value under a hundredth of the largest,
+the residual is relative to that hundredth; otherwise noise in values close to zero would decide the fit.
 """
 
 import math
@@ -14,17 +14,17 @@
 from cottonspread.lab.scale.results import MIN_SIZES, Point
 
 RESIDUAL_FLOOR = 0.01
-"""Part of the largest value under which a residual is not held against the value itself."""
+"""Share of the largest value; residuals of values below it are relative to it, not to the value itself."""
 
 SAME_SIZE_FACTOR = 1.001
-"""A target that is larger than a size by a smaller factor was played: 76,190.5 connections are 76,190."""
+"""A target larger than a size by a smaller factor counts as measured: 76,190.5 connections are 76,190."""
 
 MIN_GROWTH = 0.1
-"""A cost that grows by a smaller part from the smallest size to the largest, or falls, is constant: nothing
-that a size adds makes it, and a fall carried on past the largest size would promise ever less."""
+"""A cost that grows by a smaller share from the smallest size to the largest, or falls, is constant: it does
+not come from the size, and a decrease extrapolated past the largest size would predict ever lower costs."""
 
 MIN_IMPROVEMENT = 4.0
-"""Squares of residuals have to fall by this factor before a cost is called anything but linear."""
+"""Another term than linear is used only if the sum of squared residuals falls by this factor."""
 
 TERMS: dict[str, Callable[[float], float]] = {
     "constant": lambda size: 0.0,
@@ -33,11 +33,11 @@
     "n log n": lambda size: size * math.log(size),
     "quadratic": lambda size: size * size,
 }
-"""What a cost may grow with, the slowest first."""
+"""The terms by which a cost may grow, the slowest first."""
 
 
 class FitError(ValueError):
-    """The points tell no slope."""
+    """The points do not determine a fit."""
 
 
 @dataclass(frozen=True)
@@ -47,41 +47,41 @@
     term: str
     intercept: float
     slope: float
-    """Of the term: of a linear cost, value a unit of size."""
+    """Value per unit of the term; of a linear cost, per unit of size."""
     residual: float
     """The largest residual, relative to its value: 0.05 is 5%."""
     exponent: float
-    """Of a power fit, `value = c * size ** exponent`; 0 where no value is over 0."""
+    """Of a power fit, `value = c * size ** exponent`; 0 with fewer than two values over 0."""
     smallest: float
     largest: float
-    """Sizes played."""
+    """The smallest and the largest measured size."""
 
     def at(self, size: float) -> float:
-        """The cost at a size, which need not have been played."""
+        """The cost at a size, measured or not."""
         return self.intercept + self.slope * TERMS[self.term](size)
 
     def extrapolation(self, target: float) -> float:
-        """How many times the largest size played the target is; 1 and less: it was played."""
+        """The target over the largest measured size; 1 or less: within the measured sizes."""
         past = target / self.largest
         return 1.0 if 1.0 < past < SAME_SIZE_FACTOR else past
 
     def grows_faster_than(self, term: str) -> bool:
-        """Whether the cost grows by a faster term than this one."""
+        """Whether the cost grows, by a faster term than this one."""
         order = list(TERMS)
         return order.index(self.term) > order.index(term) and self.slope > 0
 
 
 def fit(points: Sequence[Point]) -> Fit:
-    """The fit of the points; linear unless the cost does not grow or another term tells it much better.
+    """The fit of the points; linear unless the cost does not grow or another term fits it much better.
 
-    Raises FitError for fewer than four sizes, a size that is not over 0 or a value that is no number.
+    Raises FitError for fewer than four sizes, a size that is not over 0 or a value that is not finite.
     """
     sizes = np.array([point.size for point in points], dtype=float)
     values = np.array([point.value for point in points], dtype=float)
     if len(set(sizes)) < MIN_SIZES:
-        raise FitError(f"{len(set(sizes))} sizes; {MIN_SIZES} at least are wanted")
+        raise FitError(f"{len(set(sizes))} sizes; at least {MIN_SIZES} required")
     if not (np.isfinite(sizes).all() and np.isfinite(values).all() and (sizes > 0).all()):
-        raise FitError("sizes over 0 and finite values are wanted")
+        raise FitError("sizes over 0 and finite values required")
     fits = {term: _least_squares(term, sizes, values) for term in TERMS if term != "constant"}
     squared_residuals = {term: found[1] for term, found in fits.items()}
     term = min(squared_residuals, key=squared_residuals.__getitem__)
@@ -97,7 +97,7 @@
     term_values = np.array([TERMS[term](size) for size in sizes])
     weight = 1 / _scale(values)
     columns = np.column_stack([np.ones_like(term_values), term_values]) * weight[:, None]
-    largest = np.abs(columns).max(axis=0)  # so that neither column is lost beside the other
+    largest = np.abs(columns).max(axis=0)  # scales both columns alike, so that neither is lost to rounding
     (intercept, slope), *_ = np.linalg.lstsq(columns / largest, values * weight, rcond=None)
     intercept, slope = intercept / largest[0], slope / largest[1]
     residuals = np.abs(values - intercept - slope * term_values) * weight
--- a/cottonspread/lab/scale/formula.py
+++ b/cottonspread/lab/scale/formula.py
@@ -1,4 +1,4 @@
-"""Formulas of the capacity page: numbers, names, + - * / and brackets; nothing else is carried out."""
+"""Formulas of the capacity model: numbers, names, + - * / and parentheses; anything else is rejected."""
 
 import ast
 import operator
@@ -11,15 +11,15 @@
     ast.Div: operator.truediv,
 }
 MAX_LENGTH = 500
-"""Characters of a formula."""
+"""Most characters of a formula."""
 
 
 class FormulaError(ValueError):
-    """A formula that cannot be read or worked out; the message begins with the formula."""
+    """A formula that cannot be parsed or evaluated; the message begins with the formula."""
 
 
 def evaluate(formula: str, value: Callable[[str], float]) -> float:
-    """The formula's value; `value` gives that of each name. Raises FormulaError."""
+    """The formula's value; `value` maps each name to its value. Raises FormulaError."""
     try:
         return _evaluate_node(_parse(formula), value)
     except ZeroDivisionError:
--- a/cottonspread/lab/scale/plots.py
+++ b/cottonspread/lab/scale/plots.py
@@ -1,4 +1,4 @@
-"""Plots of cost against size: the points played, their fit on to the target, and the budget's line.
+"""Plots of cost by size: the measured points, their fit extrapolated to the target, and the budget's line.
 
 paths = plots.write(results, folder)  # one PNG per measure
 page = plots.report(results, folder, plots.targets_of(capacity))  # the PNGs and scale.html
@@ -24,7 +24,7 @@
 
 DPI = 110
 CURVE_POINTS = 200
-"""Points of the fit's curve."""
+"""Points at which a fit's curve is drawn."""
 
 REPORT_TEMPLATE = jinja2.Environment(autoescape=True).from_string("""<!doctype html><meta charset="utf-8">
 <title>Cost against size</title><style>body{font:15px sans-serif;max-width:72em;margin:2em auto;color:#222}
@@ -43,7 +43,7 @@
 
 @dataclass(frozen=True)
 class Target:
-    """Where a row of the capacity page wants a measure to be: under `allowed`, at the size `target`."""
+    """What a row of the capacity page requires of a measure: at most `max_cost` at `size`."""
 
     label: str
     size: float
@@ -51,11 +51,11 @@
 
 
 Targets = Mapping[tuple[str, str], list[Target]]
-"""By result and measure."""
+"""Targets by result and measure."""
 
 
 def targets_of(capacity: Capacity) -> Targets:
-    """The targets and budgets that the capacity page's rows have for their costs."""
+    """The sizes and limits that the capacity page's rows have for their costs."""
     targets = defaultdict(list)
     for row in capacity.definitions.row:
         for cost in row.costs if not row.not_run else ():
@@ -66,7 +66,7 @@
 
 
 def write(results: Iterable[Result], folder: Path, targets: Targets | None = None) -> list[Path]:
-    """A PNG of each measure of each sweep, in the folder; their paths."""
+    """Writes a PNG for each measure of each sweep into the folder; returns their paths."""
     folder.mkdir(parents=True, exist_ok=True)
     paths = []
     for sweep in _sweeps(results):
@@ -78,7 +78,7 @@
 
 
 def report(results: Iterable[Result], folder: Path, targets: Targets | None = None) -> Path:
-    """The plots, and `scale.html`, one file that shows them all without a network; its path."""
+    """Writes the plots and `scale.html`, a self-contained page that shows them all; returns its path."""
     sweeps = _sweeps(results)
     write(sweeps, folder, targets)
     images, shown = {}, []
@@ -93,7 +93,7 @@
 
 
 def draw(sweep: Sweep, measure: Measure, path: Path, targets: list[Target]) -> None:
-    """One measure's plot, with logarithmic axes."""
+    """Plots one measure, by size on a logarithmic axis."""
     found = fit(measure.points)
     largest_size = max([found.largest, *(target.size for target in targets)])
     figure, axis = plt.subplots(figsize=(7, 4.6))
@@ -114,7 +114,7 @@
 
 
 def _scale_axes(axis: plt.Axes, sizes: list[float], logarithmic: bool) -> None:
-    """Sizes as ticks; values by decades, unless one of them is nothing."""
+    """Sets sizes as ticks, and a logarithmic value axis unless a value is 0."""
     plain = ticker.FuncFormatter(lambda value, _: f"{value:,.4g}" if value < 1000 else f"{value:,.0f}")
     axis.set_xscale("log")
     axis.set_xticks(sizes)
@@ -131,7 +131,7 @@
 
 
 def _draw_fit(axis: plt.Axes, found: Fit, target: float) -> None:
-    """A line over the sizes played, dashes from there to the target."""
+    """Draws the fit as a solid line over the measured sizes and dashed from there to the target."""
     played = np.geomspace(found.smallest, found.largest, CURVE_POINTS)
     axis.plot(played, [found.at(size) for size in played], color="#1f4e79", label="fit")
     if target > found.largest:
@@ -147,7 +147,7 @@
 
 
 def _draw_budgets(axis: plt.Axes, targets: list[Target], largest: float) -> None:
-    """A line for each budget; one far over all values is told in the legend alone."""
+    """Draws a line for each budget; one far above all values appears only in the legend."""
     drawn = set()
     for target in targets:
         if target.max_cost is None or (target.label, target.max_cost) in drawn:
--- a/cottonspread/lab/scale/results.py
+++ b/cottonspread/lab/scale/results.py
@@ -1,7 +1,7 @@
-"""Results of scale runs: one JSON file a run, every field checked when it is written and when it is read.
+"""Results of scale runs: one JSON file per run, every field checked on writing and on reading.
 
-A run is a `Sweep` (values measured at several sizes of one variable) or a `FaultRun` (events played on a
-fleet). Whoever makes one leaves out `commit`, `date` and `machine`: `write` fills them in.
+A run is a `Sweep` (values measured at several sizes of one variable) or a `FaultRun` (events simulated in a
+fleet). `commit`, `date` and `machine` may be left out: `write` fills them in.
 
     points = [Point(50, 11.0), Point(400, 20.0), Point(1000, 40.0), Point(3000, 99.0)]
     sweep = Sweep(
@@ -31,19 +31,19 @@
 import msgspec
 
 FOLDER = Path(__file__).resolve().parents[3] / "benchmarks" / "scale" / "results"
-"""Where the results lie that docs/CAPACITY.md is made from."""
+"""The folder of the results that docs/CAPACITY.md is made from."""
 
 MIN_SIZES = 4
-"""Fewer points than these tell no slope."""
+"""Fewer sizes do not determine a slope."""
 
 Kind = Literal["module", "reducer", "hollow", "real", "sockets"]
 
 NAME_PATTERN = re.compile(r"[a-z0-9][a-z0-9-]*")
 COMMIT_PATTERN = re.compile(r"[0-9a-f]{7,40}\+?")
-"""A trailing plus: the checkout differed from that commit."""
+"""A trailing plus means that the checkout differed from that commit."""
 
 POINT_PATTERN = re.compile(rb"\[\s+([-+.\deE]+),\s+([-+.\deE]+)\s+\]")
-"""A point in indented JSON, which is put on one line."""
+"""A point in indented JSON, which `write` puts on one line."""
 
 
 class ResultError(ValueError):
@@ -51,7 +51,7 @@
 
 
 class Machine(msgspec.Struct, kw_only=True, forbid_unknown_fields=True):
-    """Where a run was made."""
+    """The machine on which a run was made."""
 
     cores: int
     memory_gib: float
@@ -59,7 +59,7 @@
 
 
 class Point(msgspec.Struct, array_like=True, forbid_unknown_fields=True):
-    """One measured value; in JSON `[size, value]`."""
+    """A measured value; in JSON `[size, value]`."""
 
     size: float
     value: float
@@ -71,14 +71,14 @@
     name: str
     unit: str
     control: bool
-    """True: control (list, configuration, health, membership). False: clients' lines."""
+    """True: control work (list, configuration, health, membership). False: clients' lines."""
     points: list[Point]
     plays: int
-    """Plays that each point was made from."""
+    """Repetitions that each point was made from."""
 
 
 class ResultHeader(msgspec.Struct, kw_only=True, forbid_unknown_fields=True):
-    """The head of every result."""
+    """The fields that every result has."""
 
     name: str
     what: str
@@ -89,7 +89,7 @@
     """True: no other load was on the machine."""
     commit: str = ""
     date: str = ""
-    """Of the run's end, `YYYY-MM-DD`."""
+    """The day on which the run ended, `YYYY-MM-DD`."""
     machine: Machine | None = None
 
 
@@ -116,13 +116,13 @@
 
 
 class FaultRow(msgspec.Struct, kw_only=True, forbid_unknown_fields=True):
-    """One event played on a fleet."""
+    """One event simulated in a fleet."""
 
     event: str
     figures: dict[str, float]
-    """Name with its unit at the end (`lost_connections`, `longest_silence_ms`) to value."""
+    """Values by name; a name ends with its unit (`lost_connections`, `longest_silence_ms`)."""
     seconds_until_whole: float | None
-    """None: it was not whole at the end of the play."""
+    """Seconds until the fleet had recovered; None: it had not at the end of the run."""
     rules_broken: int
     notes: str
 
@@ -134,7 +134,7 @@
     tag_field="schema",
     tag="cottonspread-scale-faults/1",
 ):
-    """Events played on a fleet of `nodes` from a seed."""
+    """Events simulated from a seed in a fleet of `nodes` nodes."""
 
     nodes: int
     seed: int
@@ -159,7 +159,7 @@
 
 
 def current_commit() -> str:
-    """The commit of the checkout that this module lies in; with a plus where Python files differ from it."""
+    """The commit of this module's checkout, with a plus if Python files differ from it."""
     folder = Path(__file__).parent
     commit = _git(folder, "rev-parse", "--short=12", "HEAD")
     changed = _git(folder, "status", "--porcelain", "--untracked-files=no", "--", ":/*.py")
@@ -167,7 +167,7 @@
 
 
 def write(result: Result, folder: Path = FOLDER) -> Path:
-    """Fills in commit, date and machine where left out, checks, writes `NAME.json` whole; its path."""
+    """Fills in commit, date and machine if empty, checks, writes `NAME.json` atomically; returns its path."""
     result.commit = result.commit or current_commit()
     result.date = result.date or datetime.date.today().isoformat()
     result.machine = result.machine or current_machine()
@@ -182,7 +182,7 @@
 
 
 def read(path: Path) -> Result:
-    """The result in the file; ResultError where it is missing, faulty, or named otherwise than its file."""
+    """The result in the file; ResultError if it is missing or faulty, or its name is not the file's."""
     path = Path(path)
     try:
         text = path.read_bytes()
@@ -195,7 +195,7 @@
 
 
 def read_sweep(path: Path) -> Sweep:
-    """As `read`; ResultError where it is no sweep."""
+    """Like `read`; ResultError if it is not a sweep."""
     result = read(path)
     if not isinstance(result, Sweep):
         raise ResultError(f"{Path(path).name}: not a sweep")
@@ -203,7 +203,7 @@
 
 
 def read_fault_run(path: Path) -> FaultRun:
-    """As `read`; ResultError where it is no fault run."""
+    """Like `read`; ResultError if it is not a fault run."""
     result = read(path)
     if not isinstance(result, FaultRun):
         raise ResultError(f"{Path(path).name}: not a fault run")
@@ -216,7 +216,7 @@
 
 
 def check(result: Result) -> None:
-    """Raises ResultError at the first field whose type is right and whose value is not."""
+    """Checks the values of all fields, whose types msgspec checks; raises ResultError at the first fault."""
     _check_header(result)
     if isinstance(result, Sweep):
         _check_sweep(result)
@@ -238,30 +238,30 @@
         result,
         "name",
         NAME_PATTERN.fullmatch(result.name) is not None,
-        "lower case letters, digits and hyphens",
+        "only lower case letters, digits and hyphens are allowed",
     )
-    _require(result, "what", result.what.strip() != "", "a sentence is wanted")
-    _require(result, "command", result.command.strip() != "", "the command is wanted")
-    _require(result, "commit", COMMIT_PATTERN.fullmatch(result.commit) is not None, "a commit is wanted")
-    _require(result, "date", _is_date(result.date), "YYYY-MM-DD is wanted")
+    _require(result, "what", result.what.strip() != "", "a sentence is required")
+    _require(result, "command", result.command.strip() != "", "the command is required")
+    _require(result, "commit", COMMIT_PATTERN.fullmatch(result.commit) is not None, "a commit is required")
+    _require(result, "date", _is_date(result.date), "YYYY-MM-DD is required")
     machine = result.machine
     _require(result, "machine", machine is not None, "is missing")
-    _require(result, "machine.cores", machine.cores >= 1, "one at least")
+    _require(result, "machine.cores", machine.cores >= 1, "at least one required")
     _require(
         result,
         "machine.memory_gib",
         _is_non_negative(machine.memory_gib) and machine.memory_gib > 0,
-        "over 0",
+        "must be over 0",
     )
-    _require(result, "machine.python", machine.python.strip() != "", "a version is wanted")
+    _require(result, "machine.python", machine.python.strip() != "", "a version is required")
 
 
 def _check_sweep(sweep: Sweep) -> None:
     _require(sweep, "variable", sweep.variable.strip() != "", "is empty")
     _require(sweep, "variable_unit", sweep.variable_unit.strip() != "", "is empty")
-    _require(sweep, "measures", sweep.measures != [], "none")
+    _require(sweep, "measures", sweep.measures != [], "is empty")
     names = [measure.name for measure in sweep.measures]
-    _require(sweep, "measures", len(set(names)) == len(names), "a name is there twice")
+    _require(sweep, "measures", len(set(names)) == len(names), "duplicate name")
     for measure in sweep.measures:
         _check_measure(sweep, measure)
 
@@ -269,37 +269,42 @@
 def _check_measure(sweep: Sweep, measure: Measure) -> None:
     where = f"measures.{measure.name}"
     _require(
-        sweep, where, measure.name.strip() != "" and measure.unit.strip() != "", "name and unit are wanted"
+        sweep, where, measure.name.strip() != "" and measure.unit.strip() != "", "name and unit are required"
     )
-    _require(sweep, where, measure.plays >= 1, "plays: one at least")
+    _require(sweep, where, measure.plays >= 1, "plays: at least one required")
     sizes = [point.size for point in measure.points]
-    _require(sweep, where, len(sizes) >= MIN_SIZES, f"points: {MIN_SIZES} sizes at least")
+    _require(sweep, where, len(sizes) >= MIN_SIZES, f"points: at least {MIN_SIZES} sizes required")
     _require(
-        sweep, where, all(map(_is_non_negative, sizes)) and sizes[0] > 0, "points: sizes over 0 are wanted"
+        sweep, where, all(map(_is_non_negative, sizes)) and sizes[0] > 0, "points: sizes over 0 required"
     )
-    _require(sweep, where, sizes == sorted(set(sizes)), "points: sizes have to ascend")
+    _require(sweep, where, sizes == sorted(set(sizes)), "points: sizes must ascend")
     _require(
         sweep,
         where,
         all(_is_non_negative(point.value) for point in measure.points),
-        "points: a value is under 0",
+        "points: values under 0 are not allowed",
     )
 
 
 def _check_fault_run(run: FaultRun) -> None:
-    _require(run, "nodes", run.nodes >= 1, "one at least")
-    _require(run, "rows", run.rows != [], "none")
+    _require(run, "nodes", run.nodes >= 1, "at least one required")
+    _require(run, "rows", run.rows != [], "is empty")
     events = [row.event for row in run.rows]
-    _require(run, "rows", len(set(events)) == len(events), "an event is there twice")
+    _require(run, "rows", len(set(events)) == len(events), "duplicate event")
     for row in run.rows:
         where = f"rows.{row.event}"
-        _require(run, where, row.event.strip() != "", "event: is empty")
+        _require(run, where, row.event.strip() != "", "event is empty")
         _require(
-            run, where, all(math.isfinite(value) for value in row.figures.values()), "figures: not finite"
+            run,
+            where,
+            all(math.isfinite(value) for value in row.figures.values()),
+            "figures: values must be finite",
         )
         whole = row.seconds_until_whole
-        _require(run, where, whole is None or _is_non_negative(whole), "seconds_until_whole: under 0")
-        _require(run, where, row.rules_broken >= 0, "rules_broken: under 0")
+        _require(
+            run, where, whole is None or _is_non_negative(whole), "seconds_until_whole: must not be under 0"
+        )
+        _require(run, where, row.rules_broken >= 0, "rules_broken: must not be under 0")
 
 
 def _require(result: ResultHeader, field: str, condition: bool, why: str) -> None:
--- a/cottonspread/lab/scale/tables.py
+++ b/cottonspread/lab/scale/tables.py
@@ -1,7 +1,7 @@
-"""The tables of the capacity page as text, and their places in it.
+"""The tables of the capacity page as Markdown, and their positions in the page.
 
-A table stands between `<!-- table NAME -->` and `<!-- end -->`; all between is written anew. Text outside is
-prose, in which no figure may stand but the variables' own: a figure without its run cannot be checked.
+A table is the text between `<!-- table NAME -->` and `<!-- end -->`, which is generated. The text outside is
+prose and may contain no numbers but the variables' values: a number without its run cannot be verified.
 """
 
 import hashlib
@@ -19,11 +19,11 @@
 ROLE_COLUMNS = ("aspect", "what", "formula", "at the target", "over the range", "budget", "verdict",
                 "played", "mechanism", "run")  # fmt: skip
 DIGEST_LENGTH = 12
-"""Characters of a result file's SHA-256 that the page shows."""
+"""Number of characters of a result file's SHA-256 that the page shows."""
 
 
 def format_number(value: float) -> str:
-    """A figure for people: three digits that tell, four from a thousand on."""
+    """The value rounded to three significant digits, four from 1,000 on."""
     if value == 0:
         return "0"
     if math.isinf(value):
@@ -36,7 +36,7 @@
 
 
 def format_exact(value: float) -> str:
-    """A variable as it was told."""
+    """The value of a variable, not rounded."""
     return f"{value:,.0f}" if value == int(value) else f"{value:,}"
 
 
@@ -49,26 +49,26 @@
 
 
 class Page:
-    """The tables by name."""
+    """Generates the tables of the page by name."""
 
     def __init__(self, capacity: Capacity, folder: Path):
         self.capacity, self.folder = capacity, folder
 
     def write(self, text: str) -> str:
-        """The page with every table written anew. RowError where a table is unknown or has no place."""
+        """The page's text with all tables generated. RowError if a table is unknown, missing or duplicate."""
         seen = [match["name"] for match in TABLE_PATTERN.finditer(text)]
         duplicates = {name for name in seen if seen.count(name) > 1}
         if duplicates:
-            raise RowError(f"tables that are there twice: {sorted(duplicates)}")
+            raise RowError(f"duplicate tables: {sorted(duplicates)}")
         missing = [name for name in self.required_tables() if name not in seen]
         if missing:
-            raise RowError(f"tables without a place in the page: {missing}")
+            raise RowError(f"tables missing from the page: {missing}")
         return TABLE_PATTERN.sub(
             lambda match: f"<!-- table {match['name']} -->\n{self.table(match['name'])}<!-- end -->", text
         )
 
     def required_tables(self) -> list[str]:
-        """The names of all tables that the page has to have."""
+        """The names of all tables that the page must have."""
         roles = {
             f"{row.role}, {'control' if row.control else 'lines'}": None
             for row in self.capacity.definitions.row
@@ -85,7 +85,7 @@
         ]
 
     def table(self, name: str) -> str:
-        """One table's text."""
+        """A table as Markdown."""
         definitions = self.capacity.definitions
         match name:
             case "told":
@@ -236,7 +236,7 @@
 
 
 def unverified_numbers(text: str, capacity: Capacity) -> list[str]:
-    """Numbers in the prose that are no variable's value: they could not be checked."""
+    """Numbers in the prose that are not a variable's value and so cannot be verified."""
     definitions = capacity.definitions
     known = {format_exact(one.value) for one in definitions.told.values()}
     known |= {
--- a/tests/scale/test_capacity.py
+++ b/tests/scale/test_capacity.py
@@ -167,7 +167,7 @@
 FAULTS = [
     (('"change_us / 1000"', '"change_us / thousand"'), "no variable or row is named 'thousand'"),
     (('"change_us / 1000"', '"change_us / (servers - servers)"'), "division by zero"),
-    (('"change_us / 1000"', '"list_time + 1"'), "rests on itself"),
+    (('"change_us / 1000"', '"list_time + 1"'), "depends on itself"),
     (('measure = "change_us"', 'measure = "other"'), "no measure 'other'"),
     (('result = "module-servers"', 'result = "fault-zone"'), "not a sweep"),
     (('size = "servers"', 'size = "sizes"'), "'sizes'"),
@@ -178,7 +178,7 @@
 @pytest.mark.parametrize("change, why", FAULTS)
 def test_a_faulty_row_is_told(definitions, tmp_path, change, why):
     made = capacity_of(definitions(change), tmp_path)
-    with pytest.raises(RowError, match=why or "rests on itself"):
+    with pytest.raises(RowError, match=why or "depends on itself"):
         first(made) if why else made.evaluator().value("servers_a_node")
 
 
@@ -189,19 +189,19 @@
 
 def test_a_row_cannot_rest_on_one_that_was_not_run(definitions, tmp_path):
     made = capacity_of(definitions(('budget = "17"', 'not_run = "later"')), tmp_path, zone(lost=1.0))
-    with pytest.raises(RowError, match="was not run, and another row rests on it"):
+    with pytest.raises(RowError, match="was not run, and another row depends on it"):
         made.rows("node", True)
 
 
 def test_a_row_may_not_say_that_it_was_not_run_when_it_was(definitions, tmp_path):
-    with pytest.raises(RowError, match="its results are there"):
+    with pytest.raises(RowError, match="marked as not run, but its results exist"):
         first(capacity_of(definitions(('budget = "17"', 'not_run = "later"')), tmp_path))
 
 
 DEFINITION_FAULTS = [
     (("value = 1000", "value = 9000"), "outside its range"),
-    (('id = "list_time"', 'id = "servers"'), "twice"),
-    (('cells = ["a rack", ', "cells = ["), "its columns"),
+    (('id = "list_time"', 'id = "servers"'), "duplicate names"),
+    (('cells = ["a rack", ', "cells = ["), "cell count differs from columns"),
     (('aspect = "memory"', 'aspect = "mood"'), "aspect"),
     (('unit = "MB"\n', 'unit = "MB"\nunheard = 1\n'), "unheard"),
     (('role = "server"\n', ""), "role"),
@@ -231,7 +231,7 @@
     made = capacity_of(definitions((old, point + "400")), tmp_path, sweep(lambda n: n * n))
     assert made.line(made.definitions.line[0])["lost"] == 160_000
     made = capacity_of(definitions((old, point + "401")), tmp_path)
-    with pytest.raises(RowError, match="size 401 was not played"):
+    with pytest.raises(RowError, match="size 401 was not measured"):
         made.line(made.definitions.line[0])
 
 
@@ -271,7 +271,7 @@
     assert value("takes 3 % of a core", "3") == 3
     assert value("a core, 1,200 steps", "1,200") == 1200
     for at, told in (("takes 4 % of a core", "4"), ("takes 3 % of a core", "30")):
-        with pytest.raises(RowError, match="does not stand there"):
+        with pytest.raises(RowError, match="not found"):
             value(at, told)
 
 
@@ -331,11 +331,11 @@
 
 def test_a_table_without_a_place_an_unknown_and_a_doubled_one_are_told(page):
     made, text = page()
-    with pytest.raises(RowError, match="without a place in the page: .*events"):
+    with pytest.raises(RowError, match="missing from the page: .*events"):
         made.write(text.replace("<!-- table events -->", ""))
     with pytest.raises(RowError, match="no table is named 'moods'"):
         made.write(text + "<!-- table moods -->\n<!-- end -->\n")
-    with pytest.raises(RowError, match="twice.*events"):
+    with pytest.raises(RowError, match="duplicate tables.*events"):
         made.write(text + "<!-- table events -->\n<!-- end -->\n")
 
 
--- a/tests/scale/test_results.py
+++ b/tests/scale/test_results.py
@@ -132,7 +132,7 @@
     ("unit", " ", "measures.call_us"),
     ("control", 1, "control"),
     ("plays", 0, "plays"),
-    ("points", [[50, 1], [400, 2], [1000, 3]], "4 sizes at least"),
+    ("points", [[50, 1], [400, 2], [1000, 3]], "at least 4 sizes"),
     ("points", [[0, 1], [50, 1], [400, 2], [1000, 3]], "sizes over 0"),
     ("points", [[50, 1], [400, 2], [400, 3], [1000, 4]], "ascend"),
     ("points", [[400, 1], [50, 2], [1000, 3], [3000, 4]], "ascend"),
@@ -202,10 +202,10 @@
 def test_names_that_are_there_twice_are_refused(tmp_path):
     told, path = written(tmp_path, sweep())
     told["measures"] *= 2
-    assert_refused(tmp_path, told, path, "twice")
+    assert_refused(tmp_path, told, path, "duplicate name")
     told, path = written(tmp_path, fault_run())
     told["rows"] *= 2
-    assert_refused(tmp_path, told, path, "twice")
+    assert_refused(tmp_path, told, path, "duplicate event")
 
 
 def test_a_faulty_result_is_not_written(tmp_path):
