--- a/cottonspread/cli/lab.py
+++ b/cottonspread/cli/lab.py
@@ -201,11 +201,11 @@
     from cottonspread.lab.scale import command, results
 
     out = Path(given.out) if given.out else results.FOLDER
-    asked = command.Asked(
+    options = command.Options(
         given.small, given.nodes, given.servers, given.seed, tuple(given.only), out, given.alone
     )
     try:
-        return command.main(asked)
+        return command.main(options)
     except (command.ScaleError, results.ResultError) as fault:
         print(f"cottonspread: lab: scale: {fault}", file=sys.stderr)
         return 2
--- a/cottonspread/lab/scale/command.py
+++ b/cottonspread/lab/scale/command.py
@@ -20,7 +20,7 @@
 from cottonspread.lab.scale.hollow_sweeps import Figure, SweepPlan, apart, here, reached, small, sweep
 from cottonspread.lab.scale.results import FOLDER, Result, write
 
-MOST_GIB = 12
+MAX_GIB = 12
 """Memory that the largest process of a run may take."""
 
 
@@ -29,7 +29,7 @@
 
 
 @dataclass(frozen=True)
-class Asked:
+class Options:
     """What the command line asks for."""
 
     small: bool = False
@@ -42,14 +42,14 @@
 
     def command(self, name: str) -> str:
         """The command line that plays this run alone."""
-        words = ["cottonspread lab scale"]
-        words += ["--small"] if self.small else []
-        words += [f"--nodes {self.nodes}"] if self.nodes else []
-        words += [f"--servers {self.servers}"] if self.servers else []
-        return " ".join([*words, f"--seed {self.seed}", f"--only {name}"])
+        arguments = ["cottonspread lab scale"]
+        arguments += ["--small"] if self.small else []
+        arguments += [f"--nodes {self.nodes}"] if self.nodes else []
+        arguments += [f"--servers {self.servers}"] if self.servers else []
+        return " ".join([*arguments, f"--seed {self.seed}", f"--only {name}"])
 
 
-Tell = Callable[[str, dict[str, Figure]], None]
+ReportPoint = Callable[[str, dict[str, Figure]], None]
 """Is given each point of a run as it comes: its size or event, and its figures."""
 
 
@@ -58,36 +58,36 @@
     """One run: its name and what plays it."""
 
     name: str
-    play: Callable[[Asked, Tell], Result]
+    execute: Callable[[Options, ReportPoint], Result]
     quick: bool = True
     """False: it takes real time at any size; `--small` plays it only where it is named."""
 
 
 def sweep_run(plan: SweepPlan) -> Run:
-    def play(asked: Asked, tell: Tell) -> Result:
-        one = small(plan) if asked.small else plan
-        one = reached(one, nodes=asked.nodes, servers=asked.servers)
+    def execute(options: Options, report_point: ReportPoint) -> Result:
+        sized_plan = small(plan) if options.small else plan
+        sized_plan = reached(sized_plan, nodes=options.nodes, servers=options.servers)
 
-        def show(value, figures):
-            tell(f"{one.variable} {value:g}", figures)
+        def report_value(value, figures):
+            report_point(f"{sized_plan.variable} {value:g}", figures)
 
-        call = here if asked.small else apart
-        return sweep(one, asked.command(plan.name), asked.seed, asked.alone, show, call)
+        call = here if options.small else apart
+        return sweep(sized_plan, options.command(plan.name), options.seed, options.alone, report_value, call)
 
-    return Run(plan.name, play, quick=plan.kind == "hollow")
+    return Run(plan.name, execute, quick=plan.kind == "hollow")
 
 
 def fault_run(event: hollow_faults.Event) -> Run:
     name = f"fault-{event.name}"
 
-    def play(asked: Asked, tell: Tell) -> Result:
-        size = hollow_faults.sized(event, asked.small, asked.nodes, asked.servers, asked.seed)
-        call = here if asked.small else apart
-        result = hollow_faults.fault_run(event, size, asked.command(name), asked.alone, call)
-        tell(f"{size.nodes} nodes", hollow_faults.shown(result.rows[0]))
+    def execute(options: Options, report_point: ReportPoint) -> Result:
+        size = hollow_faults.sized(event, options.small, options.nodes, options.servers, options.seed)
+        call = here if options.small else apart
+        result = hollow_faults.fault_run(event, size, options.command(name), options.alone, call)
+        report_point(f"{size.nodes} nodes", hollow_faults.shown(result.rows[0]))
         return result
 
-    return Run(name, play)
+    return Run(name, execute)
 
 
 def runs() -> list[Run]:
@@ -102,17 +102,17 @@
     return [sweep_run(plan) for plan in sweeps] + [fault_run(event) for event in hollow_faults.EVENTS]
 
 
-def chosen(asked: Asked) -> list[Run]:
+def select_runs(options: Options) -> list[Run]:
     known = {run.name: run for run in runs()}
-    unknown = [name for name in asked.only if name not in known]
+    unknown = [name for name in options.only if name not in known]
     if unknown:
         raise ScaleError(f"--only {unknown[0]}: one of {', '.join(known)} expected")
-    if asked.only:
-        return [known[name] for name in asked.only]
-    return [run for run in known.values() if run.quick or not asked.small]
+    if options.only:
+        return [known[name] for name in options.only]
+    return [run for run in known.values() if run.quick or not options.small]
 
 
-def shown(console: Console, name: str, where: str, figures: dict[str, Figure], seconds: float) -> None:
+def print_point(console: Console, name: str, where: str, figures: dict[str, Figure], seconds: float) -> None:
     table = Table(title=f"{name}: {where} ({seconds:.1f} s)", title_justify="left")
     table.add_column("measure")
     table.add_column("value", justify="right")
@@ -124,25 +124,25 @@
     console.print(table)
 
 
-def largest_gib() -> float:
+def peak_memory_gib() -> float:
     """The most memory that a process of the runs has taken so far."""
-    who = (resource.RUSAGE_SELF, resource.RUSAGE_CHILDREN)
-    return max(resource.getrusage(one).ru_maxrss for one in who) / 2**20
+    processes = (resource.RUSAGE_SELF, resource.RUSAGE_CHILDREN)
+    return max(resource.getrusage(process).ru_maxrss for process in processes) / 2**20
 
 
-def main(asked: Asked) -> int:
+def main(options: Options) -> int:
     """Plays the runs; 1 if one of them took more memory than is allowed."""
     console, failed = Console(file=sys.stdout), 0
-    todo = chosen(asked)
-    for number, run in enumerate(todo, 1):
-        console.print(f"[{number} of {len(todo)}] {run.name}", markup=False)
+    selected = select_runs(options)
+    for number, run in enumerate(selected, 1):
+        console.print(f"[{number} of {len(selected)}] {run.name}", markup=False)
         began = time.monotonic()
 
-        def tell(where, figures, name=run.name, began=began):
-            shown(console, name, where, figures, time.monotonic() - began)
+        def report_point(where, figures, name=run.name, began=began):
+            print_point(console, name, where, figures, time.monotonic() - began)
 
-        path = write(run.play(asked, tell), asked.out)
-        gib = largest_gib()
+        path = write(run.execute(options, report_point), options.out)
+        gib = peak_memory_gib()
         console.print(f"{path}: {time.monotonic() - began:.1f} s, {gib:.2f} GiB at most", markup=False)
-        failed |= gib > MOST_GIB
+        failed |= gib > MAX_GIB
     return int(failed)
--- a/tests/scale/test_hollow_command.py
+++ b/tests/scale/test_hollow_command.py
@@ -38,7 +38,7 @@
 def test_names_are_told_apart_and_small_plays_leave_real_time_out():
     names = [run.name for run in command.runs()]
     assert len(set(names)) == len(names)
-    quick = {run.name for run in command.chosen(command.Asked(small=True))}
+    quick = {run.name for run in command.select_runs(command.Options(small=True))}
     assert "hollow-nodes" in quick and "fault-zone-lost" in quick
     assert not quick & {"sockets-idle", "sockets-changes", "real-beside-hollow"}
 
@@ -49,7 +49,7 @@
 
 
 def test_a_run_that_takes_too_much_memory_fails(tmp_path, monkeypatch, capsys):
-    monkeypatch.setattr(command, "MOST_GIB", 0)
+    monkeypatch.setattr(command, "MAX_GIB", 0)
     words = ["lab", "scale", "--small", "--only", "fault-node-lost", "--out", str(tmp_path)]
     assert main(words) == 1
 
