--- a/cottonspread/lab/scale/__init__.py
+++ b/cottonspread/lab/scale/__init__.py
@@ -1,1 +1,1 @@
-"""Scale tests: sweeps of cost against size, hollow fleets, results and fits behind docs/CAPACITY.md."""
+"""Scale tests: cost measured by size, simulated fleets, and the results and fits behind docs/CAPACITY.md."""
--- a/cottonspread/lab/scale/command.py
+++ b/cottonspread/lab/scale/command.py
@@ -1,4 +1,4 @@
-"""`cottonspread lab scale`: plays scale runs by name, shows points as they come, and writes results."""
+"""`cottonspread lab scale`: performs scale runs by name, prints each point, and writes the results."""
 
 import resource
 import sys
@@ -21,16 +21,16 @@
 from cottonspread.lab.scale.results import FOLDER, Result, write
 
 MAX_GIB = 12
-"""Memory that the largest process of a run may take."""
+"""Memory limit for the largest process of a run."""
 
 
 class ScaleError(ValueError):
-    """The command cannot be carried out as asked."""
+    """The command's arguments are not valid."""
 
 
 @dataclass(frozen=True)
 class Options:
-    """What the command line asks for."""
+    """The command line's options."""
 
     small: bool = False
     nodes: int | None = None
@@ -41,7 +41,7 @@
     alone: bool = False
 
     def command(self, name: str) -> str:
-        """The command line that plays this run alone."""
+        """The command line that performs only this run."""
         arguments = ["cottonspread lab scale"]
         arguments += ["--small"] if self.small else []
         arguments += [f"--nodes {self.nodes}"] if self.nodes else []
@@ -50,20 +50,22 @@
 
 
 ReportPoint = Callable[[str, dict[str, Figure]], None]
-"""Is given each point of a run as it comes: its size or event, and its figures."""
+"""Called for each point of a run as it is measured, with its size or event and its figures."""
 
 
 @dataclass(frozen=True)
 class Run:
-    """One run: its name and what plays it."""
+    """A run's name and the function that performs it."""
 
     name: str
     execute: Callable[[Options, ReportPoint], Result]
     quick: bool = True
-    """False: it takes real time at any size; `--small` plays it only where it is named."""
+    """False: it takes real time at any size; `--small` performs it only where `--only` names it."""
 
 
 def sweep_run(plan: SweepPlan) -> Run:
+    """A run that measures a sweep."""
+
     def execute(options: Options, report_point: ReportPoint) -> Result:
         sized_plan = small(plan) if options.small else plan
         sized_plan = reached(sized_plan, nodes=options.nodes, servers=options.servers)
@@ -78,6 +80,7 @@
 
 
 def fault_run(event: hollow_faults.Event) -> Run:
+    """A run that simulates an event."""
     name = f"fault-{event.name}"
 
     def execute(options: Options, report_point: ReportPoint) -> Result:
@@ -91,7 +94,7 @@
 
 
 def runs() -> list[Run]:
-    """All runs, in the order in which they are played."""
+    """All runs, in the order in which they are performed."""
     sweeps = (
         *hollow_sweeps.SWEEPS,
         *hollow_news.SWEEPS,
@@ -103,6 +106,7 @@
 
 
 def select_runs(options: Options) -> list[Run]:
+    """The runs that the options ask for; ScaleError if there is no run of a name."""
     known = {run.name: run for run in runs()}
     unknown = [name for name in options.only if name not in known]
     if unknown:
@@ -113,6 +117,7 @@
 
 
 def print_point(console: Console, name: str, where: str, figures: dict[str, Figure], seconds: float) -> None:
+    """Prints one point's figures as a table."""
     table = Table(title=f"{name}: {where} ({seconds:.1f} s)", title_justify="left")
     table.add_column("measure")
     table.add_column("value", justify="right")
@@ -125,13 +130,13 @@
 
 
 def peak_memory_gib() -> float:
-    """The most memory that a process of the runs has taken so far."""
+    """The peak memory of this process and its ended children, whichever is larger."""
     processes = (resource.RUSAGE_SELF, resource.RUSAGE_CHILDREN)
     return max(resource.getrusage(process).ru_maxrss for process in processes) / 2**20
 
 
 def main(options: Options) -> int:
-    """Plays the runs; 1 if one of them took more memory than is allowed."""
+    """Performs the selected runs; exit code 1 if a process took more memory than `MAX_GIB`."""
     console, failed = Console(file=sys.stdout), 0
     selected = select_runs(options)
     for number, run in enumerate(selected, 1):
