--- a/cottonspread/lab/scale/capacity.py
+++ b/cottonspread/lab/scale/capacity.py
@@ -156,10 +156,10 @@
             return "no budget told"
         if self.value > self.budget:
             return f"**does not hold**: {_ratio_text(self.value, self.budget)} the budget"
-        said = "holds"
+        text = "holds"
         if self.value * BUDGET_MARGIN > self.budget:
-            said = f"holds with a factor of {self.budget / self.value:.2g}"
-        return said + "; not over the whole range" * (self.high > self.budget)
+            text = f"holds with a factor of {self.budget / self.value:.2g}"
+        return text + "; not over the whole range" * (self.high > self.budget)
 
     @property
     def extrapolation(self) -> float:
@@ -363,8 +363,8 @@
         evaluator = self.evaluator()
         own = evaluator.own_values(row.costs, row.figures)
 
-        def total(tried: float) -> float:
-            return evaluator.evaluate(row.formula, own | {cost.name: tried})
+        def total(cost_value: float) -> float:
+            return evaluator.evaluate(row.formula, own | {cost.name: cost_value})
 
         growth = total(1.0) - total(0.0)
         budget = evaluator.budget(row)
--- a/cottonspread/lab/scale/configuration.py
+++ b/cottonspread/lab/scale/configuration.py
@@ -49,9 +49,9 @@
     return rows
 
 
-def run_random_scenarios(event: str, kind, first: int, count: int) -> results.FaultRow:
+def run_random_scenarios(event: str, scenario_class, first: int, count: int) -> results.FaultRow:
     """Runs a random scenario of class `kind` from `count` seeds, from `first` on; one row for all."""
-    scenarios = [kind(seed) for seed in range(first, first + count)]
+    scenarios = [scenario_class(seed) for seed in range(first, first + count)]
     failed = [str(first + number) for number, scenario in enumerate(scenarios) if scenario.run()]
     convergence_times = [scenario.convergence_s for scenario in scenarios]
     row = results.FaultRow(
@@ -139,10 +139,10 @@
 def _memory_of_replica(nodes: int) -> float:
     tracemalloc.start()
     replica = replica_with_watches(nodes)
-    held = tracemalloc.get_traced_memory()[0] / 1000
+    memory_kb = tracemalloc.get_traced_memory()[0] / 1000
     tracemalloc.stop()
     assert replica.watches == 2 * nodes
-    return round(held, 1)
+    return round(memory_kb, 1)
 
 
 def _min_of_repeats(measure, size) -> float:
@@ -162,9 +162,9 @@
     responses = [
         to_response(e.message) for e in replica.step(1, re.Stored(token, True)) if isinstance(e, re.Reply)
     ]
-    taken = time.process_time() - began
+    elapsed_s = time.process_time() - began
     assert len(responses) == 2 * nodes + 1
-    return taken
+    return elapsed_s
 
 
 def _watches_at_replica(nodes: int) -> float:
@@ -204,9 +204,9 @@
     follower.step(1, fo.WatchReplied(1, m.decode(data, m.WatchReply)))
     for event in (fo.Checked(True), fo.Saved(True), fo.Applied(True)):
         follower.step(2, event)
-    taken = time.process_time() - began
+    elapsed_s = time.process_time() - began
     assert follower.view(2).version == 1
-    return taken
+    return elapsed_s
 
 
 def main(arguments=None) -> int:
--- a/cottonspread/lab/scale/configuration_fleet.py
+++ b/cottonspread/lab/scale/configuration_fleet.py
@@ -256,11 +256,11 @@
                 self.world.add_trace_line("notice", self.name, what, version)
 
     def _send_watch(self, effect):
-        def on_reply(answer, why):
-            if answer is None:
+        def on_reply(reply, why):
+            if reply is None:
                 self.handle(fo.WatchFailed(effect.call, why))
             else:
-                self.handle(fo.WatchReplied(effect.call, answer))
+                self.handle(fo.WatchReplied(effect.call, reply))
 
         replica = self.fleet.replicas[effect.replica]
         self.call(replica, effect.request, effect.deadline, m.WatchReply, on_reply)
@@ -441,19 +441,19 @@
     """A function for `ReplicaHost.corrupt_reply` that at times gives a damaged, older or different reply."""
     rng, sent = fleet.world.random_stream("lies", name), []
 
-    def change(answer: m.WatchReply) -> bytes:
-        if answer.record is not None:
-            sent.append(answer)
+    def change(reply: m.WatchReply) -> bytes:
+        if reply.record is not None:
+            sent.append(reply)
         choice = rng.randbelow(5)
         if choice == 0 and sent:
             return to_response(rng.choice(sent))
         if choice == 1:
-            return _flip_bit(to_response(answer), rng)
-        if choice == 2 and answer.record is not None:
-            return to_response(_renumbered(answer, rng))
-        if choice == 3 and answer.record is None and sent:
-            return to_response(_other_digest(sent[-1]))
-        return to_response(answer)
+            return _flip_bit(to_response(reply), rng)
+        if choice == 2 and reply.record is not None:
+            return to_response(_renumbered(reply, rng))
+        if choice == 3 and reply.record is None and sent:
+            return to_response(_with_other_digest(sent[-1]))
+        return to_response(reply)
 
     return change
 
@@ -466,13 +466,13 @@
     return bytes(changed)
 
 
-def _renumbered(answer: m.WatchReply, rng) -> m.WatchReply:
-    record = msgspec.structs.replace(answer.record, version=answer.record.version + 1 + rng.randbelow(3))
-    return msgspec.structs.replace(answer, record=record)
+def _renumbered(reply: m.WatchReply, rng) -> m.WatchReply:
+    record = msgspec.structs.replace(reply.record, version=reply.record.version + 1 + rng.randbelow(3))
+    return msgspec.structs.replace(reply, record=record)
 
 
-def _other_digest(answer: m.WatchReply) -> m.WatchReply:
+def _with_other_digest(reply: m.WatchReply) -> m.WatchReply:
     """A reply with a version that was sent already, under a later generation, with another body."""
-    old = answer.record
+    old = reply.record
     other = m.make_record(old.generation + 1, old.version, old.stage, old.canary_below, "another body")
-    return msgspec.structs.replace(answer, generation=other.generation, record=other)
+    return msgspec.structs.replace(reply, generation=other.generation, record=other)
--- a/cottonspread/lab/scale/configuration_network.py
+++ b/cottonspread/lab/scale/configuration_network.py
@@ -93,7 +93,7 @@
 
     def __init__(self, network, caller: Host, callee: Host, request: bytes, on_done):
         self.network, self.caller, self.callee, self.request = network, caller, callee, request
-        self.on_done, self.epoch, self.is_over = on_done, caller.epoch, False
+        self.on_done, self.epoch, self.is_ended = on_done, caller.epoch, False
         self.callee_epoch = None
 
     def deliver_request(self):
@@ -120,9 +120,9 @@
 
     def finish(self, response: bytes | None, why: str):
         """Ends the call at the caller; has an effect once only."""
-        if self.is_over or self.caller.epoch != self.epoch or not self.caller.is_running:
+        if self.is_ended or self.caller.epoch != self.epoch or not self.caller.is_running:
             return
-        self.is_over = True
+        self.is_ended = True
         if response is not None:
             self.caller.bytes_in += len(response)
             self.caller.messages += 1
@@ -130,7 +130,7 @@
 
     def expire(self):
         """Ends the call at its deadline, if it is still open."""
-        if not self.is_over and self.caller.epoch == self.epoch:
+        if not self.is_ended and self.caller.epoch == self.epoch:
             self.network.send(self.caller, self.callee, 0, self.notify_callee)
             self.finish(None, "deadline")
 
@@ -149,11 +149,11 @@
         self.partitions: set[frozenset[int]] = set()
         self.counts = Counter()
 
-    def reaches(self, one: Host, other: Host) -> bool:
+    def reaches(self, source: Host, destination: Host) -> bool:
         """Whether no partition separates them and neither machine is silent."""
-        if one.is_silent or other.is_silent:
+        if source.is_silent or destination.is_silent:
             return False
-        return frozenset((one.location.region, other.location.region)) not in self.partitions
+        return frozenset((source.location.region, destination.location.region)) not in self.partitions
 
     def isolate_region(self, region: int) -> None:
         """Partitions the region from all other regions."""
@@ -165,33 +165,33 @@
         """Removes all partitions."""
         self.partitions.clear()
 
-    def latency(self, one: Host, other: Host) -> int:
+    def latency(self, source: Host, destination: Host) -> int:
         """A random one-way latency, in microseconds."""
-        if one.location.zone == other.location.zone:
+        if source.location.zone == destination.location.zone:
             base = self.parameters.within_zone
-        elif one.location.region == other.location.region:
+        elif source.location.region == destination.location.region:
             base = self.parameters.within_region
         else:
             base = self.parameters.between_regions
         return base + int(base * self.parameters.jitter * self._rng.random())
 
-    def send(self, one: Host, other: Host, size: int, on_arrival, *args) -> None:
+    def send(self, source: Host, destination: Host, size: int, on_arrival, *args) -> None:
         """Sends `size` bytes; a size of 0 stands for a TCP control segment (FIN or RST)."""
         self.counts["messages"] += 1
-        one.bytes_out += size
+        source.bytes_out += size
         if size:
-            one.messages += 1
-        latency = self.latency(one, other)
-        self.world.add_trace_line("net", one.name, other.name, size)
-        if not self.reaches(one, other):
+            source.messages += 1
+        latency = self.latency(source, destination)
+        self.world.add_trace_line("net", source.name, destination.name, size)
+        if not self.reaches(source, destination):
             self.counts["cut"] += 1
         elif self.loss and self._rng.random() < self.loss:
             self.counts["lost"] += 1
         else:
-            self.world.after(latency, self._deliver, one, other, on_arrival, args)
+            self.world.after(latency, self._deliver, source, destination, on_arrival, args)
 
-    def _deliver(self, one: Host, other: Host, on_arrival, args):
-        if self.reaches(one, other):
+    def _deliver(self, source: Host, destination: Host, on_arrival, args):
+        if self.reaches(source, destination):
             on_arrival(*args)
 
     def call(self, caller: Host, callee: Host, request: bytes, deadline: int, on_done) -> None:
--- a/cottonspread/lab/scale/configuration_scenarios.py
+++ b/cottonspread/lab/scale/configuration_scenarios.py
@@ -64,11 +64,11 @@
         self._number += 1
         return f"{kind} {self._number}\n".ljust(self.fleet.parameters.body_bytes, "x")
 
-    def publish(self, body, timed=True, region=0, **more) -> pu.Done | None:
+    def publish(self, body, timed=True, region=0, **options) -> pu.Done | None:
         """Publishes a change and advances until the publisher ends; if timed, at least 3 s from its start."""
         fleet = self.fleet
         before = set(fleet.reachable())
-        host = fleet.publish(pu.Publish(body), region, **more)
+        host = fleet.publish(pu.Publish(body), region, **options)
         fleet.run_until_done(host)
         if timed:
             fleet.world.run(max(fleet.world.now, host.began + int(TARGET_S * SECOND)))
@@ -79,11 +79,11 @@
     def _record_times(self, host, nodes) -> None:
         change = self.fleet.invariants.changes[host.done.version]
         for node in nodes:
-            taken = change.times.get(node)
+            elapsed = change.times.get(node)
             self.times.cases += 1
-            self.times.in_time += taken is not None and taken <= TARGET_S * SECOND
-            if taken is not None:
-                self.times.seconds.append(taken / SECOND)
+            self.times.in_time += elapsed is not None and elapsed <= TARGET_S * SECOND
+            if elapsed is not None:
+                self.times.seconds.append(elapsed / SECOND)
 
     def expect(self, condition, *words) -> None:
         """Records a violation unless the condition, one of this scenario's own, holds."""
@@ -93,9 +93,9 @@
         self, event: str, notes: str = "", convergence_s: float | None = None, **figures
     ) -> results.FaultRow:
         """Ends the scenario: checks that all reachable nodes converge and that changes came in time."""
-        taken = self.fleet.run_until_converged()
-        convergence_s = convergence_s if convergence_s is not None else taken
-        self.expect(taken is not None, "reachable nodes lag:", *self.fleet.lagging()[:3])
+        elapsed_s = self.fleet.run_until_converged()
+        convergence_s = convergence_s if convergence_s is not None else elapsed_s
+        self.expect(elapsed_s is not None, "reachable nodes lag:", *self.fleet.lagging()[:3])
         if self.times.cases:
             share = self.times.in_time / self.times.cases
             self.expect(share >= TARGET_SHARE, "in force within 3 s at", share)
@@ -151,7 +151,7 @@
 def _faulty(kind: str, what: str):
     def faulty(run: ScenarioRun):
         fleet = run.fleet
-        began, held = fleet.world.now, dict(fleet.invariants.in_force)
+        began, versions_before = fleet.world.now, dict(fleet.invariants.in_force)
         done = run.publish(run.body(kind), timed=False)
         ended = (fleet.world.now - began) / SECOND
         convergence_s = fleet.run_until_converged()
@@ -159,7 +159,7 @@
         run.expect(done is not None and done.outcome == pu.Outcome.WITHDRAWN, "not withdrawn", done)
         canaries = max(2, math.ceil(len(fleet.nodes) * 0.02))
         run.expect(len(reached) <= canaries, "reached", len(reached), "nodes")
-        run.expect(set(held) == set(fleet.nodes), "a node had nothing in force")
+        run.expect(set(versions_before) == set(fleet.nodes), "a node had nothing in force")
         return run.row(
             f"a faulty change: {what}",
             convergence_s=round((ended + convergence_s), 3) if convergence_s is not None else None,
@@ -175,20 +175,20 @@
 def day_in_a_row(run: ScenarioRun):
     """380 changes, each begun when the one before is committed everywhere."""
     fleet, changes = run.fleet, 12 if run.small else 380
-    began, left = fleet.world.now, [changes]
+    began, remaining = fleet.world.now, [changes]
 
     def on_done(host):
         run.expect(host.done.outcome == pu.Outcome.IN_FORCE, "ended", host.done)
-        left[0] -= 1
-        if left[0]:
+        remaining[0] -= 1
+        if remaining[0]:
             fleet.publish(pu.Publish(run.body()), on_done=on_done)
 
     nodes = set(fleet.reachable())
     fleet.publish(pu.Publish(run.body()), on_done=on_done)
-    while left[0] and fleet.world.now < began + changes * 10 * SECOND:
+    while remaining[0] and fleet.world.now < began + changes * 10 * SECOND:
         fleet.run_for(1)
     fleet.run_for(TARGET_S)
-    run.expect(left[0] == 0, left[0], "changes not made")
+    run.expect(remaining[0] == 0, remaining[0], "changes not made")
     for host in fleet.publishers[1:]:
         run._record_times(host, nodes)
     return run.row(
@@ -208,9 +208,9 @@
         fleet.run_for(30)
         _publish_and_check(run)
         fleet.replicas[name].start()
-        taken = _wait_until(fleet, lambda: _replicas_agree(fleet))
-        run.expect(taken is not None, name, "does not catch up")
-        seconds.append(taken if taken is not None else MAX_WAIT_S)
+        elapsed_s = _wait_until(fleet, lambda: _replicas_agree(fleet))
+        run.expect(elapsed_s is not None, name, "does not catch up")
+        seconds.append(elapsed_s if elapsed_s is not None else MAX_WAIT_S)
         fleet.run_for(5)
     return run.row("one of three replicas lost, each in turn", replica_caught_up_s=round(max(seconds), 2))
 
@@ -220,8 +220,8 @@
     return len({one.core.state.committed.generation for one in fleet.replicas.values()}) == 1
 
 
-def _publish_and_check(run: ScenarioRun, **more):
-    done = run.publish(run.body(), **more)
+def _publish_and_check(run: ScenarioRun, **options):
+    done = run.publish(run.body(), **options)
     run.expect(done is not None and done.outcome == pu.Outcome.IN_FORCE, "ended", done)
 
 
@@ -247,24 +247,24 @@
         fleet.replicas[name].stop(silently=True)
     fleet.run_until_done(host)
     run.expect(host.done.outcome == pu.Outcome.NO_QUORUM, "ended", host.done)
-    refused = (host.ended - host.began) / SECOND
+    no_quorum_s = (host.ended - host.began) / SECOND
     fleet.run_for(40)
     reported = sum(node.core.is_cut_off(fleet.world.now) for node in fleet.nodes.values())
-    held = sum(fleet.invariants.in_force.get(name, 0) > 0 for name in fleet.nodes)
+    kept = sum(fleet.invariants.in_force.get(name, 0) > 0 for name in fleet.nodes)
     for name in fleet.replica_names[1:]:
         fleet.replicas[name].start()
     began = fleet.world.now
-    back = _wait_until(
+    reconnect_s = _wait_until(
         fleet, lambda: not any(n.core.is_cut_off(fleet.world.now) for n in fleet.nodes.values())
     )
     fleet.run_until_done(fleet.publish(pu.Resume()))
     _publish_and_check(run)
     return run.row(
         "two of three replicas lost in the midst of a publish",
-        convergence_s=round(back, 2) if back is not None else None,
-        seconds_until_no_quorum=round(refused, 2),
+        convergence_s=round(reconnect_s, 2) if reconnect_s is not None else None,
+        seconds_until_no_quorum=round(no_quorum_s, 2),
         nodes_that_said_cut_off=reported,
-        nodes_that_kept_a_version=held,
+        nodes_that_kept_a_version=kept,
         seconds_of_loss=round((began - host.began) / SECOND),
     )
 
@@ -289,22 +289,22 @@
     fleet.run_for(30)
     behind = sum(fleet.invariants.in_force.get(node.name, 0) < fleet.invariants.everywhere for node in inside)
     reported = sum(node.core.is_cut_off(fleet.world.now) for node in inside)
-    wrongly = sum(node.core.is_cut_off(fleet.world.now) for node in fleet.nodes.values()) - reported
+    wrongly_reported = sum(node.core.is_cut_off(fleet.world.now) for node in fleet.nodes.values()) - reported
     before = sum(node.bytes_in + node.bytes_out for node in inside)
     fleet.network.heal()
     convergence_s = fleet.run_until_converged()
     after = sum(node.bytes_in + node.bytes_out for node in inside)
-    back = _wait_until(fleet, lambda: not any(n.core.is_cut_off(fleet.world.now) for n in inside))
+    reconnect_s = _wait_until(fleet, lambda: not any(n.core.is_cut_off(fleet.world.now) for n in inside))
     return run.row(
         "a region cut off, changes meanwhile, its return",
         convergence_s=convergence_s,
         nodes_cut_off=len(inside),
         nodes_that_said_so=reported,
-        others_that_said_so=wrongly,
+        others_that_said_so=wrongly_reported,
         nodes_behind=behind,
         bytes_a_node_to_catch_up=round((after - before) / len(inside)),
-        seconds_until_all_said_back=round(convergence_s + back, 2)
-        if None not in (convergence_s, back)
+        seconds_until_all_said_back=round(convergence_s + reconnect_s, 2)
+        if None not in (convergence_s, reconnect_s)
         else -1,
     )
 
@@ -415,9 +415,9 @@
             fleet.run_until_done(host)
             outcomes.append(host.done.outcome if host.done else None)
         fleet.run_until_converged()
-    won = outcomes.count(pu.Outcome.IN_FORCE)
+    succeeded = outcomes.count(pu.Outcome.IN_FORCE)
     run.expect(None not in outcomes, "a publisher without an end")
-    return run.row("two publishers at a time", runs=len(outcomes), in_force=won)
+    return run.row("two publishers at a time", runs=len(outcomes), in_force=succeeded)
 
 
 def publisher_dies(run: ScenarioRun):
--- a/cottonspread/lab/scale/fit.py
+++ b/cottonspread/lab/scale/fit.py
@@ -62,8 +62,8 @@
 
     def extrapolation(self, target: float) -> float:
         """The target over the largest measured size; 1 or less: within the measured sizes."""
-        past = target / self.largest
-        return 1.0 if 1.0 < past < SAME_SIZE_FACTOR else past
+        ratio = target / self.largest
+        return 1.0 if 1.0 < ratio < SAME_SIZE_FACTOR else ratio
 
     def grows_faster_than(self, term: str) -> bool:
         """Whether the cost grows, by a faster term than this one."""
@@ -83,7 +83,7 @@
     if not (np.isfinite(sizes).all() and np.isfinite(values).all() and (sizes > 0).all()):
         raise FitError("sizes over 0 and finite values required")
     fits = {term: _least_squares(term, sizes, values) for term in TERMS if term != "constant"}
-    squared_residuals = {term: found[1] for term, found in fits.items()}
+    squared_residuals = {term: fitted[1] for term, fitted in fits.items()}
     term = min(squared_residuals, key=squared_residuals.__getitem__)
     if squared_residuals[term] * MIN_IMPROVEMENT > squared_residuals["linear"]:
         term = "linear"
@@ -101,7 +101,7 @@
     (intercept, slope), *_ = np.linalg.lstsq(columns / largest, values * weight, rcond=None)
     intercept, slope = intercept / largest[0], slope / largest[1]
     residuals = np.abs(values - intercept - slope * term_values) * weight
-    found = Fit(
+    fitted = Fit(
         term=term,
         intercept=float(intercept),
         slope=float(slope),
@@ -110,7 +110,7 @@
         smallest=float(sizes.min()),
         largest=float(sizes.max()),
     )
-    return found, float((residuals**2).sum())
+    return fitted, float((residuals**2).sum())
 
 
 def _constant_fit(sizes: np.ndarray, values: np.ndarray) -> Fit:
@@ -127,8 +127,8 @@
     )
 
 
-def _is_constant(found: Fit, sizes: np.ndarray) -> bool:
-    first, last = found.at(sizes.min()), found.at(sizes.max())
+def _is_constant(fitted: Fit, sizes: np.ndarray) -> bool:
+    first, last = fitted.at(sizes.min()), fitted.at(sizes.max())
     return last - first <= MIN_GROWTH * max(abs(first), abs(last))
 
 
@@ -138,7 +138,7 @@
 
 
 def _exponent(sizes: np.ndarray, values: np.ndarray) -> float:
-    told = values > 0
-    if told.sum() < 2:
+    positive = values > 0
+    if positive.sum() < 2:
         return 0.0
-    return float(np.polyfit(np.log(sizes[told]), np.log(values[told]), 1)[0])
+    return float(np.polyfit(np.log(sizes[positive]), np.log(values[positive]), 1)[0])
--- a/cottonspread/lab/scale/plots.py
+++ b/cottonspread/lab/scale/plots.py
@@ -94,18 +94,20 @@
 
 def draw(sweep: Sweep, measure: Measure, path: Path, targets: list[Target]) -> None:
     """Plots one measure, by size on a logarithmic axis."""
-    found = fit(measure.points)
-    largest_size = max([found.largest, *(target.size for target in targets)])
+    fitted = fit(measure.points)
+    largest_size = max([fitted.largest, *(target.size for target in targets)])
     figure, axis = plt.subplots(figsize=(7, 4.6))
     sizes = [point.size for point in measure.points]
     values = [point.value for point in measure.points]
     axis.plot(sizes, values, "o", color="#1f4e79", label="measured", zorder=3)
-    _draw_fit(axis, found, largest_size)
-    _draw_budgets(axis, targets, max([*values, found.at(largest_size)]))
+    _draw_fit(axis, fitted, largest_size)
+    _draw_budgets(axis, targets, max([*values, fitted.at(largest_size)]))
     _scale_axes(axis, sorted({*sizes, largest_size}), all(value > 0 for value in values))
     axis.set_xlabel(f"{sweep.variable.replace('_', ' ')} ({sweep.variable_unit})")
     axis.set_ylabel(f"{measure.name} ({measure.unit})")
-    axis.set_title(f"{sweep.name}: {measure.name}, {found.term}, residual {found.residual:.0%}", fontsize=10)
+    axis.set_title(
+        f"{sweep.name}: {measure.name}, {fitted.term}, residual {fitted.residual:.0%}", fontsize=10
+    )
     axis.grid(alpha=0.3, which="both")
     axis.legend(fontsize=8, framealpha=0.8)
     figure.tight_layout()
@@ -130,29 +132,29 @@
     axis.yaxis.set_minor_formatter(ticker.NullFormatter())
 
 
-def _draw_fit(axis: plt.Axes, found: Fit, target: float) -> None:
+def _draw_fit(axis: plt.Axes, fitted: Fit, target: float) -> None:
     """Draws the fit as a solid line over the measured sizes and dashed from there to the target."""
-    played = np.geomspace(found.smallest, found.largest, CURVE_POINTS)
-    axis.plot(played, [found.at(size) for size in played], color="#1f4e79", label="fit")
-    if target > found.largest:
-        extrapolated_sizes = np.geomspace(found.largest, target, CURVE_POINTS)
+    measured_sizes = np.geomspace(fitted.smallest, fitted.largest, CURVE_POINTS)
+    axis.plot(measured_sizes, [fitted.at(size) for size in measured_sizes], color="#1f4e79", label="fit")
+    if target > fitted.largest:
+        extrapolated_sizes = np.geomspace(fitted.largest, target, CURVE_POINTS)
         axis.plot(
             extrapolated_sizes,
-            [found.at(size) for size in extrapolated_sizes],
+            [fitted.at(size) for size in extrapolated_sizes],
             "--",
             color="#1f4e79",
             label="formula",
         )
-        axis.plot([target], [found.at(target)], "D", mfc="white", mec="#1f4e79", label="target, not played")
+        axis.plot([target], [fitted.at(target)], "D", mfc="white", mec="#1f4e79", label="target, not played")
 
 
 def _draw_budgets(axis: plt.Axes, targets: list[Target], largest: float) -> None:
     """Draws a line for each budget; one far above all values appears only in the legend."""
-    drawn = set()
+    labelled_limits = set()
     for target in targets:
-        if target.max_cost is None or (target.label, target.max_cost) in drawn:
+        if target.max_cost is None or (target.label, target.max_cost) in labelled_limits:
             continue
-        drawn.add((target.label, target.max_cost))
+        labelled_limits.add((target.label, target.max_cost))
         if target.max_cost <= 100 * largest:
             axis.axhline(
                 target.max_cost,
--- a/cottonspread/lab/scale/tables.py
+++ b/cottonspread/lab/scale/tables.py
@@ -89,13 +89,15 @@
         definitions = self.capacity.definitions
         match name:
             case "told":
-                return table(("name", "value", "unit", "where from"), map(self._told, definitions.told))
+                return table(
+                    ("name", "value", "unit", "where from"), map(self._given_variable, definitions.told)
+                )
             case "assumed":
                 columns = "name", "value", "range", "unit", "why"
-                return table(columns, map(self._assumed, definitions.assumed))
+                return table(columns, map(self._assumed_variable, definitions.assumed))
             case "derived":
                 columns = "name", "formula", "value", "unit", "why"
-                return table(columns, map(self._derived, definitions.derived))
+                return table(columns, map(self._derived_variable, definitions.derived))
             case "slopes":
                 return self._slopes()
             case "older":
@@ -111,11 +113,11 @@
             raise RowError(f"no table is named {name!r}")
         return table(ROLE_COLUMNS, map(self._row, rows))
 
-    def _told(self, name: str) -> tuple[str, ...]:
+    def _given_variable(self, name: str) -> tuple[str, ...]:
         one = self.capacity.definitions.told[name]
         return f"`{name}`", format_exact(one.value), one.unit, one.why
 
-    def _assumed(self, name: str) -> tuple[str, ...]:
+    def _assumed_variable(self, name: str) -> tuple[str, ...]:
         one = self.capacity.definitions.assumed[name]
         return (
             f"`{name}`",
@@ -125,7 +127,7 @@
             one.why,
         )
 
-    def _derived(self, name: str) -> tuple[str, ...]:
+    def _derived_variable(self, name: str) -> tuple[str, ...]:
         one = self.capacity.definitions.derived[name]
         return (
             f"`{name}`",
@@ -138,37 +140,37 @@
     def _row(self, evaluated: EvaluatedRow) -> tuple[str, ...]:
         row = evaluated.row
         if evaluated.value is None:
-            told = ("not run", "", "", "not run", "no")
+            cells = ("not run", "", "", "not run", "no")
         else:
             budget = "" if evaluated.budget is None else f"{format_number(evaluated.budget)} {row.unit}"
-            span = (
+            value_range = (
                 ""
                 if evaluated.low == evaluated.high
                 else f"{format_number(evaluated.low)} to {format_number(evaluated.high)}"
             )
-            told = (
+            cells = (
                 f"{format_number(evaluated.value)} {row.unit}",
-                span,
+                value_range,
                 budget,
                 evaluated.verdict,
                 _extrapolation_cell(evaluated),
             )
         runs = _sources(row.costs, row.figures) if evaluated.value is not None else row.not_run
         formula_cell = f"`{row.formula}`" if row.formula else ""
-        return row.aspect, row.what, formula_cell, *told, row.mechanism, runs
+        return row.aspect, row.what, formula_cell, *cells, row.mechanism, runs
 
     def _line(self, line: Line) -> list[str]:
         values = self.capacity.line(line)
         if values is None:
-            known = ("not run" if PLACEHOLDER_PATTERN.search(cell) else cell for cell in line.cells[:-1])
-            return [*known, f"not run: {line.not_run}"]
+            cells = ("not run" if PLACEHOLDER_PATTERN.search(cell) else cell for cell in line.cells[:-1])
+            return [*cells, f"not run: {line.not_run}"]
 
-        def filled(match: re.Match) -> str:
+        def fill(match: re.Match) -> str:
             if match[1] not in values:
                 raise RowError(f"{line.table}: {line.cells[0]}: no value {match[1]!r}")
             return format_number(values[match[1]])
 
-        return [PLACEHOLDER_PATTERN.sub(filled, cell) for cell in line.cells]
+        return [PLACEHOLDER_PATTERN.sub(fill, cell) for cell in line.cells]
 
     def _slopes(self) -> str:
         columns = ("result", "measure", "sizes", "grows with", "fit", "exponent", "residual",
@@ -210,7 +212,7 @@
 
 
 def _slope(fitted_cost: FittedCost) -> tuple[str, ...]:
-    found = fitted_cost.fit
+    fitted = fitted_cost.fit
     term_suffixes = {
         "constant": "",
         "linear": " n",
@@ -218,30 +220,30 @@
         "n log n": " n ln n",
         "quadratic": " n²",
     }
-    text = format_number(found.intercept)
-    if found.term != "constant":
-        text += f" + {format_number(found.slope)}{term_suffixes[found.term]}"
-    past = found.extrapolation(fitted_cost.size)
+    text = format_number(fitted.intercept)
+    if fitted.term != "constant":
+        text += f" + {format_number(fitted.slope)}{term_suffixes[fitted.term]}"
+    ratio = fitted.extrapolation(fitted_cost.size)
     return (
         f"`{fitted_cost.cost.result}`",
         fitted_cost.cost.measure,
-        f"{format_number(found.smallest)} to {format_number(found.largest)}",
-        "nothing (constant)" if found.term == "constant" else found.term,
+        f"{format_number(fitted.smallest)} to {format_number(fitted.largest)}",
+        "nothing (constant)" if fitted.term == "constant" else fitted.term,
         f"{text} {fitted_cost.unit}",
-        f"{found.exponent:.2f}",
-        f"{found.residual:.0%}",
+        f"{fitted.exponent:.2f}",
+        f"{fitted.residual:.0%}",
         f"{format_number(fitted_cost.size)} (`{fitted_cost.cost.size}`)",
-        "played" if past <= 1 else f"{past:.3g} times",
+        "played" if ratio <= 1 else f"{ratio:.3g} times",
     )
 
 
 def unverified_numbers(text: str, capacity: Capacity) -> list[str]:
     """Numbers in the prose that are not a variable's value and so cannot be verified."""
     definitions = capacity.definitions
-    known = {format_exact(one.value) for one in definitions.told.values()}
-    known |= {
+    allowed = {format_exact(one.value) for one in definitions.told.values()}
+    allowed |= {
         format_exact(end) for one in definitions.assumed.values() for end in (one.value, one.low, one.high)
     }
-    known |= {format_number(capacity.evaluator().value(name)) for name in definitions.derived}
+    allowed |= {format_number(capacity.evaluator().value(name)) for name in definitions.derived}
     prose = CODE_PATTERN.sub("", TABLE_PATTERN.sub("", text))
-    return [found for found in NUMBER_PATTERN.findall(prose) if found not in known]
+    return [number for number in NUMBER_PATTERN.findall(prose) if number not in allowed]
