--- a/tests/scale/test_capacity.py
+++ b/tests/scale/test_capacity.py
@@ -72,20 +72,20 @@
 figures = [{ name = "lost", result = "fault-rack", event = "rack", figure = "lost" }]
 not_run = "no time"
 """
-HEAD = dict(command="x", alone=True)
+HEADER = dict(command="x", alone=True)
 SIZES = (50, 200, 400, 800)
 
 
 def sweep(cost=lambda n: 100 + 10 * n, name="module-servers"):
     points = [Point(size, cost(size)) for size in SIZES]
     measure = Measure(name="change_us", unit="us", control=True, points=points, plays=1)
-    told = dict(variable="servers", variable_unit="n", fixed={}, measures=[measure])
-    return Sweep(name=name, what="x", kind="module", **told, **HEAD)
+    fields = dict(variable="servers", variable_unit="n", fixed={}, measures=[measure])
+    return Sweep(name=name, what="x", kind="module", **fields, **HEADER)
 
 
 def zone(**figures):
     row = FaultRow(event="zone", figures=figures, seconds_until_whole=None, rules_broken=0, notes="")
-    return FaultRun(name="fault-zone", what="x", kind="hollow", nodes=420, seed=1, rows=[row], **HEAD)
+    return FaultRun(name="fault-zone", what="x", kind="hollow", nodes=420, seed=1, rows=[row], **HEADER)
 
 
 @pytest.fixture
@@ -139,18 +139,18 @@
     assert row.verdict == verdict
 
 
-def test_a_row_may_rest_on_another_and_have_no_budget(definitions, tmp_path):
+def test_a_row_may_depend_on_another_and_have_no_budget(definitions, tmp_path):
     row = capacity_of(definitions(), tmp_path).rows("node", True)[1]
     assert row.value == pytest.approx(20.2) and row.high == pytest.approx(60.2)
     assert row.verdict == "no budget told"
 
 
-def test_a_row_that_was_not_run_says_so(definitions, tmp_path):
+def test_a_row_that_was_not_run_has_no_value(definitions, tmp_path):
     row = first(capacity_of(definitions(), tmp_path), False, "server")
     assert row.value is None and row.verdict == "not run"
 
 
-def test_a_slope_is_a_units_cost_and_none_where_the_cost_is_no_line(definitions, tmp_path):
+def test_a_slope_is_the_cost_per_unit_and_an_error_if_growth_is_not_linear(definitions, tmp_path):
     change = 'size = "servers" }', 'size = "servers", slope = true }'
     row = first(capacity_of(definitions(change), tmp_path))
     assert row.value == pytest.approx(0.01)
@@ -158,7 +158,7 @@
         first(capacity_of(definitions(change), tmp_path, sweep(lambda n: n * n)))
 
 
-def test_a_cost_that_is_no_line_is_taken_by_its_own_term(definitions, tmp_path):
+def test_a_cost_that_is_not_linear_is_evaluated_by_its_own_term(definitions, tmp_path):
     row = first(capacity_of(definitions(), tmp_path, sweep(lambda n: n * n / 100)))
     assert row.value == pytest.approx(10)
     assert row.fitted_costs[0].fit.term == "quadratic"
@@ -176,24 +176,24 @@
 
 
 @pytest.mark.parametrize("change, why", FAULTS)
-def test_a_faulty_row_is_told(definitions, tmp_path, change, why):
-    made = capacity_of(definitions(change), tmp_path)
+def test_a_faulty_row_is_an_error(definitions, tmp_path, change, why):
+    model = capacity_of(definitions(change), tmp_path)
     with pytest.raises(RowError, match=why or "depends on itself"):
-        first(made) if why else made.evaluator().value("servers_a_node")
+        first(model) if why else model.evaluator().value("servers_a_node")
 
 
-def test_a_missing_result_is_told(definitions, tmp_path):
+def test_a_missing_result_is_an_error(definitions, tmp_path):
     with pytest.raises(RowError, match="node: one change of the list: module-servers.json: no such result"):
         first(capacity_of(definitions(), tmp_path, zone(lost=1.0)))
 
 
-def test_a_row_cannot_rest_on_one_that_was_not_run(definitions, tmp_path):
-    made = capacity_of(definitions(('budget = "17"', 'not_run = "later"')), tmp_path, zone(lost=1.0))
+def test_a_row_cannot_depend_on_one_that_was_not_run(definitions, tmp_path):
+    model = capacity_of(definitions(('budget = "17"', 'not_run = "later"')), tmp_path, zone(lost=1.0))
     with pytest.raises(RowError, match="was not run, and another row depends on it"):
-        made.rows("node", True)
+        model.rows("node", True)
 
 
-def test_a_row_may_not_say_that_it_was_not_run_when_it_was(definitions, tmp_path):
+def test_a_row_whose_results_exist_may_not_be_marked_as_not_run(definitions, tmp_path):
     with pytest.raises(RowError, match="marked as not run, but its results exist"):
         first(capacity_of(definitions(('budget = "17"', 'not_run = "later"')), tmp_path))
 
@@ -210,35 +210,35 @@
 
 
 @pytest.mark.parametrize("change, why", DEFINITION_FAULTS)
-def test_faulty_definitions_are_reported(definitions, change, why):
+def test_faulty_definitions_are_an_error(definitions, change, why):
     with pytest.raises(RowError, match=why):
         definitions(change)
 
 
 def test_a_line_takes_its_figures_from_the_fault_run(definitions, tmp_path):
-    made = capacity_of(definitions(), tmp_path)
-    assert made.line(made.definitions.line[0]) == {"lost": 52, "nodes_told": 420}
-    assert made.line(made.definitions.line[1]) is None
+    model = capacity_of(definitions(), tmp_path)
+    assert model.line(model.definitions.line[0]) == {"lost": 52, "nodes_told": 420}
+    assert model.line(model.definitions.line[1]) is None
     with pytest.raises(RowError, match="no figure 'lost'"):
-        capacity_of(definitions(), tmp_path, sweep(), zone(gone=1.0)).line(made.definitions.line[0])
+        capacity_of(definitions(), tmp_path, sweep(), zone(gone=1.0)).line(model.definitions.line[0])
     with pytest.raises(RowError, match="a zone: fault-zone.json: no such result"):
-        capacity_of(definitions(), tmp_path, sweep()).line(made.definitions.line[0])
+        capacity_of(definitions(), tmp_path, sweep()).line(model.definitions.line[0])
 
 
-def test_a_line_takes_a_point_of_a_sweep_as_it_was_measured(definitions, tmp_path):
+def test_a_line_takes_a_measured_point_of_a_sweep(definitions, tmp_path):
     old = 'result = "fault-zone", event = "zone", figure = "lost"'
     point = 'result = "module-servers", figure = "change_us", size = '
-    made = capacity_of(definitions((old, point + "400")), tmp_path, sweep(lambda n: n * n))
-    assert made.line(made.definitions.line[0])["lost"] == 160_000
-    made = capacity_of(definitions((old, point + "401")), tmp_path)
+    model = capacity_of(definitions((old, point + "400")), tmp_path, sweep(lambda n: n * n))
+    assert model.line(model.definitions.line[0])["lost"] == 160_000
+    model = capacity_of(definitions((old, point + "401")), tmp_path)
     with pytest.raises(RowError, match="size 401 was not measured"):
-        made.line(made.definitions.line[0])
+        model.line(model.definitions.line[0])
 
 
-def test_what_was_not_whole_within_the_play_says_so_and_holds_no_budget(definitions, page, tmp_path):
+def test_a_fleet_that_did_not_recover_is_over_any_budget(definitions, page, tmp_path):
     whole = 'figure = "seconds_until_whole"'
-    made = capacity_of(definitions(('figure = "lost"', whole)), tmp_path)
-    assert made.line(made.definitions.line[0])["lost"] == math.inf
+    model = capacity_of(definitions(('figure = "lost"', whole)), tmp_path)
+    assert model.line(model.definitions.line[0])["lost"] == math.inf
     assert tables.format_number(math.inf) == "not within the play"
     cost = (
         'costs = [{ name = "change_us", result = "module-servers", measure = "change_us", size = "servers" }]'
@@ -251,28 +251,30 @@
 def test_a_figure_of_an_older_file_is_read_by_its_keys(definitions, tmp_path):
     (tmp_path / "old.json").write_text(json.dumps({"plays": [{"mb": 21.3}, {"mb": "x"}]}))
     old = 'result = "fault-zone", event = "zone", figure = "lost"'
-    made = capacity_of(definitions((old, 'file = "old.json", at = "plays/0/mb"')), tmp_path)
-    assert made.line(made.definitions.line[0])["lost"] == 21.3
-    assert [value for _, value in made.figures()] == [21.3]
+    model = capacity_of(definitions((old, 'file = "old.json", at = "plays/0/mb"')), tmp_path)
+    assert model.line(model.definitions.line[0])["lost"] == 21.3
+    assert [value for _, value in model.figures()] == [21.3]
     for at in ("plays/1/mb", "plays/9/mb", "plays/0", "none"):
-        made = capacity_of(definitions((old, f'file = "old.json", at = "{at}"')), tmp_path)
+        model = capacity_of(definitions((old, f'file = "old.json", at = "{at}"')), tmp_path)
         with pytest.raises(RowError, match="old.json"):
-            made.line(made.definitions.line[0])
+            model.line(model.definitions.line[0])
 
 
-def test_a_figure_of_an_older_page_is_the_one_that_stands_there(definitions, tmp_path):
+def test_a_figure_of_an_older_page_is_the_quoted_one(definitions, tmp_path):
     (tmp_path / "note.md").write_text("Idle, the supervisor takes 3 % of a core, 1,200 steps.\n")
     old = 'result = "fault-zone", event = "zone", figure = "lost"'
 
-    def value(at, told):
-        made = capacity_of(definitions((old, f'file = "note.md", at = "{at}", value = "{told}"')), tmp_path)
-        return made.line(made.definitions.line[0])["lost"]
+    def value(at, quoted):
+        model = capacity_of(
+            definitions((old, f'file = "note.md", at = "{at}", value = "{quoted}"')), tmp_path
+        )
+        return model.line(model.definitions.line[0])["lost"]
 
     assert value("takes 3 % of a core", "3") == 3
     assert value("a core, 1,200 steps", "1,200") == 1200
-    for at, told in (("takes 4 % of a core", "4"), ("takes 3 % of a core", "30")):
+    for at, quoted in (("takes 4 % of a core", "4"), ("takes 3 % of a core", "30")):
         with pytest.raises(RowError, match="not found"):
-            value(at, told)
+            value(at, quoted)
 
 
 # The page
@@ -294,19 +296,19 @@
         folder = tmp_path / "results"
         for run in runs:
             results.write(run, folder)
-        made = tables.Page(Capacity(definitions(), results.read_all(folder), tmp_path), folder)
+        generator = tables.Page(Capacity(definitions(), results.read_all(folder), tmp_path), folder)
         text = text or PROSE + "".join(
-            f"<!-- table {name} -->\n<!-- end -->\n" for name in made.required_tables()
+            f"<!-- table {name} -->\n<!-- end -->\n" for name in generator.required_tables()
         )
-        return made, made.write(text)
+        return generator, generator.write(text)
 
     return make
 
 
-def test_every_table_is_written_and_writing_again_changes_nothing(page):
-    made, text = page()
+def test_every_table_is_generated_and_generating_again_changes_nothing(page):
+    generator, text = page()
     assert text.startswith(PROSE)
-    assert made.write(text) == text
+    assert generator.write(text) == text
     assert "| a zone | 52 of 420 | tests/x.py |" in text
     assert "| a rack | not run | not run: no time |" in text
     assert (
@@ -329,21 +331,21 @@
     assert after != before
 
 
-def test_a_table_without_a_place_an_unknown_and_a_doubled_one_are_told(page):
-    made, text = page()
+def test_a_missing_an_unknown_and_a_duplicate_table_are_errors(page):
+    generator, text = page()
     with pytest.raises(RowError, match="missing from the page: .*events"):
-        made.write(text.replace("<!-- table events -->", ""))
+        generator.write(text.replace("<!-- table events -->", ""))
     with pytest.raises(RowError, match="no table is named 'moods'"):
-        made.write(text + "<!-- table moods -->\n<!-- end -->\n")
+        generator.write(text + "<!-- table moods -->\n<!-- end -->\n")
     with pytest.raises(RowError, match="duplicate tables.*events"):
-        made.write(text + "<!-- table events -->\n<!-- end -->\n")
+        generator.write(text + "<!-- table events -->\n<!-- end -->\n")
 
 
-def test_a_figure_in_the_prose_is_told_unless_it_is_a_variable(page):
-    made, text = page()
-    assert tables.unverified_numbers(text, made.capacity) == []
-    for told in ("It takes 3.5 ms.", "some 12,345 of them", "(66)"):
-        assert tables.unverified_numbers(text + told, made.capacity) != []
+def test_a_number_in_the_prose_is_reported_unless_it_is_a_variable(page):
+    generator, text = page()
+    assert tables.unverified_numbers(text, generator.capacity) == []
+    for addition in ("It takes 3.5 ms.", "some 12,345 of them", "(66)"):
+        assert tables.unverified_numbers(text + addition, generator.capacity) != []
 
 
 WRITTEN = [
@@ -362,5 +364,5 @@
 
 
 @pytest.mark.parametrize("value, text", WRITTEN)
-def test_figures_are_written_for_people(value, text):
+def test_numbers_are_rounded_for_display(value, text):
     assert tables.format_number(value) == text
--- a/tests/scale/test_fit.py
+++ b/tests/scale/test_fit.py
@@ -16,7 +16,7 @@
     return [Point(size, cost(size) * (1 + chance.uniform(-noise, noise))) for size in sizes]
 
 
-def test_a_line_gives_back_its_slope_and_intercept():
+def test_the_fit_of_a_line_has_its_slope_and_intercept():
     found = fit(points(lambda n: 500 + 1.19 * n))
     assert found.term == "linear"
     assert found.slope == pytest.approx(1.19) and found.intercept == pytest.approx(500)
@@ -37,25 +37,25 @@
     ],
 )
 @pytest.mark.parametrize("noise", [0.0, 0.01])
-def test_the_term_is_named(cost, term, exponent, noise):
+def test_the_term_of_the_growth_is_found(cost, term, exponent, noise):
     found = fit(points(cost, noise=noise))
     assert found.term == term
     assert found.exponent == pytest.approx(exponent, abs=0.1)
     assert found.residual <= 0.03
 
 
-def test_a_line_with_noise_stays_a_line():
+def test_a_line_with_noise_is_fitted_as_linear():
     for seed in range(50):
         assert fit(points(lambda n: 100 + 0.02 * n, noise=0.05, seed=seed)).term == "linear"
 
 
-def test_a_base_cost_is_not_taken_for_slow_growth():
+def test_a_large_intercept_is_not_fitted_as_slow_growth():
     found = fit(points(lambda n: 1e6 + 10 * n))
     assert found.term == "linear" and found.exponent < 0.3
     assert found.slope == pytest.approx(10)
 
 
-def test_the_residual_is_the_largest_relative_one():
+def test_the_residual_is_the_largest_relative_residual():
     measured = points(lambda n: 2 * n)
     measured[2] = Point(measured[2].size, measured[2].value * 1.3)
     found = fit(measured)
@@ -63,7 +63,7 @@
     assert found.residual == pytest.approx(max(strays)) and found.residual > 0.1
 
 
-def test_each_size_counts_alike():
+def test_all_sizes_have_the_same_weight():
     """By plain squares the largest size alone would decide, and the smallest would lie far off the line."""
     measured = points(lambda n: 2 * n)
     measured[-1] = Point(measured[-1].size, measured[-1].value * 1.05)
@@ -71,7 +71,7 @@
     assert abs(found.at(1_000) - 2_000) < 60
 
 
-def test_how_far_the_target_lies_past_the_largest_size():
+def test_extrapolation_is_the_target_over_the_largest_size():
     found = fit(points(lambda n: n, sizes=(50, 100, 200, 400)))
     assert found.extrapolation(3_000) == 7.5
     assert found.extrapolation(400) == 1.0
@@ -79,14 +79,14 @@
     assert found.extrapolation(400.02) == 1.0 and found.extrapolation(401) > 1.0
 
 
-def test_a_cost_that_falls_is_not_carried_on_past_the_largest_size():
+def test_a_cost_that_falls_is_not_extrapolated():
     found = fit(points(lambda n: 300 - 0.002 * n, noise=0.02))
     assert found.term == "constant" and found.slope == 0
     assert found.at(10_000_000) == pytest.approx(250, rel=0.1)
     assert found.residual > 0.4
 
 
-def test_growth_beyond_a_term_is_told():
+def test_growth_is_compared_with_a_term():
     quadratic, line = fit(points(lambda n: n * n)), fit(points(lambda n: n))
     assert quadratic.grows_faster_than("linear") and quadratic.grows_faster_than("n log n")
     assert not quadratic.grows_faster_than("quadratic")
@@ -104,12 +104,12 @@
 
 
 @pytest.mark.parametrize("point", [Point(0, 1), Point(-1, 1), Point(9, math.nan), Point(math.inf, 1)])
-def test_points_that_are_no_numbers_are_an_error(point):
+def test_points_that_are_not_finite_are_an_error(point):
     with pytest.raises(FitError, match="finite"):
         fit([point, *points(lambda n: n)])
 
 
-def test_next_to_nothing_at_one_size_does_not_decide():
+def test_noise_in_a_value_close_to_zero_does_not_decide_the_fit():
     """400 in place of 20 where the largest is 152,380: held against a hundredth of that, 1,524, and so the
     slope moves by 4% and no residual is over a tenth (5% and 13% without that floor).
     """
--- a/tests/scale/test_formula.py
+++ b/tests/scale/test_formula.py
@@ -19,7 +19,7 @@
         ("1.5e3 * 2", 3000),
     ],
 )
-def test_what_is_worked_out(formula, value):
+def test_arithmetic_is_evaluated(formula, value):
     assert evaluate(formula, VALUES.__getitem__) == pytest.approx(value)
 
 
@@ -50,11 +50,11 @@
         "1" + " + 1" * 400,
     ],
 )
-def test_all_else_is_refused(formula):
+def test_anything_else_is_rejected(formula):
     with pytest.raises(FormulaError):
         evaluate(formula, VALUES.__getitem__)
 
 
-def test_a_division_by_zero_is_told():
+def test_a_division_by_zero_is_an_error():
     with pytest.raises(FormulaError, match="nodes / zero: division by zero"):
         evaluate("nodes / zero", VALUES.__getitem__)
--- a/tests/scale/test_overview.py
+++ b/tests/scale/test_overview.py
@@ -24,50 +24,50 @@
 DELAYS = (1000, 15_000, 30_000, 60_000, 200_000, 2 * SECOND)
 
 
-def walked(node):
+def full_scan(node):
     """(servers apart, part of slow ones, legs, load, mean weights) by walks over all servers and legs."""
     now, health, order = node.now, node.health, node.rotation.order
-    fresh = {h for h in node.overview.exceptional if h.up and node.slow_start.capacity_share(h, now) < 1}
+    cold = {h for h in node.overview.exceptional if h.up and node.slow_start.capacity_share(h, now) < 1}
     near = [h for h in order if health.is_slow(h, now, health.NEAR_SLOW_SHARE)]
     full = [h for h in order if node.readings.is_full(h, now)]
     probed = node.settings.probes_report_load
-    apart = {h for h in order if h in fresh or h.recovery_limit or probed and (h in full or h in near)}
-    heard = [h for h in order if h.legs or now - h.cut_at < Ceilings.CALM_TIME]
-    slow = [h for h in heard if health.is_slow(h, now) and not h.hung or now - h.cut_at < Ceilings.CALM_TIME]
+    exceptional = {h for h in order if h in cold or h.recovery_limit or probed and (h in full or h in near)}
+    active = [h for h in order if h.legs or now - h.cut_at < Ceilings.CALM_TIME]
+    slow = [h for h in active if health.is_slow(h, now) and not h.hung or now - h.cut_at < Ceilings.CALM_TIME]
     weights = [leg.load - node.loads.weight_of(leg) for h in order for leg in h.legs]
-    return apart, len(slow) / (len(heard) + 2), weights
+    return exceptional, len(slow) / (len(active) + 2), weights
 
 
-def sums_of(hosts):
+def legs_and_load(hosts):
     """(legs, load) of servers."""
     return sum(len(h.legs) for h in hosts), sum(h.load for h in hosts)
 
 
-class Play:
+class RandomNode:
     """Drawn events on one node."""
 
     def __init__(self, seed):
-        self.chance, self.now, self.calls, self.open = Random(seed), SECOND, 0, {}
-        site = {"nodes": self.chance.choice((1, 40)), "moving": 0.03} | ({"probe": 1} if seed % 2 else {})
+        self.rng, self.now, self.calls, self.open = Random(seed), SECOND, 0, {}
+        site = {"nodes": self.rng.choice((1, 40)), "moving": 0.03} | ({"probe": 1} if seed % 2 else {})
         self.types = (traffic_type("t", {}),)
         self.site = site
         self.node = Balancer(self.now, begin(site, self.types))
         self.entries = {n: io.Entry(f"s{n}", n % 3) for n in range(SERVERS)}
-        self.tell(io.ListUpdate(io.ListUpdateKind.FULL, 1, tuple(self.entries.values())))
+        self.send(io.ListUpdate(io.ListUpdateKind.FULL, 1, tuple(self.entries.values())))
 
-    def tell(self, event):
+    def send(self, event):
         """Passes an event on, and answers what is asked for."""
         for action in self.node.handle(self.now, event):
             if isinstance(action, io.Send):
                 self.open.setdefault(action.call, []).append(action.host)
             elif isinstance(action, io.Probe):
-                load = self.chance.choice((0.2, 0.5, 0.9, 1.5))
-                self.tell(io.ProbeEnded(action.host, Ending.OK, 0, load))
+                load = self.rng.choice((0.2, 0.5, 0.9, 1.5))
+                self.send(io.ProbeEnded(action.host, Ending.OK, 0, load))
 
     def change(self):
         """The list tells of some server."""
-        number = self.chance.randrange(SERVERS)
-        news = self.chance.choice(
+        number = self.rng.randrange(SERVERS)
+        change = self.rng.choice(
             (
                 {"state": HostState.DRAINING},
                 {"state": HostState.GONE},
@@ -75,76 +75,76 @@
                 {"started": self.now},
             )
         )
-        self.entries[number] = self.entries[number]._replace(**news)
-        self.tell(io.ListUpdate(io.ListUpdateKind.CHANGES, 1, (self.entries[number],)))
+        self.entries[number] = self.entries[number]._replace(**change)
+        self.send(io.ListUpdate(io.ListUpdateKind.CHANGES, 1, (self.entries[number],)))
 
     def end(self, call, leg):
         """A leg ends. After an error the call may go on, and its next leg be accepted much later."""
-        goes_on = self.chance.random() < 0.4
-        ending = Ending.ERROR if goes_on else self.chance.choice(ENDINGS)
-        self.tell(io.LegEnded(call, leg, ending, not goes_on))
+        continues = self.rng.random() < 0.4
+        ending = Ending.ERROR if continues else self.rng.choice(ENDINGS)
+        self.send(io.LegEnded(call, leg, ending, not continues))
         if len(self.open[call]) == leg + 1:
             del self.open[call]
 
     def step(self):
         """One drawn event."""
-        chance, kind = self.chance, self.chance.random()
-        self.now += chance.choice((0, 5000, 20_000, 100_000))
+        rng, kind = self.rng, self.rng.random()
+        self.now += rng.choice((0, 5000, 20_000, 100_000))
         if kind < 0.4 or not self.open:
             self.calls += 1
-            held = f"s{chance.randrange(SERVERS)}" if chance.random() < 0.2 else None
-            if held:
-                self.open[self.calls] = [held]
-            self.tell(io.CallArrived(self.calls, 0, SECOND, None, f"g{self.calls % 7}", held_by=held))
+            holder = f"s{rng.randrange(SERVERS)}" if rng.random() < 0.2 else None
+            if holder:
+                self.open[self.calls] = [holder]
+            self.send(io.CallArrived(self.calls, 0, SECOND, None, f"g{self.calls % 7}", held_by=holder))
             return
-        call = chance.choice(list(self.open))
+        call = rng.choice(list(self.open))
         leg = len(self.open[call]) - 1
         if kind < 0.55:
-            self.tell(io.LegAccepted(call, leg, 0))
+            self.send(io.LegAccepted(call, leg, 0))
         elif kind < 0.7:
             self.end(call, leg)
         elif kind < 0.8:
-            self.tell(io.LoadReported(call, chance.choice((0.0, 5000.0, chance.random() * 20_000))))
+            self.send(io.LoadReported(call, rng.choice((0.0, 5000.0, rng.random() * 20_000))))
         elif kind < 0.93:
-            self.tell(io.DelayReported(call, chance.choice(DELAYS)))
+            self.send(io.DelayReported(call, rng.choice(DELAYS)))
         elif kind < 0.98:
             self.change()
         else:
-            faster = (traffic_type("t", {"message": chance.choice((20, 50, 400))}),)
-            self.tell(io.Reconfigured(begin(self.site, faster)))
+            faster = (traffic_type("t", {"message": rng.choice((20, 50, 400))}),)
+            self.send(io.Reconfigured(begin(self.site, faster)))
 
 
 @pytest.mark.parametrize("seed", range(24))
-def test_a_look_finds_what_a_walk_finds(seed):
-    play = Play(seed)
-    node, overview, looks = play.node, play.node.overview, 0
-    plain_look = overview.refresh
+def test_a_refresh_matches_a_full_scan(seed):
+    random_node = RandomNode(seed)
+    node, overview, refreshes = random_node.node, random_node.node.overview, 0
+    original_refresh = overview.refresh
 
-    def look(now):
-        nonlocal looks
+    def checked_refresh(now):
+        nonlocal refreshes
         due = now - overview.refreshed_at >= overview.REFRESH_INTERVAL
-        plain_look(now)
+        original_refresh(now)
         if due:
-            looks += 1
-            apart, slow_part, wrong_weights = walked(node)
-            assert node.sums.excluded == apart
-            assert overview.slow_share == slow_part
+            refreshes += 1
+            exceptional, slow_share, wrong_weights = full_scan(node)
+            assert node.sums.excluded == exceptional
+            assert overview.slow_share == slow_share
             assert not any(wrong_weights)
 
-    overview.refresh = look
+    overview.refresh = checked_refresh
     for _ in range(STEPS):
-        play.step()
+        random_node.step()
         up = [h for h in node.membership.hosts.values() if h.up]
-        assert (node.sums.legs, node.sums.load) == sums_of(up)
+        assert (node.sums.legs, node.sums.load) == legs_and_load(up)
         assert node.sums.holding == sum(bool(h.legs) for h in up)
-        assert (node.sums.excluded_legs, node.sums.excluded_load) == sums_of(node.sums.excluded)
-    assert looks > STEPS / 20
+        assert (node.sums.excluded_legs, node.sums.excluded_load) == legs_and_load(node.sums.excluded)
+    assert refreshes > STEPS / 20
 
 
-def test_a_server_cut_a_moment_ago_counts_as_slow_though_nothing_else_differs():
+def test_a_server_whose_ceiling_was_just_cut_counts_as_slow():
     """It was found far away after, which takes its ceiling, and has answered since."""
-    play = Play(0)
-    node = play.node
+    random_node = RandomNode(0)
+    node = random_node.node
     host = node.rotation.order[0]
     node.overview.mark_exceptional(host)
     host.cut_at = node.now
--- a/tests/scale/test_page.py
+++ b/tests/scale/test_page.py
@@ -35,7 +35,7 @@
 
 
 @pytest.fixture
-def copy(tmp_path):
+def copy_options(tmp_path):
     """A copy of page, rows and results; the command's options for it."""
     shutil.copy(ROOT / "docs" / "CAPACITY.md", tmp_path / "page.md")
     shutil.copy(ROOT / "benchmarks" / "scale" / "rows.toml", tmp_path / "rows.toml")
@@ -44,75 +44,75 @@
     return [word for flag, name in names.items() for word in (flag, str(tmp_path / name))]
 
 
-def figures_of(text):
+def number_spans(text):
     """(start, end) of each figure within the page's tables but the header lines."""
     for table in tables.TABLE_PATTERN.finditer(text):
         for cell in re.finditer(r"\| (\d[\d,.]*)(?= )", table["text"]):
             yield table.start("text") + cell.start(1), table.start("text") + cell.end(1)
 
 
-def test_the_page_is_what_rows_and_results_say(capsys):
+def test_the_page_matches_its_rows_and_results(capsys):
     assert page.main(["--check"]) == 0, capsys.readouterr().err
 
 
-def test_the_copy_passes_too(copy):
-    assert page.main(["--check", *copy]) == 0
+def test_an_unchanged_copy_passes_the_check(copy_options):
+    assert page.main(["--check", *copy_options]) == 0
 
 
-def test_a_changed_figure_in_the_page_is_noticed(copy, tmp_path, capsys):
+def test_a_changed_number_in_the_page_fails_the_check(copy_options, tmp_path, capsys):
     text = (tmp_path / "page.md").read_text()
-    places = list(figures_of(text))
+    places = list(number_spans(text))
     assert len(places) > 30
     for start, end in places[:: max(1, len(places) // 12)]:
         changed = text[:start] + text[start:end].replace(text[start], str((int(text[start]) + 1) % 10), 1)
         (tmp_path / "page.md").write_text(changed + text[end:])
-        assert page.main(["--check", *copy]) == 1
+        assert page.main(["--check", *copy_options]) == 1
         assert (tmp_path / "page.md").read_text() == changed + text[end:], "a check wrote"
-    assert page.main(copy) == 0
+    assert page.main(copy_options) == 0
     assert (tmp_path / "page.md").read_text() == text
 
 
-def test_a_figure_in_the_prose_is_noticed(copy, tmp_path, capsys):
+def test_a_number_in_the_prose_fails_the_check(copy_options, tmp_path, capsys):
     (tmp_path / "page.md").write_text((tmp_path / "page.md").read_text() + "\nIt takes 12.75 ms.\n")
-    assert page.main(["--check", *copy]) == 1
+    assert page.main(["--check", *copy_options]) == 1
     assert "12.75" in capsys.readouterr().err
 
 
-def test_a_changed_figure_in_any_result_is_noticed(copy, tmp_path):
+def test_a_changed_value_in_any_result_fails_the_check(copy_options, tmp_path):
     files = sorted((tmp_path / "results").glob("*.json"))
     assert files
     for file in files:
         text = file.read_text()
-        told = json.loads(text)
-        if "measures" in told:
-            told["measures"][-1]["points"][-1][1] += 0.001
+        fields = json.loads(text)
+        if "measures" in fields:
+            fields["measures"][-1]["points"][-1][1] += 0.001
         else:
-            told["rows"][-1]["notes"] += "."
-        file.write_text(json.dumps(told))
-        assert page.main(["--check", *copy]) == 1, file.name
+            fields["rows"][-1]["notes"] += "."
+        file.write_text(json.dumps(fields))
+        assert page.main(["--check", *copy_options]) == 1, file.name
         file.write_text(text)
-    assert page.main(["--check", *copy]) == 0
+    assert page.main(["--check", *copy_options]) == 0
 
 
-def test_a_missing_and_a_further_result_are_noticed(copy, tmp_path, capsys):
+def test_a_missing_and_an_additional_result_fail_the_check(copy_options, tmp_path, capsys):
     file = sorted((tmp_path / "results").glob("*.json"))[0]
     aside = tmp_path / "aside"
     file.rename(aside)
-    assert page.main(["--check", *copy]) == 1
+    assert page.main(["--check", *copy_options]) == 1
     aside.rename(file)
-    told = json.loads(file.read_text()) | {"name": "further"}
-    (tmp_path / "results" / "further.json").write_text(json.dumps(told))
-    assert page.main(["--check", *copy]) == 1
+    fields = json.loads(file.read_text()) | {"name": "further"}
+    (tmp_path / "results" / "further.json").write_text(json.dumps(fields))
+    assert page.main(["--check", *copy_options]) == 1
 
 
-def test_a_missing_result_that_a_row_names_is_not_written_over(copy, tmp_path, capsys):
+def test_a_missing_result_that_a_row_names_leaves_the_page_unchanged(copy_options, tmp_path, capsys):
     """Writing the page anew must not hide it."""
     definitions = capacity.read_definitions(tmp_path / "rows.toml")
     named = {cost.result for row in definitions.row if not row.not_run for cost in row.costs}
     assert named
     (tmp_path / "results" / f"{min(named)}.json").unlink()
     before = (tmp_path / "page.md").read_text()
-    assert page.main(copy) == 1
+    assert page.main(copy_options) == 1
     assert f"{min(named)}.json: no such result" in capsys.readouterr().err
     assert (tmp_path / "page.md").read_text() == before
 
--- a/tests/scale/test_plots.py
+++ b/tests/scale/test_plots.py
@@ -7,7 +7,7 @@
 from cottonspread.lab.scale.plots import Target
 from cottonspread.lab.scale.results import FaultRow, FaultRun, Measure, Point, Sweep
 
-HEAD = dict(what="x", command="cottonspread lab scale", alone=True, commit="d082d9a", date="2026-12-02")
+HEADER = dict(what="x", command="cottonspread lab scale", alone=True, commit="d082d9a", date="2026-12-02")
 
 
 @pytest.fixture
@@ -17,14 +17,14 @@
         return Measure(name=name, unit="us", control=True, points=points, plays=1)
 
     measures = [measure("change_us", lambda n: 100 + 10 * n), measure("nothing", lambda n: 0.0)]
-    told = dict(variable="servers", variable_unit="listed", fixed={}, measures=measures)
-    return Sweep(name="module-servers", kind="module", **told, **HEAD)
+    fields = dict(variable="servers", variable_unit="listed", fixed={}, measures=measures)
+    return Sweep(name="module-servers", kind="module", **fields, **HEADER)
 
 
 @pytest.fixture
 def faults():
     row = FaultRow(event="zone", figures={"lost": 1.0}, seconds_until_whole=1.0, rules_broken=0, notes="")
-    return FaultRun(name="fault-zone", kind="hollow", nodes=420, seed=1, rows=[row], **HEAD)
+    return FaultRun(name="fault-zone", kind="hollow", nodes=420, seed=1, rows=[row], **HEADER)
 
 
 def test_each_measure_of_each_sweep_gets_a_plot(tmp_path, sweep, faults):
@@ -61,14 +61,14 @@
     assert max(axis.lines[1].get_xdata()) == pytest.approx(800)
 
 
-def test_a_target_past_the_sizes_played_is_a_formula(drawn):
+def test_a_target_past_the_measured_sizes_is_drawn_from_the_formula(drawn):
     axis = drawn(Target("node: one change", 3000.0, None))
     assert labels(axis) == ["measured", "fit", "formula", "target, not played"]
     assert axis.lines[3].get_xdata() == [3000] and axis.lines[3].get_ydata() == pytest.approx([30_100])
     assert labels(drawn(Target("node: one change", 400.0, None))) == ["measured", "fit"]
 
 
-def test_a_budget_is_a_line_and_one_far_above_is_told_alone(drawn):
+def test_a_budget_is_a_line_or_if_far_above_only_in_the_legend(drawn):
     near = Target("node: one change", 400.0, 17_000.0)
     axis = drawn(near, near)
     assert labels(axis) == ["measured", "fit", "budget 1.7e+04: node: one change"]
@@ -78,7 +78,7 @@
     assert axis.get_ylim()[1] < 1e6
 
 
-def test_the_report_shows_every_plot_without_other_files(tmp_path, sweep, faults):
+def test_the_report_is_one_file_with_every_plot(tmp_path, sweep, faults):
     results.write(sweep, tmp_path)
     page = plots.report([sweep, faults], tmp_path / "out")
     text = page.read_text()
@@ -86,7 +86,7 @@
     assert "module-servers" in text and "linear" in text and "fault-zone" not in text
 
 
-def test_marks_are_the_rows_targets_and_what_their_budgets_allow(tmp_path, sweep):
+def test_targets_are_the_rows_sizes_and_what_their_budgets_allow(tmp_path, sweep):
     path = tmp_path / "rows.toml"
     path.write_text("""
 derived = {}
--- a/tests/scale/test_results.py
+++ b/tests/scale/test_results.py
@@ -48,14 +48,14 @@
     return FaultRun(**fields | changed)
 
 
-def written(folder, result):
+def write_json(folder, result):
     """The result's JSON as Python values, and its path."""
     path = results.write(result, folder)
     return json.loads(path.read_text()), path
 
 
 @pytest.mark.parametrize("make, read", [(sweep, results.read_sweep), (fault_run, results.read_fault_run)])
-def test_what_is_written_is_read_back(tmp_path, make, read):
+def test_written_results_are_read_back(tmp_path, make, read):
     result = make()
     path = results.write(result, tmp_path)
     assert path == tmp_path / f"{result.name}.json"
@@ -64,25 +64,25 @@
 
 
 def test_commit_date_and_machine_are_filled_in(tmp_path):
-    told, _ = written(tmp_path, sweep())
-    assert results.COMMIT_PATTERN.fullmatch(told["commit"])
-    assert told["machine"] == msgspec.to_builtins(results.current_machine())
-    assert told["machine"]["cores"] >= 1 and told["machine"]["memory_gib"] > 0
-    assert len(told["date"]) == 10
+    fields, _ = write_json(tmp_path, sweep())
+    assert results.COMMIT_PATTERN.fullmatch(fields["commit"])
+    assert fields["machine"] == msgspec.to_builtins(results.current_machine())
+    assert fields["machine"]["cores"] >= 1 and fields["machine"]["memory_gib"] > 0
+    assert len(fields["date"]) == 10
 
 
-def test_commit_and_date_that_are_given_are_kept(tmp_path):
-    told, _ = written(tmp_path, sweep(commit="d082d9a", date="2026-12-01"))
-    assert (told["commit"], told["date"]) == ("d082d9a", "2026-12-01")
+def test_a_given_commit_and_date_are_kept(tmp_path):
+    fields, _ = write_json(tmp_path, sweep(commit="d082d9a", date="2026-12-01"))
+    assert (fields["commit"], fields["date"]) == ("d082d9a", "2026-12-01")
 
 
-def test_a_point_is_one_line_of_size_and_value(tmp_path):
-    told, path = written(tmp_path, sweep())
-    assert told["measures"][0]["points"] == [[50, 5.0], [400, 40.0], [1000, 100.0], [3000, 300.0]]
+def test_a_point_is_written_on_one_line(tmp_path):
+    fields, path = write_json(tmp_path, sweep())
+    assert fields["measures"][0]["points"] == [[50, 5.0], [400, 40.0], [1000, 100.0], [3000, 300.0]]
     assert "[50, 5.0],\n" in path.read_text()
 
 
-def test_what_is_not_there_is_told():
+def test_an_unknown_measure_or_event_is_an_error():
     with pytest.raises(ResultError, match="module-call-by-servers: no measure 'other'"):
         sweep().measure("other")
     assert sweep().measure("call_us").unit == "us"
@@ -91,7 +91,7 @@
     assert fault_run().row("zone-lost").seconds_until_whole == 31.5
 
 
-def test_a_missing_file_and_the_other_kind_are_told(tmp_path):
+def test_a_missing_file_and_the_wrong_kind_are_errors(tmp_path):
     with pytest.raises(ResultError, match="none.json: No such file"):
         results.read(tmp_path / "none.json")
     with pytest.raises(ResultError, match="fault-zone.json: not a sweep"):
@@ -100,13 +100,13 @@
         results.read_fault_run(results.write(sweep(), tmp_path))
 
 
-def test_a_file_of_another_name_is_refused(tmp_path):
+def test_a_file_with_another_name_is_rejected(tmp_path):
     path = results.write(sweep(), tmp_path)
     with pytest.raises(ResultError, match="other.json: name:"):
         results.read(path.rename(tmp_path / "other.json"))
 
 
-HEAD_FAULTS = [
+HEADER_FAULTS = [
     ("name", "Not A Name", "name"),
     ("what", " ", "what"),
     ("command", "", "command"),
@@ -149,63 +149,63 @@
 ]
 
 
-def assert_refused(folder, told, path, why):
-    path.write_text(json.dumps(told))
+def assert_rejected(folder, fields, path, why):
+    path.write_text(json.dumps(fields))
     with pytest.raises(ResultError, match=why):
         results.read(path)
 
 
 @pytest.mark.parametrize("make", [sweep, fault_run])
-@pytest.mark.parametrize("field, value, why", HEAD_FAULTS)
-def test_a_faulty_head_is_refused(tmp_path, make, field, value, why):
-    told, path = written(tmp_path, make())
-    told[field] = value
-    assert_refused(tmp_path, told, path, why)
+@pytest.mark.parametrize("field, value, why", HEADER_FAULTS)
+def test_a_faulty_header_is_rejected(tmp_path, make, field, value, why):
+    fields, path = write_json(tmp_path, make())
+    fields[field] = value
+    assert_rejected(tmp_path, fields, path, why)
 
 
 @pytest.mark.parametrize("field, value, why", SWEEP_FAULTS)
-def test_a_faulty_sweep_is_refused(tmp_path, field, value, why):
-    told, path = written(tmp_path, sweep())
-    told[field] = value
-    assert_refused(tmp_path, told, path, why)
+def test_a_faulty_sweep_is_rejected(tmp_path, field, value, why):
+    fields, path = write_json(tmp_path, sweep())
+    fields[field] = value
+    assert_rejected(tmp_path, fields, path, why)
 
 
 @pytest.mark.parametrize("field, value, why", MEASURE_FAULTS)
-def test_a_faulty_measure_is_refused(tmp_path, field, value, why):
-    told, path = written(tmp_path, sweep())
-    told["measures"][0][field] = value
-    assert_refused(tmp_path, told, path, why)
+def test_a_faulty_measure_is_rejected(tmp_path, field, value, why):
+    fields, path = write_json(tmp_path, sweep())
+    fields["measures"][0][field] = value
+    assert_rejected(tmp_path, fields, path, why)
 
 
 @pytest.mark.parametrize("field, value, why", RUN_FAULTS)
-def test_a_faulty_fault_run_is_refused(tmp_path, field, value, why):
-    told, path = written(tmp_path, fault_run())
-    told[field] = value
-    assert_refused(tmp_path, told, path, why)
+def test_a_faulty_fault_run_is_rejected(tmp_path, field, value, why):
+    fields, path = write_json(tmp_path, fault_run())
+    fields[field] = value
+    assert_rejected(tmp_path, fields, path, why)
 
 
 @pytest.mark.parametrize("field, value, why", ROW_FAULTS)
-def test_a_faulty_row_is_refused(tmp_path, field, value, why):
-    told, path = written(tmp_path, fault_run())
-    told["rows"][0][field] = value
-    assert_refused(tmp_path, told, path, why)
+def test_a_faulty_fault_row_is_rejected(tmp_path, field, value, why):
+    fields, path = write_json(tmp_path, fault_run())
+    fields["rows"][0][field] = value
+    assert_rejected(tmp_path, fields, path, why)
 
 
 @pytest.mark.parametrize("make", [sweep, fault_run])
 def test_no_field_may_be_missing(tmp_path, make):
-    told, path = written(tmp_path, make())
-    for field in told:
-        missing = {key: value for key, value in told.items() if key != field}
-        assert_refused(tmp_path, missing, path, field)
+    fields, path = write_json(tmp_path, make())
+    for field in fields:
+        missing = {key: value for key, value in fields.items() if key != field}
+        assert_rejected(tmp_path, missing, path, field)
 
 
-def test_names_that_are_there_twice_are_refused(tmp_path):
-    told, path = written(tmp_path, sweep())
-    told["measures"] *= 2
-    assert_refused(tmp_path, told, path, "duplicate name")
-    told, path = written(tmp_path, fault_run())
-    told["rows"] *= 2
-    assert_refused(tmp_path, told, path, "duplicate event")
+def test_duplicate_names_are_rejected(tmp_path):
+    fields, path = write_json(tmp_path, sweep())
+    fields["measures"] *= 2
+    assert_rejected(tmp_path, fields, path, "duplicate name")
+    fields, path = write_json(tmp_path, fault_run())
+    fields["rows"] *= 2
+    assert_rejected(tmp_path, fields, path, "duplicate event")
 
 
 def test_a_faulty_result_is_not_written(tmp_path):
@@ -219,7 +219,7 @@
     assert list(tmp_path.iterdir()) == []
 
 
-def test_a_file_that_is_no_json_is_refused(tmp_path):
+def test_a_file_that_is_not_json_is_rejected(tmp_path):
     path = tmp_path / "broken.json"
     path.write_text('{"schema": "cottonspread-scale-sweep/1", ')
     with pytest.raises(ResultError, match="broken.json"):
