--- a/tests/scale/test_capacity.py
+++ b/tests/scale/test_capacity.py
@@ -1,4 +1,4 @@
-"""The rows of the capacity page: values, ranges, budgets and verdicts, and every fault told by its row."""
+"""The capacity model and its page: values, ranges, budgets, verdicts, and errors that name their row."""
 
 import json
 import math
@@ -90,7 +90,7 @@
 
 @pytest.fixture
 def definitions(tmp_path):
-    """Makes a book of the rows, after the given changes of their text."""
+    """Reads definitions from `ROWS`, with the given replacements (old, new) in its text."""
 
     def make(*changes):
         text = ROWS
@@ -289,7 +289,7 @@
 
 @pytest.fixture
 def page(definitions, tmp_path):
-    """Makes (page, its text as written) of a book and runs."""
+    """Makes the page's generator from the definitions and runs, and the text that it generates."""
 
     def make(*runs, text=None):
         runs = runs or (sweep(), zone(lost=52.0))
--- a/tests/scale/test_fit.py
+++ b/tests/scale/test_fit.py
@@ -1,4 +1,4 @@
-"""How a cost grows with a size, on data whose growth is known."""
+"""Fits of costs by size, on data whose growth is known."""
 
 import math
 import random
@@ -64,7 +64,7 @@
 
 
 def test_all_sizes_have_the_same_weight():
-    """By plain squares the largest size alone would decide, and the smallest would lie far off the line."""
+    """With absolute residuals the largest size would decide alone, and the smallest be far off the line."""
     measured = points(lambda n: 2 * n)
     measured[-1] = Point(measured[-1].size, measured[-1].value * 1.05)
     found = fit(measured)
@@ -110,8 +110,10 @@
 
 
 def test_noise_in_a_value_close_to_zero_does_not_decide_the_fit():
-    """400 in place of 20 where the largest is 152,380: held against a hundredth of that, 1,524, and so the
-    slope moves by 4% and no residual is over a tenth (5% and 13% without that floor).
+    """A value of 400 instead of 20, where the largest is 152,380.
+
+    Its residual is relative to a hundredth of that, 1,524: the slope moves by 4% and no residual is over 10%.
+    Without that floor they would be 5% and 13%.
     """
     found = fit([Point(10, 400.0), *points(lambda n: 2 * n)])
     assert found.term == "linear"
--- a/tests/scale/test_formula.py
+++ b/tests/scale/test_formula.py
@@ -1,4 +1,4 @@
-"""Formulas of the capacity page: what is worked out, and all else that is refused."""
+"""Formulas of the capacity model: arithmetic is evaluated, anything else is rejected."""
 
 import pytest
 
--- a/tests/scale/test_overview.py
+++ b/tests/scale/test_overview.py
@@ -1,4 +1,4 @@
-"""What a look at the servers finds is what a walk over all of them finds: drawn events, many seeds."""
+"""The overview's incremental state matches a full scan of all servers, after random events of many seeds."""
 
 from random import Random
 
@@ -25,7 +25,7 @@
 
 
 def full_scan(node):
-    """(servers apart, part of slow ones, legs, load, mean weights) by walks over all servers and legs."""
+    """Exceptional servers, share of slow ones and weight errors of legs, by a scan of all servers and legs."""
     now, health, order = node.now, node.health, node.rotation.order
     cold = {h for h in node.overview.exceptional if h.up and node.slow_start.capacity_share(h, now) < 1}
     near = [h for h in order if health.is_slow(h, now, health.NEAR_SLOW_SHARE)]
@@ -39,12 +39,12 @@
 
 
 def legs_and_load(hosts):
-    """(legs, load) of servers."""
+    """The number of legs and the sum of loads of the servers."""
     return sum(len(h.legs) for h in hosts), sum(h.load for h in hosts)
 
 
 class RandomNode:
-    """Drawn events on one node."""
+    """A balancer that receives random events."""
 
     def __init__(self, seed):
         self.rng, self.now, self.calls, self.open = Random(seed), SECOND, 0, {}
@@ -56,7 +56,7 @@
         self.send(io.ListUpdate(io.ListUpdateKind.FULL, 1, tuple(self.entries.values())))
 
     def send(self, event):
-        """Passes an event on, and answers what is asked for."""
+        """Passes an event to the balancer, and answers its probes."""
         for action in self.node.handle(self.now, event):
             if isinstance(action, io.Send):
                 self.open.setdefault(action.call, []).append(action.host)
@@ -65,7 +65,7 @@
                 self.send(io.ProbeEnded(action.host, Ending.OK, 0, load))
 
     def change(self):
-        """The list tells of some server."""
+        """A list update changes one random server."""
         number = self.rng.randrange(SERVERS)
         change = self.rng.choice(
             (
@@ -79,7 +79,7 @@
         self.send(io.ListUpdate(io.ListUpdateKind.CHANGES, 1, (self.entries[number],)))
 
     def end(self, call, leg):
-        """A leg ends. After an error the call may go on, and its next leg be accepted much later."""
+        """Ends a leg. After an error the call may continue, and its next leg may be accepted much later."""
         continues = self.rng.random() < 0.4
         ending = Ending.ERROR if continues else self.rng.choice(ENDINGS)
         self.send(io.LegEnded(call, leg, ending, not continues))
@@ -87,7 +87,7 @@
             del self.open[call]
 
     def step(self):
-        """One drawn event."""
+        """Sends one random event."""
         rng, kind = self.rng, self.rng.random()
         self.now += rng.choice((0, 5000, 20_000, 100_000))
         if kind < 0.4 or not self.open:
@@ -142,7 +142,10 @@
 
 
 def test_a_server_whose_ceiling_was_just_cut_counts_as_slow():
-    """It was found far away after, which takes its ceiling, and has answered since."""
+    """A cut counts for `Ceilings.CALM_TIME`, even if nothing else shows that the server is slow.
+
+    The server was found to be distant after the cut, which removed its ceiling, and has answered since.
+    """
     random_node = RandomNode(0)
     node = random_node.node
     host = node.rotation.order[0]
--- a/tests/scale/test_page.py
+++ b/tests/scale/test_page.py
@@ -1,4 +1,4 @@
-"""docs/CAPACITY.md is what its rows and results say; a difference on either side is noticed."""
+"""docs/CAPACITY.md matches its rows and results; a difference on either side fails the check."""
 
 import importlib.util
 import json
@@ -36,7 +36,7 @@
 
 @pytest.fixture
 def copy_options(tmp_path):
-    """A copy of page, rows and results; the command's options for it."""
+    """Copies page, rows and results; returns the command's options for the copy."""
     shutil.copy(ROOT / "docs" / "CAPACITY.md", tmp_path / "page.md")
     shutil.copy(ROOT / "benchmarks" / "scale" / "rows.toml", tmp_path / "rows.toml")
     shutil.copytree(ROOT / "benchmarks" / "scale" / "results", tmp_path / "results")
@@ -45,7 +45,7 @@
 
 
 def number_spans(text):
-    """(start, end) of each figure within the page's tables but the header lines."""
+    """(start, end) of each number in the cells of the page's tables."""
     for table in tables.TABLE_PATTERN.finditer(text):
         for cell in re.finditer(r"\| (\d[\d,.]*)(?= )", table["text"]):
             yield table.start("text") + cell.start(1), table.start("text") + cell.end(1)
@@ -67,7 +67,7 @@
         changed = text[:start] + text[start:end].replace(text[start], str((int(text[start]) + 1) % 10), 1)
         (tmp_path / "page.md").write_text(changed + text[end:])
         assert page.main(["--check", *copy_options]) == 1
-        assert (tmp_path / "page.md").read_text() == changed + text[end:], "a check wrote"
+        assert (tmp_path / "page.md").read_text() == changed + text[end:], "the check wrote to the page"
     assert page.main(copy_options) == 0
     assert (tmp_path / "page.md").read_text() == text
 
@@ -106,7 +106,7 @@
 
 
 def test_a_missing_result_that_a_row_names_leaves_the_page_unchanged(copy_options, tmp_path, capsys):
-    """Writing the page anew must not hide it."""
+    """Generating the page must not hide that a result is missing."""
     definitions = capacity.read_definitions(tmp_path / "rows.toml")
     named = {cost.result for row in definitions.row if not row.not_run for cost in row.costs}
     assert named
--- a/tests/scale/test_plots.py
+++ b/tests/scale/test_plots.py
@@ -1,4 +1,4 @@
-"""Plots of small results: a file for each measure, and one page that shows them."""
+"""Plots of small results: a file per measure, and a page that shows them all."""
 
 import matplotlib.image
 import pytest
@@ -38,7 +38,7 @@
 
 @pytest.fixture
 def drawn(tmp_path, sweep, monkeypatch):
-    """Draws the first measure with these marks; its axis."""
+    """Plots the first measure with the given targets; returns the axis."""
 
     def draw(*targets):
         figures = []
--- a/tests/scale/test_results.py
+++ b/tests/scale/test_results.py
@@ -1,4 +1,4 @@
-"""Results of scale runs: what is written is read back, and a faulty field is told by its name."""
+"""Results of scale runs: written results are read back, and errors name the faulty field."""
 
 import json
 
@@ -12,7 +12,7 @@
 
 
 def sweep(**changed):
-    """A sound sweep, as a run hands it over."""
+    """A valid sweep, as a run passes it to `write`."""
     measure = Measure(
         name="call_us", unit="us", control=False, plays=3, points=[Point(size, size / 10) for size in SIZES]
     )
@@ -31,7 +31,7 @@
 
 
 def fault_run(**changed):
-    """A sound fault run, as a run hands it over."""
+    """A valid fault run, as a run passes it to `write`."""
     row = FaultRow(
         event="zone-lost", figures={"lost": 4e6}, seconds_until_whole=31.5, rules_broken=0, notes=""
     )
@@ -49,7 +49,7 @@
 
 
 def write_json(folder, result):
-    """The result's JSON as Python values, and its path."""
+    """Writes the result; returns its JSON as Python values, and its path."""
     path = results.write(result, folder)
     return json.loads(path.read_text()), path
 
