--- a/cottonspread/lab/scale/command.py
+++ b/cottonspread/lab/scale/command.py
@@ -1,4 +1,4 @@
-"""`cottonspread lab scale`: plays scale runs by name, shows points as they come, and writes results."""
+"""`cottonspread lab scale`: performs scale runs by name, prints each point, and writes the results."""
 
 import resource
 import sys
@@ -28,17 +28,17 @@
 )
 from cottonspread.lab.scale.results import FOLDER, Result, write
 
-MOST_GIB = 12
-"""Memory that the largest process of a run may take."""
+MAX_GIB = 12
+"""Memory limit for the largest process of a run."""
 
 
 class ScaleError(ValueError):
-    """The command cannot be carried out as asked."""
+    """The command's arguments are not valid."""
 
 
 @dataclass(frozen=True)
-class Asked:
-    """What the command line asks for."""
+class Options:
+    """The command line's options."""
 
     small: bool = False
     nodes: int | None = None
@@ -49,57 +49,60 @@
     alone: bool = False
 
     def command(self, name: str) -> str:
-        """The command line that plays this run alone."""
-        words = ["cottonspread lab scale"]
-        words += ["--small"] if self.small else []
-        words += [f"--nodes {self.nodes}"] if self.nodes else []
-        words += [f"--servers {self.servers}"] if self.servers else []
-        return " ".join([*words, f"--seed {self.seed}", f"--only {name}"])
+        """The command line that performs only this run."""
+        arguments = ["cottonspread lab scale"]
+        arguments += ["--small"] if self.small else []
+        arguments += [f"--nodes {self.nodes}"] if self.nodes else []
+        arguments += [f"--servers {self.servers}"] if self.servers else []
+        return " ".join([*arguments, f"--seed {self.seed}", f"--only {name}"])
 
 
-Tell = Callable[[str, dict[str, Figure]], None]
-"""Is given each point of a run as it comes: its size or event, and its figures."""
+ReportPoint = Callable[[str, dict[str, Figure]], None]
+"""Called for each point of a run as it is measured, with its size or event and its figures."""
 
 
 @dataclass(frozen=True)
 class Run:
-    """One run: its name and what plays it."""
+    """A run's name and the function that performs it."""
 
     name: str
-    play: Callable[[Asked, Tell], Result]
+    execute: Callable[[Options, ReportPoint], Result]
     quick: bool = True
-    """False: it takes real time at any size; `--small` plays it only where it is named."""
+    """False: it takes real time at any size; `--small` performs it only where `--only` names it."""
 
 
 def sweep_run(plan: SweepPlan) -> Run:
-    def play(asked: Asked, tell: Tell) -> Result:
-        one = scaled_down(plan) if asked.small else plan
-        one = override_sizes(one, nodes=asked.nodes, servers=asked.servers)
+    """A run that measures a sweep."""
 
-        def show(value, figures):
-            tell(f"{one.variable} {value:g}", figures)
+    def execute(options: Options, report_point: ReportPoint) -> Result:
+        sized_plan = scaled_down(plan) if options.small else plan
+        sized_plan = override_sizes(sized_plan, nodes=options.nodes, servers=options.servers)
 
-        call = run_inline if asked.small else run_in_subprocess
-        return run_sweep(one, asked.command(plan.name), asked.seed, asked.alone, show, call)
+        def report_value(value, figures):
+            report_point(f"{sized_plan.variable} {value:g}", figures)
 
-    return Run(plan.name, play, quick=plan.kind == "hollow")
+        call = run_inline if options.small else run_in_subprocess
+        return run_sweep(sized_plan, options.command(plan.name), options.seed, options.alone, report_value, call)
+
+    return Run(plan.name, execute, quick=plan.kind == "hollow")
 
 
 def fault_run(event: hollow_faults.Event) -> Run:
+    """A run that simulates an event."""
     name = f"fault-{event.name}"
 
-    def play(asked: Asked, tell: Tell) -> Result:
-        size = hollow_faults.event_size(event, asked.small, asked.nodes, asked.servers, asked.seed)
-        call = run_inline if asked.small else run_in_subprocess
-        result = hollow_faults.fault_run(event, size, asked.command(name), asked.alone, call)
-        tell(f"{size.nodes} nodes", hollow_faults.as_figures(result.rows[0]))
+    def execute(options: Options, report_point: ReportPoint) -> Result:
+        size = hollow_faults.event_size(event, options.small, options.nodes, options.servers, options.seed)
+        call = run_inline if options.small else run_in_subprocess
+        result = hollow_faults.fault_run(event, size, options.command(name), options.alone, call)
+        report_point(f"{size.nodes} nodes", hollow_faults.as_figures(result.rows[0]))
         return result
 
-    return Run(name, play)
+    return Run(name, execute)
 
 
 def runs() -> list[Run]:
-    """All runs, in the order in which they are played."""
+    """All runs, in the order in which they are performed."""
     sweeps = (
         *hollow_sweeps.SWEEPS,
         *hollow_propagation.SWEEPS,
@@ -110,17 +113,19 @@
     return [sweep_run(plan) for plan in sweeps] + [fault_run(event) for event in hollow_faults.EVENTS]
 
 
-def chosen(asked: Asked) -> list[Run]:
+def select_runs(options: Options) -> list[Run]:
+    """The runs that the options ask for; ScaleError if there is no run of a name."""
     known = {run.name: run for run in runs()}
-    unknown = [name for name in asked.only if name not in known]
+    unknown = [name for name in options.only if name not in known]
     if unknown:
         raise ScaleError(f"--only {unknown[0]}: one of {', '.join(known)} expected")
-    if asked.only:
-        return [known[name] for name in asked.only]
-    return [run for run in known.values() if run.quick or not asked.small]
+    if options.only:
+        return [known[name] for name in options.only]
+    return [run for run in known.values() if run.quick or not options.small]
 
 
-def shown(console: Console, name: str, where: str, figures: dict[str, Figure], seconds: float) -> None:
+def print_point(console: Console, name: str, where: str, figures: dict[str, Figure], seconds: float) -> None:
+    """Prints one point's figures as a table."""
     table = Table(title=f"{name}: {where} ({seconds:.1f} s)", title_justify="left")
     table.add_column("measure")
     table.add_column("value", justify="right")
@@ -132,25 +137,25 @@
     console.print(table)
 
 
-def largest_gib() -> float:
-    """The most memory that a process of the runs has taken so far."""
-    who = (resource.RUSAGE_SELF, resource.RUSAGE_CHILDREN)
-    return max(resource.getrusage(one).ru_maxrss for one in who) / 2**20
+def peak_memory_gib() -> float:
+    """The peak memory of this process and its ended children, whichever is larger."""
+    processes = (resource.RUSAGE_SELF, resource.RUSAGE_CHILDREN)
+    return max(resource.getrusage(process).ru_maxrss for process in processes) / 2**20
 
 
-def main(asked: Asked) -> int:
-    """Plays the runs; 1 if one of them took more memory than is allowed."""
+def main(options: Options) -> int:
+    """Performs the selected runs; exit code 1 if a process took more memory than `MAX_GIB`."""
     console, failed = Console(file=sys.stdout), 0
-    todo = chosen(asked)
-    for number, run in enumerate(todo, 1):
-        console.print(f"[{number} of {len(todo)}] {run.name}", markup=False)
+    selected = select_runs(options)
+    for number, run in enumerate(selected, 1):
+        console.print(f"[{number} of {len(selected)}] {run.name}", markup=False)
         began = time.monotonic()
 
-        def tell(where, figures, name=run.name, began=began):
-            shown(console, name, where, figures, time.monotonic() - began)
+        def report_point(where, figures, name=run.name, began=began):
+            print_point(console, name, where, figures, time.monotonic() - began)
 
-        path = write(run.play(asked, tell), asked.out)
-        gib = largest_gib()
+        path = write(run.execute(options, report_point), options.out)
+        gib = peak_memory_gib()
         console.print(f"{path}: {time.monotonic() - began:.1f} s, {gib:.2f} GiB at most", markup=False)
-        failed |= gib > MOST_GIB
+        failed |= gib > MAX_GIB
     return int(failed)
--- a/tests/scale/test_capacity.py
+++ b/tests/scale/test_capacity.py
@@ -1,4 +1,4 @@
-"""The rows of the capacity page: values, ranges, budgets and verdicts, and every fault told by its row."""
+"""The capacity model and its page: values, ranges, budgets, verdicts, and errors that name their row."""
 
 import json
 import math
@@ -72,25 +72,25 @@
 figures = [{ name = "lost", result = "fault-rack", event = "rack", figure = "lost" }]
 not_run = "no time"
 """
-HEAD = dict(command="x", alone=True)
+HEADER = dict(command="x", alone=True)
 SIZES = (50, 200, 400, 800)
 
 
 def sweep(cost=lambda n: 100 + 10 * n, name="module-servers"):
     points = [Point(size, cost(size)) for size in SIZES]
     measure = Measure(name="change_us", unit="us", control=True, points=points, plays=1)
-    told = dict(variable="servers", variable_unit="n", fixed={}, measures=[measure])
-    return Sweep(name=name, what="x", kind="module", **told, **HEAD)
+    fields = dict(variable="servers", variable_unit="n", fixed={}, measures=[measure])
+    return Sweep(name=name, what="x", kind="module", **fields, **HEADER)
 
 
 def zone(**figures):
     row = FaultRow(event="zone", figures=figures, seconds_until_whole=None, rules_broken=0, notes="")
-    return FaultRun(name="fault-zone", what="x", kind="hollow", nodes=420, seed=1, rows=[row], **HEAD)
+    return FaultRun(name="fault-zone", what="x", kind="hollow", nodes=420, seed=1, rows=[row], **HEADER)
 
 
 @pytest.fixture
-def book(tmp_path):
-    """Makes a book of the rows, after the given changes of their text."""
+def definitions(tmp_path):
+    """Reads definitions from `ROWS`, with the given replacements (old, new) in its text."""
 
     def make(*changes):
         text = ROWS
@@ -99,27 +99,27 @@
             text = text.replace(old, new, 1)
         path = tmp_path / "rows.toml"
         path.write_text(text)
-        return capacity.read_book(path)
+        return capacity.read_definitions(path)
 
     return make
 
 
-def worked(book, tmp_path, *runs):
+def capacity_of(definitions, tmp_path, *runs):
     runs = runs or (sweep(), zone(lost=52.0))
-    return Capacity(book, {run.name: run for run in runs}, tmp_path)
+    return Capacity(definitions, {run.name: run for run in runs}, tmp_path)
 
 
 def first(capacity_, control=True, role="node"):
     return capacity_.rows(role, control)[0]
 
 
-def test_a_row_has_value_range_budget_and_verdict(book, tmp_path):
-    row = first(worked(book(), tmp_path))
+def test_a_row_has_value_range_budget_and_verdict(definitions, tmp_path):
+    row = first(capacity_of(definitions(), tmp_path))
     assert row.value == pytest.approx(10.1)
     assert (row.low, row.high) == (pytest.approx(4.1), pytest.approx(30.1))
     assert row.budget == 17
     assert row.verdict == "holds with a factor of 1.7; not over the whole range"
-    assert row.beyond == pytest.approx(1.25)
+    assert row.extrapolation == pytest.approx(1.25)
 
 
 @pytest.mark.parametrize(
@@ -134,40 +134,40 @@
         ("0", "**does not hold**: with the budget"),
     ],
 )
-def test_the_verdict_follows_the_budget(book, tmp_path, budget, verdict):
-    row = first(worked(book(('budget = "17"', f'budget = "{budget}"')), tmp_path))
+def test_the_verdict_follows_the_budget(definitions, tmp_path, budget, verdict):
+    row = first(capacity_of(definitions(('budget = "17"', f'budget = "{budget}"')), tmp_path))
     assert row.verdict == verdict
 
 
-def test_a_row_may_rest_on_another_and_have_no_budget(book, tmp_path):
-    row = worked(book(), tmp_path).rows("node", True)[1]
+def test_a_row_may_depend_on_another_and_have_no_budget(definitions, tmp_path):
+    row = capacity_of(definitions(), tmp_path).rows("node", True)[1]
     assert row.value == pytest.approx(20.2) and row.high == pytest.approx(60.2)
     assert row.verdict == "no budget told"
 
 
-def test_a_row_that_was_not_run_says_so(book, tmp_path):
-    row = first(worked(book(), tmp_path), False, "server")
+def test_a_row_that_was_not_run_has_no_value(definitions, tmp_path):
+    row = first(capacity_of(definitions(), tmp_path), False, "server")
     assert row.value is None and row.verdict == "not run"
 
 
-def test_a_slope_is_a_units_cost_and_none_where_the_cost_is_no_line(book, tmp_path):
+def test_a_slope_is_the_cost_per_unit_and_an_error_if_growth_is_not_linear(definitions, tmp_path):
     change = 'size = "servers" }', 'size = "servers", slope = true }'
-    row = first(worked(book(change), tmp_path))
+    row = first(capacity_of(definitions(change), tmp_path))
     assert row.value == pytest.approx(0.01)
     with pytest.raises(RowError, match="grows by quadratic"):
-        first(worked(book(change), tmp_path, sweep(lambda n: n * n)))
+        first(capacity_of(definitions(change), tmp_path, sweep(lambda n: n * n)))
 
 
-def test_a_cost_that_is_no_line_is_taken_by_its_own_term(book, tmp_path):
-    row = first(worked(book(), tmp_path, sweep(lambda n: n * n / 100)))
+def test_a_cost_that_is_not_linear_is_evaluated_by_its_own_term(definitions, tmp_path):
+    row = first(capacity_of(definitions(), tmp_path, sweep(lambda n: n * n / 100)))
     assert row.value == pytest.approx(10)
-    assert row.used[0].fit.term == "quadratic"
+    assert row.fitted_costs[0].fit.term == "quadratic"
 
 
 FAULTS = [
     (('"change_us / 1000"', '"change_us / thousand"'), "no variable or row is named 'thousand'"),
     (('"change_us / 1000"', '"change_us / (servers - servers)"'), "division by zero"),
-    (('"change_us / 1000"', '"list_time + 1"'), "rests on itself"),
+    (('"change_us / 1000"', '"list_time + 1"'), "depends on itself"),
     (('measure = "change_us"', 'measure = "other"'), "no measure 'other'"),
     (('result = "module-servers"', 'result = "fault-zone"'), "not a sweep"),
     (('size = "servers"', 'size = "sizes"'), "'sizes'"),
@@ -176,32 +176,32 @@
 
 
 @pytest.mark.parametrize("change, why", FAULTS)
-def test_a_faulty_row_is_told(book, tmp_path, change, why):
-    made = worked(book(change), tmp_path)
-    with pytest.raises(RowError, match=why or "rests on itself"):
-        first(made) if why else made.sheet().value("servers_a_node")
+def test_a_faulty_row_is_an_error(definitions, tmp_path, change, why):
+    model = capacity_of(definitions(change), tmp_path)
+    with pytest.raises(RowError, match=why or "depends on itself"):
+        first(model) if why else model.evaluator().value("servers_a_node")
 
 
-def test_a_missing_result_is_told(book, tmp_path):
+def test_a_missing_result_is_an_error(definitions, tmp_path):
     with pytest.raises(RowError, match="node: one change of the list: module-servers.json: no such result"):
-        first(worked(book(), tmp_path, zone(lost=1.0)))
+        first(capacity_of(definitions(), tmp_path, zone(lost=1.0)))
 
 
-def test_a_row_cannot_rest_on_one_that_was_not_run(book, tmp_path):
-    made = worked(book(('budget = "17"', 'not_run = "later"')), tmp_path, zone(lost=1.0))
-    with pytest.raises(RowError, match="was not run, and another row rests on it"):
-        made.rows("node", True)
+def test_a_row_cannot_depend_on_one_that_was_not_run(definitions, tmp_path):
+    model = capacity_of(definitions(('budget = "17"', 'not_run = "later"')), tmp_path, zone(lost=1.0))
+    with pytest.raises(RowError, match="was not run, and another row depends on it"):
+        model.rows("node", True)
 
 
-def test_a_row_may_not_say_that_it_was_not_run_when_it_was(book, tmp_path):
-    with pytest.raises(RowError, match="its results are there"):
-        first(worked(book(('budget = "17"', 'not_run = "later"')), tmp_path))
+def test_a_row_whose_results_exist_may_not_be_marked_as_not_run(definitions, tmp_path):
+    with pytest.raises(RowError, match="marked as not run, but its results exist"):
+        first(capacity_of(definitions(('budget = "17"', 'not_run = "later"')), tmp_path))
 
 
-BOOK_FAULTS = [
+DEFINITION_FAULTS = [
     (("value = 1000", "value = 9000"), "outside its range"),
-    (('id = "list_time"', 'id = "servers"'), "twice"),
-    (('cells = ["a rack", ', "cells = ["), "its columns"),
+    (('id = "list_time"', 'id = "servers"'), "duplicate names"),
+    (('cells = ["a rack", ', "cells = ["), "cell count differs from columns"),
     (('aspect = "memory"', 'aspect = "mood"'), "aspect"),
     (('unit = "MB"\n', 'unit = "MB"\nunheard = 1\n'), "unheard"),
     (('role = "server"\n', ""), "role"),
@@ -209,70 +209,72 @@
 ]
 
 
-@pytest.mark.parametrize("change, why", BOOK_FAULTS)
-def test_a_faulty_book_is_told(book, change, why):
+@pytest.mark.parametrize("change, why", DEFINITION_FAULTS)
+def test_faulty_definitions_are_an_error(definitions, change, why):
     with pytest.raises(RowError, match=why):
-        book(change)
+        definitions(change)
 
 
-def test_a_line_takes_its_figures_from_the_fault_run(book, tmp_path):
-    made = worked(book(), tmp_path)
-    assert made.line(made.book.line[0]) == {"lost": 52, "nodes_told": 420}
-    assert made.line(made.book.line[1]) is None
+def test_a_line_takes_its_figures_from_the_fault_run(definitions, tmp_path):
+    model = capacity_of(definitions(), tmp_path)
+    assert model.line(model.definitions.line[0]) == {"lost": 52, "nodes_told": 420}
+    assert model.line(model.definitions.line[1]) is None
     with pytest.raises(RowError, match="no figure 'lost'"):
-        worked(book(), tmp_path, sweep(), zone(gone=1.0)).line(made.book.line[0])
+        capacity_of(definitions(), tmp_path, sweep(), zone(gone=1.0)).line(model.definitions.line[0])
     with pytest.raises(RowError, match="a zone: fault-zone.json: no such result"):
-        worked(book(), tmp_path, sweep()).line(made.book.line[0])
+        capacity_of(definitions(), tmp_path, sweep()).line(model.definitions.line[0])
 
 
-def test_a_line_takes_a_point_of_a_sweep_as_it_was_measured(book, tmp_path):
+def test_a_line_takes_a_measured_point_of_a_sweep(definitions, tmp_path):
     old = 'result = "fault-zone", event = "zone", figure = "lost"'
     point = 'result = "module-servers", figure = "change_us", size = '
-    made = worked(book((old, point + "400")), tmp_path, sweep(lambda n: n * n))
-    assert made.line(made.book.line[0])["lost"] == 160_000
-    made = worked(book((old, point + "401")), tmp_path)
-    with pytest.raises(RowError, match="size 401 was not played"):
-        made.line(made.book.line[0])
+    model = capacity_of(definitions((old, point + "400")), tmp_path, sweep(lambda n: n * n))
+    assert model.line(model.definitions.line[0])["lost"] == 160_000
+    model = capacity_of(definitions((old, point + "401")), tmp_path)
+    with pytest.raises(RowError, match="size 401 was not measured"):
+        model.line(model.definitions.line[0])
 
 
-def test_what_was_not_whole_within_the_play_says_so_and_holds_no_budget(book, page, tmp_path):
+def test_a_fleet_that_did_not_recover_is_over_any_budget(definitions, page, tmp_path):
     whole = 'figure = "seconds_until_whole"'
-    made = worked(book(('figure = "lost"', whole)), tmp_path)
-    assert made.line(made.book.line[0])["lost"] == math.inf
-    assert tables.number(math.inf) == "not within the play"
+    model = capacity_of(definitions(('figure = "lost"', whole)), tmp_path)
+    assert model.line(model.definitions.line[0])["lost"] == math.inf
+    assert tables.format_number(math.inf) == "not within the play"
     cost = (
         'costs = [{ name = "change_us", result = "module-servers", measure = "change_us", size = "servers" }]'
     )
     figure = f'figures = [{{ name = "change_us", result = "fault-zone", event = "zone", {whole} }}]'
-    row = first(worked(book((cost, figure)), tmp_path))
+    row = first(capacity_of(definitions((cost, figure)), tmp_path))
     assert row.verdict.startswith("**does not hold**")
 
 
-def test_a_figure_of_an_older_file_is_read_by_its_keys(book, tmp_path):
+def test_a_figure_of_an_older_file_is_read_by_its_keys(definitions, tmp_path):
     (tmp_path / "old.json").write_text(json.dumps({"plays": [{"mb": 21.3}, {"mb": "x"}]}))
     old = 'result = "fault-zone", event = "zone", figure = "lost"'
-    made = worked(book((old, 'file = "old.json", at = "plays/0/mb"')), tmp_path)
-    assert made.line(made.book.line[0])["lost"] == 21.3
-    assert [value for _, value in made.figures()] == [21.3]
+    model = capacity_of(definitions((old, 'file = "old.json", at = "plays/0/mb"')), tmp_path)
+    assert model.line(model.definitions.line[0])["lost"] == 21.3
+    assert [value for _, value in model.figures()] == [21.3]
     for at in ("plays/1/mb", "plays/9/mb", "plays/0", "none"):
-        made = worked(book((old, f'file = "old.json", at = "{at}"')), tmp_path)
+        model = capacity_of(definitions((old, f'file = "old.json", at = "{at}"')), tmp_path)
         with pytest.raises(RowError, match="old.json"):
-            made.line(made.book.line[0])
+            model.line(model.definitions.line[0])
 
 
-def test_a_figure_of_an_older_page_is_the_one_that_stands_there(book, tmp_path):
+def test_a_figure_of_an_older_page_is_the_quoted_one(definitions, tmp_path):
     (tmp_path / "note.md").write_text("Idle, the supervisor takes 3 % of a core, 1,200 steps.\n")
     old = 'result = "fault-zone", event = "zone", figure = "lost"'
 
-    def value(at, told):
-        made = worked(book((old, f'file = "note.md", at = "{at}", value = "{told}"')), tmp_path)
-        return made.line(made.book.line[0])["lost"]
+    def value(at, quoted):
+        model = capacity_of(
+            definitions((old, f'file = "note.md", at = "{at}", value = "{quoted}"')), tmp_path
+        )
+        return model.line(model.definitions.line[0])["lost"]
 
     assert value("takes 3 % of a core", "3") == 3
     assert value("a core, 1,200 steps", "1,200") == 1200
-    for at, told in (("takes 4 % of a core", "4"), ("takes 3 % of a core", "30")):
-        with pytest.raises(RowError, match="does not stand there"):
-            value(at, told)
+    for at, quoted in (("takes 4 % of a core", "4"), ("takes 3 % of a core", "30")):
+        with pytest.raises(RowError, match="not found"):
+            value(at, quoted)
 
 
 # The page
@@ -286,25 +288,27 @@
 
 
 @pytest.fixture
-def page(book, tmp_path):
-    """Makes (page, its text as written) of a book and runs."""
+def page(definitions, tmp_path):
+    """Makes the page's generator from the definitions and runs, and the text that it generates."""
 
     def make(*runs, text=None):
         runs = runs or (sweep(), zone(lost=52.0))
         folder = tmp_path / "results"
         for run in runs:
             results.write(run, folder)
-        made = tables.Page(Capacity(book(), results.read_all(folder), tmp_path), folder)
-        text = text or PROSE + "".join(f"<!-- table {name} -->\n<!-- end -->\n" for name in made.wanted())
-        return made, made.write(text)
+        generator = tables.Page(Capacity(definitions(), results.read_all(folder), tmp_path), folder)
+        text = text or PROSE + "".join(
+            f"<!-- table {name} -->\n<!-- end -->\n" for name in generator.required_tables()
+        )
+        return generator, generator.write(text)
 
     return make
 
 
-def test_every_table_is_written_and_writing_again_changes_nothing(page):
-    made, text = page()
+def test_every_table_is_generated_and_generating_again_changes_nothing(page):
+    generator, text = page()
     assert text.startswith(PROSE)
-    assert made.write(text) == text
+    assert generator.write(text) == text
     assert "| a zone | 52 of 420 | tests/x.py |" in text
     assert "| a rack | not run | not run: no time |" in text
     assert (
@@ -327,21 +331,21 @@
     assert after != before
 
 
-def test_a_table_without_a_place_an_unknown_and_a_doubled_one_are_told(page):
-    made, text = page()
-    with pytest.raises(RowError, match="without a place in the page: .*events"):
-        made.write(text.replace("<!-- table events -->", ""))
+def test_a_missing_an_unknown_and_a_duplicate_table_are_errors(page):
+    generator, text = page()
+    with pytest.raises(RowError, match="missing from the page: .*events"):
+        generator.write(text.replace("<!-- table events -->", ""))
     with pytest.raises(RowError, match="no table is named 'moods'"):
-        made.write(text + "<!-- table moods -->\n<!-- end -->\n")
-    with pytest.raises(RowError, match="twice.*events"):
-        made.write(text + "<!-- table events -->\n<!-- end -->\n")
+        generator.write(text + "<!-- table moods -->\n<!-- end -->\n")
+    with pytest.raises(RowError, match="duplicate tables.*events"):
+        generator.write(text + "<!-- table events -->\n<!-- end -->\n")
 
 
-def test_a_figure_in_the_prose_is_told_unless_it_is_a_variable(page):
-    made, text = page()
-    assert tables.stray_figures(text, made.capacity) == []
-    for told in ("It takes 3.5 ms.", "some 12,345 of them", "(66)"):
-        assert tables.stray_figures(text + told, made.capacity) != []
+def test_a_number_in_the_prose_is_reported_unless_it_is_a_variable(page):
+    generator, text = page()
+    assert tables.unverified_numbers(text, generator.capacity) == []
+    for addition in ("It takes 3.5 ms.", "some 12,345 of them", "(66)"):
+        assert tables.unverified_numbers(text + addition, generator.capacity) != []
 
 
 WRITTEN = [
@@ -360,5 +364,5 @@
 
 
 @pytest.mark.parametrize("value, text", WRITTEN)
-def test_figures_are_written_for_people(value, text):
-    assert tables.number(value) == text
+def test_numbers_are_rounded_for_display(value, text):
+    assert tables.format_number(value) == text
