--- a/benchmarks/scale/processes.py
+++ b/benchmarks/scale/processes.py
@@ -90,21 +90,21 @@
     return len(os.listdir(f"/proc/{pid}/task"))
 
 
-def rate_ms(pid: int, span: float = MEASURE_S, meanwhile: Callable[[float], None] = time.sleep) -> float:
-    """Milliseconds of processor time a second, while `meanwhile(span)` runs."""
-    began, before = time.monotonic(), processor_ms(pid)
-    meanwhile(span)
-    return (processor_ms(pid) - before) / (time.monotonic() - began)
+def rate_ms(pid: int, span: float = MEASURE_S, activity: Callable[[float], None] = time.sleep) -> float:
+    """Milliseconds of processor time a second, while `activity(span)` runs."""
+    started_at, before = time.monotonic(), processor_ms(pid)
+    activity(span)
+    return (processor_ms(pid) - before) / (time.monotonic() - started_at)
 
 
 def wait_until(condition: Callable[[], bool], what: str, pause: float = 0.02) -> float:
     """Waits until the condition holds and returns the seconds it took; TimeoutError after a minute."""
-    began = time.monotonic()
+    started_at = time.monotonic()
     while not condition():
-        if time.monotonic() - began > TIMEOUT:
+        if time.monotonic() - started_at > TIMEOUT:
             raise TimeoutError(what)
         time.sleep(pause)
-    return time.monotonic() - began
+    return time.monotonic() - started_at
 
 
 # One node
@@ -129,8 +129,8 @@
         file = Path(folder) / "node.json"
         file.write_text(json.dumps(settings(listing, name, sockets)))
         with open(Path(folder) / "log", "wb") as log:
-            words = [sys.executable, "-m", "cottonspread", "serve", "--config", str(file)]
-            process = subprocess.Popen(words, cwd=ROOT, stderr=log)
+            command = [sys.executable, "-m", "cottonspread", "serve", "--config", str(file)]
+            process = subprocess.Popen(command, cwd=ROOT, stderr=log)
         try:
             wait_until(lambda: ping(listen) == b"PONG\r\n", "node does not answer PING with PONG")
             yield process, listen, file
@@ -152,8 +152,8 @@
 def open_client(address: tuple[str, int], number: int) -> socket.socket | None:
     """Connects a client and waits for UP; None if the node answered BUSY."""
     sock = socket.create_connection(address, timeout=TIMEOUT)
-    words = secrets.token_hex(8), secrets.token_hex(8), number % 997
-    sock.sendall("OPEN {} {} c=chat,d=8000,g=group-{}\r\n".format(*words).encode())
+    fields = secrets.token_hex(8), secrets.token_hex(8), number % 997
+    sock.sendall("OPEN {} {} c=chat,d=8000,g=group-{}\r\n".format(*fields).encode())
     reply = sock.recv(64)
     if reply.startswith(b"UP"):
         return sock
@@ -243,15 +243,15 @@
     """A node that gets so many PINGs a second from a front."""
     with start_stubs() as (listing, _), node(listing) as (process, address, _):
 
-        def ask(span: float) -> None:
-            began = time.monotonic()
+        def send_pings(span: float) -> None:
+            started_at = time.monotonic()
             for number in range(round(span * rate)):
-                time.sleep(max(0.0, began + number / rate - time.monotonic()))
+                time.sleep(max(0.0, started_at + number / rate - time.monotonic()))
                 if ping(address) != b"PONG\r\n":
                     raise RuntimeError("node does not answer PING with PONG")
-            time.sleep(max(0.0, began + span - time.monotonic()))
+            time.sleep(max(0.0, started_at + span - time.monotonic()))
 
-        return {"processor": Figure(rate_ms(process.pid, MEASURE_S, ask), "ms/s", True)}
+        return {"processor": Figure(rate_ms(process.pid, MEASURE_S, send_pings), "ms/s", True)}
 
 
 RELOADS = 20
@@ -329,9 +329,9 @@
 
 def measured_status(file: Path) -> Figures:
     """The cost of one `fleet status` as operators run it."""
-    words = [sys.executable, "-m", "cottonspread", "fleet", "status", "--json", "--operator", str(file)]
-    with tempfile.TemporaryFile() as told:
-        process = subprocess.Popen(words, cwd=ROOT, stdout=told)
+    command = [sys.executable, "-m", "cottonspread", "fleet", "status", "--json", "--operator", str(file)]
+    with tempfile.TemporaryFile() as output:
+        process = subprocess.Popen(command, cwd=ROOT, stdout=output)
         _, code, usage = os.wait4(process.pid, 0)
         process.returncode = os.waitstatus_to_exitcode(code)
         if process.returncode:
@@ -339,7 +339,7 @@
         return {
             "status_processor": Figure((usage.ru_utime + usage.ru_stime) * 1000, "ms", True),
             "status_memory": Figure(usage.ru_maxrss * 1024 / MB, "MB", True),
-            "status_bytes": Figure(told.tell(), "B", True),
+            "status_bytes": Figure(output.tell(), "B", True),
         }
 
 
@@ -348,9 +348,9 @@
     with tempfile.TemporaryDirectory(prefix="sc-", dir="/tmp") as name, start_stubs() as (listing, _):
         folder = Path(name)
         file = fleet_file(folder, listing, count, free_ports(count + 1))
-        words = [sys.executable, "-m", "cottonspread", "fleet", "run", "--operator", str(file)]
+        command = [sys.executable, "-m", "cottonspread", "fleet", "run", "--operator", str(file)]
         with open(folder / "run.log", "wb") as log:
-            supervisor = subprocess.Popen(words, cwd=ROOT, stdout=log, stderr=log)
+            supervisor = subprocess.Popen(command, cwd=ROOT, stdout=log, stderr=log)
         try:
             ready = wait_until(lambda: bool(fleet_status(folder).get("ready")), "fleet is not ready", 0.05)
             time.sleep(2.0)
@@ -363,10 +363,13 @@
 def idle_fleet(supervisor: int, folder: Path, file: Path) -> Figures:
     """Resources that the supervisor and its processes use while idle."""
     pids = [row["pid"] for row in fleet_status(folder)["instances"]]
-    before, began = [processor_ms(pid) for pid in (supervisor, *pids)], time.monotonic()
+    before, started_at = [processor_ms(pid) for pid in (supervisor, *pids)], time.monotonic()
     time.sleep(MEASURE_S)
-    span = time.monotonic() - began
-    used = [(processor_ms(pid) - had) / span for pid, had in zip((supervisor, *pids), before, strict=True)]
+    span = time.monotonic() - started_at
+    used = [
+        (processor_ms(pid) - used_before) / span
+        for pid, used_before in zip((supervisor, *pids), before, strict=True)
+    ]
     return {
         "supervisor_processor": Figure(used[0], "ms/s", True),
         "supervisor_memory": Figure(memory_mb(supervisor), "MB", True),
@@ -436,8 +439,8 @@
     sizes = plan.small if small else plan.sizes
     for size in sizes:
         points[size] = plan.measure(size)
-        told = ", ".join(f"{key} {one.value:.4g}" for key, one in points[size].items())
-        print(f"{name} {size}: {told}", file=sys.stderr, flush=True)
+        summary = ", ".join(f"{key} {one.value:.4g}" for key, one in points[size].items())
+        print(f"{name} {size}: {summary}", file=sys.stderr, flush=True)
     measures = [
         results.Measure(
             name=key,
--- a/benchmarks/scale/stubs.py
+++ b/benchmarks/scale/stubs.py
@@ -43,8 +43,8 @@
         self.control_pipe.send(listing)
         self.loop.register(self.control_pipe, selectors.EVENT_READ, self.read_command)
         while True:
-            wait = max(0.0, self.next_push - time.monotonic()) if self.push_interval else 0.5
-            for key, _ in self.loop.select(min(wait, 0.5)):
+            timeout = max(0.0, self.next_push - time.monotonic()) if self.push_interval else 0.5
+            for key, _ in self.loop.select(min(timeout, 0.5)):
                 key.data(key.fileobj)
             self.push()
             self.answer_expired_watches()
--- a/benchmarks/sizes/instances.py
+++ b/benchmarks/sizes/instances.py
@@ -45,10 +45,10 @@
         )
         file.write_text(text)
 
-        def run(word):
+        def run(command):
             at = time.perf_counter()
             done = subprocess.run(
-                [*COTTONSPREAD, word, "--operator", str(file)],
+                [*COTTONSPREAD, command, "--operator", str(file)],
                 cwd=ROOT,
                 capture_output=True,
                 text=True,
@@ -56,7 +56,7 @@
             )
             if done.returncode:
                 raise RuntimeError(
-                    f"fleet {word} exited with {done.returncode}: {done.stdout[-500:]} {done.stderr[-500:]}"
+                    f"{command} exited with {done.returncode}: {done.stdout[-500:]} {done.stderr[-500:]}"
                 )
             return time.perf_counter() - at
 
@@ -74,18 +74,18 @@
                     break
                 except RuntimeError:  # not listening yet, or not all ready
                     pass
-            found = {"instances": instances, "all_ready_s": round(time.perf_counter() - at, 1)}
-            found["status_s"] = round(run("status"), 2)
+            figures = {"instances": instances, "all_ready_s": round(time.perf_counter() - at, 1)}
+            figures["status_s"] = round(run("status"), 2)
             file.write_text(text + '[log]\nlevel = "warning"\n')
-            found["reload_s"] = round(run("reload"), 1)
-            found["supervisor_mb"] = round(peak_memory_mb(supervisor.pid), 1)
-            found["stop_s"] = round(run("stop"), 1)
-            found["exit"] = supervisor.wait(60)
+            figures["reload_s"] = round(run("reload"), 1)
+            figures["supervisor_mb"] = round(peak_memory_mb(supervisor.pid), 1)
+            figures["stop_s"] = round(run("stop"), 1)
+            figures["exit"] = supervisor.wait(60)
         finally:
             if supervisor.poll() is None:
                 supervisor.terminate()
                 supervisor.wait(60)
-    return found
+    return figures
 
 
 if __name__ == "__main__":
--- a/benchmarks/sizes/lists.py
+++ b/benchmarks/sizes/lists.py
@@ -202,7 +202,7 @@
 if __name__ == "__main__":
     os.sched_setaffinity(0, set(range(1, os.cpu_count())))
     lengths = [int(word) for word in sys.argv[1:]] or [60, 1024, 2000]
-    found = [measure(lengths[0], "compact")] + [
+    runs = [measure(lengths[0], "compact")] + [
         measure(n, form) for n in lengths[1:] for form in ("compact", "indented", "pieces")
     ]
-    print(json.dumps({"command": " ".join(["python", *sys.argv]), "plays": found}, indent=1))
+    print(json.dumps({"command": " ".join(["python", *sys.argv]), "plays": runs}, indent=1))
--- a/cottonspread/lab/scale/balancer_node.py
+++ b/cottonspread/lab/scale/balancer_node.py
@@ -57,11 +57,11 @@
         """Passes one event to the balancer; returns the actions that it requests."""
         return self.balancer.handle(self.now, event)
 
-    def update(self, news, entries):
+    def update(self, kind, entries):
         """Sends a list update; returns the balancer's actions."""
         self.version += 1
         self.entries.update((one.host, one) for one in entries)
-        return self.handle(io.ListUpdate(news, self.version, tuple(entries)))
+        return self.handle(io.ListUpdate(kind, self.version, tuple(entries)))
 
     def add_connection(self, group, number):
         """Adds an established connection; the servers take them in turn, as the balancer spreads them."""
@@ -119,6 +119,6 @@
 
     def connection_losses(self, numbers):
         """The events of all connections on these servers breaking."""
-        gone = set(numbers)
-        calls = [call for call, server in self.established.items() if server in gone]
+        removed = set(numbers)
+        calls = [call for call, server in self.established.items() if server in removed]
         return [io.LegEnded(call, 0, io.Ending.RESET, True) for call in calls]
--- a/cottonspread/lab/scale/hollow.py
+++ b/cottonspread/lab/scale/hollow.py
@@ -143,8 +143,8 @@
             super().send_request()
             return
         self.call, self.answer, self.in_flight = self.call + 1, None, False
-        wait = round(Discovery.CONNECT_TIMEOUT * SECOND) if isinstance(error, TimeoutError) else ROUND_TRIP
-        self.world.after(wait, self.fail, self.call, error)
+        delay = round(Discovery.CONNECT_TIMEOUT * SECOND) if isinstance(error, TimeoutError) else ROUND_TRIP
+        self.world.after(delay, self.fail, self.call, error)
 
     def answer_if_due(self, call=None):
         """Answers the waiting request if it can be answered, see `Caller.answer_if_due`."""
@@ -171,9 +171,9 @@
 
     # For `Discovery` and `MemoryHttp`
 
-    def get(self, path, wait):
+    def get(self, path, timeout):
         """Returns the body of an answer, for `Discovery`."""
-        return self.http.get(path, wait)
+        return self.http.get(path, timeout)
 
     def open_socket(self):
         """Returns a new connection, for `MemoryHttp`, or raises what the call met."""
--- a/cottonspread/lab/scale/hollow_calibration.py
+++ b/cottonspread/lab/scale/hollow_calibration.py
@@ -54,11 +54,11 @@
             running.append(relay)
             node = RealNode(folder, listing.plan, relay.address)
             running.append(node)
-            begin = time.monotonic()
-            listing.begin(begin)
+            start = time.monotonic()
+            listing.begin(start)
             samples = []
             for at in (IDLE_START_S, changes_start, changes_start + size.seconds):
-                sleep_until(begin + at)
+                sleep_until(start + at)
                 samples.append((node.processor_ns(), relay.bytes_in, relay.bytes_out))
             memory = node.resident()
         finally:
--- a/cottonspread/lab/scale/hollow_faults.py
+++ b/cottonspread/lab/scale/hollow_faults.py
@@ -314,7 +314,7 @@
 def run_event(event: Event, size: Size) -> EventResult:
     """Runs one event to its end, or to the first violated invariant."""
     logging.getLogger("cottonspread").addHandler(logging.NullHandler())  # failed calls are part of the runs
-    began = time.monotonic()
+    started_at = time.monotonic()
     fleet = FaultFleet(fault_plan(event, size))
     fleet.size, fleet.extra_figures, error = size, {}, ""
     set_cores(fleet, WARMUP_CORES)
@@ -353,7 +353,7 @@
         "servers": size.servers,
         "played_s": event.seconds,
         "peak_mib": resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024,
-        "real_s": time.monotonic() - began,
+        "real_s": time.monotonic() - started_at,
     }
     violations = [f"{one['what']} ({one['count']})" for one in audit["offences"]] + ([error] if error else [])
     rules = sum(rule["broken"] for rule in audit["rules"].values()) + bool(error)
@@ -491,9 +491,11 @@
 )
 
 
-def as_figures(row_: FaultRow) -> dict[str, Figure]:
+def as_figures(fault_row: FaultRow) -> dict[str, Figure]:
     """A row's figures for the terminal."""
-    figures = {name: Figure(value, name.rsplit("_", 1)[-1], False) for name, value in row_.figures.items()}
-    whole = row_.seconds_until_whole
+    figures = {
+        name: Figure(value, name.rsplit("_", 1)[-1], False) for name, value in fault_row.figures.items()
+    }
+    whole = fault_row.seconds_until_whole
     figures["seconds_until_whole"] = Figure(-1 if whole is None else whole, "s; -1: not whole", False)
-    return figures | {"rules_broken": Figure(row_.rules_broken, "", False)}
+    return figures | {"rules_broken": Figure(fault_row.rules_broken, "", False)}
--- a/cottonspread/lab/scale/hollow_plans.py
+++ b/cottonspread/lab/scale/hollow_plans.py
@@ -77,5 +77,5 @@
 
 def fleet_plan(size: Size, seconds: float, faults: list[plans.Happening] | tuple = ()) -> plans.Plan:
     """The plan of a hollow fleet of this size that runs for so many seconds."""
-    made = experiment(size, seconds, faults)
-    return plans.make(made, plans.Variant(name="only"), size.seed, ADDRESS_BLOCK)
+    planned = experiment(size, seconds, faults)
+    return plans.make(planned, plans.Variant(name="only"), size.seed, ADDRESS_BLOCK)
--- a/cottonspread/lab/scale/hollow_sweeps.py
+++ b/cottonspread/lab/scale/hollow_sweeps.py
@@ -252,24 +252,24 @@
 
 
 def run_sweep(
-    one: SweepPlan, command: str, seed: int, alone: bool, on_point=lambda *_: None, call=run_in_subprocess
+    plan: SweepPlan, command: str, seed: int, alone: bool, on_point=lambda *_: None, call=run_in_subprocess
 ) -> Sweep:
     """Measures every size of a sweep; `on_point` gets each value of the variable with its figures."""
     points = {}
-    for value in one.values:
-        points[value] = call(measure_point, one, value, seed)
+    for value in plan.values:
+        points[value] = call(measure_point, plan, value, seed)
         on_point(value, points[value])
-    base = replace(one.base, seed=seed)
-    fixed = {f.name: getattr(base, f.name) for f in fields(base) if f.name != one.variable}
-    first = points[one.values[0]]
+    base = replace(plan.base, seed=seed)
+    fixed = {f.name: getattr(base, f.name) for f in fields(base) if f.name != plan.variable}
+    first = points[plan.values[0]]
     return Sweep(
-        name=one.name,
-        what=one.description,
+        name=plan.name,
+        what=plan.description,
         command=command,
-        kind=one.kind,
+        kind=plan.kind,
         alone=alone,
-        variable=one.variable,
-        variable_unit=one.unit,
+        variable=plan.variable,
+        variable_unit=plan.unit,
         fixed=fixed,
         measures=[
             Measure(
@@ -277,7 +277,7 @@
                 unit=figure.unit,
                 control=figure.control,
                 plays=1,
-                points=[Point(value, float(points[value][name].value)) for value in one.values],
+                points=[Point(value, float(points[value][name].value)) for value in plan.values],
             )
             for name, figure in first.items()
         ],
--- a/cottonspread/lab/scale/module_sweeps.py
+++ b/cottonspread/lab/scale/module_sweeps.py
@@ -63,7 +63,7 @@
     """All measurements of one node, ordered so that none disturbs a later one."""
 
     def __init__(self, node, probed, seed=3):
-        self.node, self.probed, self.chance = node, probed, Random(seed)
+        self.node, self.probed, self.rng = node, probed, Random(seed)
         self.figures = {}  # (name, unit, whether it is control): value
 
     def record(self, name, cost, control, longest=False):
@@ -74,7 +74,7 @@
 
     def random_groups(self):
         """A random group for each call, of all that the node may know."""
-        return [f"group-{self.chance.randrange(self.node.groups)}" for _ in range(CALLS)]
+        return [f"group-{self.rng.randrange(self.node.groups)}" for _ in range(CALLS)]
 
     def new_groups(self):
         """A group for each call that the node has no record of."""
@@ -96,7 +96,7 @@
 
     def measure_load_reports(self):
         """Load reports on established connections."""
-        calls = self.chance.sample(sorted(self.node.established), CALLS)
+        calls = self.rng.sample(sorted(self.node.established), CALLS)
         tasks = [lambda call=call: self.node.handle(io.LoadReported(call, 12_000.0)) for call in calls]
         self.record("load_told", Cost.measure(tasks), False)
 
@@ -137,21 +137,21 @@
     """A review of the servers after one load report, as nearly every review is in production."""
 
     def __init__(self, node):
-        self.node, self.call, self.told = node, next(iter(node.established)), LOAD
+        self.node, self.call, self.load = node, next(iter(node.established)), LOAD
 
     def prepare(self):
         """Reports a load other than the last; returns the review."""
-        self.told += 1
-        self.node.handle(io.LoadReported(self.call, self.told))
+        self.load += 1
+        self.node.handle(io.LoadReported(self.call, self.load))
         return self.node.review_servers
 
 
 def measure(sweep, size, fixed):
     """All figures of one size of a sweep."""
-    node, taken = memory_taken(lambda: node_of(sweep, size, fixed))
+    node, allocated = memory_taken(lambda: node_of(sweep, size, fixed))
     gc.collect()
     figures = NodeBenchmark(node, node_of(sweep, size, fixed, probed=True)).run_all()
-    figures["memory", "bytes", True] = taken
+    figures["memory", "bytes", True] = allocated
     return figures
 
 
--- a/cottonspread/lab/scale/processes.py
+++ b/cottonspread/lab/scale/processes.py
@@ -33,11 +33,11 @@
         return int(file.read().split()[1]) * os.sysconf("SC_PAGE_SIZE")
 
 
-def start_cottonspread(words: list[str], folder: Path, name: str, **options) -> subprocess.Popen:
+def start_cottonspread(command: list[str], folder: Path, name: str, **options) -> subprocess.Popen:
     """Starts `python -m cottonspread WORDS`; its standard error goes to a log in the folder."""
     with open(folder / f"{name}.log", "ab") as log:
         return subprocess.Popen(
-            [sys.executable, "-m", "cottonspread", *words],
+            [sys.executable, "-m", "cottonspread", *command],
             cwd=ROOT,
             env={**os.environ, "PYTHONPATH": str(ROOT)},
             stderr=log,
@@ -68,9 +68,9 @@
         folder.mkdir(exist_ok=True)
         path = folder / "plan.json"
         path.write_bytes(msgspec.json.encode(plan))
-        words = ["lab", kind, "--plan", str(path), "--number", str(number)]
+        command = ["lab", kind, "--plan", str(path), "--number", str(number)]
         pipes = {"stdin": subprocess.PIPE, "stdout": subprocess.PIPE, "text": True}
-        self.process = start_cottonspread(words, folder, f"{kind}-{number}", **pipes)
+        self.process = start_cottonspread(command, folder, f"{kind}-{number}", **pipes)
         reply = self.process.stdout.readline().strip()
         if reply != "ready":
             self.end()
--- a/cottonspread/lab/scale/reducer_node.py
+++ b/cottonspread/lab/scale/reducer_node.py
@@ -65,7 +65,7 @@
         assert accepted == [True]
         self.hosts[client] = host
 
-    def advance_to_timer(self, wanted, busy=()):
+    def advance_to_timer(self, timer, busy=()):
         """Advances to when timers of one kind alone ("sweep" or "listen") are due; returns that step.
 
         `busy`: clients that send a line just before.
@@ -74,7 +74,7 @@
             due = self.reducer.due()
             since = due - SECOND
             kinds = {"sweep": since % SWEEP_INTERVAL == 0, "listen": since % ECHO_CHECK_INTERVAL == 0}
-            if kinds.pop(wanted) and not any(kinds.values()):
+            if kinds.pop(timer) and not any(kinds.values()):
                 break
             self.now = due
             self.step(ev.Tick())
--- a/cottonspread/lab/scale/reducer_sweeps.py
+++ b/cottonspread/lab/scale/reducer_sweeps.py
@@ -96,10 +96,10 @@
 def measure(sweep, size, fixed):
     """All figures of one size of a sweep."""
     shape = {**fixed, sweep: size}
-    node, taken = memory_taken(lambda: ReducerNode(**shape))
+    node, allocated = memory_taken(lambda: ReducerNode(**shape))
     gc.collect()
     figures = ReducerBenchmark(node).run_all()
-    figures["memory", "bytes", True] = taken
+    figures["memory", "bytes", True] = allocated
     return figures
 
 
