--- a/tests/crossings/test_handover.py
+++ b/tests/crossings/test_handover.py
@@ -1,37 +1,39 @@
-"""A standing connection on its way from one process to the next, and one side dies at each step.
+"""Transfer of an established connection between processes, where the sender dies at each step.
 
-Beside `tests/test_succession.py`.
+See also `tests/test_succession.py`.
 """
 
 import contextlib
 import socket
 
 import pytest
-from standins import WAIT
+from stubs import WAIT
 
 from cottonspread.front import handover
-from cottonspread.net import passing
+from cottonspread.net import connection_transfer
 
 STANDING = handover.pack_connection(handover.OpenConnection("id", "plain", "s-1", 1, 2))
 
 
 def on_its_way(message, fds=2):
-    """What the successor does with a message whose sender is dead by then: ((client, host) as it
-    took them or None, their other sides).
+    """What the successor does with a message whose sender has died: (the connections it accepted, the other
+    sides of the two sockets).
     """
     ours, theirs = socket.socketpair()
     ends = [socket.socketpair() for _ in range(2)]
     socket.send_fds(theirs, [message], [end.fileno() for end, _ in ends][:fds])
     theirs.close()
     for end, _ in ends:
-        end.close()  # the dead one's copies
+        end.close()  # the dead sender's copies
     taken = []
-    with ours, contextlib.suppress(OSError):  # nobody hears the answer
-        passing.take_over(ours, lambda standing, client, host: taken.append((standing, client, host)) or True)
+    with ours, contextlib.suppress(OSError):  # nobody receives the answer
+        connection_transfer.receive_connections(
+            ours, lambda standing, client, host: taken.append((standing, client, host)) or True
+        )
     return taken, [other for _, other in ends]
 
 
-def test_one_that_was_sent_whole_is_the_successors_though_the_sender_died():
+def test_a_connection_sent_completely_is_the_successors_even_if_the_sender_died():
     taken, others = on_its_way(STANDING)
     ((standing, *mine),) = taken
     assert standing.id == "id"
@@ -45,8 +47,8 @@
 
 @pytest.mark.parametrize("cut", (1, len(STANDING) // 2, len(STANDING) - 2))
 @pytest.mark.parametrize("fds", (2, 1))
-def test_one_that_was_cut_off_is_nobodys_and_ends(cut, fds):
-    """The sender died in the middle of it: the sockets that came are closed, and both sides see the end."""
+def test_a_connection_sent_partly_is_closed(cut, fds):
+    """The sender died while sending: the received sockets are closed, and both sides see the end."""
     taken, others = on_its_way(STANDING[:cut], fds)
     assert not taken
     for other in others:
@@ -55,7 +57,7 @@
         other.close()
 
 
-def test_a_whole_message_without_both_sockets_is_turned_down():
+def test_a_complete_message_without_both_sockets_is_rejected():
     taken, others = on_its_way(STANDING, 1)
     assert not taken
     for other in others:
