--- a/cottonspread/lab/scale/hollow_propagation.py
+++ b/cottonspread/lab/scale/hollow_propagation.py
@@ -63,8 +63,10 @@
 
 @dataclass(frozen=True)
 class OutageSize(Size):
-    """`away_s`: how long every list machine is unreachable; `refuses`: its process has stopped and the kernel
-    refuses connections, otherwise nothing answers. `back_s` over 0: the machines return for so long and are
+    """A fleet whose list machines fail.
+
+    `away_s`: how long every list machine is unreachable. `refuses`: its process has stopped and the kernel
+    refuses connections; otherwise nothing answers. `back_s` over 0: the machines return for so long and are
     unreachable once more, for `SECOND_OUTAGE_S`, before the change.
     """
 
--- a/cottonspread/lab/scale/hollow_sockets.py
+++ b/cottonspread/lab/scale/hollow_sockets.py
@@ -198,7 +198,10 @@
 
 
 def run_clients(size: Size, lists: list[ListStub]) -> tuple[list[ProcessResult], int]:
-    """Runs all clients in a few processes; returns (their results, the list stubs' processor time)."""
+    """Runs all clients in a few processes.
+
+    Returns their results and the list stubs' processor time, both within the window.
+    """
     addresses = [lists[n % len(lists)].address for n in range(size.nodes)]
     parts = [addresses[n::CLIENT_PROCESSES] for n in range(CLIENT_PROCESSES)]
     context = multiprocessing.get_context("spawn")
--- a/tests/scale/test_hollow_counts.py
+++ b/tests/scale/test_hollow_counts.py
@@ -177,9 +177,8 @@
     fleet.nodes[1].process.kill()
     fleet.nodes[1].start()
     assert started[-1] == "n1" and len(started) == 4
-    assert (
-        fleet.total_work().bytes_out > plain.total_work().bytes_out
-    )  # the ended process's work still counts
+    # The work of the ended process still counts.
+    assert fleet.total_work().bytes_out > plain.total_work().bytes_out
 
 
 def test_a_small_sweep_gives_a_result_that_can_be_written_and_read(tmp_path):
