--- a/benchmarks/sizes/lists.py
+++ b/benchmarks/sizes/lists.py
@@ -51,6 +51,7 @@
     """The list: in full at first, then one change for each call of `change`."""
 
     def __init__(self, servers, address, form):
+        """`address`: that of every server. `form`: `compact`, `indented` or `pieces`."""
         self.servers = [
             {
                 "instanceId": f"s-{n:08x}",
--- a/cottonspread/lab/scale/balancer_node.py
+++ b/cottonspread/lab/scale/balancer_node.py
@@ -43,6 +43,7 @@
     """A balancer with `servers` listed and `connections` established, in turn of `groups` groups."""
 
     def __init__(self, connections, servers, groups, seed=1, probed=False, large_group=0):
+        """`probed`: hosts report their load to probes. `large_group`: connections of the group `large`."""
         self.now, self.calls, self.version, self.seed = SECOND, 0, 0, seed
         self.servers, self.groups = servers, groups
         self.balancer = Balancer(self.now, node_config(seed, probed))
--- a/cottonspread/lab/scale/hollow.py
+++ b/cottonspread/lab/scale/hollow.py
@@ -88,6 +88,7 @@
     """A connection to a simulated list machine, with the socket methods that `HttpClient` uses."""
 
     def __init__(self, caller):
+        """`caller`: the `HollowCaller` that answers."""
         self.caller, self.path, self.answer, self.reset_by_peer = caller, "", b"", False
 
     def settimeout(self, _):
@@ -115,6 +116,7 @@
     """The real HTTP client on a `MemorySocket` instead of a TCP connection."""
 
     def __init__(self, address, caller):
+        """`address`: that of the list machine. `caller`: the `HollowCaller` that opens connections."""
         super().__init__(address, Discovery.CONNECT_TIMEOUT)
         self.caller = caller
 
@@ -129,6 +131,7 @@
     """One process's requests to a list machine, made through the real HTTP client."""
 
     def __init__(self, agent, process):
+        """Replaces the HTTP client of the process's `Discovery`."""
         super().__init__(agent, process)
         self.http, self.meter = MemoryHttp(process.parts[0].discovery, self), process.meter
         self.in_flight = False  # a request is pending that an answer can reach
@@ -206,6 +209,7 @@
     """A list machine: one copy of the server list, read by many nodes."""
 
     def __init__(self, fleet, number, entries, lag):
+        """`entries`: the servers listed at first. `lag`: microseconds that a change takes to arrive here."""
         super().__init__(fleet, f"list{number}", entries, lag)
         self.meter, self.dropping_traffic, self.stopped, self.partitioned = (
             MachineMeter(),
@@ -274,6 +278,7 @@
     """A node's process whose control work is metered."""
 
     def __init__(self, node, values, shared=False):
+        """Starts the process and its additional control clients."""
         self.meter = Meter()
         super().__init__(node, values, shared)
         self.control = [factory(self) for factory in node.fleet.control]
@@ -322,6 +327,7 @@
     start_window = 2 * SECOND
 
     def __init__(self, plan, control=(), machines=LIST_MACHINES, **options):
+        """`plan`: the lab's plan; `options` as of `Fleet`."""
         self.control, self.machine_count, self.list_machines = tuple(control), machines, []
         self.ended_processes = Meter()  # work of processes that have ended
         self.applied_at = {}  # version: {node name: time at which its balancer had it}
--- a/cottonspread/lab/scale/hollow_faults.py
+++ b/cottonspread/lab/scale/hollow_faults.py
@@ -56,6 +56,7 @@
     """Simulated clients that record how many were lost and when each was served again."""
 
     def __init__(self, *arguments, **options):
+        """Arguments as of `Clients`; nothing is counted before `FAULT_AT_S`."""
         super().__init__(*arguments, **options)
         self.count_from, self.lost_at, self.losses, self.recovery_s = (
             round(FAULT_AT_S * SECOND),
--- a/cottonspread/lab/scale/hollow_sockets.py
+++ b/cottonspread/lab/scale/hollow_sockets.py
@@ -67,6 +67,7 @@
     """A connection whose bytes are counted."""
 
     def __init__(self, sock, counts):
+        """`counts`: the `TrafficCounts` to add to."""
         self.sock, self.counts = sock, counts
 
     def sendall(self, data):
@@ -90,6 +91,7 @@
     """The real HTTP client on a counted connection."""
 
     def __init__(self, address, counts):
+        """`counts`: the `TrafficCounts` to add to."""
         super().__init__(address, Discovery.CONNECT_TIMEOUT)
         self.counts = counts
 
--- a/cottonspread/lab/scale/hollow_sweeps.py
+++ b/cottonspread/lab/scale/hollow_sweeps.py
@@ -47,6 +47,7 @@
     """A running hollow fleet, and its counts since the last reading."""
 
     def __init__(self, size: Size):
+        """Builds the fleet; it does not run yet."""
         self.size = size
         seconds = WARMUP_S + size.seconds
         self.fleet = HollowFleet(fleet_plan(size, seconds), checked=False)
--- a/cottonspread/lab/scale/module_sweeps.py
+++ b/cottonspread/lab/scale/module_sweeps.py
@@ -63,6 +63,7 @@
     """All measurements of one node, ordered so that none disturbs a later one."""
 
     def __init__(self, node, probed, seed=3):
+        """`probed`: a second node of the same size, which probes its hosts."""
         self.node, self.probed, self.rng = node, probed, Random(seed)
         self.figures = {}  # (name, unit, whether it is control): value
 
@@ -137,6 +138,7 @@
     """A review of the servers after one load report, as nearly every review is in production."""
 
     def __init__(self, node):
+        """The loads are reported on the node's first connection."""
         self.node, self.call, self.load = node, next(iter(node.established)), LOAD
 
     def prepare(self):
--- a/cottonspread/lab/scale/processes.py
+++ b/cottonspread/lab/scale/processes.py
@@ -65,6 +65,7 @@
     """A process of the lab that executes a part of a plan: `hosts`, `list` or `load`."""
 
     def __init__(self, kind: str, folder: Path, plan: plans.Plan, number: int = 0):
+        """Starts the process and waits until it reports that it is ready."""
         folder.mkdir(exist_ok=True)
         path = folder / "plan.json"
         path.write_bytes(msgspec.json.encode(plan))
@@ -99,6 +100,7 @@
     """
 
     def __init__(self, folder: Path, number: int, servers: int, changes: list[float] | tuple = ()):
+        """Starts list number `number` with `servers` entries."""
         self.folder = folder / f"list{number}"
         seconds = max(changes, default=1.0) + 600
         planned = experiment(Size(nodes=1, servers=servers), seconds)
@@ -124,6 +126,7 @@
     """`cottonspread serve` with the configuration of a plan's first node, reading the list at `discovery`."""
 
     def __init__(self, folder: Path, plan: plans.Plan, discovery: tuple[str, int]):
+        """Starts the node; its configuration and log go to the folder."""
         values = tuning.values(plan, 0) | {"discovery": f"{discovery[0]}:{discovery[1]}"}
         path = folder / "node.json"
         path.write_bytes(msgspec.json.encode(values))
@@ -148,6 +151,7 @@
     """A TCP relay between a node and its list that counts the bytes of each direction."""
 
     def __init__(self, target: tuple[str, int]):
+        """Listens on a free port and relays to `target`."""
         self.target, self.bytes_out, self.bytes_in = target, 0, 0
         self.listener = socket.create_server(("127.0.0.1", 0))
         self.address = self.listener.getsockname()[:2]
--- a/cottonspread/lab/scale/reducer_node.py
+++ b/cottonspread/lab/scale/reducer_node.py
@@ -25,6 +25,7 @@
     """A reducer with `servers` listed and `connections` established, in turn of `groups` groups."""
 
     def __init__(self, connections, servers, groups, seed=1):
+        """Lists all servers and adopts the connections."""
         self.now, self.version, self.servers, self.groups = SECOND, 0, servers, groups
         self.call_count = 0
         names = config.Names({TYPE: 0}, {}, {}, {})
--- a/cottonspread/lab/scale/reducer_sweeps.py
+++ b/cottonspread/lab/scale/reducer_sweeps.py
@@ -31,6 +31,7 @@
     """All measurements of one reducer."""
 
     def __init__(self, node):
+        """`node`: the `ReducerNode` to measure."""
         super().__init__(node, None)
         self.clients = list(node.hosts)
 
@@ -77,6 +78,7 @@
     """The next run of one timer alone; advancing to it is not measured."""
 
     def __init__(self, node, kind, busy):
+        """`kind`: "sweep" or "listen". `busy`: clients that send a line just before the timer."""
         self.node, self.kind, self.busy, self.sent = node, kind, busy, []
 
     def prepare(self):
