--- a/cottonspread/lab/scale/balancer_node.py
+++ b/cottonspread/lab/scale/balancer_node.py
@@ -43,6 +43,7 @@
     """A balancer with `servers` listed and `connections` established, in turn of `groups` groups."""
 
     def __init__(self, connections, servers, groups, seed=1, probed=False, large_group=0):
+        """`probed`: hosts report their load to probes. `large_group`: connections of the group `large`."""
         self.now, self.calls, self.version, self.seed = SECOND, 0, 0, seed
         self.servers, self.groups = servers, groups
         self.balancer = Balancer(self.now, node_config(seed, probed))
@@ -57,11 +58,11 @@
         """Passes one event to the balancer; returns the actions that it requests."""
         return self.balancer.handle(self.now, event)
 
-    def update(self, news, entries):
+    def update(self, kind, entries):
         """Sends a list update; returns the balancer's actions."""
         self.version += 1
         self.entries.update((one.host, one) for one in entries)
-        return self.handle(io.ListUpdate(news, self.version, tuple(entries)))
+        return self.handle(io.ListUpdate(kind, self.version, tuple(entries)))
 
     def add_connection(self, group, number):
         """Adds an established connection; the servers take them in turn, as the balancer spreads them."""
@@ -119,6 +120,6 @@
 
     def connection_losses(self, numbers):
         """The events of all connections on these servers breaking."""
-        gone = set(numbers)
-        calls = [call for call, server in self.established.items() if server in gone]
+        removed = set(numbers)
+        calls = [call for call, server in self.established.items() if server in removed]
         return [io.LegEnded(call, 0, io.Ending.RESET, True) for call in calls]
--- a/cottonspread/lab/scale/hollow_sockets.py
+++ b/cottonspread/lab/scale/hollow_sockets.py
@@ -67,6 +67,7 @@
     """A connection whose bytes are counted."""
 
     def __init__(self, sock, counts):
+        """`counts`: the `TrafficCounts` to add to."""
         self.sock, self.counts = sock, counts
 
     def sendall(self, data):
@@ -90,6 +91,7 @@
     """The real HTTP client on a counted connection."""
 
     def __init__(self, address, counts):
+        """`counts`: the `TrafficCounts` to add to."""
         super().__init__(address, Discovery.CONNECT_TIMEOUT)
         self.counts = counts
 
@@ -198,7 +200,10 @@
 
 
 def run_clients(size: Size, lists: list[ListStub]) -> tuple[list[ProcessResult], int]:
-    """Runs all clients in a few processes; returns (their results, the list stubs' processor time)."""
+    """Runs all clients in a few processes.
+
+    Returns their results and the list stubs' processor time, both within the window.
+    """
     addresses = [lists[n % len(lists)].address for n in range(size.nodes)]
     parts = [addresses[n::CLIENT_PROCESSES] for n in range(CLIENT_PROCESSES)]
     context = multiprocessing.get_context("spawn")
--- a/cottonspread/lab/scale/reducer_node.py
+++ b/cottonspread/lab/scale/reducer_node.py
@@ -25,6 +25,7 @@
     """A reducer with `servers` listed and `connections` established, in turn of `groups` groups."""
 
     def __init__(self, connections, servers, groups, seed=1):
+        """Lists all servers and adopts the connections."""
         self.now, self.version, self.servers, self.groups = SECOND, 0, servers, groups
         self.call_count = 0
         names = config.Names({TYPE: 0}, {}, {}, {})
@@ -65,7 +66,7 @@
         assert accepted == [True]
         self.hosts[client] = host
 
-    def advance_to_timer(self, wanted, busy=()):
+    def advance_to_timer(self, timer, busy=()):
         """Advances to when timers of one kind alone ("sweep" or "listen") are due; returns that step.
 
         `busy`: clients that send a line just before.
@@ -74,7 +75,7 @@
             due = self.reducer.due()
             since = due - SECOND
             kinds = {"sweep": since % SWEEP_INTERVAL == 0, "listen": since % ECHO_CHECK_INTERVAL == 0}
-            if kinds.pop(wanted) and not any(kinds.values()):
+            if kinds.pop(timer) and not any(kinds.values()):
                 break
             self.now = due
             self.step(ev.Tick())
--- a/cottonspread/lab/scale/reducer_sweeps.py
+++ b/cottonspread/lab/scale/reducer_sweeps.py
@@ -31,6 +31,7 @@
     """All measurements of one reducer."""
 
     def __init__(self, node):
+        """`node`: the `ReducerNode` to measure."""
         super().__init__(node, None)
         self.clients = list(node.hosts)
 
@@ -77,6 +78,7 @@
     """The next run of one timer alone; advancing to it is not measured."""
 
     def __init__(self, node, kind, busy):
+        """`kind`: "sweep" or "listen". `busy`: clients that send a line just before the timer."""
         self.node, self.kind, self.busy, self.sent = node, kind, busy, []
 
     def prepare(self):
@@ -96,10 +98,10 @@
 def measure(sweep, size, fixed):
     """All figures of one size of a sweep."""
     shape = {**fixed, sweep: size}
-    node, taken = memory_taken(lambda: ReducerNode(**shape))
+    node, allocated = memory_taken(lambda: ReducerNode(**shape))
     gc.collect()
     figures = ReducerBenchmark(node).run_all()
-    figures["memory", "bytes", True] = taken
+    figures["memory", "bytes", True] = allocated
     return figures
 
 
