--- a/tests/scale/test_overview.py
+++ b/tests/scale/test_overview.py
@@ -142,7 +142,7 @@
 
 
 def test_a_server_whose_ceiling_was_just_cut_counts_as_slow():
-    """A cut counts for `Ceilings.CALM_TIME`, even if nothing else shows that the server is slow.
+    """A cut counts for `Ceilings.CALM_TIME`, even if nothing else shows a slow server.
 
     The server was found to be distant after the cut, which removed its ceiling, and has answered since.
     """
