--- a/cottonspread/net/admission.py
+++ b/cottonspread/net/admission.py
@@ -18,7 +18,7 @@
 from typing import Protocol
 
 from cottonspread.net import pool, workers
-from cottonspread.net.departure import COMING
+from cottonspread.net.drain import LATE_ARRIVAL_TIME
 from cottonspread.net.reducer import FIRST_LINE_TIMEOUT
 
 log = logging.getLogger("cottonspread.node")
@@ -40,9 +40,11 @@
     """Clients without a whole first line, oldest first. Does not touch their sockets."""
 
     def __init__(self):
+        """Starts empty."""
         self.clients = OrderedDict()  # by descriptor
 
     def __len__(self):
+        """How many are pending."""
         return len(self.clients)
 
     def add(self, number, client):
@@ -110,7 +112,7 @@
         """Starts accepting connections."""
         # Another process may accept the connection that woke this one up.
         self.listener.setblocking(False)
-        workers.start_thread(self.run, stack=workers.WIDE)
+        workers.start_thread(self.run, stack=workers.LARGE_STACK_SIZE)
 
     def stop_accepting(self):
         """Returns once nothing more is accepted; pending clients may still send their line."""
@@ -203,7 +205,7 @@
 
     def refuse_overdue(self):
         """Refuses clients that have waited too long."""
-        timeout = COMING if self.handler.stopping() else FIRST_LINE_TIMEOUT
+        timeout = LATE_ARRIVAL_TIME if self.handler.stopping() else FIRST_LINE_TIMEOUT
         for client in self.pending.remove_overdue(self.clock(), timeout):
             self.refuse(client, "no-first-line")
 
--- a/cottonspread/net/passing.py
+++ b/cottonspread/net/connection_transfer.py
@@ -1,6 +1,7 @@
-"""Standing connections on their way from a process to the one that replaces it: both sockets in one
-message, one connection after the other, each answered. A message without an answer is the successor's all
-the same, unless the way to it has broken.
+"""Transfers established connections to the process that replaces this one, over a Unix socket.
+
+Each connection is one message with both sockets, and each message is answered before the next. A connection
+whose message was sent belongs to the successor, even without an answer, unless the Unix socket has failed.
 """
 
 import logging
@@ -13,24 +14,24 @@
 
 log = logging.getLogger("cottonspread.passing")
 
-TAKEN, LEFT = b"y", b"n"
+ACCEPTED, DECLINED = b"y", b"n"
 
 
-class Giver:
-    """The predecessor's side, in a thread of its own: a successor that hangs
-    holds up one connection, and nobody else.
-    """
+class ConnectionSender:
+    """The predecessor's side, in its own thread: a hanging successor delays only one connection."""
 
     def __init__(self, sock, post):
+        """`sock`: connected to the successor; `post(event)` passes events to the reducer."""
         self.sock, self.post, self.orders = sock, post, queue.SimpleQueue()
 
     def run(self):
+        """The thread: transfers the connections put into `orders`, one at a time."""
         while True:
             order = self.orders.get()
-            self.post(ev.TransferDone(order.conn, *self.give(order)))
+            self.post(ev.TransferDone(order.conn, *self.send(order)))
 
-    def give(self, order):
-        """Whether the successor has it, and if not, whether it was just being read."""
+    def send(self, order):
+        """Transfers one connection: (whether the successor has it; if not, whether it was busy reading)."""
         workers = order.client.worker, order.host.worker
         gatherers = [worker.gatherer for worker in workers]
         if None in gatherers or not lines.try_release(gatherers):
@@ -41,7 +42,7 @@
                 [handover.pack_connection(order.connection)],
                 [worker.sock.fileno() for worker in workers],
             )
-            taken = self.sock.recv(1) == TAKEN
+            taken = self.sock.recv(1) == ACCEPTED
         except OSError as fault:
             log.warning("passing", extra={"pairs": {"why": fault}})
             taken = False
@@ -51,10 +52,10 @@
         return taken, False
 
 
-def take_over(sock, adopt):
-    """The successor's side, until the predecessor has ended.
+def receive_connections(sock, adopt):
+    """The successor's side: receives connections until the predecessor has closed the Unix socket.
 
-    `adopt(standing, client, host)`: whether it is taken, and then its own.
+    `adopt(connection, client, host)` takes ownership of the two sockets and returns True, or returns False.
     """
     while True:
         data, fds, _, _ = socket.recv_fds(sock, 1 << 16, 2, socket.MSG_CMSG_CLOEXEC)
@@ -70,4 +71,4 @@
             log.warning("passing", extra={"pairs": {"why": fault}})
             for one in sockets:
                 one.close()
-        sock.sendall(TAKEN if taken else LEFT)
+        sock.sendall(ACCEPTED if taken else DECLINED)
--- a/cottonspread/net/reducer.py
+++ b/cottonspread/net/reducer.py
@@ -1,10 +1,11 @@
-"""The one reducer: (what a node is in, time, event) to effects.
+"""The node's state machine: turns (state, time, event) into effects.
 
-It owns all state, the Balancer and the timers.
+It owns all state of the node, including the balancer and the timers. It uses no sockets, clock, files or
+threads; the workers carry out the effects in order.
 
-It touches no socket, clock, file or thread; the workers carry out the effects in their order. It decides
-nothing about servers: it tells the module what happened and does what the module asks for. What stands here
-are the duties of a front: when a leg has ended, when a line may go on, what is told when.
+It makes no decisions about hosts: it reports to the balancer what happened and carries out the balancer's
+actions. What is decided here is the front end's part: when a leg has ended, when lines may be forwarded and
+when something is reported. Times and time spans are microseconds.
 """
 
 import heapq
@@ -22,92 +23,101 @@
 from cottonspread.net import events as ev
 from cottonspread.net import lines
 from cottonspread.net.active_set import ActiveSet, connection_is_active, host_is_active
-from cottonspread.net.departure import COMING, Departure
+from cottonspread.net.drain import LATE_ARRIVAL_TIME, DrainController
 from cottonspread.net.message_delays import ConnectionSignals, MessageDelays
 from cottonspread.policy import Balancer
 
 SECOND = 1_000_000
 SWEEP_INTERVAL = SECOND // 4
-ECHO_CHECK_INTERVAL = SECOND // 10  # how often it is looked whose echoes stay out
-FIRST_LINE_TIMEOUT = 2 * SECOND  # for a client's first line, checks before it included
-PENDING_CLIENTS_DIVISOR = 5  # one part in so many of all ends, at most, is clients without a first line
-LONGEST_WAIT = 10  # times the longest guard time: a client that says it waits longer is wrong
-LINGER = SECOND  # what the other side gets to end its half of a closed connection
-LINGERING_FROM = 10  # nobody is waited for so once all ends but one part in so many are taken
-HANG = SECOND // 2  # no pause of a sound host is so long
-ENDED_IDS = 2000  # ids of ended calls that are remembered
-STUCK = 3 * SECOND  # a peer that takes nothing for so long is given up
-# A host that echoes nothing is left before the 7 s that a client bears. They count from when it stopped, and
-# the next line may be two seconds later.
-SILENT = 9 * SECOND // 2
-STANDING_WAIT = 40 * SECOND  # for a connection that was open before the start
-PROBE_WAIT = SECOND // 4  # a host that takes longer to tell its load is no place for a new call
+ECHO_CHECK_INTERVAL = SECOND // 10  # how often hosts are checked for missing echoes
+FIRST_LINE_TIMEOUT = 2 * SECOND  # for a client's first line, including the PINGs before it
+PENDING_CLIENTS_DIVISOR = 5  # at most 1 / this of all sockets may be clients without a first line
+MAX_WAIT_FACTOR = 10  # times the longest guard time; a client that claims to wait longer is in error
+LINGER_TIMEOUT = SECOND  # for the other side to close its half of a closed connection
+LINGER_RESERVE_DIVISOR = 10  # no lingering once fewer than 1 / this of all sockets are left
+HANG_DELAY = SECOND // 2  # a healthy host never pauses that long
+MAX_ENDED_IDS = 2000  # ids of ended calls that are remembered
+WRITE_TIMEOUT = 3 * SECOND  # a peer that reads nothing for so long is given up
+# A client tolerates 7 s without an echo, counted from the last one, and its next line may be sent up to 2 s
+# later. Its connection is moved away from a silent host before that.
+ECHO_TIMEOUT = 9 * SECOND // 2
+REATTACH_TIMEOUT = 40 * SECOND  # for a connection that was open before this process started
+PROBE_TIMEOUT = SECOND // 4  # a host that answers later is not a good target for a new call
 NOT_LISTED = io.Entry(None, state=io.HostState.GONE)
-PROBES_PART = 4  # one part in so many of all ends, at most, is probes: each has a thread and a descriptor
+PROBES_DIVISOR = 4  # at most 1 / this of all sockets may be probes: each takes a thread and a descriptor
 
 
 @dataclass(eq=False)
 class Leg:
-    """One connection to a host."""
+    """A connection to a host, for one call."""
 
     conn: "Conn"
-    number: int
+    number: int  # index in `Conn.legs`
     host: "Host"
-    until: int
-    by: int = 0  # its first byte may go out until then; 0: while the call is open
-    address: tuple = None  # where it was dialled
+    deadline: int  # for the host's answer
+    send_by: int = 0  # do not start to send the first line after this time; 0: while the call is open
+    address: tuple = None  # that it was connected to
     end: ev.ConnectionEnd = None
-    begun: bool = False  # its first line has been given to the workers
-    written: bool = False  # its first line's last byte is out
-    up: bool = False
+    write_issued: bool = False  # the first line was passed to the workers
+    written: bool = False  # the first line was written completely
+    up: bool = False  # the host accepted the call (UP)
     ended: bool = False
-    farewell: Ending = None  # what the host said on its way out
-    stood: int = 0  # the later it came to stand, the higher
+    announced_ending: Ending = None  # from the host's last line (BYE, MOVE or BUSY)
+    established_order: int = 0  # rises in the order in which legs are established
     signals: ConnectionSignals = field(default_factory=ConnectionSignals)
 
 
 @dataclass(eq=False)
 class Conn:
-    """One client's connection, from its first line to its end.
-
-    It is also the call's id towards the module.
-    """
+    """A client's connection and its call. The object is also the call's id for the balancer."""
 
     client: ev.ConnectionEnd
     accepted_at: int
     request: lines.OpenRequest = None
-    type: io.TrafficType = None  # the one it opened under, whatever the settings become
-    max_legs: int = 1  # as they were then
-    guard: int = 0
+    type: io.TrafficType = None  # as configured when the call was opened; later reloads do not change it
+    max_legs: int = 1  # likewise
+    guard: int = 0  # the end of its guard time
     legs: list = field(default_factory=list)
-    answered: bool = False  # the final answer is given, or the client is gone
-    up: bool = False
-    asked: str = ""  # to be moved: the reason code
-    reason: str = ""  # why it ended; "" while it stands
-    setup: int = 0
-    pings: int = 0
-    counted: bool = False  # its final answer, among the figures
-    number: int = 0  # the later it came, the higher
-    heard_of: int = 0  # when the reducer was told of it
+    answered: bool = False  # it had its final answer, or its client has left
+    up: bool = False  # established: a host accepted the call
+    move_reason: str = ""  # reason code if the client is to be moved; "" if not
+    reason: str = ""  # reason code of its end; "" while it is open
+    setup_time: int = 0
+    pings: int = 0  # received before the first line
+    counted: bool = False  # its answer is included in the counters
+    order: int = 0  # rises in the order of arrival
+    registered_at: int = 0  # when the reducer learned of it
 
 
 @dataclass(eq=False)
 class Host:
-    """What a front keeps of a host: its address, and what its messages take."""
+    """What a front end knows of a host: its address, its legs and the delay of its messages."""
 
     name: object
     message_delays: MessageDelays
     address: tuple = None
-    legs: dict = field(default_factory=dict)  # standing
-    number: int = 0  # the later it was first heard of, the higher
-    waiting: ActiveSet = None  # those of its legs on which a line may wait for its echo
+    legs: dict = field(default_factory=dict)  # established legs, used as an ordered set
+    order: int = 0  # rises in the order in which hosts are first seen
+    awaiting_echo: ActiveSet = None  # legs on which a line may be waiting for its echo
 
     def __post_init__(self):
-        self.waiting = ActiveSet(lambda leg: leg in self.legs and leg.signals.waiting, attrgetter("stood"))
+        """Sets up `awaiting_echo`, which needs the object itself."""
+        self.awaiting_echo = ActiveSet(
+            lambda leg: leg in self.legs and leg.signals.awaiting_echo, attrgetter("established_order")
+        )
 
 
 class Reducer:
+    """The state of a node; `step` advances it.
+
+    The handlers of events are named after the events.
+    """
+
     def __init__(self, now, config, names, host_protocol, max_sockets, balancer=Balancer):
+        """`config`: an `interface.NodeConfig`; `max_sockets`: how many sockets the node may have open.
+
+        `names` and `host_protocol` are the parts of the configuration file of these names.
+        """
         self.now, self.event_time, self.effects, self.balancer_events = now, now, [], deque()
         self.config, self.names, self.host_protocol, self.max_sockets = (
             config,
@@ -116,135 +126,146 @@
             max_sockets,
         )
         self.balancer = balancer(now, config)
-        self.own = Lateness()
+        self.lateness = Lateness()
         self.hosts, self.entries, self.conns, self.open_sockets = {}, {}, {}, 0
-        self.awaiting_first_line = {}  # clients without a sound first line, the oldest first
-        self.lingering = {}  # clients that were told the end and have not gone yet, the oldest first
-        # calls that are open, and ended ones, by the client's word for them
+        self.awaiting_first_line = {}  # clients without a valid first line, the oldest first
+        self.lingering = {}  # closed clients that have not closed their half yet, the oldest first
+        # open calls and recently ended ones, by the id that the client gave
         self.calls_by_id, self.ended_ids = {}, {}
-        self.timers, self.stamp = [], 0
-        number = attrgetter("number")
+        self.timers, self.last_sequence = [], 0
+        order = attrgetter("order")
         self.active_conns, self.active_hosts = (
-            ActiveSet(connection_is_active, number),
-            ActiveSet(host_is_active, number),
+            ActiveSet(connection_is_active, order),
+            ActiveSet(host_is_active, order),
         )
-        self.probing = set()  # hosts with a probe under way whose end the module waits for
-        self.probes = 0
+        self.probing = set()  # hosts with a running probe whose result the balancer waits for
+        self.probes = 0  # that are running
         self.counters = Counters(())
-        self.has_hosts, self.departure = False, Departure(self)
-        # a successor takes standing connections; the one on its way there
-        self.transfers_enabled, self.passing = False, None
-        # those that wait for it, and those on which something was under way
-        self.to_pass, self.busy = deque(), []
-        self.usual = 0.0  # mean of the loads told
-        self.tune(config)
+        self.has_hosts, self.drain_controller = False, DrainController(self)
+        # whether a successor takes over connections, and the connection that it is being offered now
+        self.transfers_enabled, self.transferring = False, None
+        # connections still to be offered, and those that were busy when it was their turn
+        self.transfer_queue, self.transfer_retries = deque(), []
+        self.mean_load = 0.0  # moving average of the reported loads
+        self.apply_config(config)
         self.handlers = {
-            ev.ClientAccepted: self.came,
-            ev.ConnectDone: self.connected,
-            ev.LinesRead: self.got,
-            ev.WriteDone: self.wrote,
-            ev.ReadEnded: self.over,
+            ev.ClientAccepted: self.client_accepted,
+            ev.ConnectDone: self.connect_done,
+            ev.LinesRead: self.lines_read,
+            ev.WriteDone: self.write_done,
+            ev.ReadEnded: self.read_ended,
             ev.ListReceived: self.list_received,
             ev.ListFailed: self.list_failed,
-            ev.ProbeDone: self.asked,
-            ev.StopRequested: self.departure.stop,
-            ev.DrainRequested: self.departure.drain,
-            ev.SettingsReloaded: self.retuned,
-            ev.ReloadRejected: self.not_retuned,
-            ev.StateInherited: self.inherit,
-            ev.HandOverRequested: self.hand_over,
-            ev.TransferDone: self.passed,
-            ev.TransferOffered: self.adopt,
+            ev.ProbeDone: self.probe_done,
+            ev.StopRequested: self.drain_controller.stop,
+            ev.DrainRequested: self.drain_controller.drain,
+            ev.SettingsReloaded: self.settings_reloaded,
+            ev.ReloadRejected: self.reload_rejected,
+            ev.StateInherited: self.state_inherited,
+            ev.HandOverRequested: self.hand_over_requested,
+            ev.TransferDone: self.transfer_done,
+            ev.TransferOffered: self.transfer_offered,
             ev.Tick: lambda e: None,
         }
         self.call_later(SWEEP_INTERVAL, self.sweep)
-        self.call_later(ECHO_CHECK_INTERVAL, self.listen)
+        self.call_later(ECHO_CHECK_INTERVAL, self.check_echoes)
         for action in self.balancer.actions():
-            self.do(action)
+            self.perform(action)
         if not config.server_list.polled:
             self.effects.append(ev.FollowList())
 
-    def tune(self, config):
+    def apply_config(self, config):
+        """Sets what is derived from the configuration."""
         self.config = config
-        self.longest_wait = LONGEST_WAIT * max(t.guard_time for t in config.types)
+        self.max_wait = MAX_WAIT_FACTOR * max(t.guard_time for t in config.types)
         targets = [t.message_target for t in config.types if t.message_target]
         self.slow_threshold = min(targets, default=SECOND) // 3
         self.counters.add_types(t.name for t in config.types)
 
     @property
     def stopping(self):
-        """Since when the process ends; 0: it does not."""
-        return self.departure.stopping
+        """When the shutdown of the process began; 0: it has not."""
+        return self.drain_controller.stopping
 
     @property
     def draining(self):
-        """Since when the operators have the node drained; 0: it takes calls."""
-        return self.departure.draining
+        """When the operators began to drain the node; 0: it is not draining."""
+        return self.drain_controller.draining
 
     @property
     def stopped(self):
-        """Whether the end of the process was asked for."""
-        return self.departure.stopped
+        """Whether the process was told to exit (`Exit`)."""
+        return self.drain_controller.stopped
 
     def step(self, now, event, at=0):
-        """Everything that `event` and the passing of time ask for. `at`: when it happened; 0: now."""
+        """Runs the timers that are due, handles `event` and returns the effects.
+
+        `at`: when the event happened; 0: now.
+        """
         self.now = max(now, self.now)
         self.event_time = min(at or self.now, self.now)
-        self.own.record(self.now, self.now - min(self.event_time, self.due()))
-        self.run_balancer()  # what a fault left over
+        self.lateness.record(self.now, self.now - min(self.event_time, self.due()))
+        self.run_balancer()  # events left over from a step that raised
         while self.timers and self.timers[0][0] <= self.now:
             what, args = heapq.heappop(self.timers)[2:]
             what(*args)
             self.run_balancer()
         self.handlers[type(event)](event)
         self.run_balancer()
-        out, self.effects = self.effects, []
-        return out
+        effects, self.effects = self.effects, []
+        return effects
 
     def after_fault(self, event):
-        """A step has raised: the connection it was about ends, the others go on."""
+        """Ends the connection that the event was about, after `step` raised; returns the effects."""
         conn = getattr(getattr(event, "end", None), "conn", None)
         if conn is not None and not conn.reason:
-            self.leave(conn, "fault")
-            self.finish(conn, "fault", lines.ERR)
-        out, self.effects = self.effects, []
-        return out
+            self.abandon(conn, "fault")
+            self.end_call(conn, "fault", lines.ERR)
+        effects, self.effects = self.effects, []
+        return effects
 
     def due(self):
-        """When `step` is to be called even if nothing happens."""
+        """When `step` must be called next even if nothing happens."""
         return self.timers[0][0] if self.timers else self.now + SECOND
 
     def call_at(self, when, what, *args):
-        self.stamp += 1
-        heapq.heappush(self.timers, (when, self.stamp, what, args))
+        """Calls `what(*args)` at the given time."""
+        self.last_sequence += 1
+        heapq.heappush(self.timers, (when, self.last_sequence, what, args))
 
     def call_later(self, span, what, *args):
+        """Calls `what(*args)` after the given time span."""
         self.call_at(self.now + span, what, *args)
 
-    def next_number(self):
-        """Numbers rise in the order in which they are given out."""
-        self.stamp += 1
-        return self.stamp
+    def next_order(self):
+        """A number greater than all earlier ones."""
+        self.last_sequence += 1
+        return self.last_sequence
 
-    # The module
+    # The balancer
 
     def queue_event(self, event):
+        """Queues an event for the balancer; `run_balancer` delivers it."""
         self.balancer_events.append(event)
 
     def run_balancer(self):
-        """One event after the other, each with its actions: what an action leads to is told after it."""
+        """Delivers the queued events one by one, each with the actions that it leads to.
+
+        Events caused by these actions are queued behind the others.
+        """
         while self.balancer_events:
             for action in self.balancer.handle(self.now, self.balancer_events.popleft()):
-                self.do(action)
+                self.perform(action)
 
-    def do(self, action):
+    def perform(self, action):
+        """Carries out an action of the balancer."""
         match action:
             case io.Send():
-                self.send(action.call, action.host, action.deadline, action.send_by)
+                self.start_leg(action.call, action.host, action.deadline, action.send_by)
             case io.Reject():
-                self.answer(action.call, lines.busy_line(action.retry_after), "rejected")
+                self.final_answer(action.call, lines.busy_line(action.retry_after), "rejected")
             case io.Release():
-                self.answer(action.call, lines.ERR, "released")
+                self.final_answer(action.call, lines.ERR, "released")
             case io.Cancel():
                 self.end_leg(action.call.legs[action.leg], Ending.CANCELLED)
             case io.Move():
@@ -258,42 +279,46 @@
             case io.Log():
                 self.effects.append(ev.Log("decision", {"text": action.text}))
             case _:
-                raise TypeError(f"this front has no way to do {action!r}")
+                raise TypeError(f"action not supported by this front end: {action!r}")
 
     # Clients
 
-    def came(self, e):
+    def client_accepted(self, e):
+        """Registers a new client, and frees descriptors if they are running out."""
         self.open_sockets += 1
-        conn = Conn(e.end, e.accepted_at or self.now, heard_of=self.now, number=self.next_number())
+        conn = Conn(e.end, e.accepted_at or self.now, registered_at=self.now, order=self.next_order())
         e.end.conn = conn
         self.conns[conn] = None
         self.active_conns.add(conn)
-        # Hundreds that connect and say nothing held every descriptor, and usual clients found no room. A
-        # usual client's line comes on the heels of its connection, so the oldest of those without one goes.
+        # Hundreds of clients that connected and sent nothing used up all descriptors, and regular clients
+        # were turned away. A regular client sends its first line at once, so the oldest client without one
+        # is dismissed.
         while len(self.awaiting_first_line) >= max(2, self.max_sockets // PENDING_CLIENTS_DIVISOR):
             self.dismiss(next(iter(self.awaiting_first_line)), "no-first-line")
-        # Who was told the end and does not go keeps a descriptor for a moment, and never the last ones.
-        room = self.max_sockets * (LINGERING_FROM - 1) // LINGERING_FROM - self.open_sockets
+        # Lingering clients may keep their descriptors for a while, but not the last free ones.
+        room = self.max_sockets * (LINGER_RESERVE_DIVISOR - 1) // LINGER_RESERVE_DIVISOR - self.open_sockets
         for end in list(islice(self.lingering, max(0, 1 - room))):
-            self.cut(end)
+            self.shut_down(end)
         self.awaiting_first_line[conn] = None
         self.read(e.end)
 
     def dismiss(self, conn, reason):
-        """The end of one that is no usual client.
+        """Ends the connection of a client without a valid first line.
 
-        Who said nothing may be saying it just now: to come again is harmless.
+        One that has sent nothing gets BUSY rather than ERR: its line may be on the way just now, and nothing
+        has run, so it may safely try again.
         """
         self.awaiting_first_line.pop(conn, None)
         harmless = reason in ("no-first-line", "ping", "stopping")
-        self.finish(
+        self.end_call(
             conn, conn.reason or reason, lines.busy_line(self.retry_after()) if harmless else lines.ERR
         )
 
-    def got(self, e):
+    def lines_read(self, e):
+        """Passes the lines to the handler for their source and for the state of the connection."""
         e.end.read_pending = False
         if e.end.closing_since or e.end.shutdown_when_written:
-            self.read(e.end)  # read to its end, and dropped
+            self.read(e.end)  # closing: the input is discarded up to its end
         elif not e.end.is_client:
             self.host_lines(e.end.leg, e.data)
         elif e.end.conn.request is None:
@@ -301,98 +326,106 @@
         else:
             self.client_lines(e.end.conn, e.data)
 
-    def first_line(self, conn, data, more):
+    def first_line(self, conn, data, more_follows):
+        """Handles a client's PING, or its OPEN, which starts a call."""
         first, _, rest = data.partition(b"\n")
-        # Who sends on before the answer is no client of ours; its lines
-        # would reach a host as a usual client's.
-        if rest or more:
+        # A client must not send more before it has an answer: a host would take these lines for regular ones.
+        if rest or more_follows:
             self.dismiss(conn, "early-line")
             return
         if first.rstrip(b"\r") == lines.PING:
             conn.pings += 1
-            if self.has_hosts and not self.departure.draining and not self.departure.turns_away(conn):
+            if (
+                self.has_hosts
+                and not self.drain_controller.draining
+                and not self.drain_controller.refusal_reason(conn)
+            ):
                 self.write(conn.client, lines.PONG)
             else:
                 self.dismiss(conn, "not-ready")
             return
         try:
-            opening = lines.parse_open(
+            request = lines.parse_open(
                 first + b"\n",
                 self.names.types,
                 self.names.tenants,
                 self.config.groups_share_work,
-                self.longest_wait,
+                self.max_wait,
             )
         except lines.LineError as fault:
             self.dismiss(conn, str(fault))
             return
-        # Ids are new with every connection. Hosts answer one that is open already, here or at another node,
-        # with ERR: every host that was asked looked broken for it, and each such leg costs a host work.
-        if opening.id in self.calls_by_id or opening.id in self.ended_ids:
+        # Each connection must have a new id. Hosts answer ERR to an id that is already open, at this node or
+        # another: every host that was tried looked broken, and each such leg costs a host work.
+        if request.id in self.calls_by_id or request.id in self.ended_ids:
             self.dismiss(conn, "id-in-use")
             return
         conn.request, conn.type, conn.max_legs = (
-            opening,
-            self.config.types[opening.type],
+            request,
+            self.config.types[request.type],
             self.config.legs.max_legs,
         )
         self.awaiting_first_line.pop(conn, None)
-        self.calls_by_id[opening.id] = conn
-        wait = opening.wait if opening.held_by is None else STANDING_WAIT
-        # Its time runs from when the line was here, and what this node may be late
-        # with the answer is not the call's.
-        lain = self.now - self.event_time
+        self.calls_by_id[request.id] = conn
+        wait = request.timeout if request.held_by is None else REATTACH_TIMEOUT
+        # The client's time runs from when its line arrived. The balancer gets less than is left of it, since
+        # this node may itself be late with the answer.
+        time_in_queue = self.now - self.event_time
         conn.guard = self.event_time + wait
-        left = max(0, wait - lain - min(self.own.recent_max(self.now), (wait - lain) // 4))
-        # Two descriptors for every call, and some left to answer with: at the edge a call is turned away.
-        turned = self.departure.turns_away(conn)
-        if turned or self.open_sockets + 1 > self.max_sockets:
-            self.finish(conn, turned or "no-room", lines.busy_line(self.retry_after()))
+        time_left = max(
+            0, wait - time_in_queue - min(self.lateness.recent_max(self.now), (wait - time_in_queue) // 4)
+        )
+        # A call takes two descriptors, and some must remain to answer with: at the limit it is refused.
+        refusal = self.drain_controller.refusal_reason(conn)
+        if refusal or self.open_sockets + 1 > self.max_sockets:
+            self.end_call(conn, refusal or "no-room", lines.busy_line(self.retry_after()))
             return
-        host = self.hosts.get(opening.held_by)
-        if opening.held_by is not None and (host is None or host.address is None):
-            self.finish(conn, "held-by-unknown", lines.ERR)
+        host = self.hosts.get(request.held_by)
+        if request.held_by is not None and (host is None or host.address is None):
+            self.end_call(conn, "held-by-unknown", lines.ERR)
             return
-        self.read(conn.client)  # to notice when it leaves
+        self.read(conn.client)  # to notice when the client leaves
         self.call_at(conn.guard + self.config.tick, self.overdue, conn)
         self.queue_event(
             io.CallArrived(
                 conn,
-                opening.type,
-                left,
-                opening.key,
-                opening.group,
-                opening.tenant,
-                opening.load,
-                opening.returned,
-                opening.held_by,
+                request.type,
+                time_left,
+                request.key,
+                request.group,
+                request.tenant,
+                request.load,
+                request.returned,
+                request.held_by,
             )
         )
         if host is not None:
-            self.open_leg(Leg(conn, len(conn.legs), host, conn.guard), STANDING_WAIT // 4)
+            self.open_leg(Leg(conn, len(conn.legs), host, conn.guard), REATTACH_TIMEOUT // 4)
 
     def retry_after(self):
+        """Microseconds after which a client that is refused should come back; 0: not told."""
         return self.config.legs.max_retry_after // 2 if self.config.legs.may_retry_after else 0
 
     def client_lines(self, conn, data):
-        if not conn.up:  # see `first_line`
-            self.leave(conn, "early-line")
+        """Forwards a client's lines to the host of its call."""
+        if not conn.up:  # a line before the answer, as in `first_line`
+            self.abandon(conn, "early-line")
             self.dismiss(conn, "early-line")
             return
         leg = conn.legs[-1]
-        leg.signals.sent(self.now, data.count(b"\n"))
-        self.wait_for_echo(leg)
+        leg.signals.line_sent(self.now, data.count(b"\n"))
+        self.expect_echo(leg)
         self.write(leg.end, data)
 
     def overdue(self, conn):
-        """The module's answer did not come in time: visible, for it breaks a rule."""
+        """Logs an error and ends the call if the balancer has not answered it within its guard time."""
         if not conn.answered and not conn.up:
             self.effects.append(ev.Log("overdue", {"call": conn.request.id}, "error"))
-            self.leave(conn, "overdue")
-            self.finish(conn, "overdue", lines.ERR)
+            self.abandon(conn, "overdue")
+            self.end_call(conn, "overdue", lines.ERR)
 
-    def leave(self, conn, reason):
-        """The call is over for its client, whatever the module may still wish for."""
+    def abandon(self, conn, reason):
+        """Ends a call without an answer from the balancer, and all its legs."""
         if conn.answered:
             return
         conn.answered, conn.reason = True, conn.reason or reason
@@ -401,76 +434,81 @@
         for leg in conn.legs:
             self.end_leg(leg, Ending.CANCELLED)
 
-    def answer(self, conn, line, reason):
-        """The module's final answer."""
+    def final_answer(self, conn, line, reason):
+        """Sends the balancer's final answer, unless the call already has one."""
         if not conn.answered:
             conn.answered = True
-            self.finish(conn, reason, line)
+            self.end_call(conn, reason, line)
 
-    def finish(self, conn, reason, line=None):
-        """A last line for the client, then the end of its connection."""
+    def end_call(self, conn, reason, line=None):
+        """Sends the client a last line and closes its connection. `reason`: unless one was set before."""
         conn.reason = conn.reason or reason
         conn.answered = True
         if conn.type and not conn.counted:
             conn.counted = True
             self.counters.count_answer("busy" if line.startswith(b"BUSY") else "failure", conn.type.name)
-        self.closed_id(conn)
+        self.retire_id(conn)
         if line and not conn.client.writing_since:
             self.write(conn.client, line)
         self.close(conn.client)
 
     # Legs
 
-    def send(self, conn, name, until, by):
-        leg = Leg(conn, len(conn.legs), self.host(name), until, by)
-        out = [other for other in conn.legs if not other.ended]
+    def start_leg(self, conn, host_name, deadline, send_by):
+        """Starts the leg that the balancer asks for, or ends it at once if it must not start any more."""
+        leg = Leg(conn, len(conn.legs), self.host(host_name), deadline, send_by)
+        running = [other for other in conn.legs if not other.ended]
         if (
             conn.answered
             or conn.up
-            or self.departure.hurries()
-            or until <= self.now
+            or self.drain_controller.answers_due()
+            or deadline <= self.now
             or leg.number >= conn.max_legs
-            or out
+            or running
             and not self.config.legs.parallel_legs
         ):
             conn.legs.append(leg)
             self.end_leg(leg, Ending.NOT_SENT)
             return
-        if leg.host.address is None:  # listed nowhere any more
+        if leg.host.address is None:  # it is no longer listed
             conn.legs.append(leg)
             self.end_leg(leg, Ending.CONNECT_FAILED)
             return
-        self.open_leg(leg, min(self.host_protocol.connect_timeout, until - self.now))
+        self.open_leg(leg, min(self.host_protocol.connect_timeout, deadline - self.now))
 
-    def open_leg(self, leg, wait):
-        conn, host, until, leg.address = leg.conn, leg.host, leg.until, leg.host.address
+    def open_leg(self, leg, connect_timeout):
+        """Connects to the leg's host."""
+        conn, host, deadline, leg.address = leg.conn, leg.host, leg.deadline, leg.host.address
         conn.legs.append(leg)
         leg.end = ev.ConnectionEnd(False, conn, leg)
         self.open_sockets += 1
-        self.effects.append(ev.Connect(leg.end, host.address, wait))
-        self.call_at(until, self.time_out, leg)
+        self.effects.append(ev.Connect(leg.end, host.address, connect_timeout))
+        self.call_at(deadline, self.leg_timed_out, leg)
 
-    def time_out(self, leg, waited=False):
-        """What this node may have been late with itself is not the host's: the answer may lie here unread.
+    def leg_timed_out(self, leg, extended=False):
+        """Ends a leg whose host has not answered by the deadline.
 
-        It is waited for so much longer; where the guard time allows no more, the leg is
-        called off, and the host not blamed.
+        If this node was late itself, the answer may have arrived without being read yet. Then the leg gets
+        that much more time (`extended` is set the second time); if the guard time does not allow that, the
+        leg is cancelled and the host not blamed.
         """
         if leg.up or leg.ended:
             return
-        late, last = self.own.recent_max(self.now), leg.conn.guard - 2 * self.config.tick
-        if not waited and late and leg.until + late <= last:
-            self.call_at(leg.until + late, self.time_out, leg, True)
-        elif not waited and late and self.now < last:
-            self.call_at(last, self.call_off, leg)
+        late, latest = self.lateness.recent_max(self.now), leg.conn.guard - 2 * self.config.tick
+        if not extended and late and leg.deadline + late <= latest:
+            self.call_at(leg.deadline + late, self.leg_timed_out, leg, True)
+        elif not extended and late and self.now < latest:
+            self.call_at(latest, self.cancel_leg, leg)
         else:
-            self.end_leg(leg, Ending.TIMEOUT if waited or not late else Ending.CANCELLED)
+            self.end_leg(leg, Ending.TIMEOUT if extended or not late else Ending.CANCELLED)
 
-    def call_off(self, leg):
+    def cancel_leg(self, leg):
+        """Cancels a leg without blaming its host, unless it was accepted meanwhile."""
         if not leg.up:
             self.end_leg(leg, Ending.CANCELLED)
 
-    def connected(self, e):
+    def connect_done(self, e):
+        """Sends the first line on the new connection, if it may still be sent."""
         leg, e.end.connected = e.end.leg, e.ok
         if not e.ok:
             e.end.input_ended = True
@@ -479,87 +517,88 @@
                 self.effects.append(ev.Log("connect-fails", {"host": leg.host.name, "why": e.error}))
             self.end_leg(leg, Ending.CONNECT_FAILED)
         elif leg.ended:
-            e.end.input_ended = True  # given up while it came up: nothing was sent
+            e.end.input_ended = True  # given up while it was connecting: nothing was sent
             self.free(e.end)
-        elif why := self.too_late(leg):
+        elif reason := self.reason_not_to_send(leg):
             e.end.input_ended = True
             self.free(e.end)
-            self.not_begun(leg, why)
+            self.leg_not_sent(leg, reason)
         else:
-            opening, leg.begun = leg.conn.request, True
+            request, leg.write_issued = leg.conn.request, True
             line = (
-                opening.line if not opening.wait else lines.open_for_host(opening.line, leg.until - self.now)
+                request.line
+                if not request.timeout
+                else lines.open_for_host(request.line, leg.deadline - self.now)
             )
             leg.end.writing_since = self.now or 1
             self.active_conns.add(leg.conn)
-            self.effects.append(ev.Write(leg.end, line, first_line=True, send_by=leg.by))
+            self.effects.append(ev.Write(leg.end, line, first_line=True, send_by=leg.send_by))
 
-    def too_late(self, leg):
-        """The one look before an attempt's first line goes out: why it must not, or "".
+    def reason_not_to_send(self, leg):
+        """Why a leg's first line must not be sent now that it is connected; "" if it may be.
 
-        What a connection was dialled for may have passed while it came up: its host drains, is gone or is
-        another by now, or its repeats are not known as such any more.
+        While it was connecting, the host may have started to drain, gone or been replaced, or the time may
+        have ended in which hosts recognise a repeat of the call.
         """
-        if leg.conn.request.held_by is not None:  # it stands there already
+        if leg.conn.request.held_by is not None:  # it is open at this host already
             return ""
-        entry, server = self.entries.get(leg.host.name), self.hosts.get(leg.host.name)
-        if (
-            entry is None
-            or entry.state is not io.HostState.UP
-            or server is None
-            or server.address != leg.address
-        ):
+        entry, host = self.entries.get(leg.host.name), self.hosts.get(leg.host.name)
+        if entry is None or entry.state is not io.HostState.UP or host is None or host.address != leg.address:
             return "host-drains"
-        return "too-late" if leg.by and self.now >= leg.by else ""
+        return "too-late" if leg.send_by and self.now >= leg.send_by else ""
+
+    def leg_not_sent(self, leg, reason):
+        """Ends a leg that was connected but on which nothing was sent.
 
-    def not_begun(self, leg, why):
-        """Its connection came up and nothing was sent on it, so the call may go
-        elsewhere; too late, it may go nowhere.
+        If the host drains the call may be tried elsewhere; if it is too late, it may not be tried at all.
         """
         if not leg.ended:
-            self.effects.append(ev.Log("not-sent", {"host": leg.host.name, "why": why}))
-        self.end_leg(leg, Ending.CONNECT_FAILED if why == "host-drains" else Ending.NOT_SENT)
+            self.effects.append(ev.Log("not-sent", {"host": leg.host.name, "why": reason}))
+        self.end_leg(leg, Ending.CONNECT_FAILED if reason == "host-drains" else Ending.NOT_SENT)
 
-    def end_leg(self, leg, ending, broken=False):
-        """What comes late from an ended leg is dropped."""
+    def end_leg(self, leg, ending, reset=False):
+        """Ends a leg and reports it to the balancer; whatever still arrives from it is ignored."""
         if leg.ended:
             return
-        # A leg that was given up before its line went to the workers cannot have run: a call that must not
-        # run twice was answered as failed, though it had never been sent.
-        if not leg.begun and leg.conn.request.held_by is None:
+        # A leg that was given up before its first line went to the workers cannot have run. Without this, a
+        # call that must not run twice was answered as failed although it had never been sent.
+        if not leg.write_issued and leg.conn.request.held_by is None:
             ending = {Ending.TIMEOUT: Ending.CONNECT_FAILED, Ending.CANCELLED: Ending.NOT_SENT}.get(
                 ending, ending
             )
         leg.ended = True
-        self.leave_host(leg)
+        self.detach_from_host(leg)
         conn = leg.conn
         closed = conn.answered or conn.up or conn.request.held_by is not None
         self.queue_event(io.LegEnded(conn, leg.number, ending, closed))
         if leg.end is not None:
-            self.cut(leg.end, broken)
-        if closed and not conn.answered and not conn.up:  # one open before the start, not found again
-            self.finish(conn, "held-by-lost", lines.ERR)
+            self.shut_down(leg.end, reset)
+        if closed and not conn.answered and not conn.up:  # open before the start, the host does not know it
+            self.end_call(conn, "held-by-lost", lines.ERR)
 
-    def stand(self, leg):
-        """Its connection is up: its host is listened to, and it is moved with
-        the others where they are moved off.
+    def leg_established(self, leg):
+        """Adds an established leg to its host.
+
+        From now on its host's echoes are checked, and a running drain or shutdown moves its client too.
         """
         if not leg.host.legs:
             leg.host.message_delays.connected_since = self.now
-        leg.host.legs[leg], leg.stood = None, self.next_number()
-        if leg.host.message_delays.undecided():  # from connections that stood there before
+        leg.host.legs[leg], leg.established_order = None, self.next_order()
+        if leg.host.message_delays.undecided():  # from earlier connections
             self.active_hosts.add(leg.host)
-        self.departure.stands(leg.conn)
+        self.drain_controller.on_established(leg.conn)
 
-    def leave_host(self, leg):
+    def detach_from_host(self, leg):
+        """Removes a leg from its host, and the host if it is gone and this was its last leg."""
         host = leg.host
         host.legs.pop(leg, None)
         if not host.legs and host.address is None and self.hosts.get(host.name) is host:
-            del self.hosts[host.name]  # gone, and this was the last that stood there
+            del self.hosts[host.name]
 
     def host_lines(self, leg, data):
+        """Forwards a host's lines to the client, or handles the host's answer to the first line."""
         if leg.up:
-            self.pass_on(leg, data)
+            self.forward(leg, data)
             return
         first, _, rest = data.partition(b"\n")
         ending = lines.parse_answer(first, rest)
@@ -567,256 +606,283 @@
         if ending is None:
             leg.up = conn.up = conn.counted = True
             self.counters.count_answer("success", conn.type.name)
-            # Its host may have been called gone meanwhile, and taken back: watched under
-            # another's name it would be silent unheard.
+            # The host may have been removed from the list and added again meanwhile. The leg must belong to
+            # the new object: nobody checks the old one for missing echoes.
             leg.host = self.host(leg.host.name)
-            conn.setup = self.now - conn.accepted_at
-            self.stand(leg)
+            conn.setup_time = self.now - conn.accepted_at
+            self.leg_established(leg)
             if self.transfers_enabled:
-                self.busy.append(conn)
+                self.transfer_retries.append(conn)
             if conn.request.held_by is None:
                 self.queue_event(io.LegAccepted(conn, leg.number, 0))
-            self.pass_on(leg, data, len(first) + 1)
-        elif ending is Ending.OK:  # it ran, and to its end
+            self.forward(leg, data, len(first) + 1)
+        elif ending is Ending.OK:  # the call has run and ended already
             conn.answered = True
             self.end_leg(leg, ending)
-            self.finish(conn, "completed-at-once", first + b"\n")
+            self.end_call(conn, "completed-at-once", first + b"\n")
         else:
             self.end_leg(leg, ending)
 
-    def pass_on(self, leg, data, skip=0):
-        """Lines of a host that is up, on to the client unchanged; some of them tell something."""
+    def forward(self, leg, data, skip=0):
+        """Forwards a host's lines to the client unchanged, and evaluates loads, endings and echoes in them.
+
+        `skip`: bytes at the start that are not evaluated.
+        """
         for line in data[skip:].splitlines(keepends=True):
             load = lines.parse_load(line)
             if load is not None:
-                self.load_line(leg, load)
+                self.load_reported(leg, load)
             elif line.rstrip(b"\r\n") in lines.ENDINGS:
-                leg.farewell = lines.ENDINGS[line.rstrip(b"\r\n")]
+                leg.announced_ending = lines.ENDINGS[line.rstrip(b"\r\n")]
             else:
-                self.echo(leg, leg.signals.echoed(), self.event_time)
+                self.echo_received(leg, leg.signals.echo_received(), self.event_time)
         self.write(leg.conn.client, data)
 
-    # What messages take
+    # Message delays
 
-    def wait_for_echo(self, leg):
-        leg.host.waiting.add(leg)
+    def expect_echo(self, leg):
+        """Marks a leg and its host as waiting for an echo."""
+        leg.host.awaiting_echo.add(leg)
         self.active_hosts.add(leg.host)
 
-    def load_line(self, leg, value):
-        notes = leg.host.message_delays
-        self.active_hosts.add(leg.host)  # what is made of it may change as time passes
+    def load_reported(self, leg, value):
+        """Handles a `LOAD` line: a load, or the delay of the host's messages."""
+        delays = leg.host.message_delays
+        self.active_hosts.add(leg.host)  # the line may be reinterpreted later
         if self.host_protocol.sends_delay and self.host_protocol.load_may_be_delay:
-            # Where the settings say that loads are not told, such a line can only be the other note: taken
-            # for a connection's load, with which each begins elsewhere, no jam was seen at all.
+            # If hosts send no loads according to the settings, the line can only be a delay. When it was
+            # taken for the load that each connection reports first, overload was not detected at all.
             delay = (
-                notes.classify(
+                delays.classify(
                     self.now,
                     leg.signals,
                     value,
-                    notes.silence(self.now, leg.host.waiting.active())[0],
-                    self.usual,
+                    delays.silence(self.now, leg.host.awaiting_echo.active())[0],
+                    self.mean_load,
                 )
                 if self.host_protocol.sends_load
-                else notes.accept_delay(self.now, round(value * 1000))
+                else delays.accept_delay(self.now, round(value * 1000))
             )
-            self.tell_loads(leg.host, notes.misread_loads)
-            notes.misread_loads.clear()
+            self.report_loads(leg.host, delays.misread_loads)
+            delays.misread_loads.clear()
             if delay:
                 self.queue_event(io.DelayReported(leg.conn, delay))
             if delay is not None:
                 return
-        self.tell_load(leg, value)
+        self.report_load(leg, value)
 
-    def tell_load(self, leg, value):
+    def report_load(self, leg, value):
+        """Records a connection's load and reports it to the balancer."""
         leg.signals.load = value
-        self.usual += (value - self.usual) / 50 if self.usual else value
+        self.mean_load += (value - self.mean_load) / 50 if self.mean_load else value
         if self.host_protocol.sends_load:
             self.queue_event(io.LoadReported(leg.conn, value))
 
-    def tell_loads(self, host, loads):
-        for heard, load in loads:
-            for leg in [leg for leg in host.legs if leg.signals is heard]:
-                self.tell_load(leg, load)
+    def report_loads(self, host, loads):
+        """Reports loads that were recognised late. `loads`: (signals of the connection, load)."""
+        for signals, load in loads:
+            for leg in [leg for leg in host.legs if leg.signals is signals]:
+                self.report_load(leg, load)
 
-    def echo(self, leg, sent, back):
-        """A late echo is told once a second, and the first one that is back in time.
+    def echo_received(self, leg, sent_at, received_at):
+        """Reports the delay of an echo to the balancer.
 
-        `back`: when it was here.
+        Late echoes are reported once a second, then the first one that is in time again. `sent_at`: when its
+        line was sent, or None; `received_at`: when the echo arrived.
         """
-        notes = leg.host.message_delays
-        if sent is None or not self.host_protocol.sends_delay:
+        delays = leg.host.message_delays
+        if sent_at is None or not self.host_protocol.sends_delay:
             return
-        notes.answered = max(notes.answered, sent)
-        delay = max(0, back - sent)
+        delays.last_echoed = max(delays.last_echoed, sent_at)
+        delay = max(0, received_at - sent_at)
         late = delay > self.slow_threshold
         if (
             late
-            and self.now - notes.told_at >= SECOND
-            or notes.over
+            and self.now - delays.reported_at >= SECOND
+            or delays.reported_slow
             and not late
-            and not notes.reported_delay
-            and (notes.silence(self.now, leg.host.waiting.active())[0] <= self.slow_threshold)
+            and not delays.reported_delay
+            and (delays.silence(self.now, leg.host.awaiting_echo.active())[0] <= self.slow_threshold)
         ):
-            self.tell_delay(leg, delay, late)
+            self.report_delay(leg, delay, late)
 
-    def tell_delay(self, leg, delay, over):
-        leg.host.message_delays.told_at, leg.host.message_delays.over = self.now, over
+    def report_delay(self, leg, delay, slow):
+        """Reports a host's message delay. `slow`: it exceeds the threshold."""
+        leg.host.message_delays.reported_at, leg.host.message_delays.reported_slow = self.now, slow
         self.queue_event(io.DelayReported(leg.conn, delay))
 
-    def listen(self):
-        """A host that echoes nothing tells by that alone what its messages take, at least."""
-        self.call_later(ECHO_CHECK_INTERVAL, self.listen)
-        late = self.own.recent_max(self.now)  # an echo may have lain here so long
+    def check_echoes(self):
+        """Checks all hosts for missing echoes: the time without one is a lower bound on the message delay."""
+        self.call_later(ECHO_CHECK_INTERVAL, self.check_echoes)
+        late = self.lateness.recent_max(self.now)  # an echo may have been here unread for so long
         for host in [host for host in self.active_hosts.active() if host.legs]:
-            # A client that takes nothing keeps its host from being read, which is no silence of the host's.
-            heard = [leg for leg in host.waiting.active() if not leg.conn.client.writing_since]
-            waited, leg = host.message_delays.silence(self.now, heard)
-            waited = max(0, waited - late)
+            # While a client reads nothing its host is not read either, so echoes are missing through no fault
+            # of the host.
+            legs = [leg for leg in host.awaiting_echo.active() if not leg.conn.client.writing_since]
+            silence, leg = host.message_delays.silence(self.now, legs)
+            silence = max(0, silence - late)
             loads = host.message_delays.resolved_loads(self.now)
             claim = (
-                host.message_delays.confirmed_claim(self.now, waited)
+                host.message_delays.confirmed_claim(self.now, silence)
                 if self.host_protocol.sends_delay
                 else None
             )
-            if claim:  # what was taken for a load was none
+            if claim:  # a line that was taken for a load was a delay
                 loads.append(claim[1:])
-            self.tell_loads(host, loads)
+            self.report_loads(host, loads)
             if claim:
-                self.tell_delay(leg, claim[0], True)
-            # The first word on a silence, then one at half a second, by which the module knows a hang, and
-            # then one a second.
-            elif self.host_protocol.sends_delay and waited >= 3 * self.slow_threshold:
-                # how long it was silent at the last word
-                told = host.message_delays.told_at - (self.now - waited)
-                if self.now - host.message_delays.told_at >= SECOND or 0 <= told < HANG <= waited:
-                    self.tell_delay(leg, waited, True)
-            for leg in heard:
-                if leg.signals.waiting and self.now - leg.signals.waiting[0] - min(late, SECOND) > SILENT:
+                self.report_delay(leg, claim[0], True)
+            # A silence is reported when it begins, at half a second, where the balancer recognises a hang,
+            # and then once a second.
+            elif self.host_protocol.sends_delay and silence >= 3 * self.slow_threshold:
+                # how long the silence had lasted at the last report
+                silence_at_report = host.message_delays.reported_at - (self.now - silence)
+                if (
+                    self.now - host.message_delays.reported_at >= SECOND
+                    or 0 <= silence_at_report < HANG_DELAY <= silence
+                ):
+                    self.report_delay(leg, silence, True)
+            for leg in legs:
+                if (
+                    leg.signals.awaiting_echo
+                    and self.now - leg.signals.awaiting_echo[0] - min(late, SECOND) > ECHO_TIMEOUT
+                ):
                     self.move(leg.conn, "silent-host")
 
     # Probes
 
     def probe(self, name):
-        """Every one is answered: calls wait for it.
+        """Probes a host. Each probe gets a result, because calls wait for it.
 
-        One for which there is no room tells nothing of its host.
+        If there is no room for the probe, the result is FULL, which says nothing about the host.
         """
         host = self.host(name)
         if host.address is None:
             self.queue_event(io.ProbeEnded(name, Ending.CONNECT_FAILED))
         elif (
-            self.probes * PROBES_PART >= self.max_sockets
+            self.probes * PROBES_DIVISOR >= self.max_sockets
             or self.open_sockets + 2 > self.max_sockets
-            or self.departure.hurries()
+            or self.drain_controller.answers_due()
         ):
             self.queue_event(io.ProbeEnded(name, Ending.FULL))
         else:
             self.probing.add(name)
             self.probes += 1
             self.open_sockets += 1
-            self.effects.append(ev.Probe(name, host.address, PROBE_WAIT))
+            self.effects.append(ev.Probe(name, host.address, PROBE_TIMEOUT))
 
-    def asked(self, e):
+    def probe_done(self, e):
+        """Reports the result to the balancer, unless it was told to stop waiting for it."""
         self.probes -= 1
         self.open_sockets -= 1
         if e.host in self.probing:
             self.probing.discard(e.host)
-            # A node that was late itself may have left the answer lying: no word on the host.
-            late = e.ending is Ending.TIMEOUT and self.own.recent_max(self.now)
+            # If this node was late itself, the answer may have arrived without being read yet: then the
+            # time-out says nothing about the host.
+            late = e.ending is Ending.TIMEOUT and self.lateness.recent_max(self.now)
             self.queue_event(probe_ended(e.host, Ending.FULL if late else e.ending, e.waited, e.report))
 
-    # Ends and moves
+    # Moving and ending connections
 
     def move(self, conn, reason):
-        """The client is to come again. Between two lines only: what is being written goes out first."""
-        if not conn.up or conn.reason or conn.asked:
+        """Asks the client to reconnect (MOVE), once the line that is being written to it is out."""
+        if not conn.up or conn.reason or conn.move_reason:
             return
-        conn.asked = reason
-        if not conn.client.writing_since and conn is not self.passing:
+        conn.move_reason = reason
+        if not conn.client.writing_since and conn is not self.transferring:
             self.move_now(conn)
 
     def move_now(self, conn):
+        """Sends MOVE and closes the connection."""
         leg = conn.legs[-1]
         conn.answered = True
-        self.finish(conn, conn.asked, lines.MOVE)
+        self.end_call(conn, conn.move_reason, lines.MOVE)
         self.end_leg(leg, Ending.CANCELLED)
 
-    def over(self, e):
+    def read_ended(self, e):
+        """Handles the end of a side's input, or a malformed line."""
         end, conn = e.end, e.end.conn
-        # after what is no line more may come
+        # more input may follow after a malformed line
         end.read_pending, end.input_ended = False, not e.cause.endswith("-line")
         if not end.closing_since and not end.shutdown_when_written:
             if end.is_client:
-                self.client_over(conn, e.cause)
+                self.client_ended(conn, e.cause)
             else:
-                self.host_over(end.leg, e.cause)
+                self.host_ended(end.leg, e.cause)
         if not end.input_ended:
             self.read(end)
         elif not end.writing_since:
             self.free(end)
 
-    def client_over(self, conn, how):
-        broken = how == "reset"
-        # it is still there: what it sent is answered, and it is not cut off over unread bytes
-        if how.endswith("-line"):
-            self.leave(conn, "client-" + how if conn.up else how)
+    def client_ended(self, conn, cause):
+        """Ends a connection whose client has closed or reset it, stopped reading or sent a malformed line."""
+        reset = cause == "reset"
+        # The client is still connected: it gets an answer, and its unread input must not turn the close into
+        # a reset.
+        if cause.endswith("-line"):
+            self.abandon(conn, "client-" + cause if conn.up else cause)
             if conn.up:
                 self.close(conn.client)
             else:
-                self.dismiss(conn, how)
+                self.dismiss(conn, cause)
             return
         if conn.up:
-            conn.reason = conn.reason or ("client-end" if how == "end" else "client-" + how)
+            conn.reason = conn.reason or ("client-end" if cause == "end" else "client-" + cause)
             conn.answered = True
-            self.end_leg(conn.legs[-1], Ending.CANCELLED, broken)
+            self.end_leg(conn.legs[-1], Ending.CANCELLED, reset)
         elif conn.request is not None:
-            self.leave(conn, "left-in-setup")
+            self.abandon(conn, "left-in-setup")
         conn.reason = conn.reason or (
-            "ping" if conn.pings else "no-first-line" if how in ("end", "reset") else how
+            "ping" if conn.pings else "no-first-line" if cause in ("end", "reset") else cause
         )
-        self.cut(conn.client)
+        self.shut_down(conn.client)
 
-    def host_over(self, leg, how):
+    def host_ended(self, leg, cause):
+        """Ends a leg, and its client if established, when the host has closed or reset the connection."""
         conn = leg.conn
         if not leg.up:
-            self.end_leg(leg, Ending.ERROR if how.endswith("-line") else Ending.RESET)
+            self.end_leg(leg, Ending.ERROR if cause.endswith("-line") else Ending.RESET)
             return
-        codes = {Ending.OK: "completed", Ending.CANCELLED: "host-moved"}
+        reason_codes = {Ending.OK: "completed", Ending.CANCELLED: "host-moved"}
         conn.answered = True
-        conn.reason = conn.reason or codes.get(leg.farewell, "host-" + how)
-        self.end_leg(leg, leg.farewell or Ending.RESET)
-        if how == "reset":
-            self.cut(conn.client, broken=True)
+        conn.reason = conn.reason or reason_codes.get(leg.announced_ending, "host-" + cause)
+        self.end_leg(leg, leg.announced_ending or Ending.RESET)
+        if cause == "reset":
+            self.shut_down(conn.client, reset=True)
         else:
             self.close(conn.client)
 
     # Reading, writing, closing
 
     def read(self, end):
+        """Reads the next lines, or discards the input of a socket that is being closed."""
         if not end.read_pending and not end.input_ended:
             end.read_pending = True
             self.effects.append(ev.DiscardInput(end) if end.closing_since else ev.Read(end))
 
     def write(self, end, data):
+        """Writes data, unless the socket is freed."""
         if not end.freed:
             end.writing_since = self.now or 1
             self.active_conns.add(end.conn)
             self.effects.append(ev.Write(end, data))
 
-    def wrote(self, e):
+    def write_done(self, e):
+        """Continues with what was waiting for the end of a write."""
         end, conn = e.end, e.end.conn
         first = e.ok and not end.is_client and not end.leg.written
-        if first:  # also if the leg has ended meanwhile: its host has the line
+        if first:  # also if the leg has ended meanwhile: the host has got the line
             end.leg.written = True
             self.counters.backend_calls += 1
         if (
             end.is_client
             and conn.up
-            and self.now - end.writing_since - self.own.recent_max(self.now) > self.slow_threshold
+            and self.now - end.writing_since - self.lateness.recent_max(self.now) > self.slow_threshold
         ):
-            conn.legs[-1].signals.waiting.clear()  # echoes were late for want of a reader
+            # The client was slow to read, so the echoes were late through no fault of the host.
+            conn.legs[-1].signals.awaiting_echo.clear()
         elif not end.is_client and end.leg.up and e.at:
-            end.leg.signals.written(end.writing_since, e.at)
+            end.leg.signals.line_written(end.writing_since, e.at)
         end.writing_since = 0
         if end.input_ended:
             self.free(end)
@@ -827,30 +893,30 @@
         elif not e.ok:
             self.write_failed(end, e.skip_reason)
         else:
-            self.read_on(end, first)
+            self.read_next(end, first)
 
-    def write_failed(self, end, why):
-        """`why`: the reason if an attempt's first line was not begun, else ""."""
+    def write_failed(self, end, skip_reason):
+        """Ends what a failed write belongs to. `skip_reason`: see `WriteDone`."""
         conn = end.conn
         if end.is_client:
-            self.client_over(conn, "reset")
-        elif why == "client-gone":  # its own end comes as well, perhaps behind much else
-            self.client_over(conn, "end")
-        elif why:
-            self.not_begun(end.leg, why)
+            self.client_ended(conn, "reset")
+        elif skip_reason == "client-gone":  # `ReadEnded` follows too, perhaps much later
+            self.client_ended(conn, "end")
+        elif skip_reason:
+            self.leg_not_sent(end.leg, skip_reason)
         elif not end.leg.written:
             self.end_leg(end.leg, Ending.CONNECT_FAILED)
         else:
-            self.host_over(end.leg, "reset")
+            self.host_ended(end.leg, "reset")
 
-    def read_on(self, end, first):
-        """What was written is out: whose lines are read next. `first`: it was an attempt's first line."""
+    def read_next(self, end, first):
+        """Starts the next read after a write is done. `first`: an attempt's first line was written."""
         conn = end.conn
         if first:
             self.read(end)
         elif not end.is_client:
-            self.read(conn.client)  # the next lines only once these are out: nothing piles up here
-        elif conn.asked and not conn.reason:
+            self.read(conn.client)  # only now, so that no lines queue up here
+        elif conn.move_reason and not conn.reason:
             self.move_now(conn)
         elif conn.up:
             self.read(conn.legs[-1].end)
@@ -858,7 +924,11 @@
             self.read(end)
 
     def close(self, end):
-        """End the sending; read on to the other's end, or a reset would eat the last line."""
+        """Half-closes a connection, after a pending write.
+
+        Input is read until the other side closes too: a close with unread input would be a reset, which can
+        destroy the last line on its way.
+        """
         if end.closing_since or end.freed:
             return
         if end.writing_since:
@@ -874,22 +944,24 @@
             self.lingering[end] = None
         self.read(end)
 
-    def cut(self, end, broken=False):
+    def shut_down(self, end, reset=False):
+        """Ends both directions of a connection at once."""
         if end.freed:
             return
         end.closing_since = end.closing_since or self.now
         self.active_conns.add(end.conn)
         self.lingering.pop(end, None)
         if end.worker is not None:
-            self.effects.append(ev.Shutdown(end, broken))
-        # Its end is noticed by reading: one that was waiting for the other side to take its lines was never
-        # given back.
+            self.effects.append(ev.Shutdown(end, reset))
+        # The end is noticed only by reading. Without this read, a socket that was waiting for the other side
+        # to take its lines was never freed.
         if end.is_client or end.connected:
             self.read(end)
         if end.input_ended and not end.writing_since:
             self.free(end)
 
     def free(self, end):
+        """Closes a socket with nothing pending; for a client's, also ends the connection and logs it."""
         if end.freed:
             return
         end.freed = True
@@ -899,17 +971,19 @@
         if end.is_client:
             self.conns.pop(end.conn, None)
             self.awaiting_first_line.pop(end.conn, None)
-            self.closed_id(end.conn)
+            self.retire_id(end.conn)
             self.effects.append(ev.Log("closed", self.summary(end.conn)))
 
-    def closed_id(self, conn):
+    def retire_id(self, conn):
+        """Moves a call's id from the open to the ended ones, of which the latest are remembered."""
         if conn.request and self.calls_by_id.get(conn.request.id) is conn:
             del self.calls_by_id[conn.request.id]
             self.ended_ids[conn.request.id] = None
-            if len(self.ended_ids) > ENDED_IDS:
+            if len(self.ended_ids) > MAX_ENDED_IDS:
                 del self.ended_ids[next(iter(self.ended_ids))]
 
     def summary(self, conn):
+        """What is logged about a connection at its end."""
         leg = conn.legs[-1] if conn.legs else None
         pairs = {"reason": conn.reason or "unknown", "s": (self.now - conn.accepted_at) / SECOND}
         if conn.request:
@@ -917,62 +991,65 @@
         if leg:
             pairs["host"] = leg.host.name
         if conn.up:
-            pairs["setup_ms"] = conn.setup / 1000
+            pairs["setup_ms"] = conn.setup_time / 1000
         return pairs
 
     def sweep(self):
-        """What waits too long, looked at four times a second."""
+        """Checks the time-outs of connections, four times a second."""
         self.call_later(SWEEP_INTERVAL, self.sweep)
-        late = self.own.recent_max(self.now)
+        late = self.lateness.recent_max(self.now)
         for conn in self.active_conns.active():
-            self.sweep_end(conn.client)
+            self.check_end(conn.client)
             if (
                 conn.request is None
                 and not conn.reason
-                and self.now - conn.heard_of - late
-                > (COMING if self.departure.stopping else FIRST_LINE_TIMEOUT)
+                and self.now - conn.registered_at - late
+                > (LATE_ARRIVAL_TIME if self.drain_controller.stopping else FIRST_LINE_TIMEOUT)
             ):
                 self.dismiss(conn, "ping" if conn.pings else "no-first-line")
             for leg in conn.legs:
                 if leg.end is not None:
-                    self.sweep_end(leg.end)
+                    self.check_end(leg.end)
         self.counters.hosts_down = self.balancer.membership.count_unavailable(self.now)
-        if self.departure.stopping:
-            self.transfer(self.busy)
-            self.departure.stop_when_done()
+        if self.drain_controller.stopping:
+            self.transfer(self.transfer_retries)
+            self.drain_controller.stop_when_done()
 
-    def sweep_end(self, end):
+    def check_end(self, end):
+        """Gives up a peer that has not read for too long, and repeats a shutdown that had no effect."""
         if end.freed:
             return
         if (
             end.writing_since
-            and self.now - end.writing_since - self.own.recent_max(self.now) > STUCK
+            and self.now - end.writing_since - self.lateness.recent_max(self.now) > WRITE_TIMEOUT
             and not end.closing_since
         ):
             self.effects.append(ev.Log("stuck", {"client": end.is_client}, "warning"))
             if end.is_client:
-                self.client_over(end.conn, "stuck")
+                self.client_ended(end.conn, "stuck")
             elif end.leg.up:
                 self.move(end.conn, "host-stuck")
             else:
-                self.host_over(end.leg, "stuck")
-        elif end.closing_since and self.now - end.closing_since > LINGER:
+                self.host_ended(end.leg, "stuck")
+        elif end.closing_since and self.now - end.closing_since > LINGER_TIMEOUT:
             end.closing_since = self.now
             self.effects.append(ev.Shutdown(end))
 
-    # The list
+    # The host list
 
     def host(self, name):
+        """The host of that name, which is added if it is not known."""
         if name not in self.hosts:
-            self.hosts[name] = Host(name, MessageDelays(self.slow_threshold), number=self.next_number())
+            self.hosts[name] = Host(name, MessageDelays(self.slow_threshold), order=self.next_order())
         return self.hosts[name]
 
     def list_received(self, e):
+        """Takes over an update of the host list and passes it to the balancer."""
         for name, address in e.addresses.items():
             self.host(name).address = address
         self.has_hosts = self.has_hosts or any(entry.state is io.HostState.UP for entry in e.update.entries)
         self.queue_event(e.update)
-        # Weights that move come each second; what is said of the list is who came, left or began anew.
+        # Dynamic weights arrive every second; only hosts that were added, removed or restarted are logged.
         new = [
             entry
             for entry in e.update.entries
@@ -984,10 +1061,10 @@
             gone |= self.hosts.keys() - e.addresses.keys()
         for name in gone:
             self.entries.pop(name, None)
-            server = self.hosts.get(name)  # None: gone before it was ever heard of
-            if server is not None:
-                server.address = None
-                if not server.legs:
+            host = self.hosts.get(name)  # None: reported gone without ever having been known
+            if host is not None:
+                host.address = None
+                if not host.legs:
                     del self.hosts[name]
         self.counters.hosts_listed = len(self.entries)
         if new or gone or e.update.kind is not io.ListUpdateKind.CHANGES:
@@ -1003,35 +1080,37 @@
             )
 
     def list_failed(self, e):
-        if self.config.server_list.polled:  # the others are not told, and keep the last list
+        """Reports a failed request to a balancer that polls the list."""
+        if self.config.server_list.polled:  # otherwise the last list stays in use
             self.queue_event(io.ListUpdate(io.ListUpdateKind.FAILED, took=e.took))
 
-    # Other settings, and the next process
+    # Reloads and the next process
 
-    def retuned(self, e):
-        """All at once.
+    def settings_reloaded(self, e):
+        """Applies other settings.
 
-        Clients that stand and calls that are open keep the type, and the
-        limit on legs, that they opened under.
+        Open calls and connections keep the traffic type and the limit on legs that they were opened with.
         """
         self.names, self.host_protocol = e.names, e.host_protocol
-        self.tune(e.config)
+        self.apply_config(e.config)
         for host in self.hosts.values():
             host.message_delays.slow_threshold = self.slow_threshold
         self.counters.reconfig_ok += 1
         self.queue_event(io.Reconfigured(e.config))
 
-    def not_retuned(self, e):
+    def reload_rejected(self, e):
+        """Counts a rejected reload."""
         self.counters.reconfig_failed += 1
 
-    def inherit(self, e):
+    def state_inherited(self, e):
+        """Takes over the state of the previous process."""
         self.ended_ids.update(dict.fromkeys(e.state.ids))
         self.queue_event(io.Inherited(e.state.records, e.state.sent))
         if e.state.draining:
-            self.departure.drain(ev.DrainRequested(True))
+            self.drain_controller.drain(ev.DrainRequested(True))
 
-    def hand_over(self, e):
-        """The room that is free is shared with the successor until one of the two is alone."""
+    def hand_over_requested(self, e):
+        """Hands the state to the successor, with half of the sockets that are still free."""
         free = max(0, self.max_sockets - self.open_sockets)
         self.max_sockets -= free // 2
         e.reply(
@@ -1039,117 +1118,143 @@
                 self.balancer,
                 self.now,
                 room=free // 2,
-                draining=bool(self.departure.draining),
+                draining=bool(self.drain_controller.draining),
                 ids=tuple(self.calls_by_id),
             )
         )
 
     def transfer(self, conns):
-        """These standing connections are for a successor, if there is one."""
-        self.to_pass.extend(conns)
-        self.busy.clear()
-        self.pass_next()
-
-    def pass_next(self):
-        """One after the other to the successor: between two lines, with nothing under way on either side."""
-        while self.to_pass and self.passing is None:
-            conn = self.to_pass.popleft()
+        """Queues established connections for transfer to the successor."""
+        self.transfer_queue.extend(conns)
+        self.transfer_retries.clear()
+        self.transfer_next()
+
+    def transfer_next(self):
+        """Offers the next idle connection to the successor, one at a time.
+
+        A connection is idle between two lines, with nothing pending on either side.
+        """
+        while self.transfer_queue and self.transferring is None:
+            conn = self.transfer_queue.popleft()
             leg, ends = conn.legs[-1], (conn.client, conn.legs[-1].end)
-            if conn.reason or conn.asked:
+            if conn.reason or conn.move_reason:
                 continue
-            if leg.farewell or any(end.writing_since or not end.read_pending for end in ends):
-                self.busy.append(conn)
+            if leg.announced_ending or any(end.writing_since or not end.read_pending for end in ends):
+                self.transfer_retries.append(conn)
                 continue
-            opening, self.passing = conn.request, conn
+            request, self.transferring = conn.request, conn
             self.effects.append(
                 ev.Transfer(
                     conn,
                     *ends,
                     handover.OpenConnection(
-                        opening.id,
+                        request.id,
                         conn.type.name,
                         leg.host.name,
                         conn.accepted_at,
-                        conn.setup,
-                        opening.key,
-                        opening.group,
-                        opening.tenant,
+                        conn.setup_time,
+                        request.key,
+                        request.group,
+                        request.tenant,
                         leg.signals.load,
-                        tuple(leg.signals.waiting),
+                        tuple(leg.signals.awaiting_echo),
                     ),
                 )
             )
 
-    def passed(self, e):
-        conn, self.passing = e.conn, None
+    def transfer_done(self, e):
+        """Releases a connection that the successor has accepted, and offers the next one."""
+        conn, self.transferring = e.conn, None
         if e.accepted:
             leg = conn.legs[-1]
             conn.answered, conn.reason, leg.ended = True, "handed-over", True
-            self.leave_host(leg)
+            self.detach_from_host(leg)
             self.queue_event(io.LegEnded(conn, leg.number, Ending.OK, True))
-            self.max_sockets -= 2  # its room goes with it
+            self.max_sockets -= 2  # its two sockets count for the successor now
             for end in (leg.end, conn.client):
                 end.read_pending, end.input_ended = False, True
                 self.free(end)
-        elif conn.asked:  # meanwhile
+        elif conn.move_reason:  # it was asked to move meanwhile
             self.move_now(conn)
         elif e.retry:
-            self.busy.append(conn)
-        self.pass_next()
+            self.transfer_retries.append(conn)
+        self.transfer_next()
 
-    def adopt(self, e):
-        """It goes on here as if it had been opened here, under the type of the same
-        name; it was counted where it was opened.
+    def transfer_offered(self, e):
+        """Takes over an established connection from the previous process.
+
+        It continues as if it had been opened here, with the traffic type of the same name. It is not counted
+        again.
         """
-        one = e.connection
-        number = self.names.types.get(one.type)
-        if number is None or one.id in self.calls_by_id or self.departure.stopping:
+        offered = e.connection
+        type_number = self.names.types.get(offered.type)
+        if type_number is None or offered.id in self.calls_by_id or self.drain_controller.stopping:
             for end in (e.client, e.host):
                 end.freed = True
                 self.effects.append(ev.Free(end))
             e.reply(False)
             return
-        opening = lines.OpenRequest(
-            b"", one.id, number, 0, one.key, one.group, one.tenant, one.load, held_by=one.host
+        request = lines.OpenRequest(
+            b"",
+            offered.id,
+            type_number,
+            0,
+            offered.key,
+            offered.group,
+            offered.tenant,
+            offered.load,
+            held_by=offered.host,
         )
         conn = Conn(
             e.client,
-            one.began,
-            opening,
-            self.config.types[number],
+            offered.began,
+            request,
+            self.config.types[type_number],
             up=True,
-            setup=one.setup,
+            setup_time=offered.setup,
             counted=True,
-            number=self.next_number(),
+            order=self.next_order(),
         )
         leg = Leg(
             conn,
             0,
-            self.host(one.host),
+            self.host(offered.host),
             0,
             end=e.host,
-            begun=True,
+            write_issued=True,
             written=True,
             up=True,
-            signals=ConnectionSignals(load=one.load),
+            signals=ConnectionSignals(load=offered.load),
         )
-        leg.signals.waiting.extend(one.waiting)
+        leg.signals.awaiting_echo.extend(offered.waiting)
         conn.legs.append(leg)
         e.client.conn = e.host.conn = conn
         e.host.leg, e.host.connected = leg, True
         self.conns[conn] = None
-        self.stand(leg)
-        if one.waiting:
-            self.wait_for_echo(leg)
-        self.ended_ids.pop(one.id, None)  # the predecessor told it with the others that were open
-        self.calls_by_id[one.id] = conn
+        self.leg_established(leg)
+        if offered.waiting:
+            self.expect_echo(leg)
+        # The id was among the open ones that the previous process handed over.
+        self.ended_ids.pop(offered.id, None)
+        self.calls_by_id[offered.id] = conn
         self.open_sockets += 2
         self.queue_event(
-            io.CallArrived(conn, number, 0, one.key, one.group, one.tenant, one.load, held_by=one.host)
+            io.CallArrived(
+                conn,
+                type_number,
+                0,
+                offered.key,
+                offered.group,
+                offered.tenant,
+                offered.load,
+                held_by=offered.host,
+            )
         )
-        if one.load:
-            self.tell_load(leg, one.load)
+        if offered.load:
+            self.report_load(leg, offered.load)
         for end in (e.client, e.host):
             self.read(end)
-        self.effects.append(ev.Log("adopted", {"call": one.id, "type": one.type, "host": one.host}))
+        self.effects.append(
+            ev.Log("adopted", {"call": offered.id, "type": offered.type, "host": offered.host})
+        )
         e.reply(True)
--- a/cottonspread/net/workers.py
+++ b/cottonspread/net/workers.py
@@ -1,11 +1,10 @@
-"""The threads that carry out the reducer's effects on sockets.
+"""The threads that execute the reducer's effects on sockets.
 
-They decide nothing and keep no state but sockets.
+They make no decisions and keep no state but sockets.
 
-Each end of a connection has one thread, which connects, reads and at last gives the socket back;
-one thread writes for all, and hands a write that would block to a thread of its own. Orders to one
-end are at most three at a time, so the queues of orders are bounded by the number of ends; the
-queue of events is bounded by itself.
+Each end of a connection has one thread, which connects, reads and finally closes the socket. One thread
+writes for all ends; a write that would block is moved to a thread of its own. An end has at most three orders
+queued at a time, so the order queues are bounded by the number of ends. The event queue has its own limit.
 """
 
 import errno
@@ -23,27 +22,30 @@
 
 log = logging.getLogger("cottonspread.workers")
 
-STACK = 128 * 1024  # of each end's thread
-WIDE = 1024 * 1024  # of the few others: JSON nested a thousand deep needs over 128 KiB, or the node dies
-HALF_LINE_WAIT = 5  # seconds; a read that waits looks as often whether half a line is too old
-RCVTIMEO = struct.pack("ll", HALF_LINE_WAIT, 0)
-# bytes and seconds: what a closed connection's reader takes in one go
-DRAINED_AT_ONCE, DRAIN_PAUSE = 64 * 1024, 0.05
-DRAINED_AT_MOST, CUT_WAIT = 1024 * 1024, 2000  # bytes in all, and then milliseconds until the reducer's cut
+STACK_SIZE = 128 * 1024  # of each end's thread
+# of the few others: parsing JSON nested a thousand levels deep needs over 128 KiB and would crash the process
+LARGE_STACK_SIZE = 1024 * 1024
+PARTIAL_LINE_TIMEOUT = 5  # seconds; a blocking read checks at this interval whether a partial line is too old
+RCVTIMEO = struct.pack("ll", PARTIAL_LINE_TIMEOUT, 0)
+# bytes and seconds: how much input of a connection being closed is discarded without a pause
+DISCARD_BURST, DISCARD_PAUSE = 64 * 1024, 0.05
+# bytes discarded in total, then milliseconds to wait until the reducer shuts the connection down
+MAX_DISCARDED, CUT_TIMEOUT_MS = 1024 * 1024, 2000
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)
 
 
 def prepare(sock):
+    """Sets the options of a connected socket."""
     sock.settimeout(None)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVTIMEO, RCVTIMEO)
     sock.setsockopt(socket.SOL_SOCKET, lines.SO_TIMESTAMPNS, 1)
 
 
-def gone(sock):
-    """Whether the other side has ended its sending or broken, whatever still lies here unread.
+def peer_closed(sock):
+    """Whether the other side has closed its sending side or reset, even if input is still unread.
 
-    Asked of the kernel, without waiting.
+    Asks the kernel and does not block.
     """
     look = select.poll()
     look.register(sock, select.POLLIN | select.POLLRDHUP)
@@ -52,49 +54,52 @@
         return True
     try:
         return bool(ready & select.POLLIN) and not sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
-    except BlockingIOError:  # its reader was first
+    except BlockingIOError:  # its reader thread took the input
         return False
 
 
-def start_thread(target, *args, stack=STACK):
-    """Raises RuntimeError if there is none to be had."""
+def start_thread(target, *args, stack=STACK_SIZE):
+    """Starts a daemon thread; raises RuntimeError if the system has none left."""
     threading.stack_size(stack)
     threading.Thread(target=target, args=args, name=target.__qualname__, daemon=True).start()
 
 
 class Worker:
-    """One end's thread."""
+    """The thread of one end of a connection."""
 
     def __init__(self, end, sock, pool, post, live, clock):
+        """`post(event)` passes events to the reducer; `live`: the set of workers that hold a socket."""
         self.end, self.sock, self.pool, self.post, self.live, self.clock = end, sock, pool, post, live, clock
         self.orders, self.gatherer = queue.SimpleQueue(), None
         end.worker = self
 
     def run(self):
+        """The thread: executes orders until the socket is released."""
         while True:
             order = self.orders.get()
             if isinstance(order, ev.Free):
-                self.free()
+                self.release()
                 return
             try:
-                said = (
+                result = (
                     self.read()
                     if isinstance(order, ev.Read)
-                    else self.drain()
+                    else self.discard_input()
                     if isinstance(order, ev.DiscardInput)
                     else self.connect(order)
                 )
-            except Exception:  # our own fault: in plain sight, and the connection ends
+            except Exception:  # a bug of ours: log it and end the connection
                 log.exception("fault", extra={"pairs": {"while": type(order).__name__}})
-                said = (
+                result = (
                     ev.ConnectDone(self.end, False)
                     if isinstance(order, ev.Connect)
                     else ev.ReadEnded(self.end, "fault")
                 )
-            if said is not None:
-                self.post(said)
+            if result is not None:
+                self.post(result)
 
     def connect(self, order):
+        """Connects to a host; returns the event for the reducer."""
         sock = self.sock
         try:
             sock.settimeout(max(0.001, order.timeout / 1e6))
@@ -105,8 +110,9 @@
             return ev.ConnectDone(self.end, False, errno.errorcode.get(fault.errno, type(fault).__name__))
 
     def read(self):
+        """Reads whole lines, blocking; returns the event for the reducer, None if the socket was released."""
         if self.gatherer is None:
-            self.gatherer = lines.LineReader(self.sock, self.pool, HALF_LINE_WAIT)
+            self.gatherer = lines.LineReader(self.sock, self.pool, PARTIAL_LINE_TIMEOUT)
         try:
             data = self.gatherer.read_lines()
             return (
@@ -121,47 +127,49 @@
         except OSError:
             return ev.ReadEnded(self.end, "reset")
 
-    def drain(self):
-        """To the other side's end, at a bounded pace: who sends on at full speed keeps no reader busy.
+    def discard_input(self):
+        """Discards input until the other side closes, at a limited rate so that a flooding peer costs little
+        time.
 
-        Bytes left unread would make the close a reset, which takes the last line with it; who sends more
-        than DRAINED_AT_MOST is no client that hears it, and to such a one the reset tells that nobody
-        listens. The reducer cuts it off in the end.
+        Closing with unread input would send a reset, and the peer could lose the last line. A peer that sends
+        more than MAX_DISCARDED does not read our lines anyway, and the reset tells it to stop. The reducer
+        shuts it down in the end.
         """
         if self.gatherer is not None:
             self.gatherer.drop()
         try:
-            at_once, rest = 0, DRAINED_AT_MOST
-            while rest > 0 and (got := self.read_away()):
+            at_once, rest = 0, MAX_DISCARDED
+            while rest > 0 and (got := self.discard_some()):
                 at_once, rest = at_once + got, rest - got
-                if at_once >= DRAINED_AT_ONCE:
+                if at_once >= DISCARD_BURST:
                     at_once = 0
-                    time.sleep(DRAIN_PAUSE)
+                    time.sleep(DISCARD_PAUSE)
             if rest <= 0:
-                look = select.poll()  # until it is cut off from here, or breaks
+                look = select.poll()  # wait until the reducer shuts it down, or it fails
                 look.register(self.sock, select.POLLRDHUP)
-                look.poll(CUT_WAIT)
+                look.poll(CUT_TIMEOUT_MS)
         except OSError:
             pass
         return ev.ReadEnded(self.end, "end")
 
-    def empty(self):
-        """From another thread, as the process ends: what lies here unread is dropped."""
+    def discard_unread(self):
+        """Discards input that has already arrived. Called from another thread as the process ends."""
         try:
             while self.sock.recv(8192, socket.MSG_DONTWAIT):
                 pass
-        except OSError:  # all is read, or it has ended
+        except OSError:  # nothing left, or the connection has failed
             pass
 
-    def read_away(self):
-        """Some bytes, dropped; 0 at the end of the connection."""
+    def discard_some(self):
+        """Reads and discards once; returns the number of bytes, 0 at the end of the stream."""
         while True:
             try:
                 return len(self.sock.recv(8192))
-            except BlockingIOError:  # the socket's own time-out has passed
+            except BlockingIOError:  # the receive timeout of the socket
                 pass
 
-    def free(self):
+    def release(self):
+        """Closes the socket and detaches the thread from its connection end."""
         if self.gatherer is not None:
             self.gatherer.drop()
         if self.sock is not None:
@@ -171,17 +179,20 @@
 
 
 class Workers:
-    def __init__(self, pool, post, clock, written=lambda: None):
-        """`written` is called once, when all has been handed to the kernel after the order None."""
-        self.pool, self.post, self.clock, self.written = pool, post, clock, written
-        self.writes = queue.SimpleQueue()
-        self.live = set()  # who holds a socket, with what the reducer has not yet heard of
+    """All worker threads of a node, and the thread that writes for them."""
+
+    def __init__(self, pool, post, clock, on_all_written=lambda: None):
+        """`on_all_written` is called once, after the order None, when all data is with the kernel."""
+        self.pool, self.post, self.clock, self.on_all_written = pool, post, clock, on_all_written
+        self.write_queue = queue.SimpleQueue()
+        self.live = set()  # workers that hold a socket, including those that the reducer does not know yet
 
     def start(self):
-        start_thread(self.write_all, stack=WIDE)
+        """Starts the writer thread."""
+        start_thread(self.run_writer, stack=LARGE_STACK_SIZE)
 
-    def begin(self, end, sock):
-        """A thread for this end; False if there is none to be had."""
+    def start_worker(self, end, sock):
+        """Starts the thread of this end; returns False if the system has none left."""
         worker = Worker(end, sock, self.pool, self.post, self.live, self.clock)
         self.live.add(worker)
         try:
@@ -192,10 +203,10 @@
             return False
         return True
 
-    def ask(self, order):
-        """One probe, in a thread of its own: a host that says nothing holds up nobody.
+    def probe(self, order):
+        """Sends one probe to a host, in its own thread so that a silent host blocks nothing else.
 
-        Our own want of a descriptor is no word on the host.
+        A lack of local resources, such as descriptors, is not reported as a failure of the host.
         """
         began, data = time.monotonic(), b""
         try:
@@ -221,97 +232,104 @@
             ending, report = Ending.FULL if ours else Ending.CONNECT_FAILED, {}
         self.post(ev.ProbeDone(order.host, ending, report, round((time.monotonic() - began) * 1e6)))
 
-    def carry_out(self, effect):
+    def execute(self, effect):
+        """Passes an effect of the reducer to the thread that executes it."""
         if isinstance(effect, ev.Probe):
             try:
-                start_thread(self.ask, effect)
-            except RuntimeError:  # no thread is to be had; as below, by way of the writer
-                self.writes.put(ev.ProbeDone(effect.host, Ending.FULL, {}))
+                start_thread(self.probe, effect)
+            except RuntimeError:  # no thread available; posted by the writer thread, see below
+                self.write_queue.put(ev.ProbeDone(effect.host, Ending.FULL, {}))
             return
         if isinstance(effect, ev.Connect):
             try:
                 sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
             except OSError as fault:
-                # By way of the writer: the reducer's own thread may not wait for room in its queue.
-                self.writes.put(ev.ConnectDone(effect.end, False, errno.errorcode.get(fault.errno, "socket")))
+                # Posted by the writer thread: the reducer's thread must not block on its own event queue.
+                self.write_queue.put(
+                    ev.ConnectDone(effect.end, False, errno.errorcode.get(fault.errno, "socket"))
+                )
                 return
-            if not self.begin(effect.end, sock):
+            if not self.start_worker(effect.end, sock):
                 sock.close()
-                self.writes.put(ev.ConnectDone(effect.end, False, "no-thread"))
+                self.write_queue.put(ev.ConnectDone(effect.end, False, "no-thread"))
                 return
             effect.end.worker.orders.put(effect)
         elif isinstance(effect, (ev.Read, ev.DiscardInput)):
             if effect.end.worker is not None:
                 effect.end.worker.orders.put(effect)
         else:
-            self.writes.put(effect)
+            self.write_queue.put(effect)
 
-    def write_all(self):
+    def run_writer(self):
+        """The writer thread."""
         while True:
-            effect = self.writes.get()
-            if effect is None:  # the node is done
-                self.written()
+            effect = self.write_queue.get()
+            if effect is None:  # the node has ended
+                self.on_all_written()
                 return
             if isinstance(effect, (ev.ConnectDone, ev.ProbeDone)):
                 self.post(effect)
                 continue
             if isinstance(effect, ev.DiscardUnread):
                 for worker in list(self.live):
-                    worker.empty()
+                    worker.discard_unread()
                 continue
             worker = effect.end.worker
-            if worker is None:  # freed already
+            if worker is None:  # already released
                 continue
             try:
-                self.write_one(worker, effect)
-            except (OSError, RuntimeError):  # the other side was first, or no thread is to be had
+                self.execute_write(worker, effect)
+            except (OSError, RuntimeError):  # the other side has closed, or no thread is available
                 if isinstance(effect, ev.Write):
                     self.post(ev.WriteDone(effect.end, False))
 
-    def write_one(self, worker, effect):
-        """One order that belongs to an end: what is to be sent, or how its sending ends."""
+    def execute_write(self, worker, effect):
+        """Executes one write-side order of an end: data to send, or how to end the connection."""
         if isinstance(effect, ev.Write):
-            why = self.must_not_begin(effect) if effect.first_line else ""
+            why = self.reason_not_to_start(effect) if effect.first_line else ""
             if why:
                 self.post(ev.WriteDone(effect.end, False, skip_reason=why))
             else:
                 self.write(worker.sock, effect)
         elif isinstance(effect, ev.Free):  # behind the others: no order may meet a number used again
             if worker.gatherer is not None and worker.gatherer.released:
-                worker.sock.close()  # its thread looks up only when something comes to the new owner
+                worker.sock.close()  # its thread is blocked in a read until input for the new owner arrives
             worker.orders.put(effect)
         elif isinstance(effect, ev.ShutdownWrite):
             worker.sock.shutdown(socket.SHUT_WR)
         elif effect.reset:
             worker.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
-            worker.sock.shutdown(socket.SHUT_RD)  # wakes its reader; the reset goes out at the close
+            worker.sock.shutdown(socket.SHUT_RD)  # wakes its reader; the reset is sent by the close
         else:
             worker.sock.shutdown(socket.SHUT_RDWR)
 
-    def must_not_begin(self, effect):
-        """What the reducer could not know yet when it ordered an attempt's first line: its
-        client has left, which lies in the queue behind much else on a busy node, or its time has
-        passed meanwhile. The reason, or "".
+    def reason_not_to_start(self, effect):
+        """Why the first line of an attempt must not be sent after all, or "".
+
+        Checks what the reducer could not know when it gave the order: that the client has left, which on a
+        busy node is still queued behind many other events, or that the deadline has passed.
         """
         client = effect.end.conn.client.worker
         try:
-            if client is None or gone(client.sock):
+            if client is None or peer_closed(client.sock):
                 return "client-gone"
-        except OSError:  # given back just now
+        except OSError:  # just closed
             return "client-gone"
         return "too-late" if effect.send_by and self.clock() >= effect.send_by else ""
 
     def write(self, sock, effect):
+        """Sends data without blocking; what the socket does not accept is left to a new thread."""
         try:
             sent = sock.send(effect.data, socket.MSG_DONTWAIT)
         except BlockingIOError:
             sent = 0
         if sent == len(effect.data):
             self.post(ev.WriteDone(effect.end, True, self.clock()))
-        else:  # no slow peer holds up the others
-            start_thread(self.write_slowly, sock, effect, sent)
+        else:  # a slow peer must not block the others
+            start_thread(self.write_blocking, sock, effect, sent)
 
-    def write_slowly(self, sock, effect, sent):
+    def write_blocking(self, sock, effect, sent):
+        """Sends the rest of the data, blocking, in a thread of its own; `sent`: bytes sent already."""
         try:
             sock.sendall(memoryview(effect.data)[sent:])
             ok = True
