--- a/tests/scale/test_overview.py
+++ b/tests/scale/test_overview.py
@@ -25,7 +25,7 @@
 
 
 def full_scan(node):
-    """Exceptional servers, share of slow ones and weight errors of legs, by a scan of all servers and legs."""
+    """Exceptional servers, share of slow servers and weight errors of legs, by a scan of all servers."""
     now, health, order = node.now, node.health, node.rotation.order
     cold = {h for h in node.overview.exceptional if h.up and node.slow_start.capacity_share(h, now) < 1}
     near = [h for h in order if health.is_slow(h, now, health.NEAR_SLOW_SHARE)]
