--- a/cottonspread/lab/scale/capacity.py
+++ b/cottonspread/lab/scale/capacity.py
@@ -189,8 +189,8 @@
     duplicates = {name for name in variables if variables.count(name) > 1}
     if duplicates:
         raise RowError(f"{path.name}: duplicate names: {sorted(duplicates)}")
-    for name, one in definitions.assumed.items():
-        if not one.low <= one.value <= one.high:
+    for name, variable in definitions.assumed.items():
+        if not variable.low <= variable.value <= variable.high:
             raise RowError(f"{path.name}: assumed.{name}: value outside its range")
     for line in definitions.line:
         if len(line.cells) != len(definitions.tables.get(line.table, [])):
@@ -257,11 +257,13 @@
         if not isinstance(result, Sweep):
             raise RowError(f"{cost.result}: not a sweep")
         measure = result.measure(cost.measure)
-        found = fit(measure.points)
+        fitted = fit(measure.points)
         size = formula.evaluate(cost.size, self.value)
-        if cost.slope and found.term not in ("linear", "constant"):
-            raise RowError(f"{cost.result}: {cost.measure}: grows by {found.term}, so it has no single slope")
-        return FittedCost(cost, found, measure.unit, size, found.slope if cost.slope else found.at(size))
+        if cost.slope and fitted.term not in ("linear", "constant"):
+            raise RowError(
+                f"{cost.result}: {cost.measure}: grows by {fitted.term}, so it has no single slope"
+            )
+        return FittedCost(cost, fitted, measure.unit, size, fitted.slope if cost.slope else fitted.at(size))
 
     def figure(self, figure: Figure) -> float:
         """A single value from a result or an older file."""
@@ -394,10 +396,10 @@
     def costs(self) -> list[FittedCost]:
         """Every cost that a row or line uses, once each."""
         found = {}
-        for one in [*self.definitions.row, *self.definitions.line]:
-            if one.not_run:
+        for entry in [*self.definitions.row, *self.definitions.line]:
+            if entry.not_run:
                 continue
-            for cost in one.costs:
+            for cost in entry.costs:
                 key = cost.result, cost.measure, cost.size, cost.slope
                 found.setdefault(key, self.evaluator().fitted_cost(cost))
         return [found[key] for key in sorted(found)]
@@ -405,8 +407,8 @@
     def figures(self) -> list[tuple[Figure, float]]:
         """Every figure of an older file that a row or line uses, once each."""
         found = {}
-        for one in [*self.definitions.row, *self.definitions.line]:
-            for figure in one.figures if not one.not_run else ():
+        for entry in [*self.definitions.row, *self.definitions.line]:
+            for figure in entry.figures if not entry.not_run else ():
                 if figure.file:
                     found.setdefault((figure.file, figure.at), (figure, self.evaluator().figure(figure)))
         return [found[key] for key in sorted(found)]
--- a/cottonspread/lab/scale/tables.py
+++ b/cottonspread/lab/scale/tables.py
@@ -114,27 +114,27 @@
         return table(ROLE_COLUMNS, map(self._row, rows))
 
     def _given_variable(self, name: str) -> tuple[str, ...]:
-        one = self.capacity.definitions.told[name]
-        return f"`{name}`", format_exact(one.value), one.unit, one.why
+        variable = self.capacity.definitions.told[name]
+        return f"`{name}`", format_exact(variable.value), variable.unit, variable.why
 
     def _assumed_variable(self, name: str) -> tuple[str, ...]:
-        one = self.capacity.definitions.assumed[name]
+        variable = self.capacity.definitions.assumed[name]
         return (
             f"`{name}`",
-            format_exact(one.value),
-            f"{format_exact(one.low)} to {format_exact(one.high)}",
-            one.unit,
-            one.why,
+            format_exact(variable.value),
+            f"{format_exact(variable.low)} to {format_exact(variable.high)}",
+            variable.unit,
+            variable.why,
         )
 
     def _derived_variable(self, name: str) -> tuple[str, ...]:
-        one = self.capacity.definitions.derived[name]
+        variable = self.capacity.definitions.derived[name]
         return (
             f"`{name}`",
-            f"`{one.formula}`",
+            f"`{variable.formula}`",
             format_number(self.capacity.evaluator().value(name)),
-            one.unit,
-            one.why,
+            variable.unit,
+            variable.why,
         )
 
     def _row(self, evaluated: EvaluatedRow) -> tuple[str, ...]:
@@ -179,7 +179,8 @@
 
     def _older_files(self) -> str:
         lines = [
-            (f"`{one.file}`", f"`{one.at}`", format_number(value)) for one, value in self.capacity.figures()
+            (f"`{figure.file}`", f"`{figure.at}`", format_number(value))
+            for figure, value in self.capacity.figures()
         ]
         return table(("file", "key", "value"), lines)
 
@@ -206,7 +207,8 @@
 def _sources(costs: list, figures: list) -> str:
     runs = [f"`{cost.result}` {cost.measure}" for cost in costs]
     runs += [
-        f"`{one.result}` {one.event or one.figure}" if one.result else f"`{one.file}`" for one in figures
+        f"`{figure.result}` {figure.event or figure.figure}" if figure.result else f"`{figure.file}`"
+        for figure in figures
     ]
     return "; ".join(dict.fromkeys(runs)) or "arithmetic"
 
@@ -240,9 +242,11 @@
 def unverified_numbers(text: str, capacity: Capacity) -> list[str]:
     """Numbers in the prose that are not a variable's value and so cannot be verified."""
     definitions = capacity.definitions
-    allowed = {format_exact(one.value) for one in definitions.told.values()}
+    allowed = {format_exact(variable.value) for variable in definitions.told.values()}
     allowed |= {
-        format_exact(end) for one in definitions.assumed.values() for end in (one.value, one.low, one.high)
+        format_exact(end)
+        for variable in definitions.assumed.values()
+        for end in (variable.value, variable.low, variable.high)
     }
     allowed |= {format_number(capacity.evaluator().value(name)) for name in definitions.derived}
     prose = CODE_PATTERN.sub("", TABLE_PATTERN.sub("", text))
--- a/tests/configstore/test_configuration_plays.py
+++ b/tests/configstore/test_configuration_plays.py
@@ -37,37 +37,37 @@
 @pytest.mark.parametrize(
     "number", range(len(SCENARIOS)), ids=[scenario.__doc__.splitlines()[0] for scenario in SCENARIOS]
 )
-def test_each_play_holds_its_promises(number):
+def test_each_scenario_holds_its_invariants(number):
     row = SCENARIOS[number](ScenarioRun("ci", SMALL, small=True))
     assert row.rules_broken == 0, row.notes
     assert row.seconds_until_whole is not None
 
 
-def test_the_same_seed_gives_the_same_play_and_another_another():
+def test_the_same_seed_gives_the_same_run_and_another_seed_another():
     first, again, other = (calm(ScenarioRun(seed, SMALL, small=True)) for seed in (1, 1, 2))
     assert first == again and first.notes != other.notes
     assert "sum " in first.notes
 
 
 @pytest.mark.parametrize("first", range(0, SEEDS, CHUNK))
-def test_drawn_faults(first):
+def test_random_faults(first):
     for seed in range(first, first + CHUNK):
         assert RandomScenario(seed).run() == [], seed
 
 
 @pytest.mark.parametrize("first", range(0, 60, 20))
-def test_drawn_publishers_at_the_same_time_before_replicas_that_restart(first):
+def test_random_publishers_at_the_same_time_with_replicas_that_restart(first):
     for seed in range(first, first + 20):
         assert RandomPublisherScenario(seed).run() == [], seed
 
 
-def test_a_drawn_play_is_repeatable():
-    sums = set()
+def test_a_random_scenario_is_repeatable():
+    digests = set()
     for _ in range(2):
         scenario = RandomScenario(3)
         scenario.run()
-        sums.add(scenario.fleet.world.trace_digest())
-    assert len(sums) == 1
+        digests.add(scenario.fleet.world.trace_digest())
+    assert len(digests) == 1
 
 
 # Counted work
@@ -143,14 +143,14 @@
         return " ".join(self.invariants.violations)
 
 
-def test_the_judge_finds_a_commit_without_a_majority():
+def test_a_commit_without_a_majority_is_a_violation():
     harness = InvariantHarness()
     harness.accept(record(1, 1), "r1")
     harness.commit(record(1, 1), "r1")
     assert "without a majority" in harness.violations()
 
 
-def test_the_judge_finds_two_digests_and_two_records_of_a_generation():
+def test_two_digests_of_a_version_and_two_records_of_a_generation_are_violations():
     harness = InvariantHarness()
     harness.accept(record(1, 1), "r1", "r2")
     harness.commit(record(1, 1), "r1")
@@ -159,7 +159,7 @@
     assert "two digests" in harness.violations() and "two records" in harness.violations()
 
 
-def test_the_judge_finds_a_committed_version_that_goes_back():
+def test_a_committed_version_that_goes_back_is_a_violation():
     harness = InvariantHarness()
     for one in (record(1, 2), record(2, 1)):
         harness.accept(one, "r1", "r2")
@@ -167,7 +167,7 @@
     assert "committed version went back" in harness.violations()
 
 
-def test_the_judge_finds_what_a_node_must_not_put_into_force():
+def test_records_that_a_node_must_not_apply_are_violations():
     harness = InvariantHarness()
     new, canary, refused = record(2, 2), record(3, 3, CANARY, below=0), record(4, 4, body="refused by all")
     for one in (record(1, 1), new, canary, refused):
@@ -190,7 +190,7 @@
     assert "went back" in harness.violations()
 
 
-def test_the_judge_finds_a_faulty_version_beyond_the_canaries():
+def test_a_faulty_version_beyond_the_canaries_is_a_violation():
     harness = InvariantHarness()
     harness.invariants.on_checked("n1", record(1, 1, CANARY, body="refused by all"))
     assert harness.violations() == ""
@@ -198,7 +198,7 @@
     assert "beyond the canaries" in harness.violations()
 
 
-def test_the_judge_finds_who_does_not_say_that_it_is_cut_off_and_who_says_so_wrongly():
+def test_a_missing_and_a_wrong_cut_off_report_are_violations():
     harness = InvariantHarness()
     harness.invariants.on_reachability("n1", False, 0, True)
     harness.invariants.on_reachability("n2", True, 0, True)
@@ -214,7 +214,7 @@
     assert "says it is cut off and is not" in harness.violations()
 
 
-def test_a_play_finds_nodes_that_lag_and_changes_that_come_late():
+def test_nodes_that_lag_and_changes_that_are_late_are_violations():
     slow = ScenarioRun("ci", FleetParameters(nodes=8, body_bytes=50, apply=4_000_000), small=True)
     row = calm(slow)
     assert row.rules_broken and "in force within 3 s" in row.notes
