--- a/tests/scale/test_plots.py
+++ b/tests/scale/test_plots.py
@@ -63,7 +63,7 @@
 
 def test_a_target_past_the_measured_sizes_is_drawn_from_the_formula(drawn):
     axis = drawn(Target("node: one change", 3000.0, None))
-    assert labels(axis) == ["measured", "fit", "formula", "target, not played"]
+    assert labels(axis) == ["measured", "fit", "formula", "target, not measured"]
     assert axis.lines[3].get_xdata() == [3000] and axis.lines[3].get_ydata() == pytest.approx([30_100])
     assert labels(drawn(Target("node: one change", 400.0, None))) == ["measured", "fit"]
 
