--- a/cottonspread/lab/scale/plots.py
+++ b/cottonspread/lab/scale/plots.py
@@ -145,7 +145,9 @@
             color="#1f4e79",
             label="formula",
         )
-        axis.plot([target], [fitted.at(target)], "D", mfc="white", mec="#1f4e79", label="target, not measured")
+        axis.plot(
+            [target], [fitted.at(target)], "D", mfc="white", mec="#1f4e79", label="target, not measured"
+        )
 
 
 def _draw_budgets(axis: plt.Axes, targets: list[Target], largest: float) -> None:
--- a/tests/configstore/test_configuration_plays.py
+++ b/tests/configstore/test_configuration_plays.py
@@ -1,4 +1,4 @@
-"""The configuration store in simulated time at small sizes: scenarios, random faults, counted work and checks."""
+"""The configuration store in simulated time, small: scenarios, random faults, counted work and checks."""
 
 from types import SimpleNamespace
 
