--- a/cottonspread/lab/scale/configuration.py
+++ b/cottonspread/lab/scale/configuration.py
@@ -50,7 +50,7 @@
 
 
 def run_random_scenarios(event: str, scenario_class, first: int, count: int) -> results.FaultRow:
-    """Runs a random scenario of class `kind` from `count` seeds, from `first` on; one row for all."""
+    """Runs random scenarios of the class from `count` seeds, from `first` on; one row for all."""
     scenarios = [scenario_class(seed) for seed in range(first, first + count)]
     failed = [str(first + number) for number, scenario in enumerate(scenarios) if scenario.run()]
     convergence_times = [scenario.convergence_s for scenario in scenarios]
