--- a/cottonspread/lab/sim/node.py
+++ b/cottonspread/lab/sim/node.py
@@ -522,7 +522,7 @@
             self.world.at(self.frozen, worker.look)
 
     def retune(self, values):
-        """SIGHUP with this file. What cannot change while it runs stays, as in `Node.retune`."""
+        """SIGHUP with this file. What cannot change while it runs stays, as in `Node.reload`."""
         try:
             parts = config.read_node(json.dumps(values), {})
             config.check_no_key_missing(self.values, values)
