--- a/benchmarks/crossings/mutants.py
+++ b/benchmarks/crossings/mutants.py
@@ -23,7 +23,7 @@
 SCENARIO = "tests/test_reducer.py::test_scenario"
 PIECES, DRAWN = (
     "tests/crossings/test_pieces.py",
-    "tests/test_reducer.py::test_whatever_comes_is_answered_once_and_given_back",
+    "tests/test_reducer.py::test_random_events_give_one_answer_per_call_and_free_all_sockets",
 )
 POLICY = "policy"  # stands for whichever file of the package holds the line
 
@@ -34,16 +34,16 @@
         "net/workers.py",
         'why = self.reason_not_to_start(effect) if effect.first_line else ""',
         'why = ""',
-        [f"{ATTEMPTS}::test_nothing_is_sent_for_a_client_that_left_while_its_connection_came_up"],
+        [f"{ATTEMPTS}::test_nothing_is_sent_if_the_client_left_while_the_host_connection_was_opening"],
     ),
     (
         "the look at the host before the first byte",
         "net/reducer.py",
-        "if (\n            entry is None\n            or entry.state is not io.HostState.UP\n"
-        "            or server is None\n            or server.address != leg.address\n        ):",
+        "if entry is None or entry.state is not io.HostState.UP or host is None "
+        "or host.address != leg.address:",
         "if False:",
         [
-            f"{ATTEMPTS}::test_nothing_is_sent_to_a_host_that_was_told_to_drain_while_the_connection_came_up",
+            f"{ATTEMPTS}::test_nothing_is_sent_to_a_host_that_began_to_drain_while_its_connection_was_opening",
             f"{SCENARIO}[drain]",
             f"{SCENARIO}[late_connect]",
         ],
@@ -51,8 +51,8 @@
     (
         "the address in that look",
         "net/reducer.py",
-        "            or server is None\n            or server.address != leg.address\n",
-        "            or server is None\n",
+        "host is None or host.address != leg.address:",
+        "host is None:",
         [f"{SCENARIO}[late_connect]"],
     ),
     (
@@ -61,17 +61,17 @@
         "result = yield io.Send(call.id, host.name, until, deduplicated_until(call))",
         "result = yield io.Send(call.id, host.name, until)",
         [
-            f"{ATTEMPTS}::test_a_marked_call_is_not_sent_again_once_its_repeats_are_forgotten",
+            f"{ATTEMPTS}::test_a_keyed_call_is_not_retried_after_the_deduplication_time",
             f"{SCENARIO}[late_connect]",
         ],
     ),
     (
         "an attempt not begun never ran",
         "net/reducer.py",
-        "if not leg.begun and leg.conn.request.held_by is None:",
+        "if not leg.write_issued and leg.conn.request.held_by is None:",
         "if False:",
         [
-            f"{SCENARIO}[never_begun]",
+            f"{SCENARIO}[never_sent]",
             f"{SHUTDOWN}::test_a_call_whose_connection_is_not_established_is_refused_at_the_end_as_never_sent",
         ],
     ),
@@ -87,18 +87,14 @@
         "net/lines.py",
         "return Ending.ERROR if rest else ENDINGS",
         "return ENDINGS",
-        [
-            f"{ATTEMPTS}::test_a_call_that_must_not_run_twice_goes_again_only_where_it_is_known_not_to_have_run"
-        ],
+        [f"{ATTEMPTS}::test_a_call_that_must_not_run_twice_is_retried_only_if_it_cannot_have_run"],
     ),
     (
         "the receipt",
         "net/lines.py",
         "return None if len(words) > 1 else Ending.ERROR",
         "return None if words else Ending.ERROR",
-        [
-            f"{ATTEMPTS}::test_a_call_that_must_not_run_twice_goes_again_only_where_it_is_known_not_to_have_run"
-        ],
+        [f"{ATTEMPTS}::test_a_call_that_must_not_run_twice_is_retried_only_if_it_cannot_have_run"],
     ),
     (
         "a client's half-close",
@@ -134,8 +130,8 @@
     (
         "an answer to a line too long",
         "net/reducer.py",
-        '        if how.endswith("-line"):\n            self.leave(',
-        "        if False:\n            self.leave(",
+        '        if cause.endswith("-line"):\n            self.abandon(',
+        "        if False:\n            self.abandon(",
         [f"{CLOSING}::test_an_invalid_first_line_is_answered_and_input_is_read_to_the_end"],
     ),
     (
@@ -155,8 +151,8 @@
     (
         "a reset told as one",
         "net/reducer.py",
-        '        if how == "reset":\n            self.cut(conn.client, broken=True)',
-        '        if how == "reset":\n            self.close(conn.client)',
+        '        if cause == "reset":\n            self.shut_down(conn.client, reset=True)',
+        '        if cause == "reset":\n            self.close(conn.client)',
         [f"{CLOSING}::test_a_reset_reaches_the_other_side_as_a_reset"],
     ),
     (
@@ -266,7 +262,7 @@
         "most = max(SECOND, min(self.settings.poll_interval, self.MAX_POLL_GAP - took))",
         "most = max(SECOND, self.settings.poll_interval)",
         [
-            "tests/test_many_nodes.py::test_nodes_turned_away_by_an_overbooked_list_ask_as_seldom_as_the_terms_let_them"
+            "tests/test_many_nodes.py::test_nodes_refused_by_an_overloaded_list_poll_as_seldom_as_the_deadline_allows"
         ],
     ),
     (
@@ -275,7 +271,7 @@
         "    DEFAULT_NODES = 256 ",
         "    DEFAULT_NODES = 1 ",
         [
-            "tests/test_many_nodes.py::test_what_all_processes_send_a_cold_server_stays_within_its_budget_and_chance"
+            "tests/test_many_nodes.py::test_what_all_processes_send_a_cold_server_stays_within_its_budget_and_a_margin"
         ],
     ),
     (
@@ -283,7 +279,7 @@
         "net/reducer.py",
         "while len(self.awaiting_first_line) >= max(2, self.max_sockets // PENDING_CLIENTS_DIVISOR):",
         "while False:",
-        [f"{SCENARIO}[crowd]"],
+        [f"{SCENARIO}[idle_clients]"],
     ),
     (
         "the bound on clients that wait for their first line",
@@ -346,22 +342,22 @@
         "a first line whose last byte is not out",
         "net/reducer.py",
         "        elif not end.leg.written:\n            self.end_leg(end.leg, Ending.CONNECT_FAILED)",
-        '        elif not end.leg.written:\n            self.host_over(end.leg, "reset")',
-        [f"{ATTEMPTS}::test_a_host_killed_right_behind_its_accept_was_never_asked"],
+        '        elif not end.leg.written:\n            self.host_ended(end.leg, "reset")',
+        [f"{ATTEMPTS}::test_a_host_killed_right_after_accepting_has_not_run_the_call"],
     ),
     (
         "a first line that is out",
         "net/reducer.py",
-        '            self.end_leg(leg, Ending.ERROR if how.endswith("-line") else Ending.RESET)',
+        '            self.end_leg(leg, Ending.ERROR if cause.endswith("-line") else Ending.RESET)',
         "            self.end_leg(leg, Ending.CONNECT_FAILED)",
-        [f"{ATTEMPTS}::test_a_host_killed_over_a_line_that_it_has_not_read_may_have_run_it"],
+        [f"{ATTEMPTS}::test_a_host_killed_with_the_first_line_unread_may_have_run_the_call"],
     ),
     (
         "a descriptor given back",
         "net/workers.py",
         "        self.end.worker = None\n        self.live.discard(self)\n",
         "        self.end.worker = None\n",
-        [f"{ATTEMPTS}::test_a_client_killed_right_behind_its_accept_leaves_nothing_behind"],
+        [f"{ATTEMPTS}::test_a_client_killed_right_after_connecting_leaves_nothing_open"],
     ),
     (
         "an answer for a call whose host says nothing",
@@ -382,14 +378,14 @@
         "net/reducer.py",
         "        self.names, self.host_protocol = e.names, e.host_protocol\n",
         "        self.host_protocol = e.host_protocol\n",
-        [f"{PIECES}::test_a_first_line_whose_end_comes_after_a_reload_is_read_under_the_new_settings"],
+        [f"{PIECES}::test_a_first_line_completed_after_a_reload_uses_the_new_settings"],
     ),
     (
         "whole lines alone",
         "net/lines.py",
         '            end = self.buffer.rfind(b"\\n", 0, self.filled) + 1',
         "            end = self.filled",
-        [f"{PIECES}::test_half_a_line_is_not_passed_on_before_a_move"],
+        [f"{PIECES}::test_part_of_a_line_is_not_forwarded_before_a_move"],
     ),
     (
         "one process",
@@ -403,7 +399,7 @@
         "net/workers.py",
         "    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)\n",
         "",
-        [f"{PIECES}::test_no_small_write_is_held_back"],
+        [f"{PIECES}::test_small_writes_are_sent_at_once"],
     ),
 ]
 
--- a/tests/crossings/test_attempts.py
+++ b/tests/crossings/test_attempts.py
@@ -1,5 +1,5 @@
-"""Attempts against whatever may come between the decision and the first byte: the client
-leaves, the host drains, time passes.
+"""Attempts and what may happen between the decision and the first byte: the client leaves, the host drains,
+time passes.
 """
 
 import threading
@@ -13,21 +13,21 @@
 
 
 @pytest.mark.parametrize("how", ("close", "reset", "half"))
-def test_nothing_is_sent_for_a_client_that_left_while_its_connection_came_up(
+def test_nothing_is_sent_if_the_client_left_while_the_host_connection_was_opening(
     hosts, list_server, how, monkeypatch
 ):
-    """Its end lay in the queue behind much else: here the reducer never hears of it in time."""
-    gate, kept = delay_connects(monkeypatch), threading.Event()
+    """The client's end is far back in the event queue: here the reducer does not get it in time."""
+    gate, release = delay_connects(monkeypatch), threading.Event()
 
     def before(node):
         post = node.workers.post
 
-        def late(event):
+        def post_late(event):
             if isinstance(event, ev.ReadEnded) and event.end.is_client:
-                kept.wait(10)
+                release.wait(10)
             post(event)
 
-        node.workers.post = late
+        node.workers.post = post_late
 
     with running(list_server, before) as node:
         wait_for_list(node)
@@ -36,53 +36,53 @@
         one.close(how)
         wait_until(
             lambda: any(workers.peer_closed(w.sock) for w in list(node.workers.live) if w.end.is_client),
-            "the client's end is not here",
+            "the client's end has not arrived",
         )
         gate.open.set()
         first = next(host for host in hosts if host.has_connection())
-        assert first.accept().read_all() == b"", "sent for nobody"
+        assert first.accept().read_all() == b"", "sent although the client had left"
         node.seen.wait(ev.WriteDone, lambda e: e.skip_reason == "client-gone")
-        kept.set()
+        release.set()
         wait_until(lambda: node.end_reasons["left-in-setup"] == 1, "not ended")
         assert not any(host.has_connection() for host in hosts)
 
 
-def test_a_burst_of_clients_that_leave_at_once_sends_nothing(hosts, list_server):
-    """Hundreds came, said their line and left while the node was busy with something else."""
-    gate, told = Gate(), threading.Semaphore(0)
+def test_nothing_is_sent_for_a_burst_of_clients_that_leave_at_once(hosts, list_server):
+    """Hundreds of clients connected, sent their first line and left while the node was busy."""
+    gate, lines_read = Gate(), threading.Semaphore(0)
 
     def before(node):
         node.reducer.handlers[ev.ReloadRejected] = lambda e: gate.wait()
         post = node.workers.post
 
-        def counted(event):
+        def post_counted(event):
             if isinstance(event, ev.LinesRead):
-                told.release()
+                lines_read.release()
             post(event)
 
-        node.workers.post = counted
+        node.workers.post = post_counted
 
     with running(list_server, before, sockets=1024) as node:
         wait_for_list(node)
         node.post_urgent(ev.ReloadRejected())
         assert gate.reached.wait(10)
-        many = [client(node, open_line(n)) for n in range(150)]
-        wait_until(lambda: len(node.workers.live) == len(many), "not all accepted")
-        for one in many:
+        clients = [client(node, open_line(n)) for n in range(150)]
+        wait_until(lambda: len(node.workers.live) == len(clients), "not all accepted")
+        for one in clients:
             one.close()
         gate.open.set()
-        wait_until(lambda: sum(node.end_reasons.values()) == len(many), "not all ended")
+        wait_until(lambda: sum(node.end_reasons.values()) == len(clients), "not all ended")
         for host in hosts:
             while host.has_connection():
                 assert host.accept().read_all() == b""
-        # as many as set-ups are let go at once
+        # 8: the number of call set-ups that may be in progress at once
         assert node.end_reasons["left-in-setup"] >= 8 and node.end_reasons.keys() <= {
             "left-in-setup",
             "rejected",
         }
 
 
-def test_nothing_is_sent_to_a_host_that_was_told_to_drain_while_the_connection_came_up(
+def test_nothing_is_sent_to_a_host_that_began_to_drain_while_its_connection_was_opening(
     hosts, list_server, monkeypatch
 ):
     gate = delay_connects(monkeypatch, lambda nth: nth == 1)
@@ -102,8 +102,11 @@
         peer.close()
 
 
-def test_a_marked_call_is_not_sent_again_once_its_repeats_are_forgotten(hosts, list_server, monkeypatch):
-    """Decided on in time, its second connection comes up after it. The window for repeats is 400 ms."""
+def test_a_keyed_call_is_not_retried_after_the_deduplication_time(hosts, list_server, monkeypatch):
+    """The second attempt is decided on in time, but its connection is established too late.
+
+    Hosts recognise repeats for 400 ms.
+    """
     gate = delay_connects(monkeypatch, lambda nth: nth == 2)
     with running(list_server) as node:
         wait_for_list(node)
@@ -125,7 +128,7 @@
         assert other.accept().read_all() == b""
         assert one.read_line().startswith(
             b"BUSY"
-        )  # repeats are known to all hosts: to come again is harmless
+        )  # all hosts recognise repeats: the client may safely try again
 
 
 @pytest.mark.parametrize(
@@ -142,7 +145,7 @@
         (b"x" * 5000, True),
     ],
 )
-def test_a_call_that_must_not_run_twice_goes_again_only_where_it_is_known_not_to_have_run(
+def test_a_call_that_must_not_run_twice_is_retried_only_if_it_cannot_have_run(
     hosts, list_server, answer, ran
 ):
     with running(list_server) as node:
@@ -166,11 +169,11 @@
         peer.close()
 
 
-def test_a_refused_connection_is_known_not_to_have_run(hosts, list_server):
+def test_a_call_that_must_not_run_twice_is_retried_after_a_refused_connection(hosts, list_server):
     hosts[0].close()
     with running(list_server) as node:
         wait_for_list(node)
-        for n in range(3):  # in turn the dead one comes first for one of them
+        for n in range(3):  # the hosts take turns, so the dead one is tried first for one of them
             one = client(node, open_line(n, "once"))
             peer = hosts[1].accept()
             assert peer.read_line().startswith(b"OPEN ")
@@ -181,9 +184,11 @@
         assert node.reducer.counters.answers["success", "once"] == 3
 
 
-def test_an_answer_that_lies_in_the_queue_at_the_deadline_gives_one_final_answer(hosts, list_server):
-    """The time-out and the answer meet: whichever comes first, the client hears one word,
-    and the host's connection ends with it.
+def test_an_answer_still_queued_at_the_deadline_gives_one_final_answer(hosts, list_server):
+    """The time-out and the answer come together.
+
+    Whichever is handled first, the client gets one answer, and the host's connection ends unless the call was
+    accepted.
     """
     gate = Gate()
 
@@ -208,9 +213,10 @@
 
 
 @pytest.mark.parametrize("kind", ("plain", "once", "marked"))
-def test_a_host_killed_right_behind_its_accept_was_never_asked(hosts, list_server, monkeypatch, kind):
-    """The connection is up and is reset before the first byte: nothing ran, so also a call
-    that must not run twice goes elsewhere.
+def test_a_host_killed_right_after_accepting_has_not_run_the_call(hosts, list_server, monkeypatch, kind):
+    """The connection is reset before the first byte is sent.
+
+    Nothing has run, so even a call that must not run twice is tried elsewhere.
     """
     gate = delay_connects(monkeypatch, lambda nth: nth == 1)
     with running(list_server) as node:
@@ -228,10 +234,8 @@
 
 
 @pytest.mark.parametrize("how", ("reset", "half"))
-def test_a_host_killed_over_a_line_that_it_has_not_read_may_have_run_it(hosts, list_server, how):
-    """Its machine had taken the whole line: a call that must not run twice is
-    answered as failed, and stays where it was.
-    """
+def test_a_host_killed_with_the_first_line_unread_may_have_run_the_call(hosts, list_server, how):
+    """The host's kernel had received the whole line: a call that must not run twice fails without a retry."""
     with running(list_server) as node:
         wait_for_list(node)
         one = client(node, open_line(1, "once"))
@@ -244,69 +248,70 @@
         assert not other.has_connection()
 
 
-def test_a_client_killed_right_behind_its_accept_leaves_nothing_behind(hosts, list_server, monkeypatch):
-    """Its reset, or its line and then the reset, is here before the node looks at the connection at all."""
+def test_a_client_killed_right_after_connecting_leaves_nothing_open(hosts, list_server, monkeypatch):
+    """The reset, or the first line and then the reset, arrives before the node handles the connection."""
     gate, accepted = Gate(), Admission.on_accepted
 
-    def held(admission, sock):
+    def accept_later(admission, sock):
         gate.wait()
         accepted(admission, sock)
 
-    monkeypatch.setattr(Admission, "on_accepted", held)
+    monkeypatch.setattr(Admission, "on_accepted", accept_later)
     with running(list_server) as node:
         wait_for_list(node)
-        many = [client(node) if n % 2 else client(node, open_line(n)) for n in range(20)]
+        clients = [client(node) if n % 2 else client(node, open_line(n)) for n in range(20)]
         assert gate.reached.wait(10)
-        for one in many:
+        for one in clients:
             one.close("reset")
         gate.open.set()
-        last = client(node, open_line(99))  # behind them in the listener's queue: they have all been accepted
-        while not (peer := serve(hosts)).line:  # a connection was begun, and nothing sent on it
+        last = client(node, open_line(99))  # last in the listener's queue: the others have all been accepted
+        while not (peer := serve(hosts)).line:  # a connection was opened and nothing was sent on it
             pass
-        assert peer.line.startswith(b"OPEN 00000063 "), "sent for nobody"
+        assert peer.line.startswith(b"OPEN 00000063 "), "sent although the client had left"
         peer.send_lines(b"UP r")
         assert last.read_line() == b"UP r"
         last.close()
         assert peer.read_all() == b""
-        wait_until(lambda: not node.reducer.conns and not node.workers.live, "a descriptor is kept")
+        wait_until(lambda: not node.reducer.conns and not node.workers.live, "a descriptor is still open")
         for host in hosts:
             while host.has_connection():
                 assert host.accept().read_all() == b""
 
 
 def test_every_call_is_answered_whatever_its_hosts_do(hosts, list_server):
-    """Sixty calls at hosts that say nothing, break, refuse, say nonsense or half a line: each has one last
-    line, and in its time, which the node counts itself (`overdue`).
+    """Sixty calls to hosts that do not answer, reset, refuse or send garbage or part of a line.
+
+    Each gets one final line, and in time: the node itself counts late ones (`overdue`).
     """
-    stop, held = threading.Event(), []
+    stop, peers = threading.Event(), []
 
-    def play(host):
+    def run_host(host):
         while not stop.is_set():
             try:
                 peer = host.accept()
             except OSError:
                 return
-            held.append(peer)
+            peers.append(peer)
             line = peer.read_line()
             said = (
-                (None, b"", b"BUSY\r\n", b"\x00\xff\r\n", b"UP", b"ERR\r\n")[len(held) % 6] if line else b""
+                (None, b"", b"BUSY\r\n", b"\x00\xff\r\n", b"UP", b"ERR\r\n")[len(peers) % 6] if line else b""
             )
             if said is None:  # it hangs
                 continue
             peer.sock.sendall(said)
-            if len(held) % 4 or said == b"":
-                peer.close("reset" if len(held) % 2 else "close")
+            if len(peers) % 4 or said == b"":
+                peer.close("reset" if len(peers) % 2 else "close")
 
-    threads = [threading.Thread(target=play, args=(host,), daemon=True) for host in hosts]
+    threads = [threading.Thread(target=run_host, args=(host,), daemon=True) for host in hosts]
     for thread in threads:
         thread.start()
     with running(list_server) as node:
         wait_for_list(node)
-        many = [
+        clients = [
             client(node, open_line(n, ("plain", "once", "marked")[n % 3], wait=300 + 40 * (n % 10)))
             for n in range(60)
         ]
-        for one in many:
+        for one in clients:
             assert one.read_line().split()[:1] in ([b"BUSY"], [b"ERR"])
             assert one.read_line() == b""
             one.close()
@@ -316,5 +321,5 @@
     stop.set()
     for host in hosts:
         host.close()
-    for peer in held:
+    for peer in peers:
         peer.close()
--- a/tests/crossings/test_pieces.py
+++ b/tests/crossings/test_pieces.py
@@ -1,5 +1,5 @@
-"""Lines in pieces against what may come between two of them: the end, a reload, a change
-of the list, a move.
+"""Lines that arrive in parts, and what may happen between two parts: the end, a reload, a change of the host
+list, a move.
 """
 
 import socket
@@ -23,37 +23,37 @@
 from cottonspread.net import events as ev
 
 
-def peeked(sock):
-    """What lies unread in a socket."""
+def unread(sock):
+    """The unread input of a socket."""
     try:
         return sock.recv(8192, socket.MSG_PEEK | socket.MSG_DONTWAIT)
     except OSError:
         return b""
 
 
-def piece(node, one, data):
-    """A part of a line, which the node holds when this returns."""
+def send_part(node, one, data):
+    """Sends part of a line and waits until the node has received it."""
     one.sock.sendall(data)
 
-    def held():
+    def received():
         readers = [worker.line_reader for worker in list(node.workers.live)]
-        lies = [waiting.sock for waiting in list(node.admission.pending.clients.values())]
+        pending = [waiting.sock for waiting in list(node.admission.pending.clients.values())]
         return any(g and g.buffer is not None and bytes(g.buffer[: g.filled]) == data for g in readers) or (
-            any(peeked(sock) == data for sock in lies)
+            any(unread(sock) == data for sock in pending)
         )
 
-    wait_until(held, "the piece is not here")
+    wait_until(received, "the part has not arrived")
 
 
 LINE = open_line(1, "once") + b"\r\n"
 
 
 @pytest.mark.parametrize("cut", (1, len(LINE) // 2, len(LINE) - 2, len(LINE) - 1))
-def test_a_first_line_whose_end_comes_after_the_stop_is_answered_and_not_sent_on(hosts, list_server, cut):
+def test_a_first_line_completed_after_the_stop_is_answered_and_not_forwarded(hosts, list_server, cut):
     with running(list_server) as node:
         wait_for_list(node)
         one = client(node)
-        piece(node, one, LINE[:cut])
+        send_part(node, one, LINE[:cut])
         node.stop()
         node.seen.wait(ev.StopRequested)
         one.sock.sendall(LINE[cut:])
@@ -62,7 +62,7 @@
         assert node.join(WAIT)
 
 
-def retuned(node, list_server, **more):
+def reload(node, list_server, **more):
     parts = config.read_node(settings(list_server, settings=SETTINGS | more), {})
     node.reload(*parts[:-1])
     node.seen.wait(ev.SettingsReloaded)
@@ -70,25 +70,23 @@
 
 @pytest.mark.parametrize("cut", (1, len(LINE) // 2, len(LINE) - 1))
 @pytest.mark.parametrize("known", (True, False))
-def test_a_first_line_whose_end_comes_after_a_reload_is_read_under_the_new_settings(
-    hosts, list_server, cut, known
-):
+def test_a_first_line_completed_after_a_reload_uses_the_new_settings(hosts, list_server, cut, known):
     with running(list_server) as node:
         wait_for_list(node)
         one = client(node)
-        piece(node, one, LINE[:cut])
+        send_part(node, one, LINE[:cut])
         effect = {"once": "safe"}
-        kept = [
+        types = [
             t | {"Effect": effect.get(t["Name"], t["Effect"])} for t in TYPES if known or t["Name"] != "once"
         ]
-        retuned(node, list_server, TrafficTypes=kept)
+        reload(node, list_server, TrafficTypes=types)
         one.sock.sendall(LINE[cut:])
         if not known:
             assert one.read_line() == b"ERR" and one.read_line() == b""
             assert not any(host.has_connection() for host in hosts)
             return
         peer = serve(hosts)
-        peer.close("reset")  # it may have run, and it may run again by now
+        peer.close("reset")  # the call may have run, and it may run again under the new settings
         peer = serve(hosts)
         assert peer.line.startswith(b"OPEN 00000001 ")
         peer.send_lines(b"UP r")
@@ -97,11 +95,11 @@
 
 
 @pytest.mark.parametrize("cut", (1, len(LINE) - 1))
-def test_a_first_line_whose_end_comes_after_a_drain_goes_where_the_list_is_now(hosts, list_server, cut):
+def test_a_first_line_completed_after_a_host_drains_goes_to_another_host(hosts, list_server, cut):
     with running(list_server) as node:
         wait_for_list(node)
         one = client(node)
-        piece(node, one, LINE[:cut])
+        send_part(node, one, LINE[:cut])
         list_server.change(hosts[0], "Terminating")
         wait_for_list(node, list_server.version)
         one.sock.sendall(LINE[cut:])
@@ -111,56 +109,56 @@
 
 
 @pytest.mark.parametrize("how", ("close", "reset", "half"))
-def test_a_client_that_leaves_in_the_middle_of_its_first_line_is_sent_nowhere(hosts, list_server, how):
+def test_part_of_a_first_line_is_not_forwarded_when_the_client_leaves(hosts, list_server, how):
     with running(list_server) as node:
         wait_for_list(node)
         one = client(node)
-        piece(node, one, LINE[:-1])
+        send_part(node, one, LINE[:-1])
         one.close(how)
-        if how == "half":  # it may still hear
+        if how == "half":  # it may still read
             assert one.read_all() in (b"ERR\r\n", b"BUSY\r\n", b"")
-        wait_until(lambda: not node.reducer.conns and not node.workers.live, "a descriptor is kept")
+        wait_until(lambda: not node.reducer.conns and not node.workers.live, "a descriptor is still open")
         assert not any(host.has_connection() for host in hosts)
 
 
-def drained(node, list_server, hosts):
+def drain_hosts(node, list_server, hosts):
     list_server.change(hosts[0], "Terminating")
     list_server.change(hosts[1], "Terminating")
 
 
-def stopped(node, list_server, hosts):
+def stop_node(node, list_server, hosts):
     node.stop()
 
 
-@pytest.mark.parametrize("end", (drained, stopped), ids=lambda end: end.__name__)
+@pytest.mark.parametrize("end", (drain_hosts, stop_node), ids=lambda end: end.__name__)
 @pytest.mark.parametrize("whose", ("host", "client", "both"))
-def test_half_a_line_is_not_passed_on_before_a_move(hosts, list_server, end, whose):
-    """MOVE comes between two lines: no half of one before it, and none at the host before its end."""
+def test_part_of_a_line_is_not_forwarded_before_a_move(hosts, list_server, end, whose):
+    """MOVE comes between two lines: no part of a line goes before it, nor to the host before its end."""
     with running(list_server) as node:
         wait_for_list(node)
         one, peer = establish(node, hosts)
         if whose != "client":
-            piece(node, peer, b"M 1 half of a host's")
+            send_part(node, peer, b"M 1 half of a host's")
         if whose != "host":
-            piece(node, one, b"M 1 half of a client's")
+            send_part(node, one, b"M 1 half of a client's")
         end(node, list_server, hosts)
         assert one.read_line() == b"MOVE" and one.read_line() == b""
         assert peer.read_all() == b""
-        one.send_lines(b" line")  # its other half, in the moment of the close
+        one.send_lines(b" line")  # the rest of the line, at the moment of the close
         assert not one.broken()
         one.close()
-        wait_until(lambda: not node.reducer.conns and not node.workers.live, "a descriptor is kept")
+        wait_until(lambda: not node.reducer.conns and not node.workers.live, "a descriptor is still open")
 
 
 @pytest.mark.parametrize("size", (1, 2, 3, 7))
-def test_lines_of_both_sides_in_pieces_arrive_whole_and_in_order(hosts, list_server, size):
+def test_lines_sent_in_parts_by_both_sides_arrive_complete_and_in_order(hosts, list_server, size):
     with running(list_server) as node:
         wait_for_list(node)
         one, peer = establish(node, hosts)
-        said = b"".join(b"M %d ab\r\n" % n for n in range(5))
-        for at in range(0, len(said), size):
-            one.sock.sendall(said[at : at + size])
-            peer.sock.sendall(said[at : at + size])
+        lines = b"".join(b"M %d ab\r\n" % n for n in range(5))
+        for at in range(0, len(lines), size):
+            one.sock.sendall(lines[at : at + size])
+            peer.sock.sendall(lines[at : at + size])
         for n in range(5):
             assert peer.read_line() == b"M %d ab" % n
             assert one.read_line() == b"M %d ab" % n
@@ -170,9 +168,10 @@
         one.close()
 
 
-def test_no_small_write_is_held_back(hosts, list_server):
-    """Every socket that lines are written to sends at once: what the
-    system still held back went with a reset.
+def test_small_writes_are_sent_at_once(hosts, list_server):
+    """TCP_NODELAY is set on every socket that lines are written to.
+
+    Data that the kernel still held back was lost when the connection was reset.
     """
     with running(list_server) as node:
         wait_for_list(node)
