--- a/cottonspread/cli/takeover.py
+++ b/cottonspread/cli/takeover.py
@@ -123,7 +123,7 @@
     def listen_for_connections(self, node):
         """Listens for the predecessor, which passes its established connections on when it stops.
 
-        If that fails, the predecessor moves them to other nodes, as without a successor.
+        If that fails, the predecessor asks their clients to move, as without a successor.
         """
         try:
             with short_socket_path(self.transfer_path) as path:
--- a/cottonspread/drill/batches.py
+++ b/cottonspread/drill/batches.py
@@ -1,4 +1,7 @@
-"""Reads batches of messages from the simulator, passes them to their nodes and writes the replies."""
+"""Reads batches of messages from the simulator, passes them to their nodes and writes the replies.
+
+Makes no decisions: those are the policy's.
+"""
 
 import sys
 import traceback
--- a/cottonspread/drill/codec.py
+++ b/cottonspread/drill/codec.py
@@ -1,4 +1,7 @@
-"""Converts between the simulator's text lines and the types of `cottonspread.interface`."""
+"""Converts between the simulator's text lines and the types of `cottonspread.interface`.
+
+Makes no decisions: those are the policy's.
+"""
 
 import base64
 
--- a/tests/crossings/stubs.py
+++ b/tests/crossings/stubs.py
@@ -294,7 +294,7 @@
 
 @contextmanager
 def running(list_server, before=lambda node: None, **more):
-    """A running node, stopped at the end."""
+    """A running node, stopped at the end. It may not know a list yet: see `wait_for_list`."""
     node = Node(*config.read_node(settings(list_server, **more), {}))
     node.seen = EventRecorder(node)
     before(node)
