--- a/benchmarks/crossings/mutants.py
+++ b/benchmarks/crossings/mutants.py
@@ -32,7 +32,7 @@
     (
         "the look for the client before the first byte",
         "net/workers.py",
-        'why = self.must_not_begin(effect) if effect.first_line else ""',
+        'why = self.reason_not_to_start(effect) if effect.first_line else ""',
         'why = ""',
         [f"{ATTEMPTS}::test_nothing_is_sent_if_the_client_left_while_the_host_connection_was_opening"],
     ),
@@ -72,7 +72,7 @@
         "if False:",
         [
             f"{SCENARIO}[never_sent]",
-            f"{SHUTDOWN}::test_a_call_whose_connection_does_not_come_up_is_turned_away_at_the_end_as_never_sent",
+            f"{SHUTDOWN}::test_a_call_whose_connection_is_not_established_is_refused_at_the_end_as_never_sent",
         ],
     ),
     (
@@ -102,7 +102,7 @@
         "        self.effects.append(ev.ShutdownWrite(end))\n        if end.is_client:",
         "        self.effects.append(ev.Shutdown(end))\n        if end.is_client:",
         [
-            f"{CLOSING}::test_what_is_no_first_line_is_answered_and_read_to_its_end",
+            f"{CLOSING}::test_an_invalid_first_line_is_answered_and_input_is_read_to_the_end",
             f"{CLOSING}::test_a_client_that_is_moved_may_still_be_sending",
         ],
     ),
@@ -118,30 +118,28 @@
         "net/node.py",
         "        self.closer.add(sock)\n",
         "        sock.close()\n",
-        [f"{CLOSING}::test_a_client_turned_away_at_the_door_may_send_its_line_just_then"],
+        [f"{CLOSING}::test_a_client_refused_on_accept_may_send_its_line_at_that_moment"],
     ),
     (
         "BUSY for who said nothing",
         "net/reducer.py",
         'harmless = reason in ("no-first-line", "ping", "stopping")',
         "harmless = False",
-        [
-            f"{CLOSING}::test_a_request_that_crosses_the_end_of_a_resting_connection_is_answered_and_not_sent_on"
-        ],
+        [f"{CLOSING}::test_a_request_sent_while_an_idle_connection_is_closed_is_answered_and_not_forwarded"],
     ),
     (
         "an answer to a line too long",
         "net/reducer.py",
         '        if cause.endswith("-line"):\n            self.abandon(',
         "        if False:\n            self.abandon(",
-        [f"{CLOSING}::test_what_is_no_first_line_is_answered_and_read_to_its_end"],
+        [f"{CLOSING}::test_an_invalid_first_line_is_answered_and_input_is_read_to_the_end"],
     ),
     (
         "the bound on what is read after the end",
         "net/workers.py",
-        "DRAINED_AT_MOST, CUT_WAIT = 1024 * 1024, 2000",
-        "DRAINED_AT_MOST, CUT_WAIT = 1 << 60, 2000",
-        [f"{CLOSING}::test_one_that_sends_at_full_speed_and_stays_is_given_up_and_holds_nobody_up"],
+        "MAX_DISCARDED, CUT_TIMEOUT_MS = 1024 * 1024, 2000",
+        "MAX_DISCARDED, CUT_TIMEOUT_MS = 1 << 60, 2000",
+        [f"{CLOSING}::test_a_client_that_floods_and_never_closes_is_cut_off_and_blocks_no_other"],
     ),
     (
         "room made by who lingers",
@@ -155,49 +153,49 @@
         "net/reducer.py",
         '        if cause == "reset":\n            self.shut_down(conn.client, reset=True)',
         '        if cause == "reset":\n            self.close(conn.client)',
-        [f"{CLOSING}::test_peers_are_told_a_reset_as_a_reset"],
+        [f"{CLOSING}::test_a_reset_reaches_the_other_side_as_a_reset"],
     ),
     (
         "the bound on a line",
         "net/lines.py",
         '                raise LineError("long-line")',
         "                self.filled = 0",
-        [f"{CLOSING}::test_an_answer_that_never_ends_is_given_up"],
+        [f"{CLOSING}::test_an_endless_answer_is_cut_off"],
     ),
     (
         "the listener's queue at the end",
         "net/admission.py",
         'self.handler.refuse(self.listener.accept()[0], "stopping")',
         "break",
-        [f"{SHUTDOWN}::test_a_connection_in_the_listeners_queue_at_the_end_is_turned_away"],
+        [f"{SHUTDOWN}::test_a_connection_in_the_listeners_queue_at_the_end_is_refused"],
     ),
     (
         "who is accepted and not known at the end",
         "net/node.py",
         "if isinstance(event, ev.ClientAccepted) and event.end.worker is not None:",
         "if False:",
-        [f"{SHUTDOWN}::test_a_connection_that_the_reducer_does_not_know_at_the_end_is_turned_away"],
+        [f"{SHUTDOWN}::test_a_connection_that_the_reducer_does_not_know_at_the_end_is_refused"],
     ),
     (
         "SIGTERM before the queue",
         "net/node.py",
-        "        self.hasten(ev.StopRequested())",
+        "        self.post_urgent(ev.StopRequested())",
         "        self.post(ev.StopRequested())",
-        [f"{SHUTDOWN}::test_sigterm_goes_before_all_that_waits"],
+        [f"{SHUTDOWN}::test_sigterm_overtakes_queued_events"],
     ),
     (
         "SIGTERM from the first moment",
         "cli/node.py",
         "        signal.signal(number, lambda *_: requests.put(stop_node))",
         "        pass",
-        [f"{SHUTDOWN}::test_a_signal_during_the_start_is_no_end_by_force"],
+        [f"{SHUTDOWN}::test_a_signal_during_the_start_does_not_kill_the_process"],
     ),
     (
         "BUSY after SIGTERM",
         "net/reducer.py",
         '            return "stopping"\n',
         '            return ""\n',
-        [f"{SHUTDOWN}::test_what_is_read_after_the_stop_is_not_sent_on_and_what_was_read_before_is_answered"],
+        [f"{SHUTDOWN}::test_lines_read_after_the_stop_are_not_forwarded_and_earlier_calls_are_answered"],
     ),
     (
         "the last moment for answers",
@@ -219,8 +217,8 @@
         "    WATCH_TIMEOUT_MS = 2000 ",
         "    WATCH_TIMEOUT_MS = 5000 ",
         [
-            f"{LIST}::test_the_longest_way_of_a_change_lies_under_6_s_with_room_for_a_late_node",
-            f"{LIST}::test_a_change_after_a_call_that_failed_is_heard_of_in_its_time",
+            f"{LIST}::test_the_worst_case_delay_of_a_change_is_below_6_s_with_a_margin_for_the_node",
+            f"{LIST}::test_a_change_after_a_failed_request_is_known_in_time",
         ],
     ),
     (
@@ -228,35 +226,35 @@
         "net/discovery.py",
         "        if trusted:\n",
         "        if True:\n",
-        [f"{LIST}::test_a_new_process_asks_before_it_believes_what_it_knew"],
+        [f"{LIST}::test_a_new_process_asks_discovery_before_it_uses_its_initial_list"],
     ),
     (
         "believing once discovery has failed",
         "net/discovery.py",
         "            self.failures += 1\n            self.publish_initial()",
         "            self.failures += 1",
-        [f"{LIST}::test_a_new_process_serves_from_what_it_knew_while_discovery_is_down"],
+        [f"{LIST}::test_a_new_process_uses_its_initial_list_while_discovery_is_down"],
     ),
     (
         "a pause cut short",
         "net/discovery.py",
         "        self.enabled.set()\n        self.wake.set()\n\n    def start_with",
         "        self.enabled.set()\n\n    def start_with",
-        [f"{LIST}::test_sighup_moves_the_list_at_once_whatever_the_call_to_the_old_one_does"],
+        [f"{LIST}::test_sighup_switches_discovery_at_once_whatever_the_request_to_the_old_one_does"],
     ),
     (
         "a 503 is no closed connection",
         "net/http.py",
         "if not reused or self.response_started or self.aborted:",
         "if not reused or self.aborted:",
-        [f"{LIST}::test_a_503_on_a_kept_connection_is_one_call_and_not_two"],
+        [f"{LIST}::test_a_503_on_a_reused_connection_is_not_retried"],
     ),
     (
         "an older version is no news",
         "net/discovery.py",
         "        if version < self.version:\n",
         "        if False:\n",
-        [f"{LIST}::test_a_change_after_a_call_that_failed_is_heard_of_in_its_time"],
+        [f"{LIST}::test_a_change_after_a_failed_request_is_known_in_time"],
     ),
     (
         "the bound on waits for an asked list",
@@ -264,7 +262,7 @@
         "most = max(SECOND, min(self.settings.poll_interval, self.MAX_POLL_GAP - took))",
         "most = max(SECOND, self.settings.poll_interval)",
         [
-            "tests/test_many_nodes.py::test_nodes_turned_away_by_an_overbooked_list_ask_as_seldom_as_the_terms_let_them"
+            "tests/test_many_nodes.py::test_nodes_refused_by_an_overloaded_list_poll_as_seldom_as_the_deadline_allows"
         ],
     ),
     (
@@ -273,7 +271,7 @@
         "    DEFAULT_NODES = 256 ",
         "    DEFAULT_NODES = 1 ",
         [
-            "tests/test_many_nodes.py::test_what_all_processes_send_a_cold_server_stays_within_its_budget_and_chance"
+            "tests/test_many_nodes.py::test_what_all_processes_send_a_cold_server_stays_within_its_budget_and_a_margin"
         ],
     ),
     (
@@ -288,14 +286,14 @@
         "net/admission.py",
         "for one in self.pending.remove_excess(self.handler.max_pending()):",
         "for one in ():",
-        [f"{FLOODS}::test_idle_clients_that_fill_the_descriptors_keep_nobody_out"],
+        [f"{FLOODS}::test_idle_clients_that_use_up_the_descriptors_do_not_lock_others_out"],
     ),
     (
         "who waits for a first line is no connection of the reducer's",
         "net/admission.py",
         "if first and not is_complete(first) and not ready & (select.EPOLLRDHUP | select.EPOLLHUP):",
         "if False:",
-        [f"{FLOODS}::test_a_crowd_that_says_nothing_takes_no_step_of_the_reducer"],
+        [f"{FLOODS}::test_silent_clients_cost_no_step_of_the_reducer"],
     ),
     (
         "an object is no list",
@@ -303,42 +301,42 @@
         "return ObjectReader(self.values.get(key, {} if default is MISSING else default), self.path_of(key))",
         "return ObjectReader(dict(self.values.get(key, {} if default is MISSING else default)), "
         "self.path_of(key))",
-        [f"{FLOODS}::test_settings_that_make_no_sense_stop_the_start_and_change_nothing_at_sighup"],
+        [f"{FLOODS}::test_invalid_settings_stop_the_start_and_change_nothing_at_sighup"],
     ),
     (
         "which connection a reload gives up",
         "net/discovery.py",
         "        if current is not target:\n            current.abort()",
         "        self.http.abort()",
-        [f"{LIST}::test_a_reload_between_its_two_halves_does_not_give_the_new_list_up"],
+        [f"{LIST}::test_a_thread_switch_during_a_reload_does_not_abort_the_new_address"],
     ),
     (
         "asking at a reload",
         "net/discovery.py",
         "        self.enabled.set()\n        self.wake.set()\n\n    def start_with",
         "        self.wake.set()\n\n    def start_with",
-        [f"{LIST}::test_a_reload_asks_the_new_list_at_once_while_the_next_time_to_ask_is_far"],
+        [f"{LIST}::test_a_reload_requests_the_new_list_at_once_even_if_the_next_poll_is_far"],
     ),
     (
         "one time for a call and its repeat",
         "net/http.py",
         "# In what is left of the time: two silences, one behind the other, were waited out in full.\n",
         "self.until = time.monotonic() + wait\n",
-        [f"{LIST}::test_a_reset_in_a_call_gives_the_next_one_no_longer_time"],
+        [f"{LIST}::test_a_retry_after_a_reset_does_not_extend_the_timeout"],
     ),
     (
         "who is not in a whole list",
         "net/reducer.py",
         "            gone |= self.hosts.keys() - e.addresses.keys()",
         "            pass",
-        [f"{LIST}::test_a_whole_list_in_the_midst_of_an_attempt_is_kept_to"],
+        [f"{LIST}::test_a_full_list_received_during_an_attempt_is_respected"],
     ),
     (
         "a watch that is silent late",
         "net/http.py",
         "        self.sock.settimeout(self.time_left())\n        got",
         "        self.sock.settimeout(None if self.rest == b'' else self.left())\n        got",
-        [f"{LIST}::test_a_silence_after_watches_that_were_answered_is_a_silence"],
+        [f"{LIST}::test_a_watch_that_hangs_after_answered_ones_times_out_and_is_repeated"],
     ),
     (
         "a first line whose last byte is not out",
--- a/cottonspread/net/reducer.py
+++ b/cottonspread/net/reducer.py
@@ -23,7 +23,7 @@
 from cottonspread.net import events as ev
 from cottonspread.net import lines
 from cottonspread.net.active_set import ActiveSet, connection_is_active, host_is_active
-from cottonspread.net.departure import COMING, Departure
+from cottonspread.net.drain import LATE_ARRIVAL_TIME, DrainController
 from cottonspread.net.message_delays import ConnectionSignals, MessageDelays
 from cottonspread.policy import Balancer
 
@@ -141,7 +141,7 @@
         self.probing = set()  # hosts with a running probe whose result the balancer waits for
         self.probes = 0  # that are running
         self.counters = Counters(())
-        self.has_hosts, self.departure = False, Departure(self)
+        self.has_hosts, self.drain_controller = False, DrainController(self)
         # whether a successor takes over connections, and the connection that it is being offered now
         self.transfers_enabled, self.transferring = False, None
         # connections still to be offered, and those that were busy when it was their turn
@@ -157,8 +157,8 @@
             ev.ListReceived: self.list_received,
             ev.ListFailed: self.list_failed,
             ev.ProbeDone: self.probe_done,
-            ev.StopRequested: self.departure.stop,
-            ev.DrainRequested: self.departure.drain,
+            ev.StopRequested: self.drain_controller.stop,
+            ev.DrainRequested: self.drain_controller.drain,
             ev.SettingsReloaded: self.settings_reloaded,
             ev.ReloadRejected: self.reload_rejected,
             ev.StateInherited: self.state_inherited,
@@ -185,17 +185,17 @@
     @property
     def stopping(self):
         """When the shutdown of the process began; 0: it has not."""
-        return self.departure.stopping
+        return self.drain_controller.stopping
 
     @property
     def draining(self):
         """When the operators began to drain the node; 0: it is not draining."""
-        return self.departure.draining
+        return self.drain_controller.draining
 
     @property
     def stopped(self):
         """Whether the process was told to exit (`Exit`)."""
-        return self.departure.stopped
+        return self.drain_controller.stopped
 
     def step(self, now, event, at=0):
         """Runs the timers that are due, handles `event` and returns the effects.
@@ -335,7 +335,11 @@
             return
         if first.rstrip(b"\r") == lines.PING:
             conn.pings += 1
-            if self.has_hosts and not self.departure.draining and not self.departure.turns_away(conn):
+            if (
+                self.has_hosts
+                and not self.drain_controller.draining
+                and not self.drain_controller.refusal_reason(conn)
+            ):
                 self.write(conn.client, lines.PONG)
             else:
                 self.dismiss(conn, "not-ready")
@@ -372,7 +376,7 @@
             0, wait - time_in_queue - min(self.lateness.recent_max(self.now), (wait - time_in_queue) // 4)
         )
         # A call takes two descriptors, and some must remain to answer with: at the limit it is refused.
-        refusal = self.departure.turns_away(conn)
+        refusal = self.drain_controller.refusal_reason(conn)
         if refusal or self.open_sockets + 1 > self.max_sockets:
             self.end_call(conn, refusal or "no-room", lines.busy_line(self.retry_after()))
             return
@@ -457,7 +461,7 @@
         if (
             conn.answered
             or conn.up
-            or self.departure.hurries()
+            or self.drain_controller.answers_due()
             or deadline <= self.now
             or leg.number >= conn.max_legs
             or running
@@ -582,7 +586,7 @@
         leg.host.legs[leg], leg.established_order = None, self.next_order()
         if leg.host.message_delays.undecided():  # from earlier connections
             self.active_hosts.add(leg.host)
-        self.departure.stands(leg.conn)
+        self.drain_controller.on_established(leg.conn)
 
     def detach_from_host(self, leg):
         """Removes a leg from its host, and the host if it is gone and this was its last leg."""
@@ -758,7 +762,7 @@
         elif (
             self.probes * PROBES_DIVISOR >= self.max_sockets
             or self.open_sockets + 2 > self.max_sockets
-            or self.departure.hurries()
+            or self.drain_controller.answers_due()
         ):
             self.queue_event(io.ProbeEnded(name, Ending.FULL))
         else:
@@ -1000,16 +1004,16 @@
                 conn.request is None
                 and not conn.reason
                 and self.now - conn.registered_at - late
-                > (COMING if self.departure.stopping else FIRST_LINE_TIMEOUT)
+                > (LATE_ARRIVAL_TIME if self.drain_controller.stopping else FIRST_LINE_TIMEOUT)
             ):
                 self.dismiss(conn, "ping" if conn.pings else "no-first-line")
             for leg in conn.legs:
                 if leg.end is not None:
                     self.check_end(leg.end)
         self.counters.hosts_down = self.balancer.membership.count_unavailable(self.now)
-        if self.departure.stopping:
+        if self.drain_controller.stopping:
             self.transfer(self.transfer_retries)
-            self.departure.stop_when_done()
+            self.drain_controller.stop_when_done()
 
     def check_end(self, end):
         """Gives up a peer that has not read for too long, and repeats a shutdown that had no effect."""
@@ -1103,7 +1107,7 @@
         self.ended_ids.update(dict.fromkeys(e.state.ids))
         self.queue_event(io.Inherited(e.state.records, e.state.sent))
         if e.state.draining:
-            self.departure.drain(ev.DrainRequested(True))
+            self.drain_controller.drain(ev.DrainRequested(True))
 
     def hand_over_requested(self, e):
         """Hands the state to the successor, with half of the sockets that are still free."""
@@ -1114,7 +1118,7 @@
                 self.balancer,
                 self.now,
                 room=free // 2,
-                draining=bool(self.departure.draining),
+                draining=bool(self.drain_controller.draining),
                 ids=tuple(self.calls_by_id),
             )
         )
@@ -1184,7 +1188,7 @@
         """
         offered = e.connection
         type_number = self.names.types.get(offered.type)
-        if type_number is None or offered.id in self.calls_by_id or self.departure.stopping:
+        if type_number is None or offered.id in self.calls_by_id or self.drain_controller.stopping:
             for end in (e.client, e.host):
                 end.freed = True
                 self.effects.append(ev.Free(end))
