--- a/cottonspread/cli/lab.py
+++ b/cottonspread/cli/lab.py
@@ -176,10 +176,11 @@
 
 def audit(given):
     """Audits the records of one run again; exit code 1 if it finds violations."""
-    from cottonspread.lab import ledger, results
+    from cottonspread.lab import audit as audits
+    from cottonspread.lab import results
 
     told = results.audited(given.folder)[2]
-    print("\n".join(ledger.told(told)))
+    print("\n".join(audits.summary_lines(told)))
     return 1 if told["offences"] else 0
 
 
@@ -232,7 +233,7 @@
 
 def standin(given):
     """Runs the emulated node for the lab's own tests."""
-    from cottonspread.lab import standin as one
+    from cottonspread.lab import stub_node as one
 
     if given.sabotage not in one.SABOTAGES:
         print("cottonspread: lab: standin: --sabotage: one of " + ", ".join(one.SABOTAGES), file=sys.stderr)
--- a/cottonspread/lab/ledger.py
+++ b/cottonspread/lab/audit.py
@@ -375,7 +375,7 @@
                 )
 
 
-def told(result):
+def summary_lines(result):
     """The audit in lines."""
     out = [
         f"calls {result['calls']}, legs {result['legs']}, "
--- a/cottonspread/lab/children.py
+++ b/cottonspread/lab/children.py
@@ -11,7 +11,7 @@
 
 import psutil
 
-from cottonspread.lab import tuning
+from cottonspread.lab import node_config
 
 DIES_WITH_PARENT = 1  # PR_SET_PDEATHSIG
 ROOT = os.path.dirname(os.path.dirname(os.path.dirname(os.path.abspath(__file__))))
@@ -111,7 +111,7 @@
     def write_config(self):
         path = os.path.join(self.play.folder, f"{self.node.name}.json")
         with open(path + ".new", "w", encoding="utf-8") as file:
-            json.dump(tuning.values(self.play.plan, self.number, self.retuned), file, indent=1)
+            json.dump(node_config.build(self.play.plan, self.number, self.retuned), file, indent=1)
         os.replace(path + ".new", path)
         return path
 
--- a/cottonspread/lab/players.py
+++ b/cottonspread/lab/client_policy.py
@@ -1,7 +1,7 @@
 """What a client does once its connection has ended. Pure; for clients on sockets and simulated ones."""
 
 
-def comes_back(load, kind, how, up, answer, tries, honours, part):
+def next_attempt(load, kind, how, up, answer, tries, honours, part):
     """None, or (microseconds until it comes again, whether it is one that was up: else it is a retry).
 
     `answer`: its final one as ("BUSY", ms) or the like, None without; `tries` before this; `honours`: it
--- a/cottonspread/lab/fleet.py
+++ b/cottonspread/lab/fleet.py
@@ -10,7 +10,7 @@
 
 import psutil
 
-from cottonspread.lab import tuning
+from cottonspread.lab import node_config
 from cottonspread.lab.children import ROOT, NodeProcess, prepare_child
 from cottonspread.lab.wire import now
 
@@ -30,7 +30,7 @@
 
     def write(self):
         plan, first = self.play.plan, self.play.nodes[0]
-        config = tuning.values(self.play.plan, first.number)
+        config = node_config.build(self.play.plan, first.number)
         config["settings"]["Limits"]["MaxRetryAfter"] -= self.changes % 2  # what a reload is to find changed
         with open(self.template, "w", encoding="utf-8") as file:
             json.dump(config, file, indent=1)
--- a/cottonspread/lab/serving.py
+++ b/cottonspread/lab/host_server.py
@@ -15,7 +15,7 @@
 SECOND = 1_000_000
 
 
-def modelled(plan, machine, now):
+def host_model(plan, machine, now):
     """The model of one of a plan's machines: one seed, one behaviour."""
     return model.Host(
         machine.traits,
@@ -25,7 +25,7 @@
     )
 
 
-class Serving:
+class HostServer:
     def __init__(self, name, host, reports):
         self.name, self.model, self.reports, self.conns = name, host, reports, {}
 
--- a/cottonspread/lab/hosts.py
+++ b/cottonspread/lab/hosts.py
@@ -5,10 +5,10 @@
 from collections import deque
 
 from cottonspread.lab import wire
+from cottonspread.lab.host_server import HostServer, host_model
 from cottonspread.lab.loop import IN, OUT, listener
 from cottonspread.lab.plan import AT_ONCE, HOST_FAULTS
 from cottonspread.lab.process import Part
-from cottonspread.lab.serving import Serving, modelled
 from cottonspread.lab.wire import now
 
 SECOND = 1_000_000
@@ -25,12 +25,12 @@
         self.out, self.over = deque(), False
 
 
-class Server(Serving):
+class Server(HostServer):
     """One host's address and its model."""
 
     def __init__(self, part, machine):
         x = part.plan.experiment
-        super().__init__(machine.name, modelled(part.plan, machine, now()), x.hosts.reports)
+        super().__init__(machine.name, host_model(part.plan, machine, now()), x.hosts.reports)
         self.part, self.machine, self.listener, self.fillers = part, machine, None, []
         self.now, self.at, self.put = now, part.loop.at, part.record.put
         if machine.started:
--- a/cottonspread/lab/load.py
+++ b/cottonspread/lab/load.py
@@ -14,8 +14,8 @@
 
 from cottonspread.lab import plan as plans
 from cottonspread.lab import wire
+from cottonspread.lab.client_policy import next_attempt
 from cottonspread.lab.loop import IN, OUT
-from cottonspread.lab.players import comes_back
 from cottonspread.lab.process import Part
 from cottonspread.lab.wire import now
 
@@ -358,7 +358,7 @@
             }
         )
         call.asked = []
-        after = comes_back(
+        after = next_attempt(
             self.load,
             self.types[call.kind],
             how,
--- a/cottonspread/lab/tuning.py
+++ b/cottonspread/lab/node_config.py
@@ -61,7 +61,7 @@
     }
 
 
-def values(plan, number, retuned=0):
+def build(plan, number, retuned=0):
     """A node's whole configuration.
 
     `retuned`: how often it got other settings, each with a type more and another limit on legs.
--- a/cottonspread/lab/results.py
+++ b/cottonspread/lab/results.py
@@ -6,8 +6,9 @@
 import msgspec
 from hdrh.histogram import HdrHistogram
 
-from cottonspread.lab import ledger, record
+from cottonspread.lab import audit as audits
 from cottonspread.lab import plan as plans
+from cottonspread.lab import record
 from cottonspread.lab.load import LATE, histogram
 
 SCHEMA = "cottonspread-lab-results/1"
@@ -80,7 +81,7 @@
     except (OSError, ValueError, msgspec.ValidationError) as fault:
         raise plans.PlanError(f"{folder}: {fault}") from None
     load = list(record.read(folder, "load"))
-    audit = ledger.Audit(plan, start, lambda kind: load if kind == "load" else record.read(folder, kind))
+    audit = audits.Audit(plan, start, lambda kind: load if kind == "load" else record.read(folder, kind))
     told = audit.run() if plan.experiment.audited else audit.result()
     return plan, audit, told, [line for line in load if line["k"] == "sum"]
 
@@ -249,5 +250,5 @@
         f"set-up ms p50 {all_.p50 / 1000:.2f} p99 {all_.p99 / 1000:.2f} p99.9 {all_.p999 / 1000:.2f} "
         f"max {all_.max / 1000:.2f} (generator late us p50 {late.p50} p99 {late.p99} p99.9 {late.p999} "
         f"max {late.max}; {result.stolen_s} core seconds taken from this machine)",
-        *ledger.told(result.audit),
+        *audits.summary_lines(result.audit),
     ]
--- a/cottonspread/lab/scale/hollow_faults.py
+++ b/cottonspread/lab/scale/hollow_faults.py
@@ -3,7 +3,7 @@
 Every event begins at `AT_S` of a play in which all clients stand. A client that is lost is one whose standing
 connection ended by no will of its own; it comes again by itself. The fleet is whole when none is lost any
 more and every node has each change of the list in force. Rules are audited by the promises of `lab/sim` at
-every step and by `lab/ledger.py` over the record.
+every step and by `lab/audit.py` over the record.
 
 A lost machine's connections break at once, as where its process ends. Servers are the lab's own, smaller:
 what stands uses two thirds of them, and a lost zone's clients are 50 ms of their set-ups.
@@ -19,7 +19,7 @@
 import msgspec
 import numpy as np
 
-from cottonspread.lab import ledger
+from cottonspread.lab import audit as audits
 from cottonspread.lab import plan as plans
 from cottonspread.lab.plan import Happening
 from cottonspread.lab.scale.hollow import HollowFleet, Meter
@@ -310,7 +310,7 @@
     lost, whole_at = len(fleet.clients.lost), fleet.clients.whole_at
     work = between(fleet.metered(), before)
     fleet.clients.finish()
-    audit = ledger.Audit(fleet.plan, 0, fleet.records.__getitem__).run()
+    audit = audits.Audit(fleet.plan, 0, fleet.records.__getitem__).run()
     news = in_force(fleet, made)
     figures = {
         "standing_before": standing,
--- a/cottonspread/lab/scale/processes.py
+++ b/cottonspread/lab/scale/processes.py
@@ -11,8 +11,8 @@
 
 import msgspec
 
+from cottonspread.lab import node_config, record
 from cottonspread.lab import plan as plans
-from cottonspread.lab import record, tuning
 from cottonspread.lab.scale.hollow_plans import Size, experiment
 from cottonspread.lab.sim.world import SECOND
 
@@ -119,7 +119,7 @@
     """`serve` with the configuration of a plan's first node, asking the list at `discovery`."""
 
     def __init__(self, folder: Path, plan: plans.Plan, discovery: tuple[str, int]):
-        values = tuning.values(plan, 0) | {"discovery": f"{discovery[0]}:{discovery[1]}"}
+        values = node_config.build(plan, 0) | {"discovery": f"{discovery[0]}:{discovery[1]}"}
         path = folder / "node.json"
         path.write_bytes(msgspec.json.encode(values))
         self.process = started(["serve", "--config", str(path)], folder, "node", stdin=subprocess.DEVNULL)
--- a/cottonspread/lab/sim/clients.py
+++ b/cottonspread/lab/sim/clients.py
@@ -5,7 +5,7 @@
 import numpy as np
 
 from cottonspread.lab import wire
-from cottonspread.lab.players import comes_back
+from cottonspread.lab.client_policy import next_attempt
 from cottonspread.lab.sim.network import Endpoint
 from cottonspread.lab.sim.world import SECOND
 
@@ -335,7 +335,7 @@
                 else 0,
             },
         )
-        next_call = comes_back(
+        next_call = next_attempt(
             self.load,
             call.kind,
             how,
--- a/cottonspread/lab/sim/fault_injection.py
+++ b/cottonspread/lab/sim/fault_injection.py
@@ -3,7 +3,7 @@
 Spans are in microseconds.
 """
 
-from cottonspread.lab import tuning
+from cottonspread.lab import node_config
 from cottonspread.lab.plan import AT_ONCE, HOST_FAULTS
 from cottonspread.lab.sim.world import SECOND
 
@@ -108,7 +108,7 @@
 def retune(fleet, node, process, fault, span):
     """Sends SIGHUP with a new version of the settings."""
     node.settings_version += 1
-    process.retune(tuning.values(fleet.plan, node.number, node.settings_version))
+    process.retune(node_config.build(fleet.plan, node.number, node.settings_version))
 
 
 def quiesce(fleet, node, process, fault, span):
--- a/cottonspread/lab/sim/fleet.py
+++ b/cottonspread/lab/sim/fleet.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from cottonspread.lab import listing, tuning
+from cottonspread.lab import listing, node_config
 from cottonspread.lab import plan as plans
 from cottonspread.lab.sim import fault_injection
 from cottonspread.lab.sim.agent import Agent
@@ -49,7 +49,7 @@
     def start(self):
         """Starts a process with the configuration that `serve` would read."""
         self.start_count += 1
-        values = tuning.values(self.fleet.plan, self.number, self.settings_version)
+        values = node_config.build(self.fleet.plan, self.number, self.settings_version)
         # the list that the previous process saved in the directory that both share
         if self.shares_listener and self.saved_instances:
             values["known"] = {
--- a/cottonspread/lab/sim/hosts.py
+++ b/cottonspread/lab/sim/hosts.py
@@ -1,7 +1,7 @@
 """Simulated hosts: the lab's host model and protocol on the simulated network."""
 
 from cottonspread.lab import wire
-from cottonspread.lab.serving import Serving, modelled
+from cottonspread.lab.host_server import HostServer, host_model
 from cottonspread.lab.sim.network import Endpoint
 
 MAX_UNREAD = 64 * 1024  # bytes that a node may leave unread before its connection is reset
@@ -32,12 +32,14 @@
         pass
 
 
-class Host(Serving):
+class Host(HostServer):
     """A host of the plan."""
 
     def __init__(self, fleet, machine):
         """Creates the host of a plan's machine; one that the plan starts later is down until then."""
-        super().__init__(machine.name, modelled(fleet.plan, machine, 0), fleet.plan.experiment.hosts.reports)
+        super().__init__(
+            machine.name, host_model(fleet.plan, machine, 0), fleet.plan.experiment.hosts.reports
+        )
         self.fleet, self.machine, self.endpoint, self.gone = (
             fleet,
             machine,
--- a/cottonspread/lab/standin.py
+++ b/cottonspread/lab/stub_node.py
@@ -28,7 +28,7 @@
 )
 
 
-class Standin:
+class StubNode:
     def __init__(self, config, sabotage):
         self.sabotage, self.servers, self.state, self.count, self.lock = sabotage, {}, {}, 0, threading.Lock()
         self.list, self.fresh = config["discovery"], None
@@ -182,4 +182,4 @@
 def main(sabotage):
     """Configured as a node is, by $PROXY_CONFIG."""
     with open(os.environ["PROXY_CONFIG"], encoding="utf-8") as file:
-        Standin(json.load(file), sabotage).run()
+        StubNode(json.load(file), sabotage).run()
--- a/tests/lab/test_lab_parts.py
+++ b/tests/lab/test_lab_parts.py
@@ -326,7 +326,7 @@
 
 def audit(call, legs=(), nodes=(), told=()):
     """The offences of one call: sent at 1 s with a guard time of 2 s, by one node, to hosts h0 and h1."""
-    from cottonspread.lab import ledger
+    from cottonspread.lab import audit as audits
 
     x = experiment(load={"types": [{"name": "farm-view"}], "shapes": [{"kind": "constant", "rate": 1}]})
     base = {
@@ -349,7 +349,7 @@
         "list": told,
         "nodes": [{"node": "n0"} | n for n in nodes],
     }
-    result = ledger.Audit(
+    result = audits.Audit(
         plan.make(x, plan.Variant(name="v"), 1, (70, 1)), 0, lambda kind: records[kind]
     ).run()
     return {o["what"] for o in result["offences"]}, result["excused"]
