--- a/cottonspread/lab/host_server.py
+++ b/cottonspread/lab/host_server.py
@@ -33,7 +33,7 @@
         """Bytes of a connection."""
         at = self.now()
         try:
-            lines = conn.lines.take(data)
+            lines = conn.lines.feed(data)
         except ValueError:
             self.end(conn, "reset")
             return
@@ -50,7 +50,7 @@
             self.say(conn, b"PONG" if line == b"PING" else self.report(at))
             return
         try:
-            opening = conn.call = wire.first_line(line)
+            opening = conn.call = wire.parse_open(line)
         except (ValueError, UnicodeDecodeError) as fault:
             self.put(
                 {"k": "syntax", "t": at, "host": self.name, "line": line.decode("latin-1"), "why": str(fault)}
--- a/cottonspread/lab/hosts.py
+++ b/cottonspread/lab/hosts.py
@@ -7,7 +7,7 @@
 from cottonspread.lab import wire
 from cottonspread.lab.host_server import HostServer, host_model
 from cottonspread.lab.loop import IN, OUT, listener
-from cottonspread.lab.plan import AT_ONCE, HOST_FAULTS
+from cottonspread.lab.plan import HOST_FAULTS, INSTANT_FAULTS
 from cottonspread.lab.process import Part
 from cottonspread.lab.wire import now
 
@@ -21,7 +21,7 @@
     __slots__ = ("sock", "host", "lines", "call", "out", "over")
 
     def __init__(self, sock, host):
-        self.sock, self.host, self.lines, self.call = sock, host, wire.Lines(), None
+        self.sock, self.host, self.lines, self.call = sock, host, wire.LineSplitter(), None
         self.out, self.over = deque(), False
 
 
@@ -146,7 +146,7 @@
                     self.loop.at(at, server.mend, one)
                     continue
                 self.loop.at(at, server.fault, one)
-                if one.kind not in AT_ONCE and one.kind != "hang" and one.seconds:
+                if one.kind not in INSTANT_FAULTS and one.kind != "hang" and one.seconds:
                     self.loop.at(at + round(one.seconds * SECOND), server.mend, one)
 
     def counts(self):
--- a/cottonspread/lab/load.py
+++ b/cottonspread/lab/load.py
@@ -79,7 +79,14 @@
         self.first, self.kind, self.key, self.group = first, kind, key, group
         self.intended, self.again, self.retry, self.tries = intended, again, retry, tries
         self.id, self.node, self.sock, self.sent, self.begun = "", None, None, 0, 0
-        self.answers, self.up, self.lines, self.out, self.echoes, self.asked = [], 0, wire.Lines(), b"", 0, []
+        self.answers, self.up, self.lines, self.out, self.echoes, self.asked = (
+            [],
+            0,
+            wire.LineSplitter(),
+            b"",
+            0,
+            [],
+        )
         self.slowest, self.how, self.line = 0, "", 0
 
 
@@ -182,7 +189,7 @@
         call.id, call.node = f"{self.number}x{self.made:x}", self.pick(call)
         self.window["offered"] += 1
         wait = int(kind.guard_ms)
-        call.out = wire.opening(call.id, call.key, kind.name, wait, call.group, call.again, call.retry)
+        call.out = wire.format_open(call.id, call.key, kind.name, wait, call.group, call.again, call.retry)
         sock = None
         try:
             sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM | socket.SOCK_NONBLOCK)
@@ -246,12 +253,12 @@
             self.ended(call, "end")
             return
         at = came_at(stamps)
-        for line in call.lines.take(data):
+        for line in call.lines.feed(data):
             self.line(call, line, at)
 
     def line(self, call, line, at):
         if not call.up or line.startswith(b"UP "):
-            what, value = wire.answer(line)
+            what, value = wire.parse_answer(line)
             call.answers.append([at, what, value])
             if len(call.answers) == 1:
                 self.window[what.lower()] += 1
--- a/cottonspread/lab/plan.py
+++ b/cottonspread/lab/plan.py
@@ -14,7 +14,7 @@
 from cottonspread.lab.model import SECOND, Traits
 
 HOST_FAULTS = ("hang", "slow", "jam", "reset", "refuse", "vanish", "half-dead", "cold", "drain", "join")
-AT_ONCE = ("jam", "reset")  # host faults with no end of their own
+INSTANT_FAULTS = ("jam", "reset")  # host faults with no end of their own
 LIST_FAULTS = ("list-cut", "list-garbage", "list-restart")
 NODE_FAULTS = ("freeze", "stop", "kill", "reload", "retune", "quiesce", "replace")
 # of all nodes, under one supervisor
@@ -48,7 +48,7 @@
     """An experiment that cannot be played; the message begins with the key."""
 
 
-class Kind(msgspec.Struct, forbid_unknown_fields=True, kw_only=True):
+class TrafficType(msgspec.Struct, forbid_unknown_fields=True, kw_only=True):
     """A traffic type and its clients."""
 
     name: str
@@ -82,7 +82,7 @@
 
 class Load(msgspec.Struct, forbid_unknown_fields=True, kw_only=True):
     shapes: list[Shape]
-    types: list[Kind]
+    types: list[TrafficType]
     processes: int = 2
     groups: int = 200
     zipf: float = 1.1  # how uneven the groups are; over 1
@@ -127,7 +127,7 @@
     fleet: dict = {}  # keys of the section [fleet]: the nodes are run by `fleet run`; {}: each by `serve`
 
 
-class Ways(msgspec.Struct, forbid_unknown_fields=True, kw_only=True):
+class NetworkDelays(msgspec.Struct, forbid_unknown_fields=True, kw_only=True):
     """Simulated machines: one way in microseconds within a zone and between zones, what
     chance adds to a connection at most, and how far nodes' clocks are off. On sockets the
     machine's own ways and clock are used.
@@ -140,7 +140,7 @@
     drift_ppm: int = 0
 
 
-class Happening(msgspec.Struct, forbid_unknown_fields=True, kw_only=True):
+class Fault(msgspec.Struct, forbid_unknown_fields=True, kw_only=True):
     """A fault: `on` names hosts or nodes, or `share` of them is drawn."""
 
     at: float
@@ -160,7 +160,9 @@
     sockets: int = 0
 
 
-class Experiment(msgspec.Struct, forbid_unknown_fields=True, kw_only=True, rename={"listing": "list"}):
+class Experiment(
+    msgspec.Struct, forbid_unknown_fields=True, kw_only=True, rename={"listing": "list", "network": "ways"}
+):
     name: str
     seconds: float
     load: Load
@@ -172,8 +174,8 @@
     nodes: Nodes = msgspec.field(default_factory=Nodes)
     hosts: Hosts = msgspec.field(default_factory=Hosts)
     listing: List = msgspec.field(default_factory=List)
-    ways: Ways = msgspec.field(default_factory=Ways)
-    faults: list[Happening] = []
+    network: NetworkDelays = msgspec.field(default_factory=NetworkDelays)
+    faults: list[Fault] = []
     variants: list[Variant] = []
 
 
@@ -205,7 +207,7 @@
     seed: int
     machines: list[Machine]
     nodes: list[Node]
-    faults: list[Happening]  # `on` filled in, by time
+    faults: list[Fault]  # `on` filled in, by time
     sources: list[str]  # addresses that clients come from
     unix_offset: int = 0  # Unix time less the monotonic clock, microseconds
 
@@ -294,7 +296,7 @@
         need(0 <= fault.at <= x.seconds, key + ".at", "within the run expected")
         need(
             fault.kind
-            in AT_ONCE
+            in INSTANT_FAULTS
             + ("stop", "kill", "reload", "retune", "replace", "list-restart", "list-garbage", "join")
             + FLEET_FAULTS
             or fault.seconds > 0,
--- a/cottonspread/lab/scale/hollow_faults.py
+++ b/cottonspread/lab/scale/hollow_faults.py
@@ -21,7 +21,7 @@
 
 from cottonspread.lab import audit as audits
 from cottonspread.lab import plan as plans
-from cottonspread.lab.plan import Happening
+from cottonspread.lab.plan import Fault
 from cottonspread.lab.scale.hollow import HollowFleet, Meter
 from cottonspread.lab.scale.hollow_plans import BLOCK, WARM_S, ZONES, Size, experiment
 from cottonspread.lab.scale.hollow_sweeps import Figure, SweepPlan, apart, between
@@ -95,7 +95,7 @@
     notes: str
     seconds: float = 20.0
     size: Size = FAULT_SIZE
-    faults: Callable[[Size], list[Happening]] = lambda size: []
+    faults: Callable[[Size], list[Fault]] = lambda size: []
     begin: Callable[[HollowFleet], None] = lambda fleet: None
     changes: tuple[float, ...] = (1.0, 2.0, 8.0, 9.0)
     setup_us: float = 2400.0
@@ -109,32 +109,31 @@
     return [f"h{n}" for n in range(size.servers) if n % of == which % of]
 
 
-def part_lost(size: Size, of: int, which: int) -> list[Happening]:
+def part_lost(size: Size, of: int, which: int) -> list[Fault]:
     """One part of so many, nodes and servers: nodes end without a word, servers are silent."""
     lost = servers(size, of, which) or [f"h{which % size.servers}"]
     return [
-        Happening(at=AT_S, kind="kill", on=nodes(size, of, which)),
-        Happening(at=AT_S, kind="vanish", on=lost, seconds=FOR_GOOD_S),
+        Fault(at=AT_S, kind="kill", on=nodes(size, of, which)),
+        Fault(at=AT_S, kind="vanish", on=lost, seconds=FOR_GOOD_S),
     ]
 
 
-def rolling(size: Size) -> list[Happening]:
+def rolling(size: Size) -> list[Fault]:
     """Every node's process is replaced, one node after the other within twenty seconds."""
     gap = 20.0 / size.nodes
-    return [Happening(at=AT_S + n * gap, kind="replace", on=[f"n{n}"]) for n in range(size.nodes)]
+    return [Fault(at=AT_S + n * gap, kind="replace", on=[f"n{n}"]) for n in range(size.nodes)]
 
 
-def ordinary(size: Size) -> list[Happening]:
+def ordinary(size: Size) -> list[Fault]:
     """Two nodes fail, six are restarted, a server is replaced and another drained."""
     picked = [f"n{(7 + 31 * n) % size.nodes}" for n in range(8)]
-    failed = [Happening(at=AT_S + 5.0 * n, kind="kill", on=[picked[n]], seconds=4.0) for n in range(2)]
+    failed = [Fault(at=AT_S + 5.0 * n, kind="kill", on=[picked[n]], seconds=4.0) for n in range(2)]
     restarted = [
-        Happening(at=AT_S + 1.5 * n, kind="stop", on=[name], seconds=5.0)
-        for n, name in enumerate(picked[2:], 1)
+        Fault(at=AT_S + 1.5 * n, kind="stop", on=[name], seconds=5.0) for n, name in enumerate(picked[2:], 1)
     ]
     hosts = [
-        Happening(at=AT_S + 2, kind="cold", on=["h3"], seconds=3.0),
-        Happening(at=AT_S + 4, kind="drain", on=["h1"], seconds=4.0),
+        Fault(at=AT_S + 2, kind="cold", on=["h3"], seconds=3.0),
+        Fault(at=AT_S + 4, kind="drain", on=["h1"], seconds=4.0),
     ]
     return sorted(failed + restarted + hosts, key=lambda one: one.at)
 
@@ -199,7 +198,7 @@
     count = held[name]
     fleet.told["largest_group_connections_lost"] = count
     fleet.told["largest_group_servers"] = len(held)
-    lost = Happening(at=AT_S, kind="vanish", on=[name], seconds=FOR_GOOD_S)
+    lost = Fault(at=AT_S, kind="vanish", on=[name], seconds=FOR_GOOD_S)
     fault_injection.inject(fleet, lost)
     fleet.schedule_change(round((AT_S + fleet.plan.experiment.listing.silent_s) * SECOND), name, "Gone", None)
 
@@ -215,13 +214,13 @@
         "node-lost",
         "One node's process ends without a word; no successor.",
         12.0,
-        faults=lambda size: [Happening(at=AT_S, kind="kill", on=["n7"])],
+        faults=lambda size: [Fault(at=AT_S, kind="kill", on=["n7"])],
     ),
     Event(
         "node-restarted",
         "SIGTERM to one node, back after 4 s.",
         14.0,
-        faults=lambda size: [Happening(at=AT_S, kind="stop", on=["n7"], seconds=4.0)],
+        faults=lambda size: [Fault(at=AT_S, kind="stop", on=["n7"], seconds=4.0)],
     ),
     Event("rolling-release", "Every node's process replaced within 20 s.", 28.0, faults=rolling),
     Event("rack-lost", "A fortieth of nodes and servers.", 20.0, faults=lambda s: part_lost(s, RACKS, 5)),
@@ -239,8 +238,8 @@
         REGION_CUT_S + 12.0,
         size=FEW,
         faults=lambda size: [
-            Happening(at=AT_S + 10.0, kind="drain", on=["h1"], seconds=10.0),
-            Happening(at=AT_S + 30.0, kind="drain", on=["h2"], seconds=10.0),
+            Fault(at=AT_S + 10.0, kind="drain", on=["h1"], seconds=10.0),
+            Fault(at=AT_S + 30.0, kind="drain", on=["h2"], seconds=10.0),
         ],
         begin=cut_region,
         changes=(5.0, 15.0, 25.0, 35.0, 45.0, 55.0),
--- a/cottonspread/lab/scale/hollow_plans.py
+++ b/cottonspread/lab/scale/hollow_plans.py
@@ -40,7 +40,7 @@
 SOCKETS = 4096
 
 
-def experiment(size: Size, seconds: float, faults: list[plans.Happening] | tuple = ()) -> plans.Experiment:
+def experiment(size: Size, seconds: float, faults: list[plans.Fault] | tuple = ()) -> plans.Experiment:
     """An experiment in which all clients come in the first seconds and stay."""
     count = size.nodes * size.connections
     shape = {"kind": "burst", "start": COMING_S, "seconds": WARM_S - 1 - COMING_S, "count": count}
@@ -70,6 +70,6 @@
 """The first group's part of all clients is then 1.3%: 430,000 of 32 million."""
 
 
-def plan(size: Size, seconds: float, faults: list[plans.Happening] | tuple = ()) -> plans.Plan:
+def plan(size: Size, seconds: float, faults: list[plans.Fault] | tuple = ()) -> plans.Plan:
     made = experiment(size, seconds, faults)
     return plans.make(made, plans.Variant(name="only"), size.seed, BLOCK)
--- a/cottonspread/lab/scale/processes.py
+++ b/cottonspread/lab/scale/processes.py
@@ -99,7 +99,7 @@
         seconds = max(changes, default=1.0) + 600
         asked = experiment(Size(nodes=1, servers=servers), seconds)
         asked.faults = [
-            plans.Happening(at=at, kind="drain", on=[f"h{n % servers}"]) for n, at in enumerate(changes)
+            plans.Fault(at=at, kind="drain", on=[f"h{n % servers}"]) for n, at in enumerate(changes)
         ]
         self.plan = plans.make(asked, plans.Variant(name="only"), 1, block(number))
         super().__init__("list", self.folder, self.plan)
--- a/cottonspread/lab/selfcheck.py
+++ b/cottonspread/lab/selfcheck.py
@@ -92,7 +92,7 @@
         sources=2,
         retries=0,
         spins=True,
-        types=[plans.Kind(name="check", life_s=0.2, guard_ms=4000)],
+        types=[plans.TrafficType(name="check", life_s=0.2, guard_ms=4000)],
     )
     x = plans.Experiment(name="selfcheck", seconds=seconds, load=load, hosts=plans.Hosts(count=1))
     plan = plans.make(x, plans.Variant(name="only"), int(time.time()))
--- a/cottonspread/lab/sim/clients.py
+++ b/cottonspread/lab/sim/clients.py
@@ -71,7 +71,13 @@
         )
         self.intended, self.again, self.retry, self.tries = intended, again, retry, tries
         self.id, self.node, self.begun, self.sent, self.side = "", None, 0, 0, None
-        self.answers, self.up, self.lines, self.line, self.unanswered_lines = [], 0, wire.Lines(), 0, []
+        self.answers, self.up, self.lines, self.line, self.unanswered_lines = (
+            [],
+            0,
+            wire.LineSplitter(),
+            0,
+            [],
+        )
         self.echo_count, self.max_echo_delay, self.how, self.done, self.slow_until, self.accepted_at = (
             0,
             0,
@@ -95,7 +101,7 @@
         self.clients.open_calls[self] = None
         try:
             side.send(
-                wire.opening(
+                wire.format_open(
                     self.id,
                     self.key,
                     self.kind.name,
@@ -118,7 +124,7 @@
         if self.done or world.now < self.slow_until:
             return
         if side.received:
-            for line in self.lines.take(side.recv()):
+            for line in self.lines.feed(side.recv()):
                 self.on_line(line)
                 if self.done:
                     return
@@ -134,7 +140,7 @@
         now, clients = self.clients.world.now, self.clients
         clients.fleet.invariants.on_client_line(self, line)
         if not self.up or line.startswith(b"UP "):
-            what, value = wire.answer(line)
+            what, value = wire.parse_answer(line)
             self.answers.append([now, what, value])
             if len(self.answers) == 1 and what == "UP":
                 self.up = now
--- a/cottonspread/lab/sim/fault_injection.py
+++ b/cottonspread/lab/sim/fault_injection.py
@@ -4,7 +4,7 @@
 """
 
 from cottonspread.lab import node_config
-from cottonspread.lab.plan import AT_ONCE, HOST_FAULTS
+from cottonspread.lab.plan import HOST_FAULTS, INSTANT_FAULTS
 from cottonspread.lab.sim.world import SECOND
 
 STOP_TIMEOUT = 3_700_000  # from SIGTERM to SIGKILL: the longest guard time, 3 s at most, and 0.7 s
@@ -31,7 +31,7 @@
         host.mend(fault)
         return
     host.fault(fault)
-    if fault.kind not in AT_ONCE and fault.kind != "hang" and span:
+    if fault.kind not in INSTANT_FAULTS and fault.kind != "hang" and span:
         fleet.world.after(span, host.mend, fault)
 
 
--- a/cottonspread/lab/sim/fleet.py
+++ b/cottonspread/lab/sim/fleet.py
@@ -39,8 +39,8 @@
             [],
         )
         self.skew, self.drift = (
-            random.randint(-x.ways.skew_us, x.ways.skew_us),
-            random.randint(-x.ways.drift_ppm, x.ways.drift_ppm),
+            random.randint(-x.network.skew_us, x.network.skew_us),
+            random.randint(-x.network.drift_ppm, x.network.drift_ppm),
         )
         self.shares_listener = any(f.kind == "replace" and self.name in f.on for f in fleet.plan.faults)
         self.should_run, self.down_at, self.saved_instances, self.generation = True, None, {}, 0
@@ -145,7 +145,7 @@
         """
         self.plan, x = expand_zone_faults(plan), plan.experiment
         self.world = World(plan.seed if seed is None else seed, traced)
-        self.world.network = Network(self.world, x.ways.same_us, x.ways.cross_us, x.ways.jitter_us)
+        self.world.network = Network(self.world, x.network.same_us, x.network.cross_us, x.network.jitter_us)
         self.policy, self.addresses, self.reasons = policy, {}, {}
         self.entries = [self.entry(m) for m in plan.machines if not m.started]
         self.invariants = Invariants(self, checked)
--- a/cottonspread/lab/sim/generator.py
+++ b/cottonspread/lab/sim/generator.py
@@ -75,7 +75,7 @@
         factor = random.choice((1.0, 3.0, 10.0))
     elif kind in ("store-slow", "reconnect", "slow-readers", "bad"):
         factor = random.choice((1.0, 3.0, 8.0))
-    return plans.Happening(at=at, kind=kind, seconds=seconds, on=targets, factor=factor)
+    return plans.Fault(at=at, kind=kind, seconds=seconds, on=targets, factor=factor)
 
 
 def node_fault_parameters(random, kind, seconds, factor):
--- a/cottonspread/lab/sim/hosts.py
+++ b/cottonspread/lab/sim/hosts.py
@@ -14,7 +14,13 @@
 
     def __init__(self, side, server):
         """`side`: the host's side of the connection."""
-        self.side, self.lines, self.call, self.over, self.server = side, wire.Lines(), None, False, server
+        self.side, self.lines, self.call, self.over, self.server = (
+            side,
+            wire.LineSplitter(),
+            None,
+            False,
+            server,
+        )
 
     def on_readable(self, side):
         """Reads what has arrived; a machine that has vanished reads nothing."""
--- a/cottonspread/lab/sim/scenario.py
+++ b/cottonspread/lab/sim/scenario.py
@@ -103,7 +103,7 @@
                             "on": arguments[1:],
                             **options,
                         },
-                        plans.Happening,
+                        plans.Fault,
                         strict=False,
                     )
                 )
--- a/cottonspread/lab/wire.py
+++ b/cottonspread/lab/wire.py
@@ -8,7 +8,7 @@
 import time
 from dataclasses import dataclass
 
-LONGEST = 4096
+MAX_LINE = 4096
 
 
 def now():
@@ -16,7 +16,7 @@
     return time.monotonic_ns() // 1000
 
 
-class Lines:
+class LineSplitter:
     """Bytes in, whole lines out (without their ends); the same lines wherever the bytes are cut."""
 
     __slots__ = ("rest",)
@@ -24,16 +24,16 @@
     def __init__(self):
         self.rest = b""
 
-    def take(self, data):
+    def feed(self, data):
         """All lines that `data` completes. ValueError if one is longer than the protocol allows."""
         *whole, self.rest = (self.rest + data).split(b"\n")
-        if len(self.rest) > LONGEST or any(len(line) > LONGEST for line in whole):
+        if len(self.rest) > MAX_LINE or any(len(line) > MAX_LINE for line in whole):
             raise ValueError("a line of over 4,096 bytes")
         return [line[:-1] if line.endswith(b"\r") else line for line in whole]
 
 
 @dataclass(frozen=True, slots=True)
-class First:
+class OpenRequest:
     """A connection's first line, as a host reads it."""
 
     id: str
@@ -45,7 +45,7 @@
     held: str
 
 
-def first_line(line):
+def parse_open(line):
     """`OPEN ID KEY c=..,d=..`; ValueError names what is wrong."""
     words = line.split(b" ")
     if len(words) != 4 or words[0] != b"OPEN":
@@ -58,7 +58,7 @@
         pairs[name] = value.decode("ascii")
     if b"c" not in pairs or b"d" not in pairs and b"at" not in pairs:
         raise ValueError("c or d is missing")
-    return First(
+    return OpenRequest(
         words[1].decode("ascii"),
         words[2].decode("ascii"),
         pairs[b"c"],
@@ -69,13 +69,13 @@
     )
 
 
-def opening(call_id, key, traffic_type, wait_ms, group="", again=False, retry=False):
+def format_open(call_id, key, traffic_type, wait_ms, group="", again=False, retry=False):
     """A client's first line."""
     more = (f",g={group}" if group else "") + (",again=1" if again else "") + (",r=1" if retry else "")
     return f"OPEN {call_id} {key} c={traffic_type},d={wait_ms}{more}\r\n".encode()
 
 
-def answer(line):
+def parse_answer(line):
     """What a line tells a client that waits: ("UP", receipt), ("BUSY", ms or 0) or ("other", text)."""
     word, _, rest = line.partition(b" ")
     if word == b"UP" and rest:
--- a/tests/lab/test_lab_parts.py
+++ b/tests/lab/test_lab_parts.py
@@ -20,17 +20,17 @@
 @given(st.lists(st.integers(0, 40), max_size=8))
 def test_any_cut_of_the_bytes_gives_the_same_lines(cuts):
     data = b"OPEN a b c=x,d=5\r\n\nPING\r\nlast"
-    whole, parts = wire.Lines(), wire.Lines()
-    expected, got, cuts = whole.take(data), [], sorted({min(c, len(data)) for c in cuts} | {0, len(data)})
+    whole, parts = wire.LineSplitter(), wire.LineSplitter()
+    expected, got, cuts = whole.feed(data), [], sorted({min(c, len(data)) for c in cuts} | {0, len(data)})
     for start, end in itertools.pairwise(cuts):
-        got += parts.take(data[start:end])
+        got += parts.feed(data[start:end])
     assert got == expected == [b"OPEN a b c=x,d=5", b"", b"PING"] and parts.rest == whole.rest == b"last"
 
 
 def test_a_line_over_the_limit_is_refused_and_the_longest_passes():
-    assert wire.Lines().take(b"x" * 4094 + b"\r\n") == [b"x" * 4094]
+    assert wire.LineSplitter().feed(b"x" * 4094 + b"\r\n") == [b"x" * 4094]
     with pytest.raises(ValueError, match="4,096"):
-        wire.Lines().take(b"x" * 4097)
+        wire.LineSplitter().feed(b"x" * 4097)
 
 
 @pytest.mark.parametrize(
@@ -46,13 +46,13 @@
 )
 def test_a_host_tells_what_is_wrong_with_a_first_line(line, why):
     with pytest.raises(ValueError, match=why):
-        wire.first_line(line)
+        wire.parse_open(line)
 
 
 def test_a_first_line_is_read_as_it_was_written():
-    first = wire.first_line(wire.opening("id1", "k", "farm-view", 2000, "g", again=True).rstrip())
-    assert first == wire.First("id1", "k", "farm-view", 2000, "g", True, "")
-    assert [wire.answer(x) for x in (b"UP 7", b"BUSY", b"BUSY 250", b"BUSY x", b"UP")] == [
+    first = wire.parse_open(wire.format_open("id1", "k", "farm-view", 2000, "g", again=True).rstrip())
+    assert first == wire.OpenRequest("id1", "k", "farm-view", 2000, "g", True, "")
+    assert [wire.parse_answer(x) for x in (b"UP 7", b"BUSY", b"BUSY 250", b"BUSY x", b"UP")] == [
         ("UP", "7"),
         ("BUSY", 0),
         ("BUSY", 250),
@@ -99,7 +99,9 @@
 
     def open(self, conn, group="", wait=4800):
         self.do(
-            self.host.first(self.now, conn, wire.First(conn, "k" + conn, "farm-view", wait, group, False, ""))
+            self.host.first(
+                self.now, conn, wire.OpenRequest(conn, "k" + conn, "farm-view", wait, group, False, "")
+            )
         )
         return self
 
