--- a/cottonspread/cli/lab.py
+++ b/cottonspread/cli/lab.py
@@ -123,8 +123,8 @@
     def start(given):
         from cottonspread.lab import hosts, limits, listing, load
 
-        limits.raise_descriptors()
-        return {"hosts": hosts.Hosts, "list": listing.Listing, "load": load.Clients}[name](
+        limits.raise_descriptor_limit()
+        return {"hosts": hosts.Hosts, "list": listing.ListServer, "load": load.Clients}[name](
             given.plan, given.number
         ).main()
 
@@ -144,7 +144,7 @@
     with open(given.out, "wb") as file:
         file.write(msgspec.json.encode(one))
     print(
-        f"{len(schedule.at)} first calls, at most {limits.most_standing(schedule)} established at a time, "
+        f"{len(schedule.at)} first calls, at most {limits.max_established(schedule)} established at a time, "
         f"schedule sha256 {schedule.digest()}"
     )
     for line in limits.check(one, schedule):
@@ -179,7 +179,7 @@
     from cottonspread.lab import audit as audits
     from cottonspread.lab import results
 
-    told = results.audited(given.folder)[2]
+    told = results.audit_folder(given.folder)[2]
     print("\n".join(audits.summary_lines(told)))
     return 1 if told["offences"] else 0
 
@@ -189,7 +189,7 @@
     from cottonspread.lab import record
     from cottonspread.lab import trace as traces
 
-    entries = traces.of_calls([c for c in record.read(given.folder, "load") if c["k"] == "call"])
+    entries = traces.from_calls([c for c in record.read(given.folder, "load") if c["k"] == "call"])
     traces.write(given.file, entries)
     print(f"{len(entries)} connections")
     return 0
--- a/cottonspread/lab/acceptor.py
+++ b/cottonspread/lab/acceptor.py
@@ -9,7 +9,7 @@
 
 
 def run(address):
-    limits.raise_descriptors()
+    limits.raise_descriptor_limit()
     loop, conns = Loop(), {}
     loop.spin = 2_000_000  # always awake: a core that sleeps is a virtual machine's to be taken away
     door = listener(address, 4096, "acceptor")
--- a/cottonspread/lab/limits.py
+++ b/cottonspread/lab/limits.py
@@ -25,7 +25,7 @@
         return 28232
 
 
-def raise_descriptors():
+def raise_descriptor_limit():
     """To the hard limit; that limit.
 
     The kernel's table of them grows here at once: each time that it grows in a process with threads, whoever
@@ -38,7 +38,7 @@
     return hard
 
 
-def most_standing(schedule, settle_us=2_000_000):
+def max_established(schedule, settle_us=2_000_000):
     """How many of the first calls stand at once at most, each from its time to its life's end."""
     starts, ends = schedule.at, np.sort(schedule.at + schedule.life + settle_us)
     return int((np.arange(1, len(starts) + 1) - np.searchsorted(ends, starts)).max()) if len(starts) else 0
@@ -47,8 +47,8 @@
 def check(plan, schedule, hard=None, local_ports=None, cores=None):
     """What is to be said of cores, a list of lines; LimitExceededError if descriptors or ports cannot do."""
     x = plan.experiment
-    hard, local_ports = hard or raise_descriptors(), local_ports or ports()
-    standing = most_standing(schedule)
+    hard, local_ports = hard or raise_descriptor_limit(), local_ports or ports()
+    standing = max_established(schedule)
     reconnects = sum(standing * s.share for s in x.load.shapes if s.kind == "reconnect")
     need = standing // x.load.processes + SPARE
     if need > hard:
--- a/cottonspread/lab/listing.py
+++ b/cottonspread/lab/listing.py
@@ -1,7 +1,7 @@
 """The list of hosts with its watch over HTTP: a pure core, and one address for each node.
 
-`changes` derives from a plan's faults what the list has to tell and when;
-`Book` answers; `Listing` is the shell.
+`planned_changes` derives from a plan's faults what the list has to tell and when;
+`HostList` answers; `ListServer` is the shell.
 """
 
 import json
@@ -17,10 +17,10 @@
 
 SECOND = 1_000_000
 LONGEST_WATCH = 60 * SECOND
-ANSWER = b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n%s"
+HTTP_RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n%s"
 
 
-def changes(plan):
+def planned_changes(plan):
     """[(microseconds after the start, host, lifecycle, start of the host
     or None)], by time; the lag is in it.
     """
@@ -46,7 +46,7 @@
     return sorted(((round(t), name, state, start) for t, name, state, start in out), key=lambda c: c[0])
 
 
-class Book:
+class HostList:
     """The list and its versions. An entry: the protocol's own names and values."""
 
     def __init__(self, entries, version=1):
@@ -63,7 +63,7 @@
         else:
             self.entries[name] = entry
 
-    def weigh(self, held):
+    def set_weights(self, held):
         """Weights that move: each host's size over one and the connections that it
         holds a core, as one change of the list.
         """
@@ -74,17 +74,17 @@
                 self.news.append((self.version, entry))
         self.news = self.news[-20 * len(self.entries) - 1000 :]
 
-    def whole(self):
+    def full_list(self):
         return {"generation": self.version, "reset": True, "instances": list(self.entries.values())}
 
-    def since(self, version):
+    def changes_since(self, version):
         """What changed after `version`: None if nothing did."""
         if version >= self.version:
             return None
         latest = {entry["instanceId"]: entry for v, entry in self.news if v > version}
         return {"generation": self.version, "reset": False, "instances": list(latest.values())}
 
-    def begin_anew(self):
+    def restart(self):
         """As a list that lost its memory: the same hosts, a lower version."""
         self.version, self.news = 1, []
 
@@ -98,11 +98,11 @@
         self.sock, self.node, self.rest, self.since, self.until = sock, node, b"", None, 0
 
 
-class Listing(Part):
+class ListServer(Part):
     kind = "list"
 
     def prepare(self):
-        self.book = Book([self.entry(m) for m in self.plan.machines if not m.started])
+        self.book = HostList([self.entry(m) for m in self.plan.machines if not m.started])
         self.askers, self.silent, self.garbage, self.listeners = set(), 0, 0, []
         for node in self.plan.nodes:
             sock = listener((node.ip, node.list_port), 64, "list")
@@ -126,7 +126,7 @@
             self.held = {}
             threading.Thread(target=self.watch_hosts, daemon=True).start()
             self.weigh()
-        for after, name, lifecycle, started in changes(self.plan):
+        for after, name, lifecycle, started in planned_changes(self.plan):
             self.loop.at(self.start + after, self.change, name, lifecycle, started)
         for one in self.plan.faults:
             if one.kind in LIST_FAULTS:
@@ -149,7 +149,7 @@
     def weigh(self):
         self.loop.at(now() + round(self.plan.experiment.listing.weights_ms * 1000), self.weigh)
         if self.held:
-            self.book.weigh(dict(self.held))
+            self.book.set_weights(dict(self.held))
             self.answer_watches()
 
     def change(self, name, lifecycle, started):
@@ -169,7 +169,7 @@
         elif one.kind == "list-garbage":
             self.garbage = 5
         else:
-            self.book.begin_anew()
+            self.book.restart()
             for asker in list(self.askers):
                 self.drop(asker)
 
@@ -220,10 +220,10 @@
         at = now()
         if asker.since is None or at < self.silent or asker not in self.askers:
             return
-        said = self.book.whole() if asker.since < 0 else self.book.since(asker.since)
+        said = self.book.full_list() if asker.since < 0 else self.book.changes_since(asker.since)
         if said is None:
             if asker.since > self.book.version:  # it knows a version that this list never had
-                said = self.book.whole()
+                said = self.book.full_list()
             elif at < asker.until:
                 return
             else:
@@ -236,7 +236,7 @@
         try:
             asker.sock.setblocking(True)
             asker.sock.settimeout(0.2)
-            asker.sock.sendall(ANSWER % (len(body), body))
+            asker.sock.sendall(HTTP_RESPONSE % (len(body), body))
             asker.sock.setblocking(False)
         except OSError:
             self.drop(asker)
--- a/cottonspread/lab/results.py
+++ b/cottonspread/lab/results.py
@@ -71,7 +71,7 @@
     return h
 
 
-def audited(folder):
+def audit_folder(folder):
     """A play's folder: (its plan, its Audit, what the audit tells, the sums of its load processes)."""
     try:
         with open(os.path.join(folder, "plan.json"), "rb") as file:
@@ -119,7 +119,7 @@
 def judge(play, repeat=0):
     """Reads what the play left in its folder; writes `results.json` there, whole or not at all."""
     folder = play.folder
-    plan, audit, told, sums = audited(folder)
+    plan, audit, told, sums = audit_folder(folder)
     kinds = {k.name: k for k in plan.experiment.load.types}
     latency, lateness, echo = histograms(sums)
     first = [c for c in audit.calls.values() if not c["retry"] and not c["again"]]
--- a/cottonspread/lab/scale/hollow.py
+++ b/cottonspread/lab/scale/hollow.py
@@ -14,7 +14,7 @@
 from dataclasses import dataclass, fields
 from typing import Protocol
 
-from cottonspread.lab.listing import ANSWER
+from cottonspread.lab.listing import HTTP_RESPONSE
 from cottonspread.lab.sim.agent import ROUND_TRIP, Agent, Caller
 from cottonspread.lab.sim.fleet import Fleet
 from cottonspread.lab.sim.node import Process
@@ -176,7 +176,7 @@
             raise self.answer
         began = time.thread_time_ns()
         body = self.body(path)
-        answer = ANSWER % (len(body), body)
+        answer = HTTP_RESPONSE % (len(body), body)
         self.agent.meter.answer_ns += time.thread_time_ns() - began
         self.agent.meter.answers += 1
         self.agent.meter.bytes_out += len(answer)
--- a/cottonspread/lab/sim/agent.py
+++ b/cottonspread/lab/sim/agent.py
@@ -8,7 +8,7 @@
 import json
 import urllib.parse
 
-from cottonspread.lab.listing import Book
+from cottonspread.lab.listing import HostList
 from cottonspread.lab.sim.world import SECOND
 
 GARBAGE_BODIES = (b"<html>not found</html>", b"[" * 3000, b'{"generation": "x"}', b"")
@@ -22,7 +22,7 @@
         """`lag`: microseconds that a change takes to arrive here."""
         self.fleet, self.world, self.name, self.lag, self.extra_lag = fleet, fleet.world, name, lag, 0
         self.book, self.silent_until, self.garbage_left, self.last_change_at, self.callers = (
-            Book(entries),
+            HostList(entries),
             0,
             0,
             0,
@@ -43,7 +43,7 @@
 
     def update_weights(self, usage):
         """Updates the hosts' weights from `usage`, and answers waiting calls."""
-        self.book.weigh(usage)
+        self.book.set_weights(usage)
         self.answer_waiting_calls()
 
     def go_silent(self, span):
@@ -53,7 +53,7 @@
 
     def restart(self):
         """Starts a new generation of the list and breaks calls that are waiting."""
-        self.book.begin_anew()
+        self.book.restart()
         for caller in list(self.callers):
             caller.fail(caller.call, ConnectionResetError("list restarted"))
 
@@ -154,7 +154,7 @@
             return GARBAGE_BODIES[agent.garbage_left % len(GARBAGE_BODIES)]
         query = urllib.parse.parse_qs(urllib.parse.urlsplit(path).query)
         since = int(query["since"][0]) if "since" in query else -1
-        answer = book.whole() if since < 0 or since > book.version else book.since(since)
+        answer = book.full_list() if since < 0 or since > book.version else book.changes_since(since)
         answer = answer or {"generation": book.version, "reset": False, "instances": []}
         hosts = [[e["instanceId"], e["lifecycle"], e["startedAtMs"]] for e in answer["instances"]]
         agent.fleet.add_record(
--- a/cottonspread/lab/sim/fleet.py
+++ b/cottonspread/lab/sim/fleet.py
@@ -158,7 +158,7 @@
         for node in self.nodes:
             # Nodes start at about the same time, as a fleet's machines do, but not in the same microsecond.
             self.world.at(node.random.randbelow(self.start_window), node.start)
-        for after, name, lifecycle, started in listing.changes(self.plan):
+        for after, name, lifecycle, started in listing.planned_changes(self.plan):
             self.schedule_change(after - round(x.listing.lag_ms * 1000), name, lifecycle, started)
         for fault in self.plan.faults:
             self.world.at(round(fault.at * SECOND), fault_injection.inject, self, fault)
--- a/cottonspread/lab/trace.py
+++ b/cottonspread/lab/trace.py
@@ -71,7 +71,7 @@
     )
 
 
-def of_calls(calls):
+def from_calls(calls):
     """What a run's clients had, as a trace: first calls that came up, with the time they stood."""
     return [
         Entry(
--- a/tests/lab/test_lab_parts.py
+++ b/tests/lab/test_lab_parts.py
@@ -198,14 +198,14 @@
 
 
 def test_the_list_tells_a_watch_only_what_changed_after_its_version():
-    book = listing.Book([{"instanceId": "h0", "lifecycle": "Ready", "startedAtMs": 0}])
-    assert book.since(1) is None
+    book = listing.HostList([{"instanceId": "h0", "lifecycle": "Ready", "startedAtMs": 0}])
+    assert book.changes_since(1) is None
     book.change("h0", "Terminating")
     book.change("h0", "Gone")
-    assert book.since(1)["instances"] == [{"instanceId": "h0", "lifecycle": "Gone", "startedAtMs": 0}]
-    assert book.whole() == {"generation": 3, "reset": True, "instances": []}
-    book.begin_anew()
-    assert book.version == 1 and book.since(3) is None
+    assert book.changes_since(1)["instances"] == [{"instanceId": "h0", "lifecycle": "Gone", "startedAtMs": 0}]
+    assert book.full_list() == {"generation": 3, "reset": True, "instances": []}
+    book.restart()
+    assert book.version == 1 and book.changes_since(3) is None
 
 
 # Plans, schedules, traces
@@ -310,7 +310,7 @@
     )
     one = plan.make(x, plan.Variant(name="v"), 1, (70, 1))
     schedule = plan.schedule(one)
-    assert limits.most_standing(schedule) == pytest.approx(5000, rel=0.02)
+    assert limits.max_established(schedule) == pytest.approx(5000, rel=0.02)
     limits.check(one, schedule, hard=10_000, local_ports=28_000, cores=64)
     with pytest.raises(
         limits.LimitExceededError, match=r"descriptors: .* load processes.*is 1024: raise load.processes to"
