--- a/cottonspread/lab/host_server.py
+++ b/cottonspread/lab/host_server.py
@@ -29,7 +29,7 @@
     def __init__(self, name, host, reports):
         self.name, self.model, self.reports, self.conns = name, host, reports, {}
 
-    def came(self, conn, data):
+    def on_data(self, conn, data):
         """Bytes of a connection."""
         at = self.now()
         try:
@@ -39,23 +39,23 @@
             return
         for line in lines:
             if conn.call is None:
-                self.first(conn, line, at)
+                self.on_first_line(conn, line, at)
             else:
-                self.do(self.model.line(at, conn, line))
+                self.apply(self.model.on_line(at, conn, line))
             if conn.over:
                 return
 
-    def first(self, conn, line, at):
+    def on_first_line(self, conn, line, at):
         if line in (b"PING", b"STATS"):
-            self.say(conn, b"PONG" if line == b"PING" else self.report(at))
+            self.send_line(conn, b"PONG" if line == b"PING" else self.load_report(at))
             return
         try:
-            opening = conn.call = wire.parse_open(line)
+            request = conn.call = wire.parse_open(line)
         except (ValueError, UnicodeDecodeError) as fault:
             self.put(
                 {"k": "syntax", "t": at, "host": self.name, "line": line.decode("latin-1"), "why": str(fault)}
             )
-            self.say(conn, b"SYNTAX")
+            self.send_line(conn, b"SYNTAX")
             self.end(conn, "end")
             return
         self.put(
@@ -63,50 +63,53 @@
                 "k": "leg",
                 "t": at,
                 "host": self.name,
-                "id": opening.id,
-                "key": opening.key,
-                "type": opening.type,
-                "group": opening.group,
-                "d": opening.wait_ms,
-                "cold": round(self.model.share(), 4),
+                "id": request.id,
+                "key": request.key,
+                "type": request.type,
+                "group": request.group,
+                "d": request.wait_ms,
+                "cold": round(self.model.capacity_share(), 4),
                 "up": self.model.state,
             }
         )
-        self.do(self.model.first(at, conn, opening))
+        self.apply(self.model.on_first_line(at, conn, request))
 
-    def report(self, at):
+    def load_report(self, at):
         if not self.reports:
             return b"NO"
         self.put({"k": "probe", "t": at, "host": self.name})
-        return b"PONG " + b",".join(b"%s:%.4f" % (name, value) for name, value in self.model.report(at))
+        return b"PONG " + b",".join(b"%s:%.4f" % (name, value) for name, value in self.model.load_report(at))
 
-    def do(self, effects):
+    def apply(self, effects):
         for effect in effects:
-            if isinstance(effect, (model.Say, model.Close)) and effect.conn.over:
+            if isinstance(effect, (model.SendLine, model.Close)) and effect.conn.over:
                 continue
-            if isinstance(effect, model.Door):
-                {"open": self.open, "refused": self.shut, "vanished": self.vanish}[effect.state]()
-            elif isinstance(effect, model.Note):
-                self.note(effect)
+            if isinstance(effect, model.AddressChange):
+                {"open": self.open, "refused": self.refuse, "vanished": self.vanish}[effect.state]()
+            elif isinstance(effect, model.HostEvent):
+                self.on_model_event(effect)
             elif effect.at > self.now():
-                self.at(effect.at, self.carry_out, effect)
+                self.at(effect.at, self.execute, effect)
             else:
-                self.carry_out(effect)
+                self.execute(effect)
 
-    def carry_out(self, effect):
+    def execute(self, effect):
         conn = effect.conn
-        if conn.over or self.model.deaf:
+        if conn.over or self.model.unresponsive:
             return
-        if isinstance(effect, model.Say):
-            self.say(conn, effect.line)
+        if isinstance(effect, model.SendLine):
+            self.send_line(conn, effect.line)
         else:
             self.end(conn, effect.how)
 
-    def note(self, effect):
+    def on_model_event(self, effect):
         conn, at = effect.conn, self.now()
         if effect.kind in ("turn", "change"):
             self.at(
-                effect.value, self.go_on, conn, self.model.run if effect.kind == "turn" else self.model.change
+                effect.value,
+                self.resume,
+                conn,
+                self.model.finish_setup if effect.kind == "turn" else self.model.change_load,
             )
         else:
             line = {"k": effect.kind, "t": at, "host": self.name}
@@ -118,10 +121,10 @@
                 line["gone"] = conn.over  # its leg was given up before: it ran for nobody
             self.put(line)
 
-    def go_on(self, conn, what):
-        self.do(what(self.now(), conn))
+    def resume(self, conn, what):
+        self.apply(what(self.now(), conn))
 
-    def say(self, conn, line):
+    def send_line(self, conn, line):
         if conn.over:
             return
         if conn.call is not None and line.startswith(b"UP "):
@@ -145,20 +148,22 @@
         self.conns.pop(conn, None)
         if conn.call is not None:
             self.put({"k": "end", "t": self.now(), "host": self.name, "id": conn.call.id, "how": how})
-            self.do(self.model.ended(self.now(), conn))
+            self.apply(self.model.on_end(self.now(), conn))
 
-    def fault(self, one):
-        self.put({"k": "fault", "t": self.now(), "host": self.name, "kind": one.kind})
-        if one.kind in ("vanish", "cold"):
+    def start_fault(self, fault):
+        self.put({"k": "fault", "t": self.now(), "host": self.name, "kind": fault.kind})
+        if fault.kind in ("vanish", "cold"):
             self.put({"k": "down", "t": self.now(), "host": self.name})
-        self.do(self.model.fault(self.now(), one.kind, round(one.seconds * SECOND), one.factor))
-        if one.kind in ("cold", "reset"):
+        self.apply(
+            self.model.start_fault(self.now(), fault.kind, round(fault.seconds * SECOND), fault.factor)
+        )
+        if fault.kind in ("cold", "reset"):
             for conn in list(self.conns):
                 self.end(conn, "reset")
 
-    def mend(self, one):
-        if one.kind in ("drain", "vanish"):  # the process ends with what is left on it, or is back
+    def end_fault(self, fault):
+        if fault.kind in ("drain", "vanish"):  # the process ends with what is left on it, or is back
             for conn in list(self.conns):
-                self.end(conn, "end" if one.kind == "drain" else "reset")
-        self.put({"k": "mend", "t": self.now(), "host": self.name, "kind": one.kind})
-        self.do(self.model.mend(self.now(), one.kind))
+                self.end(conn, "end" if fault.kind == "drain" else "reset")
+        self.put({"k": "mend", "t": self.now(), "host": self.name, "kind": fault.kind})
+        self.apply(self.model.end_fault(self.now(), fault.kind))
--- a/cottonspread/lab/hosts.py
+++ b/cottonspread/lab/hosts.py
@@ -39,11 +39,11 @@
             self.open()
 
     def open(self):
-        self.shut()
+        self.refuse()
         self.listener = listener((self.machine.ip, self.machine.port), BACKLOG, f"host {self.machine.name}")
         self.part.loop.watch(self.listener, self.accept)
 
-    def shut(self):
+    def refuse(self):
         if self.listener is not None:
             self.part.loop.drop(self.listener)
             self.listener.close()
@@ -95,7 +95,7 @@
         except OSError:
             data = b""
         if data:
-            self.came(conn, data)
+            self.on_data(conn, data)
         else:
             self.end(conn, "theirs")
 
@@ -143,11 +143,11 @@
                     continue
                 at = self.start + round(one.at * SECOND)
                 if one.kind == "join":
-                    self.loop.at(at, server.mend, one)
+                    self.loop.at(at, server.end_fault, one)
                     continue
-                self.loop.at(at, server.fault, one)
+                self.loop.at(at, server.start_fault, one)
                 if one.kind not in INSTANT_FAULTS and one.kind != "hang" and one.seconds:
-                    self.loop.at(at + round(one.seconds * SECOND), server.mend, one)
+                    self.loop.at(at + round(one.seconds * SECOND), server.end_fault, one)
 
     def counts(self):
         return {"standing": {name: len(s.model.conns) for name, s in self.servers.items()}}
--- a/cottonspread/lab/sim/fault_injection.py
+++ b/cottonspread/lab/sim/fault_injection.py
@@ -28,11 +28,11 @@
 def inject_host_fault(fleet, host, fault, span):
     """Starts a fault of one host and schedules its end."""
     if fault.kind == "join":
-        host.mend(fault)
+        host.end_fault(fault)
         return
-    host.fault(fault)
+    host.start_fault(fault)
     if fault.kind not in INSTANT_FAULTS and fault.kind != "hang" and span:
-        fleet.world.after(span, host.mend, fault)
+        fleet.world.after(span, host.end_fault, fault)
 
 
 # Nodes
@@ -273,7 +273,7 @@
 def store_slow(fleet, fault, span):
     """Makes what all set-ups need slower by `factor` tenths of a second."""
     for host in fleet.hosts.values():
-        host.model.store = round(fault.factor * SECOND / 10)
+        host.model.extra_setup_delay = round(fault.factor * SECOND / 10)
         fleet.world.after(span, setattr, host.model, "store", 0)
 
 
--- a/cottonspread/lab/sim/hosts.py
+++ b/cottonspread/lab/sim/hosts.py
@@ -29,7 +29,7 @@
         if side.received:
             data = side.recv()
             self.server.fleet.invariants.on_host_data(self, data)
-            self.server.came(self, data)
+            self.server.on_data(self, data)
         if not self.over and (side.eof or side.was_reset):
             self.server.end(self, "theirs")
 
@@ -71,7 +71,7 @@
         """Accepts connections."""
         self.endpoint.on_connect, self.gone = self.accept, False
 
-    def shut(self):
+    def refuse(self):
         """Refuses connections."""
         self.endpoint.on_connect, self.gone = None, False
 
@@ -102,8 +102,8 @@
         else:
             conn.side.close()
 
-    def mend(self, fault):
+    def end_fault(self, fault):
         """Ends a fault."""
         if fault.kind == "vanish":
             self.gone = False
-        super().mend(fault)
+        super().end_fault(fault)
--- a/cottonspread/lab/sim/invariants.py
+++ b/cottonspread/lab/sim/invariants.py
@@ -363,7 +363,7 @@
             or leg.side.was_reset
             or leg.side.link in self.dead_links
             or host.gone
-            or host.model.deaf,
+            or host.model.unresponsive,
             ANSWER,
             "cut off without MOVE while its host answered",
             observed,
--- a/tests/lab/test_lab_parts.py
+++ b/tests/lab/test_lab_parts.py
@@ -79,14 +79,14 @@
 
     def do(self, effects):
         for e in effects:
-            if isinstance(e, model.Note) and e.kind == "turn":
-                self.due.append((e.value, "run", e.conn))
-            elif isinstance(e, model.Note) and e.kind == "change":
-                self.due.append((e.value, "change", e.conn))
-            elif isinstance(e, (model.Say, model.Close)):
-                self.said.append((e.at, e.conn, e.line if isinstance(e, model.Say) else e.how))
+            if isinstance(e, model.HostEvent) and e.kind == "turn":
+                self.due.append((e.value, "finish_setup", e.conn))
+            elif isinstance(e, model.HostEvent) and e.kind == "change":
+                self.due.append((e.value, "change_load", e.conn))
+            elif isinstance(e, (model.SendLine, model.Close)):
+                self.said.append((e.at, e.conn, e.line if isinstance(e, model.SendLine) else e.how))
             else:
-                self.said.append((self.now, None, e.state if isinstance(e, model.Door) else e.kind))
+                self.said.append((self.now, None, e.state if isinstance(e, model.AddressChange) else e.kind))
 
     def until(self, at):
         while self.due and min(self.due)[0] <= at:
@@ -99,7 +99,7 @@
 
     def open(self, conn, group="", wait=4800):
         self.do(
-            self.host.first(
+            self.host.on_first_line(
                 self.now, conn, wire.OpenRequest(conn, "k" + conn, "farm-view", wait, group, False, "")
             )
         )
@@ -122,7 +122,7 @@
     for n in range(4):  # 40,000 us a second stand on it
         one.open(f"c{n}")
     one.until(2 * SECOND)
-    one.do(one.host.line(3 * SECOND, "c0", b"e1"))
+    one.do(one.host.on_line(3 * SECOND, "c0", b"e1"))
     at = [at for at, c, what in one.said if what == b"e1"][0]
     # 2 s at 20,000 too many, done at 20,000 a second
     assert at - 3 * SECOND == pytest.approx(2 * SECOND, rel=0.01)
@@ -135,13 +135,13 @@
     one.until(2 * SECOND)
     assert one.host.demand() * SECOND == pytest.approx(3 * 10_000 + one.host.traits.group_us)
     for n in range(3):
-        one.do(one.host.ended(2 * SECOND, f"c{n}"))
+        one.do(one.host.on_end(2 * SECOND, f"c{n}"))
     assert one.host.demand() == 0 and not one.host.groups
 
 
 def test_a_hang_ends_and_what_waited_is_done_in_order():
     one = Played()
-    one.do(one.host.fault(SECOND, "hang", 3 * SECOND))
+    one.do(one.host.start_fault(SECOND, "hang", 3 * SECOND))
     one.open("a").until(2 * SECOND).open("b").until(5 * SECOND)
     ups = [(at, c) for at, c, what in one.said if isinstance(what, bytes) and what.startswith(b"UP")]
     assert [c for _, c in ups] == ["a", "b"] and all(4 * SECOND <= at < 4.1 * SECOND for at, _ in ups)
@@ -160,14 +160,14 @@
     for n in range(4):
         one.open(f"c{n}")
     assert "tipped" in one.words(None) and one.host.state == "tipped"
-    one.do(one.host.mend(5 * SECOND, "cold"))
+    one.do(one.host.end_fault(5 * SECOND, "cold"))
     assert one.host.state == "tipped" and one.open("x").words("x") == ["reset"]
     careful = Played(
         started=SECOND, cores=0.1, cold_share=0.2, warm_s=10, tip_multiple=2, tip_s=1, setup_us=10_000
     )
     for n in range(8):
         careful.until((n + 2) * SECOND).open(f"c{n}")
-    assert careful.host.state == "up" and careful.host.share() == pytest.approx(0.2 + 0.8 * 0.8)
+    assert careful.host.state == "up" and careful.host.capacity_share() == pytest.approx(0.2 + 0.8 * 0.8)
 
 
 @pytest.mark.parametrize("how, last", [("paced", 2), ("at-once", 0), ("none", None)])
@@ -176,20 +176,20 @@
     for n in range(3):
         one.open(f"c{n}")
     one.until(2 * SECOND)
-    one.do(one.host.fault(2 * SECOND, "drain", 5 * SECOND))
+    one.do(one.host.start_fault(2 * SECOND, "drain", 5 * SECOND))
     moves = sorted(at - 2 * SECOND for at, _, what in one.said if what == b"MOVE")
     assert moves[-1] == pytest.approx(last * SECOND, abs=SECOND // 10) if moves else last is None
     assert len(moves) == (0 if how == "none" else 3)
     assert one.until(3 * SECOND).open("late").words("late") == [b"BUSY", "end"]
-    one.do(one.host.mend(7 * SECOND, "drain"))
+    one.do(one.host.end_fault(7 * SECOND, "drain"))
     assert one.host.state == "down" and not one.host.conns
 
 
 def test_half_dead_takes_everything_and_answers_nothing():
     one = Played().open("a").until(2 * SECOND)
     before = len(one.said)
-    one.do(one.host.fault(2 * SECOND, "half-dead", SECOND))
-    one.do(one.host.line(2 * SECOND, "a", b"e1"))
+    one.do(one.host.start_fault(2 * SECOND, "half-dead", SECOND))
+    one.do(one.host.on_line(2 * SECOND, "a", b"e1"))
     one.open("b").until(3 * SECOND)
     assert [what for _, c, what in one.said[before:]] == ["swallowed"]
 
