--- a/cottonspread/lab/plan.py
+++ b/cottonspread/lab/plan.py
@@ -230,33 +230,33 @@
 def check(x, folder=".", simulated=False):
     """`simulated`: more nodes, and faults that only a simulated fleet can have."""
 
-    def need(true, key, what):
-        if not true:
-            raise PlanError(f"{key}: {what}")
-
-    need(x.seconds > 0, "seconds", "over 0 expected")
-    most = 2000 if simulated else 200
-    need(1 <= x.nodes.count <= most, "nodes.count", f"1 to {most} expected")
-    most_hosts = 3600 if simulated else 2000
-    need(1 <= x.hosts.count <= most_hosts, "hosts.count", f"1 to {most_hosts} expected")
-    need(x.load.types, "load.types", "at least one traffic type expected")
-    need(x.load.zipf > 1, "load.zipf", "over 1 expected")
-    need(x.load.groups > 0, "load.groups", "at least 1 expected")
-    need(1 <= x.load.processes <= 64, "load.processes", "1 to 64 expected")
-    need(1 <= x.hosts.processes <= 64, "hosts.processes", "1 to 64 expected")
-    need(not x.listing.weights_ms or x.hosts.reports, "list.weights_ms", "only with hosts.reports")
-    need(
+    def require(condition, key, message):
+        if not condition:
+            raise PlanError(f"{key}: {message}")
+
+    require(x.seconds > 0, "seconds", "over 0 expected")
+    max_nodes = 2000 if simulated else 200
+    require(1 <= x.nodes.count <= max_nodes, "nodes.count", f"1 to {max_nodes} expected")
+    max_hosts = 3600 if simulated else 2000
+    require(1 <= x.hosts.count <= max_hosts, "hosts.count", f"1 to {max_hosts} expected")
+    require(x.load.types, "load.types", "at least one traffic type expected")
+    require(x.load.zipf > 1, "load.zipf", "over 1 expected")
+    require(x.load.groups > 0, "load.groups", "at least 1 expected")
+    require(1 <= x.load.processes <= 64, "load.processes", "1 to 64 expected")
+    require(1 <= x.hosts.processes <= 64, "hosts.processes", "1 to 64 expected")
+    require(not x.listing.weights_ms or x.hosts.reports, "list.weights_ms", "only with hosts.reports")
+    require(
         x.hosts.traits.drain in ("paced", "at-once", "none"),
         "hosts.traits.drain",
         "paced, at-once or none expected",
     )
     for n, kind in enumerate(x.load.types):
-        need(
+        require(
             kind.effect in ("repeatable", "referenced", "once-only"),
             f"load.types[{n}].effect",
             "repeatable, referenced or once-only expected",
         )
-        need(
+        require(
             kind.guard_ms > 0 and kind.share > 0 and kind.life_s > 0,
             f"load.types[{n}]",
             "guard_ms, share and life_s over 0 expected",
@@ -264,37 +264,37 @@
     names = {f"h{n}" for n in range(x.hosts.count)}, {f"n{n}" for n in range(x.nodes.count)}
     for n, shape in enumerate(x.load.shapes):
         key = f"load.shapes[{n}]"
-        need(
+        require(
             shape.kind in ("constant", "poisson", "ramp", "day", "burst", "reconnect", "trace"),
             key + ".kind",
             "constant, poisson, ramp, day, burst, reconnect or trace expected",
         )
-        need(shape.kind not in ("constant", "poisson") or shape.rate > 0, key + ".rate", "over 0 expected")
-        need(
+        require(shape.kind not in ("constant", "poisson") or shape.rate > 0, key + ".rate", "over 0 expected")
+        require(
             shape.kind not in ("ramp", "day") or shape.rate + shape.rate_to > 0,
             key + ".rate_to",
             "over 0 expected",
         )
-        need(shape.kind != "burst" or shape.count > 0, key + ".count", "over 0 expected")
-        need(shape.kind != "reconnect" or 0 < shape.share <= 1, key + ".share", "over 0 to 1 expected")
-        need(0 <= shape.start < x.seconds, key + ".start", "within the run expected")
+        require(shape.kind != "burst" or shape.count > 0, key + ".count", "over 0 expected")
+        require(shape.kind != "reconnect" or 0 < shape.share <= 1, key + ".share", "over 0 to 1 expected")
+        require(0 <= shape.start < x.seconds, key + ".start", "within the run expected")
         if shape.kind == "trace":
             shape.file = os.path.join(folder, shape.file)
-            need(os.path.exists(shape.file), key + ".file", f"{shape.file} not found")
+            require(os.path.exists(shape.file), key + ".file", f"{shape.file} not found")
     for n, fault in enumerate(x.faults):
         key = f"faults[{n}]"
-        known_kinds = HOST_FAULTS + LIST_FAULTS + NODE_FAULTS + (SIM_FAULTS if simulated else FLEET_FAULTS)
-        need(fault.kind in known_kinds, key + ".kind", "one of " + ", ".join(known_kinds))
+        allowed_kinds = HOST_FAULTS + LIST_FAULTS + NODE_FAULTS + (SIM_FAULTS if simulated else FLEET_FAULTS)
+        require(fault.kind in allowed_kinds, key + ".kind", "one of " + ", ".join(allowed_kinds))
         if fault.kind in SIM_FAULTS:
             continue
-        need(fault.kind not in FLEET_FAULTS or x.nodes.fleet, key + ".kind", "only with nodes.fleet")
-        need(
+        require(fault.kind not in FLEET_FAULTS or x.nodes.fleet, key + ".kind", "only with nodes.fleet")
+        require(
             fault.kind not in ("retune", "quiesce", "replace") or not x.nodes.fleet,
             key + ".kind",
             "not with nodes.fleet",
         )
-        need(0 <= fault.at <= x.seconds, key + ".at", "within the run expected")
-        need(
+        require(0 <= fault.at <= x.seconds, key + ".at", "within the run expected")
+        require(
             fault.kind
             in INSTANT_FAULTS
             + ("stop", "kill", "reload", "retune", "replace", "list-restart", "list-garbage", "join")
@@ -305,11 +305,11 @@
         )
         if fault.kind not in LIST_FAULTS + FLEET_FAULTS:
             known = names[fault.kind in NODE_FAULTS]
-            need(fault.on or fault.share > 0, key, "on or share expected")
+            require(fault.on or fault.share > 0, key, "on or share expected")
             for name in fault.on:
-                need(name in known, key + ".on", f"{name} is none of {len(known)}")
+                require(name in known, key + ".on", f"{name} is none of {len(known)}")
     seen = [v.name for v in x.variants]
-    need(len(set(seen)) == len(seen), "variants", "names that differ expected")
+    require(len(set(seen)) == len(seen), "variants", "names that differ expected")
     return x
 
 
@@ -339,17 +339,17 @@
         for n in range(x.nodes.count)
     ]
     faults = []
-    for one in sorted(x.faults, key=lambda f: f.at):
-        among = [m.name for m in machines] if one.kind in HOST_FAULTS else [n.name for n in nodes]
-        on = one.on
-        if not on and one.share and one.kind not in LIST_FAULTS + FLEET_FAULTS:
-            on = sorted(rng.choice(among, max(1, round(len(among) * one.share)), replace=False).tolist())
-        faults.append(msgspec.structs.replace(one, on=on))
-    for one in faults:
-        if one.kind == "join":
+    for fault in sorted(x.faults, key=lambda f: f.at):
+        names = [m.name for m in machines] if fault.kind in HOST_FAULTS else [n.name for n in nodes]
+        on = fault.on
+        if not on and fault.share and fault.kind not in LIST_FAULTS + FLEET_FAULTS:
+            on = sorted(rng.choice(names, max(1, round(len(names) * fault.share)), replace=False).tolist())
+        faults.append(msgspec.structs.replace(fault, on=on))
+    for fault in faults:
+        if fault.kind == "join":
             for machine in machines:
-                if machine.name in one.on:
-                    machine.started = max(1, round(one.at * SECOND))
+                if machine.name in fault.on:
+                    machine.started = max(1, round(fault.at * SECOND))
     sources = [f"127.{a}.{b}.{100 + n}" for n in range(min(100, x.load.sources * x.load.processes))]
     return Plan(
         experiment=x,
@@ -374,10 +374,10 @@
 
     def digest(self):
         """The same seed gives the same intended schedule, byte for byte."""
-        whole = hashlib.sha256()
+        hasher = hashlib.sha256()
         for name in self.__struct_fields__:
-            whole.update(np.ascontiguousarray(getattr(self, name)).tobytes())
-        return whole.hexdigest()
+            hasher.update(np.ascontiguousarray(getattr(self, name)).tobytes())
+        return hasher.hexdigest()
 
 
 def arrivals(shape, seconds, rng):
@@ -390,10 +390,10 @@
     elif shape.kind == "poisson":
         times = rng.uniform(0, span, rng.poisson(shape.rate * span))
     elif shape.kind in ("ramp", "day"):
-        top = max(shape.rate, shape.rate_to)
-        times = rng.uniform(0, span, rng.poisson(top * span))
-        part = times / span if shape.kind == "ramp" else (1 - np.cos(2 * np.pi * times / span)) / 2
-        times = times[rng.uniform(0, top, len(times)) < shape.rate + (shape.rate_to - shape.rate) * part]
+        peak = max(shape.rate, shape.rate_to)
+        times = rng.uniform(0, span, rng.poisson(peak * span))
+        progress = times / span if shape.kind == "ramp" else (1 - np.cos(2 * np.pi * times / span)) / 2
+        times = times[rng.uniform(0, peak, len(times)) < shape.rate + (shape.rate_to - shape.rate) * progress]
     else:
         return np.empty(0)
     return shape.start + np.sort(times)
