--- a/cottonspread/lab/plan.py
+++ b/cottonspread/lab/plan.py
@@ -1,7 +1,7 @@
-"""What is to be played: an experiment's TOML file, and the plan made of it for one play.
+"""Experiments (TOML files), and the plan that is derived from one for a single run.
 
-Every fault of a file names its key. All chance comes from numpy's Generator over the
-seed, so that one seed gives one plan.
+Every error in a file names the key at fault. All randomness comes from numpy's Generator seeded with
+the experiment's seed, so that the same seed always gives the same plan.
 """
 
 import hashlib
@@ -14,17 +14,17 @@
 from cottonspread.lab.model import SECOND, Traits
 
 HOST_FAULTS = ("hang", "slow", "jam", "reset", "refuse", "vanish", "half-dead", "cold", "drain", "join")
-INSTANT_FAULTS = ("jam", "reset")  # host faults with no end of their own
+INSTANT_FAULTS = ("jam", "reset")  # host faults that take effect at one moment and have no end
 LIST_FAULTS = ("list-cut", "list-garbage", "list-restart")
 NODE_FAULTS = ("freeze", "stop", "kill", "reload", "retune", "quiesce", "replace")
-# of all nodes, under one supervisor
+# Faults of all nodes together, which run under one supervisor
 FLEET_FAULTS = (
     "fleet-reload",
     "fleet-upgrade",
     "fleet-stop",
     "fleet-kill",
 )
-# In simulated time alone
+# Faults that exist only in simulated time
 SIM_FAULTS = (
     "partition",
     "slow-way",
@@ -41,38 +41,41 @@
     "late-writes",
     "bad",
 )
-FIRST_PORT = 9000  # under the local ports that the kernel gives out
+FIRST_PORT = 9000  # below the range of ephemeral ports that the kernel assigns
 
 
 class PlanError(ValueError):
-    """An experiment that cannot be played; the message begins with the key."""
+    """An experiment that cannot be run; the message begins with the key at fault."""
 
 
 class TrafficType(msgspec.Struct, forbid_unknown_fields=True, kw_only=True):
-    """A traffic type and its clients."""
+    """A traffic type and the behaviour of its clients."""
 
     name: str
     share: float = 1.0
     effect: str = "repeatable"  # repeatable, referenced, once-only
-    scope: str = "cell"  # of referenced: the group that drops repeats
+    scope: str = "cell"  # of referenced: the set of hosts that recognise and drop a repeated call
     remembered_ms: float = 0
     target_ms: float = 800
     guard_ms: float = 4800
     revenue: float = 1.0
-    life_s: float = 20.0  # mean; a client leaves after it
-    load_us: float = 3000.0  # mean work a second
+    life_s: float = 20.0  # mean time that a client stays connected
+    load_us: float = 3000.0  # mean work of a connection, in microseconds per second
     message_ms: float = 100
 
 
 class Shape(msgspec.Struct, forbid_unknown_fields=True, kw_only=True):
-    """Arrivals over a stretch. kind: constant, poisson, ramp (`rate` to `rate_to`), day (`rate` at the
-    valley, `rate_to` at the peak, once over the stretch), burst (`count` within the stretch), reconnect
-    (`share` of those standing at `start` break off and come back within the stretch), trace (`file`).
+    """The arrivals of an interval of `seconds` from `start` on.
+
+    kind: constant, poisson, ramp (`rate` to `rate_to`), day (`rate` at the lowest point, `rate_to` at the
+    peak, one cycle over the interval), burst (`count` within the interval), reconnect (`share` of the
+    connections established at `start` are reset by their clients, which reconnect within the interval),
+    trace (`file`).
     """
 
     kind: str
     start: float = 0.0
-    seconds: float = 0.0  # 0: to the end
+    seconds: float = 0.0  # 0: to the end of the run
     rate: float = 0.0
     rate_to: float = 0.0
     count: int = 0
@@ -81,56 +84,64 @@
 
 
 class Load(msgspec.Struct, forbid_unknown_fields=True, kw_only=True):
+    """The clients: how many arrive when, of which traffic types, and how they behave."""
+
     shapes: list[Shape]
     types: list[TrafficType]
     processes: int = 2
     groups: int = 200
-    zipf: float = 1.1  # how uneven the groups are; over 1
+    zipf: float = 1.1  # exponent of the Zipf distribution of calls over groups; over 1
     tenants: int = 1
-    line_s: float = 2.0
+    line_s: float = 2.0  # interval between the lines that a connected client sends; 0: it sends none
     retries: int = 3
-    backoff_ms: float = 200  # doubles with each try of a call
-    honour: float = 0.9  # the share of clients that come back when they are told to
-    rejoin_ms: float = 200  # after MOVE or a break
-    spins: bool = False  # wait for the next arrival on the core instead of asleep: less late, a core each
-    sources: int = 4  # local addresses of each process
+    backoff_ms: float = 200  # doubles with each retry of a call
+    honour: float = 0.9  # the share of clients that heed a retry-after
+    rejoin_ms: float = 200  # until a client reconnects after MOVE or a lost connection
+    spins: bool = False  # busy-wait for the next arrival instead of sleeping: less late, one core per process
+    sources: int = 4  # local addresses of each load process
 
 
 class Hosts(msgspec.Struct, forbid_unknown_fields=True, kw_only=True):
+    """The emulated hosts."""
+
     count: int = 3
     zones: int = 1
-    speed_sigma: float = 0.0
+    speed_sigma: float = 0.0  # standard deviation of the logarithm of the hosts' speeds
     processes: int = 1
-    reports: bool = False  # STATS is answered with x0, x1 and outstanding; else with NO
+    reports: bool = False  # STATS is answered with x0, x1 and outstanding; otherwise with NO
     traits: Traits = msgspec.field(default_factory=Traits)
 
 
 class List(msgspec.Struct, forbid_unknown_fields=True, kw_only=True):
-    lag_ms: float = 300  # from a change to the list's word on it
+    """The server list."""
+
+    lag_ms: float = 300  # from a host's change until the list reports it
     silent_s: float = 6.0  # until a silent machine is listed as gone
-    weights_ms: float = (
-        0  # over 0: so often weights become size / (1 + connections held a core); needs reports
-    )
+    weights_ms: float = 0  # over 0: how often weights become size / (1 + connections per core)
 
 
 class Nodes(msgspec.Struct, forbid_unknown_fields=True, kw_only=True):
+    """The nodes under test."""
+
     count: int = 1
     memory_mb: int = 192
     sockets: int = 1024
-    pin: bool = True  # each node on one core of its own, as far as there are cores
-    front_notice_s: float = 2.0  # until the front deals no more to a node that is gone
-    grace_ms: float = 500
-    settings: dict = {}  # over those that follow from hosts and load
-    shapes: list[dict] = []  # further settings, for the nodes in turn: some in one shape, some in another
-    command: list[str] = []  # another program in the place of `serve`
-    checkout: str = ""  # another checkout of this repository
-    fleet: dict = {}  # keys of the section [fleet]: the nodes are run by `fleet run`; {}: each by `serve`
+    pin: bool = True  # each node is pinned to a core of its own, as far as there are cores
+    front_notice_s: float = 2.0  # until clients are no longer sent to a node that is gone
+    grace_ms: float = 500  # how long after a drain notice a node may still send new calls to the host
+    settings: dict = {}  # override those derived from hosts and load
+    shapes: list[dict] = []  # further settings, assigned to the nodes in turn, for mixed configurations
+    command: list[str] = []  # a program to run instead of `serve`
+    checkout: str = ""  # another checkout of this repository to run the nodes from
+    fleet: dict = {}  # keys of the section [fleet]: `fleet run` runs the nodes; {}: each runs by `serve`
 
 
 class NetworkDelays(msgspec.Struct, forbid_unknown_fields=True, kw_only=True):
-    """Simulated machines: one way in microseconds within a zone and between zones, what
-    chance adds to a connection at most, and how far nodes' clocks are off. On sockets the
-    machine's own ways and clock are used.
+    """The delays and clocks of simulated machines.
+
+    One-way delays in microseconds within a zone (`same_us`) and between zones (`cross_us`), the largest
+    random addition to a connection's delay, and the largest error and drift of the nodes' clocks. Runs on
+    real sockets use the machine's own network and clock instead.
     """
 
     same_us: int = 200
@@ -141,7 +152,7 @@
 
 
 class Fault(msgspec.Struct, forbid_unknown_fields=True, kw_only=True):
-    """A fault: `on` names hosts or nodes, or `share` of them is drawn."""
+    """A fault to inject: `on` names hosts or nodes, or a random `share` of them is chosen."""
 
     at: float
     kind: str
@@ -152,6 +163,8 @@
 
 
 class Variant(msgspec.Struct, forbid_unknown_fields=True, kw_only=True):
+    """One of several versions of the nodes that an experiment compares."""
+
     name: str
     settings: dict = {}
     checkout: str = ""
@@ -163,14 +176,16 @@
 class Experiment(
     msgspec.Struct, forbid_unknown_fields=True, kw_only=True, rename={"listing": "list", "network": "ways"}
 ):
+    """An experiment as its file describes it."""
+
     name: str
     seconds: float
     load: Load
     seed: int = 1
     repeats: int = 1
     about: str = ""
-    audited: bool = True  # false: the nodes are acceptors without servers, for the generator's own sake
-    settle_s: float = 6.0  # after the last arrival, so that every call ends
+    audited: bool = True  # false: the nodes are acceptors without servers, to test the load generator itself
+    settle_s: float = 6.0  # how long a run goes on after the last arrival, so that every call ends
     nodes: Nodes = msgspec.field(default_factory=Nodes)
     hosts: Hosts = msgspec.field(default_factory=Hosts)
     listing: List = msgspec.field(default_factory=List)
@@ -180,7 +195,7 @@
 
 
 class Machine(msgspec.Struct, kw_only=True):
-    """One host of a plan."""
+    """A host of a plan."""
 
     name: str
     ip: str
@@ -189,10 +204,12 @@
     cell: int
     traits: Traits
     process: int
-    started: int = 0  # seconds after the start at which it first is up; 0: before
+    started: int = 0  # microseconds after the run's start at which it first comes up; 0: before the start
 
 
 class Node(msgspec.Struct, kw_only=True):
+    """A node of a plan, with the addresses of its clients' port and of its server list."""
+
     name: str
     ip: str
     port: int
@@ -200,20 +217,20 @@
 
 
 class Plan(msgspec.Struct, kw_only=True):
-    """One play, as every process of it reads it."""
+    """One run, as each of its processes reads it."""
 
     experiment: Experiment
     variant: Variant
     seed: int
     machines: list[Machine]
     nodes: list[Node]
-    faults: list[Fault]  # `on` filled in, by time
-    sources: list[str]  # addresses that clients come from
-    unix_offset: int = 0  # Unix time less the monotonic clock, microseconds
+    faults: list[Fault]  # with `on` filled in, ordered by time
+    sources: list[str]  # local addresses of the clients
+    unix_offset: int = 0  # Unix time minus the monotonic clock, in microseconds
 
 
 def read(path, simulated=False):
-    """An experiment; PlanError names the key."""
+    """Reads an experiment from a TOML file; PlanError names the key at fault."""
     try:
         with open(path, "rb") as file:
             return check(
@@ -228,23 +245,26 @@
 
 
 def check(x, folder=".", simulated=False):
-    """`simulated`: more nodes, and faults that only a simulated fleet can have."""
+    """Validates an experiment and returns it, with its trace files relative to `folder` made absolute.
+
+    `simulated`: allows more nodes and hosts, and the faults that only a simulated fleet can have.
+    """
 
     def require(condition, key, message):
         if not condition:
             raise PlanError(f"{key}: {message}")
 
-    require(x.seconds > 0, "seconds", "over 0 expected")
+    require(x.seconds > 0, "seconds", "must be over 0")
     max_nodes = 2000 if simulated else 200
     require(1 <= x.nodes.count <= max_nodes, "nodes.count", f"1 to {max_nodes} expected")
     max_hosts = 3600 if simulated else 2000
     require(1 <= x.hosts.count <= max_hosts, "hosts.count", f"1 to {max_hosts} expected")
     require(x.load.types, "load.types", "at least one traffic type expected")
-    require(x.load.zipf > 1, "load.zipf", "over 1 expected")
+    require(x.load.zipf > 1, "load.zipf", "must be over 1")
     require(x.load.groups > 0, "load.groups", "at least 1 expected")
     require(1 <= x.load.processes <= 64, "load.processes", "1 to 64 expected")
     require(1 <= x.hosts.processes <= 64, "hosts.processes", "1 to 64 expected")
-    require(not x.listing.weights_ms or x.hosts.reports, "list.weights_ms", "only with hosts.reports")
+    require(not x.listing.weights_ms or x.hosts.reports, "list.weights_ms", "needs hosts.reports")
     require(
         x.hosts.traits.drain in ("paced", "at-once", "none"),
         "hosts.traits.drain",
@@ -269,15 +289,15 @@
             key + ".kind",
             "constant, poisson, ramp, day, burst, reconnect or trace expected",
         )
-        require(shape.kind not in ("constant", "poisson") or shape.rate > 0, key + ".rate", "over 0 expected")
+        require(shape.kind not in ("constant", "poisson") or shape.rate > 0, key + ".rate", "must be over 0")
         require(
             shape.kind not in ("ramp", "day") or shape.rate + shape.rate_to > 0,
             key + ".rate_to",
-            "over 0 expected",
+            "must be over 0",
         )
-        require(shape.kind != "burst" or shape.count > 0, key + ".count", "over 0 expected")
+        require(shape.kind != "burst" or shape.count > 0, key + ".count", "must be over 0")
         require(shape.kind != "reconnect" or 0 < shape.share <= 1, key + ".share", "over 0 to 1 expected")
-        require(0 <= shape.start < x.seconds, key + ".start", "within the run expected")
+        require(0 <= shape.start < x.seconds, key + ".start", "must lie within the run")
         if shape.kind == "trace":
             shape.file = os.path.join(folder, shape.file)
             require(os.path.exists(shape.file), key + ".file", f"{shape.file} not found")
@@ -287,13 +307,13 @@
         require(fault.kind in allowed_kinds, key + ".kind", "one of " + ", ".join(allowed_kinds))
         if fault.kind in SIM_FAULTS:
             continue
-        require(fault.kind not in FLEET_FAULTS or x.nodes.fleet, key + ".kind", "only with nodes.fleet")
+        require(fault.kind not in FLEET_FAULTS or x.nodes.fleet, key + ".kind", "needs nodes.fleet")
         require(
             fault.kind not in ("retune", "quiesce", "replace") or not x.nodes.fleet,
             key + ".kind",
-            "not with nodes.fleet",
+            "not allowed with nodes.fleet",
         )
-        require(0 <= fault.at <= x.seconds, key + ".at", "within the run expected")
+        require(0 <= fault.at <= x.seconds, key + ".at", "must lie within the run")
         require(
             fault.kind
             in INSTANT_FAULTS
@@ -301,20 +321,20 @@
             + FLEET_FAULTS
             or fault.seconds > 0,
             key + ".seconds",
-            "over 0 expected",
+            "must be over 0",
         )
         if fault.kind not in LIST_FAULTS + FLEET_FAULTS:
             known = names[fault.kind in NODE_FAULTS]
             require(fault.on or fault.share > 0, key, "on or share expected")
             for name in fault.on:
-                require(name in known, key + ".on", f"{name} is none of {len(known)}")
+                require(name in known, key + ".on", f"{name}: no such host or node among {len(known)}")
     seen = [v.name for v in x.variants]
-    require(len(set(seen)) == len(seen), "variants", "names that differ expected")
+    require(len(set(seen)) == len(seen), "variants", "distinct names expected")
     return x
 
 
 def make(x, variant, seed, block=None):
-    """The plan of one play. `block`: the two middle numbers of its addresses in 127.0.0.0/8."""
+    """Returns the plan of one run. `block`: the two middle numbers of its addresses in 127.0.0.0/8."""
     rng = np.random.default_rng([seed, 0])
     a, b = block or (64 + os.getpid() % 128, os.getpid() // 128 % 256)
     machines = []
@@ -363,17 +383,17 @@
 
 
 class Schedule(msgspec.Struct, kw_only=True):
-    """All first calls of a run, the earliest first: arrays of one length each."""
+    """All first calls of a run, the earliest first, as arrays of the same length."""
 
-    at: np.ndarray  # intended, microseconds after the start
+    at: np.ndarray  # intended time, microseconds after the run's start
     kind: np.ndarray  # index of the traffic type
     group: np.ndarray
     tenant: np.ndarray
-    life: np.ndarray  # microseconds from UP to when the client leaves
-    draw: np.ndarray  # uint32: which node, honours a retry-after or not, and the like
+    life: np.ndarray  # microseconds from UP until the client leaves
+    draw: np.ndarray  # uint32 random number: chooses the node, whether a retry-after is heeded and the like
 
     def digest(self):
-        """The same seed gives the same intended schedule, byte for byte."""
+        """Returns a SHA-256 over all arrays; the same seed gives the same schedule, byte for byte."""
         hasher = hashlib.sha256()
         for name in self.__struct_fields__:
             hasher.update(np.ascontiguousarray(getattr(self, name)).tobytes())
@@ -381,7 +401,7 @@
 
 
 def arrivals(shape, seconds, rng):
-    """Times of a shape's arrivals in seconds."""
+    """Returns the times of a shape's arrivals, in seconds after the run's start."""
     span = min(shape.seconds or seconds, seconds - shape.start)
     if shape.kind == "constant":
         times = (np.arange(int(shape.rate * span)) + 0.5) / shape.rate
@@ -400,7 +420,7 @@
 
 
 def schedule(plan):
-    """The intended arrivals, drawn from the seed alone."""
+    """Returns the intended arrivals, which depend on the plan's seed alone."""
     x, load = plan.experiment, plan.experiment.load
     rng = np.random.default_rng([plan.seed, 1])
     times = np.concatenate([arrivals(shape, x.seconds, rng) for shape in load.shapes] or [np.empty(0)])
