--- a/benchmarks/lab/engines.py
+++ b/benchmarks/lab/engines.py
@@ -16,7 +16,7 @@
 
 import numpy as np
 
-from cottonspread.lab.loop import Loop, quiet_collector
+from cottonspread.lab.loop import Loop, disable_gc
 from cottonspread.lab.wire import now
 
 LINE = b"OPEN 1 k c=farm-view,d=4800,g=g1\r\n"
@@ -36,7 +36,7 @@
 
         def read(_):
             if sock.recv(4096):
-                loop.drop(sock)
+                loop.unwatch(sock)
                 sock.close()
                 left[0] -= 1
                 if not left[0]:
@@ -44,7 +44,7 @@
 
         loop.watch(sock, read)
 
-    quiet_collector()
+    disable_gc()
     loop.at(at[0], call, 0)
     loop.run()
     return late
@@ -82,7 +82,7 @@
             tasks.append(loop.create_task(call(loop, n)))
         await asyncio.gather(*tasks)
 
-    quiet_collector()
+    disable_gc()
     runner(main())
     return late
 
--- a/cottonspread/lab/acceptor.py
+++ b/cottonspread/lab/acceptor.py
@@ -5,7 +5,7 @@
 import signal
 
 from cottonspread.lab import limits
-from cottonspread.lab.loop import Loop, listener, quiet_collector
+from cottonspread.lab.loop import Loop, disable_gc, listener
 
 
 def run(address):
@@ -42,12 +42,12 @@
             return
         except OSError:
             pass
-        loop.drop(sock)
+        loop.unwatch(sock)
         sock.close()
         conns.pop(sock, None)
 
     signal.signal(signal.SIGTERM, lambda *_: loop.stop())
     loop.watch(door, accept)
-    quiet_collector()
+    disable_gc()
     loop.run()
     return 0
--- a/cottonspread/lab/experiment.py
+++ b/cottonspread/lab/experiment.py
@@ -10,7 +10,7 @@
 
 from cottonspread.lab import plan as plans
 from cottonspread.lab import report, results
-from cottonspread.lab.load import LATE
+from cottonspread.lab.load import MAX_LATENESS
 from cottonspread.lab.run import Play
 
 
@@ -36,7 +36,7 @@
                 play = Play(x, variant, x.seed + repeat, folder)
                 run_play(play, None if quiet or not console.is_terminal else console)
                 result = results.judge(play, repeat)
-                if play.cut or result.lateness.p999 <= LATE or tried == again:
+                if play.cut or result.lateness.p999 <= MAX_LATENESS or tried == again:
                     break
                 print("\n".join(results.lines(result)) + "\nplayed anew: the generator was late", flush=True)
                 os.rename(folder, os.path.join(out, f"late{tried}-{repeat}-{variant.name}"))
--- a/cottonspread/lab/hosts.py
+++ b/cottonspread/lab/hosts.py
@@ -8,13 +8,13 @@
 from cottonspread.lab.host_server import HostServer, host_model
 from cottonspread.lab.loop import IN, OUT, listener
 from cottonspread.lab.plan import HOST_FAULTS, INSTANT_FAULTS
-from cottonspread.lab.process import Part
+from cottonspread.lab.process import LabProcess
 from cottonspread.lab.wire import now
 
 SECOND = 1_000_000
 BACKLOG = 1024
-BROKEN = struct.pack("ii", 1, 0)
-MOST_OUT = 64 * 1024  # bytes that a connection's reader may leave untaken
+LINGER_RESET = struct.pack("ii", 1, 0)
+MAX_UNSENT = 64 * 1024  # bytes that a connection's reader may leave untaken
 
 
 class Conn:
@@ -28,11 +28,11 @@
 class Server(HostServer):
     """One host's address and its model."""
 
-    def __init__(self, part, machine):
-        x = part.plan.experiment
-        super().__init__(machine.name, host_model(part.plan, machine, now()), x.hosts.reports)
-        self.part, self.machine, self.listener, self.fillers = part, machine, None, []
-        self.now, self.at, self.put = now, part.loop.at, part.record.put
+    def __init__(self, process, machine):
+        x = process.plan.experiment
+        super().__init__(machine.name, host_model(process.plan, machine, now()), x.hosts.reports)
+        self.process, self.machine, self.listener, self.backlog_fillers = process, machine, None, []
+        self.now, self.at, self.put = now, process.loop.at, process.record.put
         if machine.started:
             self.model.state = "down"
         else:
@@ -41,16 +41,16 @@
     def open(self):
         self.refuse()
         self.listener = listener((self.machine.ip, self.machine.port), BACKLOG, f"host {self.machine.name}")
-        self.part.loop.watch(self.listener, self.accept)
+        self.process.loop.watch(self.listener, self.accept)
 
     def refuse(self):
         if self.listener is not None:
-            self.part.loop.drop(self.listener)
+            self.process.loop.unwatch(self.listener)
             self.listener.close()
             self.listener = None
-        for sock in self.fillers:
+        for sock in self.backlog_fillers:
             sock.close()
-        self.fillers = []
+        self.backlog_fillers = []
 
     def vanish(self):
         """New ones never come up: the queue of those not taken yet is filled, and the
@@ -58,13 +58,13 @@
         """
         if self.listener is None:
             return
-        self.part.loop.drop(self.listener)
+        self.process.loop.unwatch(self.listener)
         self.listener.listen(0)
         for _ in range(3):
             sock = socket.socket()
             sock.setblocking(False)
             sock.connect_ex((self.machine.ip, self.machine.port))
-            self.fillers.append(sock)
+            self.backlog_fillers.append(sock)
 
     def accept(self, _):
         for _ in range(64):
@@ -73,20 +73,22 @@
             except (BlockingIOError, ConnectionError):
                 return
             except OSError as fault:
-                self.part.record.put({"k": "fault", "t": now(), "host": self.machine.name, "why": str(fault)})
+                self.process.record.put(
+                    {"k": "fault", "t": now(), "host": self.machine.name, "why": str(fault)}
+                )
                 return
             sock.setblocking(False)
             conn = Conn(sock, self)
             self.conns[conn] = None
-            self.part.loop.watch(sock, lambda mask, conn=conn: self.ready(conn, mask))
+            self.process.loop.watch(sock, lambda mask, conn=conn: self.on_ready(conn, mask))
 
-    def ready(self, conn, mask):
+    def on_ready(self, conn, mask):
         if mask & OUT and conn.out:
             self.flush(conn)
         if not mask & ~OUT:
             return
-        if self.fillers:  # vanished
-            self.part.loop.drop(conn.sock)  # nothing is read either
+        if self.backlog_fillers:  # vanished
+            self.process.loop.unwatch(conn.sock)  # nothing is read either
             return
         try:
             data = conn.sock.recv(65536)
@@ -115,39 +117,39 @@
             return
         if sent < len(data):
             conn.out.append(data[sent:])
-            if len(data) - sent > MOST_OUT:
+            if len(data) - sent > MAX_UNSENT:
                 self.end(conn, "reset")
                 return
-        self.part.loop.change(conn.sock, IN | OUT if conn.out else IN)
+        self.process.loop.set_mask(conn.sock, IN | OUT if conn.out else IN)
 
     def drop(self, conn, how):
-        self.part.loop.drop(conn.sock)
+        self.process.loop.unwatch(conn.sock)
         if how == "reset":
-            conn.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, BROKEN)
+            conn.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
         conn.sock.close()
 
 
-class Hosts(Part):
+class Hosts(LabProcess):
     kind = "hosts"
 
     def prepare(self):
         self.servers = {m.name: Server(self, m) for m in self.plan.machines if m.process == self.number}
 
     def begin(self):
-        for one in self.plan.faults:
-            if one.kind not in HOST_FAULTS:
+        for fault in self.plan.faults:
+            if fault.kind not in HOST_FAULTS:
                 continue
-            for name in one.on:
+            for name in fault.on:
                 server = self.servers.get(name)
                 if server is None:
                     continue
-                at = self.start + round(one.at * SECOND)
-                if one.kind == "join":
-                    self.loop.at(at, server.end_fault, one)
+                at = self.start + round(fault.at * SECOND)
+                if fault.kind == "join":
+                    self.loop.at(at, server.end_fault, fault)
                     continue
-                self.loop.at(at, server.start_fault, one)
-                if one.kind not in INSTANT_FAULTS and one.kind != "hang" and one.seconds:
-                    self.loop.at(at + round(one.seconds * SECOND), server.end_fault, one)
+                self.loop.at(at, server.start_fault, fault)
+                if fault.kind not in INSTANT_FAULTS and fault.kind != "hang" and fault.seconds:
+                    self.loop.at(at + round(fault.seconds * SECOND), server.end_fault, fault)
 
     def counts(self):
         return {"standing": {name: len(s.model.conns) for name, s in self.servers.items()}}
--- a/cottonspread/lab/listing.py
+++ b/cottonspread/lab/listing.py
@@ -12,11 +12,11 @@
 
 from cottonspread.lab.loop import listener
 from cottonspread.lab.plan import LIST_FAULTS
-from cottonspread.lab.process import Part
+from cottonspread.lab.process import LabProcess
 from cottonspread.lab.wire import now
 
 SECOND = 1_000_000
-LONGEST_WATCH = 60 * SECOND
+MAX_WATCH = 60 * SECOND
 HTTP_RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n%s"
 
 
@@ -26,22 +26,22 @@
     """
     lag, silent = plan.experiment.listing.lag_ms * 1000, plan.experiment.listing.silent_s * SECOND
     out = []
-    for one in plan.faults:
-        at, back = one.at * SECOND, (one.at + one.seconds) * SECOND
-        for name in one.on:
-            if one.kind == "drain":
+    for fault in plan.faults:
+        at, back = fault.at * SECOND, (fault.at + fault.seconds) * SECOND
+        for name in fault.on:
+            if fault.kind == "drain":
                 out.append((at + lag, name, "Terminating", None))
-                if one.seconds:
+                if fault.seconds:
                     out.append((back + lag, name, "Gone", None))
-            elif one.kind == "cold":
-                if one.seconds * SECOND > lag:
+            elif fault.kind == "cold":
+                if fault.seconds * SECOND > lag:
                     out.append((at + lag, name, "Gone", None))
                 out.append((back + lag, name, "Ready", back))
-            elif one.kind == "vanish":
-                if one.seconds * SECOND > silent:
+            elif fault.kind == "vanish":
+                if fault.seconds * SECOND > silent:
                     out.append((at + silent, name, "Gone", None))
                 out.append((back + lag, name, "Ready", back))
-            elif one.kind == "join":
+            elif fault.kind == "join":
                 out.append((at + lag, name, "Ready", at))
     return sorted(((round(t), name, state, start) for t, name, state, start in out), key=lambda c: c[0])
 
@@ -50,29 +50,29 @@
     """The list and its versions. An entry: the protocol's own names and values."""
 
     def __init__(self, entries, version=1):
-        self.version, self.entries, self.news = version, {e["instanceId"]: e for e in entries}, []
+        self.version, self.entries, self.history = version, {e["instanceId"]: e for e in entries}, []
 
     def change(self, name, lifecycle, started_ms=None, entry=None):
         self.version += 1
         entry = dict(entry or self.entries[name], lifecycle=lifecycle)
         if started_ms is not None:
             entry["startedAtMs"] = started_ms
-        self.news.append((self.version, entry))
+        self.history.append((self.version, entry))
         if lifecycle == "Gone":
             self.entries.pop(name, None)
         else:
             self.entries[name] = entry
 
-    def set_weights(self, held):
+    def set_weights(self, usage):
         """Weights that move: each host's size over one and the connections that it
         holds a core, as one change of the list.
         """
         self.version += 1
-        for name, (size, count) in held.items():
+        for name, (size, count) in usage.items():
             if name in self.entries:
                 entry = self.entries[name] = dict(self.entries[name], weight=size / (1 + count))
-                self.news.append((self.version, entry))
-        self.news = self.news[-20 * len(self.entries) - 1000 :]
+                self.history.append((self.version, entry))
+        self.history = self.history[-20 * len(self.entries) - 1000 :]
 
     def full_list(self):
         return {"generation": self.version, "reset": True, "instances": list(self.entries.values())}
@@ -81,29 +81,29 @@
         """What changed after `version`: None if nothing did."""
         if version >= self.version:
             return None
-        latest = {entry["instanceId"]: entry for v, entry in self.news if v > version}
+        latest = {entry["instanceId"]: entry for v, entry in self.history if v > version}
         return {"generation": self.version, "reset": False, "instances": list(latest.values())}
 
     def restart(self):
         """As a list that lost its memory: the same hosts, a lower version."""
-        self.version, self.news = 1, []
+        self.version, self.history = 1, []
 
 
-class Asker:
+class Watcher:
     """One node's connection."""
 
-    __slots__ = ("sock", "node", "rest", "since", "until")
+    __slots__ = ("sock", "node", "rest", "since", "deadline")
 
     def __init__(self, sock, node):
-        self.sock, self.node, self.rest, self.since, self.until = sock, node, b"", None, 0
+        self.sock, self.node, self.rest, self.since, self.deadline = sock, node, b"", None, 0
 
 
-class ListServer(Part):
+class ListServer(LabProcess):
     kind = "list"
 
     def prepare(self):
-        self.book = HostList([self.entry(m) for m in self.plan.machines if not m.started])
-        self.askers, self.silent, self.garbage, self.listeners = set(), 0, 0, []
+        self.host_list = HostList([self.entry(m) for m in self.plan.machines if not m.started])
+        self.watchers, self.silent_until, self.garbage_left, self.listeners = set(), 0, 0, []
         for node in self.plan.nodes:
             sock = listener((node.ip, node.list_port), 64, "list")
             self.listeners.append(sock)
@@ -123,55 +123,55 @@
 
     def begin(self):
         if self.plan.experiment.listing.weights_ms:
-            self.held = {}
-            threading.Thread(target=self.watch_hosts, daemon=True).start()
-            self.weigh()
+            self.usage = {}
+            threading.Thread(target=self.poll_hosts, daemon=True).start()
+            self.update_weights()
         for after, name, lifecycle, started in planned_changes(self.plan):
             self.loop.at(self.start + after, self.change, name, lifecycle, started)
-        for one in self.plan.faults:
-            if one.kind in LIST_FAULTS:
-                self.loop.at(self.start + round(one.at * SECOND), self.fault, one)
+        for fault in self.plan.faults:
+            if fault.kind in LIST_FAULTS:
+                self.loop.at(self.start + round(fault.at * SECOND), self.inject_fault, fault)
 
-    def watch_hosts(self):
+    def poll_hosts(self):
         """In a thread of its own, for a host may hang: the connections held a core, by host."""
         while True:
             for m in self.plan.machines:
                 try:
                     with socket.create_connection((m.ip, m.port), 0.2) as sock:
                         sock.sendall(b"STATS\r\n")
-                        told = dict(pair.split(b":") for pair in sock.recv(4096).split()[1].split(b","))
+                        report = dict(pair.split(b":") for pair in sock.recv(4096).split()[1].split(b","))
                     cores = m.traits.cores
-                    self.held[m.name] = cores * m.traits.speed, float(told[b"outstanding"]) / cores
+                    self.usage[m.name] = cores * m.traits.speed, float(report[b"outstanding"]) / cores
                 except (OSError, ValueError, IndexError, KeyError):
                     continue  # it keeps the weight that it had
             time.sleep(self.plan.experiment.listing.weights_ms / 2000)
 
-    def weigh(self):
-        self.loop.at(now() + round(self.plan.experiment.listing.weights_ms * 1000), self.weigh)
-        if self.held:
-            self.book.set_weights(dict(self.held))
-            self.answer_watches()
+    def update_weights(self):
+        self.loop.at(now() + round(self.plan.experiment.listing.weights_ms * 1000), self.update_weights)
+        if self.usage:
+            self.host_list.set_weights(dict(self.usage))
+            self.reply_to_watchers()
 
     def change(self, name, lifecycle, started):
         machine = next(m for m in self.plan.machines if m.name == name)
         at = None if started is None else (self.start + round(started) + self.plan.unix_offset) // 1000
-        self.book.change(name, lifecycle, at, self.book.entries.get(name) or self.entry(machine))
+        self.host_list.change(name, lifecycle, at, self.host_list.entries.get(name) or self.entry(machine))
         self.record.put(
-            {"k": "change", "t": now(), "host": name, "state": lifecycle, "version": self.book.version}
+            {"k": "change", "t": now(), "host": name, "state": lifecycle, "version": self.host_list.version}
         )
-        self.answer_watches()
-
-    def fault(self, one):
-        self.record.put({"k": "fault", "t": now(), "kind": one.kind})
-        if one.kind == "list-cut":
-            self.silent = now() + round(one.seconds * SECOND)
-            self.loop.at(self.silent + 1, self.answer_watches)
-        elif one.kind == "list-garbage":
-            self.garbage = 5
+        self.reply_to_watchers()
+
+    def inject_fault(self, fault):
+        self.record.put({"k": "fault", "t": now(), "kind": fault.kind})
+        if fault.kind == "list-cut":
+            self.silent_until = now() + round(fault.seconds * SECOND)
+            self.loop.at(self.silent_until + 1, self.reply_to_watchers)
+        elif fault.kind == "list-garbage":
+            self.garbage_left = 5
         else:
-            self.book.restart()
-            for asker in list(self.askers):
-                self.drop(asker)
+            self.host_list.restart()
+            for watcher in list(self.watchers):
+                self.drop(watcher)
 
     def accept(self, listener, node):
         try:
@@ -179,76 +179,80 @@
         except OSError:
             return
         sock.setblocking(False)
-        asker = Asker(sock, node)
-        self.askers.add(asker)
-        self.loop.watch(sock, lambda _: self.read(asker))
+        watcher = Watcher(sock, node)
+        self.watchers.add(watcher)
+        self.loop.watch(sock, lambda _: self.read(watcher))
 
-    def drop(self, asker):
-        if asker in self.askers:
-            self.askers.discard(asker)
-            self.loop.drop(asker.sock)
-            asker.sock.close()
+    def drop(self, watcher):
+        if watcher in self.watchers:
+            self.watchers.discard(watcher)
+            self.loop.unwatch(watcher.sock)
+            watcher.sock.close()
 
-    def read(self, asker):
+    def read(self, watcher):
         try:
-            data = asker.sock.recv(16384)
+            data = watcher.sock.recv(16384)
         except BlockingIOError:
             return
         except OSError:
             data = b""
-        asker.rest += data
-        if not data or len(asker.rest) > 65536:
-            self.drop(asker)
+        watcher.rest += data
+        if not data or len(watcher.rest) > 65536:
+            self.drop(watcher)
             return
-        while (end := asker.rest.find(b"\r\n\r\n")) >= 0:
-            head, asker.rest = asker.rest[:end], asker.rest[end + 4 :]
-            self.asked(asker, head.split(b" ", 2)[1].decode("latin-1"))
+        while (end := watcher.rest.find(b"\r\n\r\n")) >= 0:
+            head, watcher.rest = watcher.rest[:end], watcher.rest[end + 4 :]
+            self.on_request(watcher, head.split(b" ", 2)[1].decode("latin-1"))
 
-    def asked(self, asker, path):
+    def on_request(self, watcher, path):
         query = urllib.parse.parse_qs(urllib.parse.urlsplit(path).query)
-        asker.since = int(query["since"][0]) if "since" in query else -1
-        asker.until = now() + min(LONGEST_WATCH, int(query.get("timeout_ms", ["0"])[0]) * 1000)
-        self.loop.at(asker.until, self.answer, asker)
-        self.answer(asker)
+        watcher.since = int(query["since"][0]) if "since" in query else -1
+        watcher.deadline = now() + min(MAX_WATCH, int(query.get("timeout_ms", ["0"])[0]) * 1000)
+        self.loop.at(watcher.deadline, self.reply, watcher)
+        self.reply(watcher)
 
-    def answer_watches(self):
-        for asker in list(self.askers):
-            self.answer(asker)
+    def reply_to_watchers(self):
+        for watcher in list(self.watchers):
+            self.reply(watcher)
 
-    def answer(self, asker):
+    def reply(self, watcher):
         """If there is something to say to it, or its time is up."""
         at = now()
-        if asker.since is None or at < self.silent or asker not in self.askers:
+        if watcher.since is None or at < self.silent_until or watcher not in self.watchers:
             return
-        said = self.book.full_list() if asker.since < 0 else self.book.changes_since(asker.since)
-        if said is None:
-            if asker.since > self.book.version:  # it knows a version that this list never had
-                said = self.book.full_list()
-            elif at < asker.until:
+        reply = (
+            self.host_list.full_list() if watcher.since < 0 else self.host_list.changes_since(watcher.since)
+        )
+        if reply is None:
+            if watcher.since > self.host_list.version:  # it knows a version that this list never had
+                reply = self.host_list.full_list()
+            elif at < watcher.deadline:
                 return
             else:
-                said = {"generation": self.book.version, "reset": False, "instances": []}
-        asker.since = None
-        body = json.dumps(said).encode()
-        if self.garbage:
-            self.garbage -= 1
-            body = b"[" * 200_000 if self.garbage % 2 else b"<html>not found</html>"
+                reply = {"generation": self.host_list.version, "reset": False, "instances": []}
+        watcher.since = None
+        body = json.dumps(reply).encode()
+        if self.garbage_left:
+            self.garbage_left -= 1
+            body = b"[" * 200_000 if self.garbage_left % 2 else b"<html>not found</html>"
         try:
-            asker.sock.setblocking(True)
-            asker.sock.settimeout(0.2)
-            asker.sock.sendall(HTTP_RESPONSE % (len(body), body))
-            asker.sock.setblocking(False)
+            watcher.sock.setblocking(True)
+            watcher.sock.settimeout(0.2)
+            watcher.sock.sendall(HTTP_RESPONSE % (len(body), body))
+            watcher.sock.setblocking(False)
         except OSError:
-            self.drop(asker)
+            self.drop(watcher)
             return
         if body[:1] == b"{":
             self.record.put(
                 {
                     "k": "told",
                     "t": now(),
-                    "node": asker.node.name,
-                    "version": said["generation"],
-                    "whole": said["reset"],
-                    "hosts": [[e["instanceId"], e["lifecycle"], e["startedAtMs"]] for e in said["instances"]],
+                    "node": watcher.node.name,
+                    "version": reply["generation"],
+                    "whole": reply["reset"],
+                    "hosts": [
+                        [e["instanceId"], e["lifecycle"], e["startedAtMs"]] for e in reply["instances"]
+                    ],
                 }
             )
--- a/cottonspread/lab/load.py
+++ b/cottonspread/lab/load.py
@@ -1,4 +1,4 @@
-"""Clients. Open loop: every call goes out at its intended time, whatever has become of the others.
+"""Clients. Open loop: interval call goes out at its intended time, whatever has become of the others.
 
 Latency counts from the intended time, so that a stalled node is not flattered; how late the generator itself
 was (from the intended time to when the kernel had its connection) is kept beside it.
@@ -16,27 +16,27 @@
 from cottonspread.lab import wire
 from cottonspread.lab.client_policy import next_attempt
 from cottonspread.lab.loop import IN, OUT
-from cottonspread.lab.process import Part
+from cottonspread.lab.process import LabProcess
 from cottonspread.lab.wire import now
 
 SECOND = 1_000_000
-BROKEN = struct.pack("ii", 1, 0)
-LATE = 1000  # microseconds at p99.9: a run whose generator was later is not used
-HIGHEST = 600 * SECOND
-SO_TIMESTAMPNS, STAMP, STAMP_ROOM = 35, struct.Struct("qq"), 64
+LINGER_RESET = struct.pack("ii", 1, 0)
+MAX_LATENESS = 1000  # microseconds at p99.9: a run whose generator was later is not used
+MAX_RECORDED = 600 * SECOND
+SO_TIMESTAMPNS, TIMESPEC, CONTROL_SIZE = 35, struct.Struct("qq"), 64
 BIND_NO_PORT = 24  # IP_BIND_ADDRESS_NO_PORT: the port is chosen at connect, one for each destination
-TOLD_LATER = 50_000  # after its guard time a client waits so long before it leaves: sockets are late
-SPIN = 400  # microseconds before an arrival that a spinning generator stays awake for
+GUARD_TOLERANCE = 50_000  # after its guard time a client waits so long before it leaves: sockets are late
+SPIN_TIME = 400  # microseconds before an arrival that a spinning generator stays awake for
 
 
-def came_at(stamps):
+def received_at(control_messages):
     """When the kernel got the bytes, on the shared clock: whether this process
     had its core just then does not count.
     """
     at = now()
-    for level, kind, value in stamps:
+    for level, kind, value in control_messages:
         if level == socket.SOL_SOCKET and kind == SO_TIMESTAMPNS:
-            seconds, rest = STAMP.unpack(value)
+            seconds, rest = TIMESPEC.unpack(value)
             age = (time.time_ns() - seconds * 1_000_000_000 - rest) // 1000
             if 0 <= age < SECOND:  # else the wall clock was set meanwhile
                 return at - age
@@ -44,14 +44,14 @@
 
 
 def histogram():
-    return HdrHistogram(1, HIGHEST, 3)
+    return HdrHistogram(1, MAX_RECORDED, 3)
 
 
 class Call:
     """One connection of a client: a first try, a retry, or one that comes again."""
 
     __slots__ = (
-        "first",
+        "schedule_index",
         "id",
         "kind",
         "key",
@@ -68,18 +68,18 @@
         "up",
         "lines",
         "out",
-        "echoes",
-        "asked",
-        "slowest",
+        "echo_count",
+        "unanswered_lines",
+        "max_echo_delay",
         "how",
         "line",
     )
 
-    def __init__(self, first, kind, key, group, intended, again, retry, tries):
-        self.first, self.kind, self.key, self.group = first, kind, key, group
+    def __init__(self, schedule_index, kind, key, group, intended, again, retry, tries):
+        self.schedule_index, self.kind, self.key, self.group = schedule_index, kind, key, group
         self.intended, self.again, self.retry, self.tries = intended, again, retry, tries
         self.id, self.node, self.sock, self.sent, self.begun = "", None, None, 0, 0
-        self.answers, self.up, self.lines, self.out, self.echoes, self.asked = (
+        self.answers, self.up, self.lines, self.out, self.echo_count, self.unanswered_lines = (
             [],
             0,
             wire.LineSplitter(),
@@ -87,10 +87,10 @@
             0,
             [],
         )
-        self.slowest, self.how, self.line = 0, "", 0
+        self.max_echo_delay, self.how, self.line = 0, "", 0
 
 
-class Clients(Part):
+class Clients(LabProcess):
     kind = "load"
 
     def prepare(self):
@@ -98,25 +98,40 @@
         whole = plans.schedule(self.plan)
         self.digest = whole.digest()
         at = slice(self.number, None, load.processes)
-        self.calls = plans.Schedule(**{f: getattr(whole, f)[at] for f in whole.__struct_fields__})
-        self.at, self.kinds = self.calls.at.tolist(), self.calls.kind.tolist()
+        self.schedule = plans.Schedule(**{f: getattr(whole, f)[at] for f in whole.__struct_fields__})
+        self.at, self.kinds = self.schedule.at.tolist(), self.schedule.kind.tolist()
         self.lives, self.draws, self.groups = (
-            getattr(self.calls, n).tolist() for n in ("life", "draw", "group")
+            getattr(self.schedule, n).tolist() for n in ("life", "draw", "group")
         )
-        self.tenants = self.calls.tenant.tolist()
+        self.tenants = self.schedule.tenant.tolist()
         rng = np.random.default_rng([self.plan.seed, 3, self.number])
-        self.backs = rng.random(max(1, len(self.at))).tolist()  # who breaks off, and when it is back
+        self.reconnect_draws = rng.random(
+            max(1, len(self.at))
+        ).tolist()  # who breaks off, and when it is back
         self.types, self.load = load.types, load
-        self.nodes, self.alive = self.plan.nodes, list(range(len(self.plan.nodes)))
+        self.nodes, self.active_nodes = self.plan.nodes, list(range(len(self.plan.nodes)))
         self.sources = [s for n, s in enumerate(self.plan.sources) if n % load.processes == self.number] or [
             ""
         ]
-        self.next, self.made, self.standing, self.open = 0, 0, {}, {}
-        self.loop.spin = SPIN if load.spins else 0
+        self.next_index, self.call_count, self.established, self.open = 0, 0, {}, {}
+        self.loop.spin = SPIN_TIME if load.spins else 0
         self.latency = {k.name: histogram() for k in self.types}
         self.lateness, self.echo = histogram(), histogram()
-        self.window = {"offered": 0, "up": 0, "busy": 0, "other": 0, "none": 0, "moved": 0, "broken": 0}
-        self.total, self.recent, self.latest, self.faults = dict(self.window), [], 0, {}
+        self.counts_since_report = {
+            "offered": 0,
+            "up": 0,
+            "busy": 0,
+            "other": 0,
+            "none": 0,
+            "moved": 0,
+            "broken": 0,
+        }
+        self.total, self.recent_latencies, self.max_lateness, self.connect_errors = (
+            dict(self.counts_since_report),
+            [],
+            0,
+            {},
+        )
         self.addresses = [(n.ip, n.port) for n in self.nodes]
         self.end_of_arrivals = round(self.plan.experiment.seconds * SECOND)
 
@@ -125,24 +140,24 @@
             self.loop.at(self.start + self.at[0], self.arrive)
         for shape in self.load.shapes:
             if shape.kind == "reconnect":
-                self.loop.at(self.start + round(shape.start * SECOND), self.break_off, shape)
+                self.loop.at(self.start + round(shape.start * SECOND), self.reset_connections, shape)
 
-    def told(self, words):
+    def on_command(self, words):
         """`up N` and `down N`: the front takes a node in, or deals no more to it."""
         number = int(words[1])
-        if words[0] == "up" and number not in self.alive:
-            self.alive = sorted([*self.alive, number])
-        elif words[0] == "down" and number in self.alive:
-            self.alive.remove(number)
+        if words[0] == "up" and number not in self.active_nodes:
+            self.active_nodes = sorted([*self.active_nodes, number])
+        elif words[0] == "down" and number in self.active_nodes:
+            self.active_nodes.remove(number)
 
     # Arrivals
 
     def arrive(self):
         """All first calls that are due; the timer for the next one."""
-        n = self.next
+        n = self.next_index
         while n < len(self.at) and self.start + self.at[n] <= now():
-            self.next = n + 1
-            self.call(
+            self.next_index = n + 1
+            self.start_call(
                 Call(
                     n,
                     self.kinds[n],
@@ -158,16 +173,16 @@
         if n < len(self.at):
             self.loop.at(self.start + self.at[n], self.arrive)
 
-    def later(self, call, wait, again):
+    def schedule_again(self, call, wait, again):
         """The client of `call` comes again after `wait` microseconds, with a connection of its own."""
         when = now() + wait
         if when - self.start > self.end_of_arrivals + SECOND:
             return
         self.loop.at(
             when,
-            self.call,
+            self.start_call,
             Call(
-                call.first,
+                call.schedule_index,
                 call.kind,
                 call.key,
                 call.group,
@@ -178,22 +193,22 @@
             ),
         )
 
-    def pick(self, call):
-        draw = self.draws[call.first] + 2654435761 * (call.tries + call.again)
-        among = self.alive or range(len(self.nodes))
-        return among[draw % len(among)]
+    def choose_node(self, call):
+        draw = self.draws[call.schedule_index] + 2654435761 * (call.tries + call.again)
+        candidates = self.active_nodes or range(len(self.nodes))
+        return candidates[draw % len(candidates)]
 
-    def call(self, call):
+    def start_call(self, call):
         kind = self.types[call.kind]
-        self.made += 1
-        call.id, call.node = f"{self.number}x{self.made:x}", self.pick(call)
-        self.window["offered"] += 1
+        self.call_count += 1
+        call.id, call.node = f"{self.number}x{self.call_count:x}", self.choose_node(call)
+        self.counts_since_report["offered"] += 1
         wait = int(kind.guard_ms)
         call.out = wire.format_open(call.id, call.key, kind.name, wait, call.group, call.again, call.retry)
         sock = None
         try:
             sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM | socket.SOCK_NONBLOCK)
-            source = self.sources[self.made % len(self.sources)]
+            source = self.sources[self.call_count % len(self.sources)]
             if source:
                 sock.setsockopt(socket.IPPROTO_IP, BIND_NO_PORT, 1)
                 sock.bind((source, 0))
@@ -201,23 +216,23 @@
         except OSError as fault:
             code = fault.errno
         call.begun = now()
-        late = max(1, call.begun - call.intended)
-        self.latest = max(self.latest, late)
-        self.lateness.record_value(min(HIGHEST, late))
+        lateness = max(1, call.begun - call.intended)
+        self.max_lateness = max(self.max_lateness, lateness)
+        self.lateness.record_value(min(MAX_RECORDED, lateness))
         if code not in (0, errno.EINPROGRESS):
             if sock is not None:
                 sock.close()
             name = errno.errorcode.get(code, str(code))
-            self.faults[name] = self.faults.get(name, 0) + 1
-            self.done(call, "refused" if code == errno.ECONNREFUSED else "lost-by-generator:" + name)
+            self.connect_errors[name] = self.connect_errors.get(name, 0) + 1
+            self.finish_call(call, "refused" if code == errno.ECONNREFUSED else "lost-by-generator:" + name)
             return
         sock.setsockopt(socket.SOL_SOCKET, SO_TIMESTAMPNS, 1)
         call.sock = sock
         self.open[call] = None
-        self.loop.watch(sock, lambda mask: self.ready(call, mask), IN)
+        self.loop.watch(sock, lambda mask: self.on_ready(call, mask), IN)
         self.send(call)
         if call.sock is not None:
-            self.loop.at(call.begun + wait * 1000 + TOLD_LATER, self.waited_out, call)
+            self.loop.at(call.begun + wait * 1000 + GUARD_TOLERANCE, self.on_guard_timeout, call)
 
     def send(self, call):
         """What is to go out; in most cases the connection is up at once on this machine,
@@ -229,70 +244,70 @@
             sent = 0
         except OSError as fault:
             if fault.errno != errno.ENOTCONN:
-                self.ended(call, "reset" if call.sent else "refused")
+                self.on_end(call, "reset" if call.sent else "refused")
                 return
             sent = 0
         call.out = call.out[sent:]
         if not call.out and not call.sent:
             call.sent = now()
-        self.loop.change(call.sock, IN | OUT if call.out else IN)
+        self.loop.set_mask(call.sock, IN | OUT if call.out else IN)
 
-    def ready(self, call, mask):
+    def on_ready(self, call, mask):
         if mask & OUT and call.out:
             self.send(call)
         if call.sock is None or not mask & ~OUT:
             return
         try:
-            data, stamps, _, _ = call.sock.recvmsg(65536, STAMP_ROOM)
+            data, control_messages, _, _ = call.sock.recvmsg(65536, CONTROL_SIZE)
         except BlockingIOError:
             return
         except OSError:
-            self.ended(call, "reset" if call.sent else "refused")
+            self.on_end(call, "reset" if call.sent else "refused")
             return
         if not data:
-            self.ended(call, "end")
+            self.on_end(call, "end")
             return
-        at = came_at(stamps)
+        at = received_at(control_messages)
         for line in call.lines.feed(data):
-            self.line(call, line, at)
+            self.on_line(call, line, at)
 
-    def line(self, call, line, at):
+    def on_line(self, call, line, at):
         if not call.up or line.startswith(b"UP "):
             what, value = wire.parse_answer(line)
             call.answers.append([at, what, value])
             if len(call.answers) == 1:
-                self.window[what.lower()] += 1
+                self.counts_since_report[what.lower()] += 1
                 if what == "UP":
-                    self.came_up(call, at)
+                    self.on_up(call, at)
         elif line == b"MOVE":
             call.how = call.how or "moved"
         elif line == b"BYE":
             call.how = call.how or "bye"
-        elif line.startswith(b"e") and call.asked:
-            sent = call.asked.pop(0)
-            call.echoes += 1
-            call.slowest = max(call.slowest, at - sent)
+        elif line.startswith(b"e") and call.unanswered_lines:
+            sent = call.unanswered_lines.pop(0)
+            call.echo_count += 1
+            call.max_echo_delay = max(call.max_echo_delay, at - sent)
             self.echo.record_value(max(1, at - sent))
 
-    def came_up(self, call, at):
+    def on_up(self, call, at):
         call.up = at
-        took = max(1, min(HIGHEST, at - call.intended))
+        took = max(1, min(MAX_RECORDED, at - call.intended))
         self.latency[self.types[call.kind].name].record_value(took)
-        self.recent.append(took)
-        self.standing[call] = None
-        life = self.lives[call.first]
+        self.recent_latencies.append(took)
+        self.established[call] = None
+        life = self.lives[call.schedule_index]
         self.loop.at(at + life, self.leave, call)
-        every = round(self.load.line_s * SECOND)
-        if every and life > every:
-            self.loop.at(at + every, self.say, call, at + every, every)
+        interval = round(self.load.line_s * SECOND)
+        if interval and life > interval:
+            self.loop.at(at + interval, self.send_line, call, at + interval, interval)
 
-    def say(self, call, intended, every):
+    def send_line(self, call, intended, interval):
         if call.sock is None:
             return
         call.line += 1
-        call.asked.append(intended)
+        call.unanswered_lines.append(intended)
         call.out += b"e%d\r\n" % call.line
-        self.loop.at(intended + every, self.say, call, intended + every, every)
+        self.loop.at(intended + interval, self.send_line, call, intended + interval, interval)
         self.send(call)
 
     # Ends
@@ -301,41 +316,41 @@
         """The client has what it came for."""
         if call.sock is not None and call.up:
             self.close(call)
-            self.done(call, "left")
+            self.finish_call(call, "left")
 
-    def waited_out(self, call):
+    def on_guard_timeout(self, call):
         if call.sock is not None and not call.answers:
-            self.window["none"] += 1
+            self.counts_since_report["none"] += 1
             self.close(call)
-            self.done(call, "gave-up")
+            self.finish_call(call, "gave-up")
 
-    def break_off(self, shape):
+    def reset_connections(self, shape):
         """A mass reconnection: this share of those standing break off, and come back within the stretch."""
-        for call in list(self.standing):
-            draw = self.backs[call.first]
+        for call in list(self.established):
+            draw = self.reconnect_draws[call.schedule_index]
             if draw < shape.share and call.sock is not None:
-                call.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, BROKEN)
+                call.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
                 self.close(call)
-                self.done(call, "broke-off")
-                self.later(call, round(draw / shape.share * shape.seconds * SECOND), True)
+                self.finish_call(call, "broke-off")
+                self.schedule_again(call, round(draw / shape.share * shape.seconds * SECOND), True)
 
-    def ended(self, call, how):
+    def on_end(self, call, how):
         """The node has ended it."""
         self.close(call)
         if not call.up and not call.answers:
-            self.window["none"] += 1
+            self.counts_since_report["none"] += 1
         if call.up:
-            self.window["moved" if call.how in ("moved", "bye") else "broken"] += 1
-        self.done(call, call.how or how)
+            self.counts_since_report["moved" if call.how in ("moved", "bye") else "broken"] += 1
+        self.finish_call(call, call.how or how)
 
     def close(self, call):
-        self.loop.drop(call.sock)
+        self.loop.unwatch(call.sock)
         call.sock.close()
         call.sock = None
-        self.standing.pop(call, None)
+        self.established.pop(call, None)
         self.open.pop(call, None)
 
-    def done(self, call, how):
+    def finish_call(self, call, how):
         """The record of it, and what its client does next."""
         start = self.start
         self.record.put(
@@ -345,7 +360,7 @@
                 "type": self.types[call.kind].name,
                 "key": call.key,
                 "group": call.group,
-                "tenant": self.tenants[call.first],
+                "tenant": self.tenants[call.schedule_index],
                 "node": self.nodes[call.node].name,
                 "again": call.again,
                 "retry": call.retry,
@@ -357,14 +372,14 @@
                 "end": now() - start,
                 "how": how,
                 "lines": call.line,
-                "echoes": call.echoes,
-                "slowest": call.slowest,
-                "unanswered": now() - call.asked[0]
-                if call.asked and how not in ("left", "broke-off", "cut")
+                "echoes": call.echo_count,
+                "slowest": call.max_echo_delay,
+                "unanswered": now() - call.unanswered_lines[0]
+                if call.unanswered_lines and how not in ("left", "broke-off", "cut")
                 else 0,
             }
         )
-        call.asked = []
+        call.unanswered_lines = []
         after = next_attempt(
             self.load,
             self.types[call.kind],
@@ -372,44 +387,47 @@
             call.up,
             call.answers[0][1:] if call.answers else None,
             call.tries,
-            self.draws[call.first] % 1000 < 1000 * self.load.honour,
-            self.backs[call.first],
+            self.draws[call.schedule_index] % 1000 < 1000 * self.load.honour,
+            self.reconnect_draws[call.schedule_index],
         )
         if after:
-            self.later(call, *after)
+            self.schedule_again(call, *after)
 
     # What the runner gets
 
     def counts(self):
-        out, self.window = self.window, dict.fromkeys(self.window, 0)
+        out, self.counts_since_report = self.counts_since_report, dict.fromkeys(self.counts_since_report, 0)
         for key, value in out.items():
             self.total[key] += value
-        (recent, self.recent), (late, self.latest) = (self.recent, []), (self.latest, 0)
+        (recent, self.recent_latencies), (lateness, self.max_lateness) = (
+            (self.recent_latencies, []),
+            (self.max_lateness, 0),
+        )
         # Of a thousand at most: sorting more, or the first use of a larger
         # library, made calls late by milliseconds.
         recent = sorted(recent[:: len(recent) // 1000 + 1])
         took = [recent[len(recent) // 2], recent[len(recent) * 99 // 100]] if recent else [0, 0]
         return {
             **out,
-            "standing": len(self.standing),
+            "standing": len(self.established),
             "p50_us": took[0],
             "p99_us": took[1],
-            "late_max_us": late,
+            "late_max_us": lateness,
         }
 
     def finish(self):
         for call in list(self.open):
             self.close(call)
-            self.done(call, "cut")
+            self.finish_call(call, "cut")
         self.counts()
         self.record.put(
             {
                 "k": "sum",
                 "digest": self.digest,
                 "total": self.total,
-                "faults": self.faults,
+                "faults": self.connect_errors,
                 "planned": len(self.at),
-                "begun": self.next,
+                "begun": self.next_index,
                 "latency": {name: h.encode().decode() for name, h in self.latency.items()},
                 "lateness": self.lateness.encode().decode(),
                 "echo": self.echo.encode().decode(),
--- a/cottonspread/lab/loop.py
+++ b/cottonspread/lab/loop.py
@@ -15,7 +15,7 @@
 from cottonspread.lab.wire import now
 
 IN, OUT, GONE = select.EPOLLIN, select.EPOLLOUT, select.EPOLLHUP | select.EPOLLERR
-BATCH = 32  # socket events taken from the kernel at a time
+MAX_EVENTS = 32  # socket events taken from the kernel at a time
 
 
 class Loop:
@@ -23,23 +23,23 @@
         self.poll = select.epoll()
         if self.poll.fileno() >= 1024:
             raise RuntimeError("a loop is made before its sockets: select takes descriptors under 1024 only")
-        self.handlers, self.timers, self.stamp, self.stopped = {}, [], 0, False
+        self.handlers, self.timers, self.sequence, self.stopped = {}, [], 0, False
         self.spin = 0  # microseconds before a timer that are spent awake; a sleep ends 0.1 ms late
 
-    def at(self, when, what, *args):
-        self.stamp += 1
-        heapq.heappush(self.timers, (when, self.stamp, what, args))
+    def at(self, when, callback, *args):
+        self.sequence += 1
+        heapq.heappush(self.timers, (when, self.sequence, callback, args))
 
-    def watch(self, sock, what, mask=IN):
-        """`what(mask)` is called when the socket has something for it."""
+    def watch(self, sock, callback, mask=IN):
+        """`callback(mask)` is called when the socket has something for it."""
         fd = sock if isinstance(sock, int) else sock.fileno()
-        self.handlers[fd] = what
+        self.handlers[fd] = callback
         self.poll.register(fd, mask)
 
-    def change(self, sock, mask):
+    def set_mask(self, sock, mask):
         self.poll.modify(sock.fileno(), mask)
 
-    def drop(self, sock):
+    def unwatch(self, sock):
         fd = sock if isinstance(sock, int) else sock.fileno()
         if self.handlers.pop(fd, None) is not None:
             self.poll.unregister(fd)
@@ -47,28 +47,28 @@
     def stop(self):
         self.stopped = True
 
-    def due(self):
+    def run_due_timers(self):
         timers = self.timers
         while timers and timers[0][0] <= now() and not self.stopped:
-            _, _, what, args = heapq.heappop(timers)
-            what(*args)
+            _, _, callback, args = heapq.heappop(timers)
+            callback(*args)
 
     def run(self):
         own = [self.poll.fileno()]
         while not self.stopped:
-            self.due()
+            self.run_due_timers()
             wait = (self.timers[0][0] - now()) / 1e6 if self.timers else 1.0
             if wait > self.spin / 1e6:
                 select.select(own, [], [], min(wait - self.spin / 1e6, 1.0))
-            for fd, mask in self.poll.poll(0, BATCH):
-                what = self.handlers.get(fd)
-                if what is not None:
-                    what(mask)
+            for fd, mask in self.poll.poll(0, MAX_EVENTS):
+                callback = self.handlers.get(fd)
+                if callback is not None:
+                    callback(mask)
                 if self.timers and self.timers[0][0] <= now():
-                    self.due()
+                    self.run_due_timers()
 
-    def follow_parent(self, said):
-        """Orders come as lines on standard input; `said(words)` for each.
+    def read_parent_commands(self, on_command):
+        """Orders come as lines on standard input; `on_command(words)` for each.
 
         Its end ends this process: nothing outlives whoever started it.
         """
@@ -81,17 +81,17 @@
             except BlockingIOError:
                 return
             if not data:
-                self.drop(0)
+                self.unwatch(0)
                 self.stop()
                 return
             *lines, rest[0] = (rest[0] + data).split(b"\n")
             for line in lines:
-                said(line.decode().split())
+                on_command(line.decode().split())
 
         self.watch(0, read)
 
 
-def listener(address, backlog, whose):
+def listener(address, backlog, owner):
     """A listening socket that does not block; OSError names whose address it was."""
     sock = socket.socket()
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -99,18 +99,18 @@
         sock.bind(address)
     except OSError as fault:
         sock.close()
-        raise OSError("{}: {}:{}: {}".format(whose, *address, fault.strerror)) from None
+        raise OSError("{}: {}:{}: {}".format(owner, *address, fault.strerror)) from None
     sock.listen(backlog)
     sock.setblocking(False)
     return sock
 
 
-def tell_parent(line):
+def send_to_parent(line):
     sys.stdout.write(line + "\n")
     sys.stdout.flush()
 
 
-def quiet_collector():
+def disable_gc():
     """A full collection pauses for milliseconds; the lab's objects are freed by their counts."""
     gc.collect()
     gc.freeze()
--- a/cottonspread/lab/process.py
+++ b/cottonspread/lab/process.py
@@ -8,12 +8,12 @@
 import msgspec
 
 from cottonspread.lab import plan as plans
-from cottonspread.lab.loop import Loop, quiet_collector, tell_parent
+from cottonspread.lab.loop import Loop, disable_gc, send_to_parent
 from cottonspread.lab.record import Record
 from cottonspread.lab.wire import now
 
 
-class Part:
+class LabProcess:
     """One process.
 
     Says `ready`, waits for `begin T` (monotonic microseconds), ends at
@@ -36,11 +36,11 @@
         try:
             self.prepare()
         except OSError as fault:
-            tell_parent(f"fault {fault}")
+            send_to_parent(f"fault {fault}")
             return 1
-        self.loop.follow_parent(self.order)
-        quiet_collector()
-        tell_parent("ready")
+        self.loop.read_parent_commands(self.on_parent_command)
+        disable_gc()
+        send_to_parent("ready")
         try:
             self.loop.run()
         finally:
@@ -48,27 +48,27 @@
             self.record.close()
         return 0
 
-    def order(self, words):
+    def on_parent_command(self, words):
         if words[0] == "begin":
             self.start = int(words[1])
             self.begin()
-            self.loop.at(self.start, self.second)
+            self.loop.at(self.start, self.report_counts)
         elif words[0] == "end":
             self.loop.stop()
         else:
-            self.told(words)
+            self.on_command(words)
 
-    def second(self):
+    def report_counts(self):
         """Once a second: what was seen so far goes to disk, and counts to the runner."""
         self.record.flush()
         counts = self.counts()
         if counts:
             try:
-                tell_parent("counts " + json.dumps(counts))
+                send_to_parent("counts " + json.dumps(counts))
             except BrokenPipeError:
                 self.loop.stop()
                 sys.stdout = open(os.devnull, "w")  # noqa: SIM115  it stays open until the process ends
-        self.loop.at(now() + 1_000_000, self.second)
+        self.loop.at(now() + 1_000_000, self.report_counts)
 
     # A part's own
 
@@ -78,7 +78,7 @@
     def begin(self):
         """`self.start` is known."""
 
-    def told(self, words):
+    def on_command(self, words):
         pass
 
     def counts(self):
--- a/cottonspread/lab/results.py
+++ b/cottonspread/lab/results.py
@@ -9,7 +9,7 @@
 from cottonspread.lab import audit as audits
 from cottonspread.lab import plan as plans
 from cottonspread.lab import record
-from cottonspread.lab.load import LATE, histogram
+from cottonspread.lab.load import MAX_LATENESS, histogram
 
 SCHEMA = "cottonspread-lab-results/1"
 POINTS = (50.0, 90.0, 99.0, 99.9)
@@ -126,8 +126,10 @@
     answers, asked, earned, came_up = tally(audit.calls.values(), kinds)
     reasons, late = list(play.reasons), spread(lateness)
     faults = {name: n for one in sums for name, n in one["faults"].items()}
-    if late.p999 > LATE:
-        reasons.append(f"the generator was late itself: {late.p999} us at p99.9, over {LATE}: not to be used")
+    if late.p999 > MAX_LATENESS:
+        reasons.append(
+            f"the generator was late itself: {late.p999} us at p99.9, over {MAX_LATENESS}: not to be used"
+        )
     lost = {n: c for n, c in faults.items() if n != "ECONNREFUSED"}
     if lost:
         reasons.append(f"calls that the generator could not make: {lost}")
@@ -142,7 +144,7 @@
         seed=plan.seed,
         repeat=repeat,
         cut=play.cut,
-        usable=late.p999 <= LATE
+        usable=late.p999 <= MAX_LATENESS
         and not lost
         and not play.cut
         and len(sums) == plan.experiment.load.processes
