--- a/benchmarks/lab/faults.py
+++ b/benchmarks/lab/faults.py
@@ -12,7 +12,7 @@
 
 from cottonspread.lab import plan as plans
 from cottonspread.lab import results
-from cottonspread.lab.run import Play
+from cottonspread.lab.run import LabRun
 
 FAULTS = {
     "none": [],
@@ -79,9 +79,11 @@
 def main(out, seconds="14"):
     table = {}
     for name in FAULTS:
-        play = Play(experiment(name, float(seconds)), plans.Variant(name="only"), 21, os.path.join(out, name))
-        play.run()
-        r = results.judge(play)
+        lab_run = LabRun(
+            experiment(name, float(seconds)), plans.Variant(name="only"), 21, os.path.join(out, name)
+        )
+        lab_run.run()
+        r = results.evaluate(lab_run)
         table[name] = {
             "usable": r.usable,
             "late_p999_us": r.lateness.p999,
--- a/cottonspread/lab/acceptor.py
+++ b/cottonspread/lab/acceptor.py
@@ -12,12 +12,12 @@
     limits.raise_descriptor_limit()
     loop, conns = Loop(), {}
     loop.spin = 2_000_000  # always awake: a core that sleeps is a virtual machine's to be taken away
-    door = listener(address, 4096, "acceptor")
+    server_socket = listener(address, 4096, "acceptor")
 
     def accept(_):
         for _ in range(16):
             try:
-                sock = door.accept()[0]
+                sock = server_socket.accept()[0]
             except OSError:
                 return
             sock.setblocking(False)
@@ -47,7 +47,7 @@
         conns.pop(sock, None)
 
     signal.signal(signal.SIGTERM, lambda *_: loop.stop())
-    loop.watch(door, accept)
+    loop.watch(server_socket, accept)
     disable_gc()
     loop.run()
     return 0
--- a/cottonspread/lab/audit.py
+++ b/cottonspread/lab/audit.py
@@ -14,13 +14,13 @@
 from bisect import bisect_right
 from collections import Counter, defaultdict, deque
 
-SLACK = 50_000
-PASSED_ON = 1_000_000
-SILENCE = 7_000_000
+TOLERANCE = 50_000
+MAX_END_DELAY = 1_000_000
+MAX_SILENCE = 7_000_000
 SECOND = 1_000_000
-SHOWN = 5  # offences of each kind that are kept in full
+MAX_EXAMPLES = 5  # offences of each kind that are kept in full
 LEG_EVENTS = ("leg", "ran", "up", "full", "late", "end", "swallowed")  # what hosts tell of one leg
-MEANINGS = {
+RULES = {
     1: "one final answer in time",
     2: "no effect twice",
     3: "nothing new to a drained server",
@@ -37,21 +37,21 @@
         self.kinds = {k.name: k for k in plan.experiment.load.types}
         self.machines = {m.name: m for m in plan.machines}
         self.grace = round(plan.experiment.nodes.grace_ms * 1000)
-        self.offences, self.shown, self.checked = Counter(), defaultdict(list), Counter()
-        self.calls, self.excused, self.twice, self.ends_at = {}, 0, 0, 0
-        self.legs, self.host_ends, self.starts, self.troubled = (
+        self.violations, self.examples, self.checked = Counter(), defaultdict(list), Counter()
+        self.calls, self.excused, self.harmless_repeats, self.ends_at = {}, 0, 0, 0
+        self.legs, self.host_ends, self.starts, self.host_faults = (
             defaultdict(list),
             {},
             defaultdict(list),
             defaultdict(list),
         )
-        self.deaths, self.freezes, self.told, self.budget = (
+        self.deaths, self.freezes, self.list_updates, self.max_cold_budget = (
             defaultdict(list),
             defaultdict(list),
             defaultdict(list),
             0.0,
         )
-        self.spans = {}
+        self.drain_spans = {}
         self.read(records)
 
     def read(self, records):
@@ -65,7 +65,7 @@
                 self.read_host(line)
         for line in records("list"):
             if line["k"] == "told":
-                self.told[line["node"]].append((line["t"] - self.start, line["whole"], line["hosts"]))
+                self.list_updates[line["node"]].append((line["t"] - self.start, line["whole"], line["hosts"]))
         for line in records("load"):
             if line["k"] == "call":
                 self.calls[line["id"]] = line
@@ -114,28 +114,28 @@
         if kind == "started":
             self.starts[host].append(t)
         elif kind in ("fault", "mend", "down"):
-            self.troubled[host].append((t, kind, line.get("kind")))
+            self.host_faults[host].append((t, kind, line.get("kind")))
         elif kind == "tipped":
-            self.offence(4, "tipped", {"host": host, "t": t, "sent_us": line["v"]})
+            self.add_violation(4, "tipped", {"host": host, "t": t, "sent_us": line["v"]})
         elif kind == "syntax":
-            self.offence(1, "a host could not read its first line", line)
+            self.add_violation(1, "a host could not read its first line", line)
 
-    def offence(self, rule, what, full):
-        self.offences[rule, what] += 1
-        if len(self.shown[rule, what]) < SHOWN:
-            self.shown[rule, what].append(full)
+    def add_violation(self, rule, what, details):
+        self.violations[rule, what] += 1
+        if len(self.examples[rule, what]) < MAX_EXAMPLES:
+            self.examples[rule, what].append(details)
 
-    def full(self, call):
+    def with_legs(self, call):
         return {**call, "legs": self.legs.get(call["id"], [])}
 
     def run(self):
         for call in self.calls.values():
-            self.answers(call)
-            self.effects(call)
-            self.drains(call)
+            self.check_answers(call)
+            self.check_effects(call)
+            self.check_drains(call)
         for host, machine in self.machines.items():
             for start in self.starts.get(host, ()):
-                self.cold(machine, start)
+                self.check_cold_budget(machine, start)
         return self.result()
 
     def result(self):
@@ -143,126 +143,132 @@
             "calls": len(self.calls),
             "legs": sum(map(len, self.legs.values())),
             "excused": self.excused,
-            "ran_twice_harmlessly": self.twice,
-            "cold_budget_used": round(self.budget, 3),
+            "ran_twice_harmlessly": self.harmless_repeats,
+            "cold_budget_used": round(self.max_cold_budget, 3),
             "rules": {
                 str(rule): {
                     "meaning": meaning,
                     "checked": self.checked[rule],
-                    "broken": sum(n for (r, _), n in self.offences.items() if r == rule),
+                    "broken": sum(n for (r, _), n in self.violations.items() if r == rule),
                 }
-                for rule, meaning in MEANINGS.items()
+                for rule, meaning in RULES.items()
             },
             "offences": [
-                {"rule": rule, "what": what, "count": n, "first": self.shown[rule, what]}
-                for (rule, what), n in sorted(self.offences.items())
+                {"rule": rule, "what": what, "count": n, "first": self.examples[rule, what]}
+                for (rule, what), n in sorted(self.violations.items())
             ],
         }
 
     # Rule 1
 
-    def died(self, node, after, before):
+    def node_died(self, node, after, before):
         return any(after <= t <= before for t in self.deaths.get(node, ()))
 
-    def frozen(self, node, after, before):
+    def node_frozen(self, node, after, before):
         return any(since <= before and until >= after for since, until in self.freezes.get(node, ()))
 
-    def answers(self, call):
+    def check_answers(self, call):
         if not call["sent"]:
             return  # its node's machine never took it
         self.checked[1] += 1
         answers, guard = call["answers"], call["sent"] + round(call["d"] * 1000)
         if len(answers) > 1:
-            self.offence(1, "more than one final answer", self.full(call))
+            self.add_violation(1, "more than one final answer", self.with_legs(call))
         if answers:
-            self.answered(call, guard)
+            self.check_answered(call, guard)
         else:
-            self.unanswered(call, guard)
+            self.check_unanswered(call, guard)
         last = answers[0][0] if answers else call["end"]
-        if any(leg["t"] > min(last, guard) + SLACK for leg in self.legs.get(call["id"], ())):
-            self.offence(1, "a leg after the final answer", self.full(call))
+        if any(leg["t"] > min(last, guard) + TOLERANCE for leg in self.legs.get(call["id"], ())):
+            self.add_violation(1, "a leg after the final answer", self.with_legs(call))
         if answers and answers[0][1] == "UP":
             if call["how"] in ("end", "reset"):
-                self.cut_off(call)
-            self.passed_on(call)
+                self.check_cut_off(call)
+            self.check_end_delay(call)
 
-    def answered(self, call, guard):
+    def check_answered(self, call, guard):
         at, what, value = call["answers"][0]
-        if at > guard + SLACK and not self.frozen(call["node"], guard - SLACK, guard + SLACK):
-            self.offence(1, "answered after the guard time", self.full(call))
+        if at > guard + TOLERANCE and not self.node_frozen(
+            call["node"], guard - TOLERANCE, guard + TOLERANCE
+        ):
+            self.add_violation(1, "answered after the guard time", self.with_legs(call))
         legs = self.legs.get(call["id"], ())
         if what == "UP" and not any(leg["up"] and leg["up"][1] == value for leg in legs):
-            self.offence(1, "UP that no host gave", self.full(call))
+            self.add_violation(1, "UP that no host gave", self.with_legs(call))
 
-    def unanswered(self, call, guard):
-        if self.died(call["node"], call["sent"] - SLACK, call["end"] + SLACK):
+    def check_unanswered(self, call, guard):
+        if self.node_died(call["node"], call["sent"] - TOLERANCE, call["end"] + TOLERANCE):
             self.excused += 1  # its node was killed with it
-        elif self.frozen(call["node"], guard - SLACK, guard + SLACK):
+        elif self.node_frozen(call["node"], guard - TOLERANCE, guard + TOLERANCE):
             self.excused += 1  # its node was stopped over its guard time
         elif call["how"] == "cut":
-            if call["end"] > guard + SLACK:
-                self.offence(1, "no answer before the guard time", self.full(call))
+            if call["end"] > guard + TOLERANCE:
+                self.add_violation(1, "no answer before the guard time", self.with_legs(call))
         elif call["how"] == "gave-up":
-            self.offence(1, "no answer before the guard time", self.full(call))
+            self.add_violation(1, "no answer before the guard time", self.with_legs(call))
         else:
-            self.offence(1, "ended without an answer", self.full(call))
+            self.add_violation(1, "ended without an answer", self.with_legs(call))
 
-    def cut_off(self, call):
+    def check_cut_off(self, call):
         """The node ended a standing connection without MOVE: had its host ended it?"""
         node, end = call["node"], call["end"]
-        if self.died(node, 0, end + SLACK):
+        if self.node_died(node, 0, end + TOLERANCE):
             self.excused += 1
             return
         leg = next((leg for leg in self.legs.get(call["id"], ()) if leg["up"]), None)
-        if leg is None or leg["how"] in ("end", "reset") and leg["end"] <= end + SLACK:
+        if leg is None or leg["how"] in ("end", "reset") and leg["end"] <= end + TOLERANCE:
             return
         if leg["how"] == "" or any(
-            t <= end + SLACK and kind in ("down", "fault") and what in (None, "vanish", "half-dead", "hang")
-            for t, kind, what in self.troubled.get(leg["host"], ())
+            t <= end + TOLERANCE
+            and kind in ("down", "fault")
+            and what in (None, "vanish", "half-dead", "hang")
+            for t, kind, what in self.host_faults.get(leg["host"], ())
         ):
             return  # its host was silent
-        self.offence(1, "cut off without MOVE while its host answered", self.full(call))
+        self.add_violation(1, "cut off without MOVE while its host answered", self.with_legs(call))
 
-    def passed_on(self, call):
+    def check_end_delay(self, call):
         node, end = call["node"], call["end"]
         leg = next((leg for leg in self.legs.get(call["id"], ()) if leg["up"]), None)
         if (
             leg
             and leg["how"] in ("end", "reset")
-            and end > leg["end"] + PASSED_ON + SLACK
-            and not self.frozen(node, leg["end"], end)
+            and end > leg["end"] + MAX_END_DELAY + TOLERANCE
+            and not self.node_frozen(node, leg["end"], end)
+        ):
+            self.add_violation(1, "a host's end passed on late", self.with_legs(call))
+        if call["unanswered"] > MAX_SILENCE + TOLERANCE and not self.node_frozen(
+            node, end - call["unanswered"], end
         ):
-            self.offence(1, "a host's end passed on late", self.full(call))
-        if call["unanswered"] > SILENCE + SLACK and not self.frozen(node, end - call["unanswered"], end):
-            self.offence(1, "silent for over 7 s", self.full(call))
+            self.add_violation(1, "silent for over 7 s", self.with_legs(call))
 
     # Rule 2
 
-    def effects(self, call):
+    def check_effects(self, call):
         legs = self.legs.get(call["id"], ())
         self.checked[2] += len(legs)
         kind = self.kinds[call["type"]]
         ran = [leg for leg in legs if leg["ran"] is not None]
         if len(ran) > 1:
-            if kind.effect == "once-only" or kind.effect == "referenced" and not self.one_group(kind, ran):
-                self.offence(2, "ran twice", self.full(call))
+            if kind.effect == "once-only" or kind.effect == "referenced" and not self.in_one_scope(kind, ran):
+                self.add_violation(2, "ran twice", self.with_legs(call))
             else:
-                self.twice += 1
+                self.harmless_repeats += 1
         for n, leg in enumerate(legs):
-            if any(self.still_open(earlier, leg["t"]) for earlier in legs[:n]):
-                self.offence(2, "two legs at once", self.full(call))
+            if any(self.is_active(earlier, leg["t"]) for earlier in legs[:n]):
+                self.add_violation(2, "two legs at once", self.with_legs(call))
                 return
             open_before = [one for one in legs[:n] if one["never"] is None]
             if not open_before or kind.effect == "repeatable":
                 continue
             if kind.effect == "once-only":
-                self.offence(2, "once-only sent again though it may have run", self.full(call))
+                self.add_violation(2, "once-only sent again though it may have run", self.with_legs(call))
                 return
-            if not self.one_group(kind, [open_before[0], leg]):
-                self.offence(2, "referenced sent where its repeats are not known", self.full(call))
+            if not self.in_one_scope(kind, [open_before[0], leg]):
+                self.add_violation(2, "referenced sent where its repeats are not known", self.with_legs(call))
                 return
-            if kind.remembered_ms and leg["t"] > open_before[0]["t"] + kind.remembered_ms * 1000 + SLACK:
-                self.offence(2, "referenced sent again after its time", self.full(call))
+            if kind.remembered_ms and leg["t"] > open_before[0]["t"] + kind.remembered_ms * 1000 + TOLERANCE:
+                self.add_violation(2, "referenced sent again after its time", self.with_legs(call))
                 return
         rejected = call["answers"] and call["answers"][0][1] == "BUSY"
         if (
@@ -270,23 +276,23 @@
             and any(leg["never"] is None for leg in legs)
             and (kind.effect == "once-only" or kind.effect == "referenced" and kind.scope != "all")
         ):
-            self.offence(2, "rejected though it may have run", self.full(call))
+            self.add_violation(2, "rejected though it may have run", self.with_legs(call))
 
-    def still_open(self, leg, at):
+    def is_active(self, leg, at):
         """Whether another leg at that time is a second one at once."""
         if leg["never"] is not None:
             return False
         if leg["end"] is None:
-            return not self.gone(leg, at)
-        return leg["end"] > at + SLACK
+            return not self.host_vanished(leg, at)
+        return leg["end"] > at + TOLERANCE
 
-    def gone(self, leg, before):
+    def host_vanished(self, leg, before):
         """Its host vanished, so that it saw no end."""
         return any(
-            t <= before and what in ("vanish", "cold") for t, _, what in self.troubled.get(leg["host"], ())
+            t <= before and what in ("vanish", "cold") for t, _, what in self.host_faults.get(leg["host"], ())
         )
 
-    def one_group(self, kind, legs):
+    def in_one_scope(self, kind, legs):
         if kind.scope == "all":
             return True
         return (
@@ -301,14 +307,14 @@
 
     # Rule 3
 
-    def unfit_since(self, node, host, at):
+    def drained_since(self, node, host, at):
         """Since when the list has named the host as draining or gone to this
         node, as of `at`; None if it has not.
         """
-        spans = self.spans.get((node, host))
+        spans = self.drain_spans.get((node, host))
         if spans is None:
             spans, since = [], None
-            for t, whole, hosts in self.told.get(node, ()):
+            for t, whole, hosts in self.list_updates.get(node, ()):
                 state = next((s for name, s, _ in hosts if name == host), "Gone" if whole else None)
                 if state in ("Terminating", "Gone"):
                     since = t if since is None else since
@@ -316,24 +322,24 @@
                 elif state is not None:
                     since = None
                     spans.append((t, None))
-            self.spans[node, host] = spans
-        place = bisect_right(spans, (at, float("inf"))) - 1
-        return spans[place][1] if place >= 0 else None
+            self.drain_spans[node, host] = spans
+        index = bisect_right(spans, (at, float("inf"))) - 1
+        return spans[index][1] if index >= 0 else None
 
-    def drains(self, call):
+    def check_drains(self, call):
         for leg in self.legs.get(call["id"], ()):
             self.checked[3] += 1
-            since = self.unfit_since(call["node"], leg["host"], leg["t"])
-            if since is not None and leg["t"] > since + self.grace + SLACK:
-                self.offence(
+            since = self.drained_since(call["node"], leg["host"], leg["t"])
+            if since is not None and leg["t"] > since + self.grace + TOLERANCE:
+                self.add_violation(
                     3,
                     "a leg to a server that drains or is gone",
-                    {**self.full(call), "told": since, "late_ms": (leg["t"] - since) / 1000},
+                    {**self.with_legs(call), "told": since, "late_ms": (leg["t"] - since) / 1000},
                 )
 
     # Rule 4
 
-    def cold(self, machine, start):
+    def check_cold_budget(self, machine, start):
         """What a cold host was sent, by the mean work of a set-up and the loads told,
         over what it may be sent in any window.
         """
@@ -366,9 +372,9 @@
             used = (len(recent) * t.setup_us + standing) / (
                 t.tip_multiple * t.cores * t.speed * share * window
             )
-            self.budget = max(self.budget, used)
+            self.max_cold_budget = max(self.max_cold_budget, used)
             if used > 1:
-                self.offence(
+                self.add_violation(
                     4,
                     "more than its budget sent to a cold server",
                     {"host": machine.name, "t": at, "started": start, "used": round(used, 3)},
--- a/cottonspread/lab/children.py
+++ b/cottonspread/lab/children.py
@@ -13,7 +13,7 @@
 
 from cottonspread.lab import node_config
 
-DIES_WITH_PARENT = 1  # PR_SET_PDEATHSIG
+PR_SET_PDEATHSIG = 1
 ROOT = os.path.dirname(os.path.dirname(os.path.dirname(os.path.abspath(__file__))))
 libc = ctypes.CDLL(None)
 
@@ -21,10 +21,10 @@
 class Child:
     """A process of the lab's own."""
 
-    def __init__(self, name, words, cores):
+    def __init__(self, name, arguments, cores):
         self.name = name
         self.process = subprocess.Popen(
-            [sys.executable, "-m", "cottonspread", "lab", *words],
+            [sys.executable, "-m", "cottonspread", "lab", *arguments],
             cwd=ROOT,
             stdin=subprocess.PIPE,
             stdout=subprocess.PIPE,
@@ -32,9 +32,9 @@
             preexec_fn=lambda: prepare_child(cores),
         )
         os.set_blocking(self.process.stdout.fileno(), False)
-        self.rest, self.ready, self.fault, self.counts, self.ended = b"", False, "", {}, False
+        self.rest, self.ready, self.error, self.counts, self.ended = b"", False, "", {}, False
 
-    def say(self, line):
+    def send(self, line):
         with contextlib.suppress(OSError):
             self.process.stdin.write(line.encode() + b"\n")
 
@@ -49,7 +49,7 @@
             if word == "ready":
                 self.ready = True
             elif word == "fault":
-                self.fault = rest
+                self.error = rest
             elif word == "counts":
                 self.counts = json.loads(rest)
                 self.counts["new"] = True
@@ -57,7 +57,7 @@
 
 
 def prepare_child(cores):
-    libc.prctl(DIES_WITH_PARENT, signal.SIGKILL)
+    libc.prctl(PR_SET_PDEATHSIG, signal.SIGKILL)
     os.setpgrp()  # a terminal's Ctrl-C is the runner's alone
     if cores:
         os.sched_setaffinity(0, cores)
@@ -66,62 +66,62 @@
 class NodeProcess:
     """One node, started anew after a stop or a kill."""
 
-    def __init__(self, play, number):
-        self.play, self.number, self.node = play, number, play.plan.nodes[number]
+    def __init__(self, run, number):
+        self.run, self.number, self.node = run, number, run.plan.nodes[number]
         self.process, self.probe, self.up, self.wanted, self.cpu = None, None, False, True, 0.0
-        self.most_rss = self.most_threads = self.most_fds = 0
-        self.starts, self.retuned, self.leaving, self.listener = 0, 0, None, None
+        self.max_rss = self.max_threads = self.max_fds = 0
+        self.starts, self.settings_version, self.old_process, self.listener = 0, 0, None, None
 
     @property
-    def operator(self):
+    def admin_address(self):
         """Another address with each start, for two processes of a node may be there at the same time."""
         return self.node.ip, 20000 + 10 * self.number + self.starts % 10
 
-    def call(self, word):
-        with socket.create_connection(self.operator, timeout=1) as sock:
+    def admin_call(self, word):
+        with socket.create_connection(self.admin_address, timeout=1) as sock:
             sock.sendall(word.encode() + b"\n")
             return sock.recv(16).startswith(b"200")
 
-    def serves(self):
+    def is_healthy(self):
         try:
-            return self.call("health")
+            return self.admin_call("health")
         except OSError:
             return False
 
-    def inherited(self):
+    def inheritance(self):
         """The environment and the descriptors of a process that is to be
         replaced: the lab holds its socket then.
         """
-        if not any(f.kind == "replace" and self.node.name in f.on for f in self.play.plan.faults):
+        if not any(f.kind == "replace" and self.node.name in f.on for f in self.run.plan.faults):
             return {}, ()
         if self.listener is None:
             self.listener = socket.create_server((self.node.ip, self.node.port), backlog=1024)
-        folder = os.path.join(self.play.folder, self.node.name)
+        folder = os.path.join(self.run.folder, self.node.name)
         os.makedirs(folder, exist_ok=True)
         return {"TMPDIR": folder, "PROXY_INHERITED_FD": str(self.listener.fileno())}, (
             self.listener.fileno(),
         )
 
-    def retune(self):
+    def reload_settings(self):
         """One more traffic type, and other limits."""
-        self.retuned += 1
+        self.settings_version += 1
         self.write_config()
         self.signal(signal.SIGHUP)
 
     def write_config(self):
-        path = os.path.join(self.play.folder, f"{self.node.name}.json")
+        path = os.path.join(self.run.folder, f"{self.node.name}.json")
         with open(path + ".new", "w", encoding="utf-8") as file:
-            json.dump(node_config.build(self.play.plan, self.number, self.retuned), file, indent=1)
+            json.dump(node_config.build(self.run.plan, self.number, self.settings_version), file, indent=1)
         os.replace(path + ".new", path)
         return path
 
     def start(self):
-        plan, x = self.play.plan, self.play.plan.experiment
-        path, (environment, kept) = self.write_config(), self.inherited()
+        plan, x = self.run.plan, self.run.plan.experiment
+        path, (environment, kept) = self.write_config(), self.inheritance()
         self.starts += 1
         command = plan.variant.command or x.nodes.command or [sys.executable, "-m", "cottonspread", "serve"]
         checkout = plan.variant.checkout or x.nodes.checkout or ROOT
-        with open(os.path.join(self.play.folder, f"{self.node.name}.log"), "ab") as log:
+        with open(os.path.join(self.run.folder, f"{self.node.name}.log"), "ab") as log:
             self.process = subprocess.Popen(
                 [sys.executable if word == "python" else word for word in command],
                 cwd=checkout,
@@ -134,12 +134,12 @@
                     **environment,
                     "PROXY_CONFIG": path,
                     "PYTHONPATH": checkout,
-                    "PROXY_OPERATOR": "{}:{}".format(*self.operator),
+                    "PROXY_OPERATOR": "{}:{}".format(*self.admin_address),
                 },
-                preexec_fn=lambda: prepare_child(self.play.node_cores(self.number)),
+                preexec_fn=lambda: prepare_child(self.run.node_cores(self.number)),
             )
         self.probe, self.up = psutil.Process(self.process.pid), False
-        self.play.note("started", self)
+        self.run.record_event("started", self)
 
     def answers_ping(self):
         try:
@@ -163,6 +163,6 @@
             return {"cpu": 0, "rss_mb": 0, "threads": 0, "fds": 0}
         total = times.user + times.system
         used, self.cpu = max(0.0, total - self.cpu), total
-        self.most_rss, self.most_threads = max(self.most_rss, memory), max(self.most_threads, threads)
-        self.most_fds = max(self.most_fds, fds)
+        self.max_rss, self.max_threads = max(self.max_rss, memory), max(self.max_threads, threads)
+        self.max_fds = max(self.max_fds, fds)
         return {"cpu": round(used, 3), "rss_mb": round(memory / 1e6, 1), "threads": threads, "fds": fds}
--- a/cottonspread/lab/experiment.py
+++ b/cottonspread/lab/experiment.py
@@ -11,13 +11,13 @@
 from cottonspread.lab import plan as plans
 from cottonspread.lab import report, results
 from cottonspread.lab.load import MAX_LATENESS
-from cottonspread.lab.run import Play
+from cottonspread.lab.run import LabRun
 
 
-def run(file, out, seconds=None, repeats=None, quiet=False, again=2):
+def run(file, out, seconds=None, repeats=None, quiet=False, max_repeats=2):
     """Plays all; exit code 0, or 1 if a rule was broken, 3 if a play is not usable.
 
-    A play whose generator was late is played anew, `again` times at most; what it left is kept beside it.
+    A play whose generator was late is played anew, `max_repeats` times at most; what it left is kept.
     """
     x = plans.read(file)
     if seconds:
@@ -25,48 +25,55 @@
     variants = x.variants or [plans.Variant(name="only")]
     if os.path.exists(os.path.join(out, "0-" + variants[0].name)):
         raise plans.PlanError(f"--out {out}: holds plays already")
-    played = {v.name: [] for v in variants}
+    results_by_variant = {v.name: [] for v in variants}
     console, cut = Console(stderr=True), ""
     for repeat in range(repeats or x.repeats):
         for variant in variants:
             if cut:
                 break
-            for tried in range(again + 1):
+            for attempt in range(max_repeats + 1):
                 folder = os.path.join(out, f"{repeat}-{variant.name}")
-                play = Play(x, variant, x.seed + repeat, folder)
-                run_play(play, None if quiet or not console.is_terminal else console)
-                result = results.judge(play, repeat)
-                if play.cut or result.lateness.p999 <= MAX_LATENESS or tried == again:
+                lab_run = LabRun(x, variant, x.seed + repeat, folder)
+                run_with_progress(lab_run, None if quiet or not console.is_terminal else console)
+                result = results.evaluate(lab_run, repeat)
+                if lab_run.cut or result.lateness.p999 <= MAX_LATENESS or attempt == max_repeats:
                     break
-                print("\n".join(results.lines(result)) + "\nplayed anew: the generator was late", flush=True)
-                os.rename(folder, os.path.join(out, f"late{tried}-{repeat}-{variant.name}"))
-            played[variant.name].append(result)
-            cut = play.cut
-            print("\n".join(results.lines(result)), flush=True)
-    pairs = list(zip(*(played[v.name] for v in variants[:2]), strict=False)) if len(variants) > 1 else []
+                print(
+                    "\n".join(results.summary_lines(result)) + "\nplayed anew: the generator was late",
+                    flush=True,
+                )
+                os.rename(folder, os.path.join(out, f"late{attempt}-{repeat}-{variant.name}"))
+            results_by_variant[variant.name].append(result)
+            cut = lab_run.cut
+            print("\n".join(results.summary_lines(result)), flush=True)
+    pairs = (
+        list(zip(*(results_by_variant[v.name] for v in variants[:2]), strict=False))
+        if len(variants) > 1
+        else []
+    )
     if pairs:
-        show_pairs(pairs, variants[0].name, variants[1].name)
+        print_comparison(pairs, variants[0].name, variants[1].name)
     print(report.write(out))
-    everything = [r for rs in played.values() for r in rs]
+    everything = [r for rs in results_by_variant.values() for r in rs]
     if any(r.audit["offences"] for r in everything):
         return 1
     return 0 if all(r.usable for r in everything) else 3
 
 
-def run_play(play, console):
+def run_with_progress(lab_run, console):
     """Its progress is shown on the console, if there is one."""
     if console is None:
-        play.run()
+        lab_run.run()
         return
     with Live(console=console, refresh_per_second=4) as live:
-        play.show = lambda play, line: live.update(progress(play, line))
-        play.run()
+        lab_run.on_sample = lambda lab_run, line: live.update(progress(lab_run, line))
+        lab_run.run()
 
 
-def progress(play, line):
+def progress(lab_run, line):
     table = Table(
-        title=f"{play.plan.experiment.name} {play.plan.variant.name}, {line['s']} of "
-        f"{play.plan.experiment.seconds + play.plan.experiment.settle_s:.0f} s"
+        title=f"{lab_run.plan.experiment.name} {lab_run.plan.variant.name}, {line['s']} of "
+        f"{lab_run.plan.experiment.seconds + lab_run.plan.experiment.settle_s:.0f} s"
     )
     for name in (
         "offered",
@@ -86,17 +93,17 @@
 
 
 def compare(a, b):
-    pairs = list(zip(results.plays(a), results.plays(b), strict=False))
+    pairs = list(zip(results.read_all(a), results.read_all(b), strict=False))
     for one, other in pairs:
         if one.schedule_sha256 != other.schedule_sha256:
             print(f"seeds {one.seed} and {other.seed}: schedules differ: no pair", file=sys.stderr)
         if not (one.usable and other.usable):
             print(f"seed {one.seed}: not usable: {one.reasons + other.reasons}", file=sys.stderr)
-    show_pairs(pairs, a, b)
+    print_comparison(pairs, a, b)
     return 0 if all(one.usable and other.usable for one, other in pairs) else 3
 
 
-def show_pairs(pairs, a, b):
+def print_comparison(pairs, a, b):
     table = Table(title=f"{a} beside {b}: pairs in turn, {b} over {a} pair by pair")
     for name in ("figure", a, b, "ratios", "median"):
         table.add_column(name)
--- a/cottonspread/lab/fleet.py
+++ b/cottonspread/lab/fleet.py
@@ -15,22 +15,22 @@
 from cottonspread.lab.wire import now
 
 SECOND = 1_000_000
-STOP_WAIT = 30
+STOP_TIMEOUT = 30
 
 
 class FleetProcess:
-    """`fleet run` over the operator's file of this play, and the commands that are given to it."""
+    """`fleet run` over the operator's file of this run, and the commands that are given to it."""
 
-    def __init__(self, play):
-        self.play, self.process, self.running, self.changes, self.commands = play, None, False, 0, []
-        self.path = os.path.join(play.folder, "operator.toml")
-        self.template = os.path.join(play.folder, "node.json")
-        self.state = os.path.join(play.folder, "s")
-        self.seen = 0.0, {}  # a status, and when it was told
+    def __init__(self, run):
+        self.run, self.process, self.running, self.changes, self.commands = run, None, False, 0, []
+        self.path = os.path.join(run.folder, "operator.toml")
+        self.template = os.path.join(run.folder, "node.json")
+        self.state = os.path.join(run.folder, "s")
+        self.last_status = 0.0, {}  # a status, and when it was told
 
     def write(self):
-        plan, first = self.play.plan, self.play.nodes[0]
-        config = node_config.build(self.play.plan, first.number)
+        plan, first = self.run.plan, self.run.nodes[0]
+        config = node_config.build(self.run.plan, first.number)
         config["settings"]["Limits"]["MaxRetryAfter"] -= self.changes % 2  # what a reload is to find changed
         with open(self.template, "w", encoding="utf-8") as file:
             json.dump(config, file, indent=1)
@@ -49,10 +49,10 @@
                 + "".join(f"{k} = {json.dumps(v)}\n" for k, v in keys.items())
             )
 
-    def words(self, *words):
-        checkout = self.play.plan.variant.checkout or self.play.plan.experiment.nodes.checkout or ROOT
+    def command_line(self, *arguments):
+        checkout = self.run.plan.variant.checkout or self.run.plan.experiment.nodes.checkout or ROOT
         return {
-            "args": [sys.executable, "-m", "cottonspread", "fleet", *words, "--operator", self.path],
+            "args": [sys.executable, "-m", "cottonspread", "fleet", *arguments, "--operator", self.path],
             "cwd": checkout,
             "env": {**os.environ, "PYTHONPATH": checkout},
             "stdin": subprocess.DEVNULL,
@@ -63,40 +63,46 @@
             return
         self.running = True
         self.write()
-        with open(os.path.join(self.play.folder, "fleet.log"), "ab") as log:
+        with open(os.path.join(self.run.folder, "fleet.log"), "ab") as log:
             self.process = subprocess.Popen(
-                **self.words("run"), stdout=log, stderr=log, preexec_fn=lambda: prepare_child(None)
+                **self.command_line("run"), stdout=log, stderr=log, preexec_fn=lambda: prepare_child(None)
             )
 
-    def command(self, kind, *words):
+    def command(self, kind, *arguments):
         self.commands.append(
             (
                 kind,
                 time.monotonic(),
                 subprocess.Popen(
-                    **self.words(*words), stdout=subprocess.PIPE, stderr=subprocess.STDOUT, text=True
+                    **self.command_line(*arguments),
+                    stdout=subprocess.PIPE,
+                    stderr=subprocess.STDOUT,
+                    text=True,
                 ),
             )
         )
-        self.note(kind)
+        self.record_event(kind)
 
-    def note(self, kind, **more):
-        self.play.record.put({"k": kind, "t": now(), "node": "", **more})
-        self.play.record.flush()
+    def record_event(self, kind, **more):
+        self.run.record.put({"k": kind, "t": now(), "node": "", **more})
+        self.run.record.flush()
 
-    def look(self):
+    def poll_commands(self):
         """Which commands have ended, and how."""
         for one in list(self.commands):
-            kind, began, process = one
+            kind, started_at, process = one
             if process.poll() is not None:
                 self.commands.remove(one)
-                said = process.communicate()[0].strip()
-                self.note(
-                    kind + "-done", s=round(time.monotonic() - began, 3), code=process.returncode, said=said
+                output = process.communicate()[0].strip()
+                self.record_event(
+                    kind + "-done",
+                    s=round(time.monotonic() - started_at, 3),
+                    code=process.returncode,
+                    said=output,
                 )
                 if process.returncode:
-                    self.play.reasons.append(f"{kind}: {said}")
-        self.play.at(now() + SECOND // 20, self.look)
+                    self.run.reasons.append(f"{kind}: {output}")
+        self.run.at(now() + SECOND // 20, self.poll_commands)
 
     def status(self):
         """What each instance is said to do; {} while no supervisor answers."""
@@ -112,55 +118,55 @@
         except (OSError, ValueError, KeyError):
             return {}
 
-    def node_fault(self, node, one):
-        if one.kind == "kill":
-            self.play.note("killed", node)
+    def inject_node_fault(self, node, fault):
+        if fault.kind == "kill":
+            self.run.record_event("killed", node)
             node.signal(signal.SIGKILL)
         else:  # the supervisor's way to stop one
             self.command("restart", "restart", node.node.name.replace("n", "n-"))
 
-    def fault(self, one):
+    def inject_fault(self, fault):
         if not self.commands:
-            self.play.at(now() + SECOND // 20, self.look)
-        if one.kind == "fleet-reload":
+            self.run.at(now() + SECOND // 20, self.poll_commands)
+        if fault.kind == "fleet-reload":
             self.changes += 1
             self.write()
-            self.command(one.kind, "reload")
-        elif one.kind == "fleet-upgrade":
-            other = os.path.join(self.play.folder, f"checkout-{len(os.listdir(self.play.folder))}")
+            self.command(fault.kind, "reload")
+        elif fault.kind == "fleet-upgrade":
+            other = os.path.join(self.run.folder, f"checkout-{len(os.listdir(self.run.folder))}")
             os.symlink(ROOT, other)
-            self.command(one.kind, "upgrade", "--checkout", other)
-        elif one.kind == "fleet-kill":
-            self.note("fleet-kill")
+            self.command(fault.kind, "upgrade", "--checkout", other)
+        elif fault.kind == "fleet-kill":
+            self.record_event("fleet-kill")
             self.process.kill()
             self.process.wait()
             self.running = False
             self.start()
         else:  # fleet-stop, and a new start
-            self.note("fleet-stop")
+            self.record_event("fleet-stop")
             self.process.send_signal(signal.SIGTERM)
-            for node in self.play.nodes:
+            for node in self.run.nodes:
                 node.up = node.wanted = False
-                self.play.note("stopping", node)
-            self.play.at(now() + 300_000, self.down)
-            self.play.at(now() + round(one.seconds * SECOND), self.start_anew)
+                self.run.record_event("stopping", node)
+            self.run.at(now() + 300_000, self.notify_down)
+            self.run.at(now() + round(fault.seconds * SECOND), self.restart)
 
-    def down(self):
-        for node in self.play.nodes:
-            self.play.front("down", node)
+    def notify_down(self):
+        for node in self.run.nodes:
+            self.run.notify_load("down", node)
 
-    def start_anew(self):
+    def restart(self):
         if self.process.poll() is None:
-            self.play.at(now() + 50_000, self.start_anew)
+            self.run.at(now() + 50_000, self.restart)
             return
-        self.note("fleet-stopped", code=self.process.returncode)
+        self.record_event("fleet-stopped", code=self.process.returncode)
         self.running = False
         self.start()
-        for node in self.play.nodes:
+        for node in self.run.nodes:
             node.wanted = True
-            self.play.at(now() + 50_000, self.play.take_in, node, 0)
+            self.run.at(now() + 50_000, self.run.add_when_up, node, 0)
 
-    def clear_away(self):
+    def clean_up(self):
         """After the end: nobody is left, or it is said."""
         for _, _, process in self.commands:
             process.kill()
@@ -170,50 +176,50 @@
         if self.process.poll() is None:
             self.process.send_signal(signal.SIGTERM)
             try:
-                self.process.wait(STOP_WAIT)
+                self.process.wait(STOP_TIMEOUT)
             except subprocess.TimeoutExpired:
-                self.play.reasons.append(f"the fleet did not stop in {STOP_WAIT} s")
+                self.run.reasons.append(f"the fleet did not stop in {STOP_TIMEOUT} s")
                 pids = [one["pid"] for one in self.status().values() if one["pid"]]
                 self.process.kill()
                 self.process.wait()
                 for pid in pids:
                     os.kill(pid, signal.SIGKILL)
         if self.process.returncode:
-            self.play.reasons.append(f"fleet run ended with {self.process.returncode}, see fleet.log")
+            self.run.reasons.append(f"fleet run ended with {self.process.returncode}, see fleet.log")
 
 
 class FleetNode(NodeProcess):
     """One instance, looked at from outside."""
 
     def start(self):
-        self.play.fleet.start()
+        self.run.fleet.start()
         self.up, self.probe = False, None
 
     @property
     def process(self):
-        return self.play.fleet.process
+        return self.run.fleet.process
 
     @process.setter
     def process(self, _):
         pass
 
     def pid(self):
-        return self.play.fleet.status().get(self.node.name, {}).get("pid")
+        return self.run.fleet.status().get(self.node.name, {}).get("pid")
 
     def signal(self, number):
         """To the instance; at the play's end the supervisor stops them all."""
         pid = self.pid()
         if not self.wanted:
             if number == signal.SIGTERM and self.number == 0:  # a second one would hurry it
-                self.play.fleet.process.send_signal(signal.SIGTERM)
+                self.run.fleet.process.send_signal(signal.SIGTERM)
         elif pid:
             os.kill(pid, number)
 
     def sample(self):
-        fleet = self.play.fleet
-        if time.monotonic() - fleet.seen[0] > 0.5:  # one for all nodes
-            fleet.seen = time.monotonic(), fleet.status()
-        pid = fleet.seen[1].get(self.node.name, {}).get("pid")
+        fleet = self.run.fleet
+        if time.monotonic() - fleet.last_status[0] > 0.5:  # one for all nodes
+            fleet.last_status = time.monotonic(), fleet.status()
+        pid = fleet.last_status[1].get(self.node.name, {}).get("pid")
         if pid and (self.probe is None or self.probe.pid != pid):
             try:
                 self.probe, self.cpu = psutil.Process(pid), 0.0
--- a/cottonspread/lab/limits.py
+++ b/cottonspread/lab/limits.py
@@ -6,19 +6,19 @@
 
 import numpy as np
 
-PORTS = "/proc/sys/net/ipv4/ip_local_port_range"
+PORT_RANGE_FILE = "/proc/sys/net/ipv4/ip_local_port_range"
 TIME_WAIT = 60  # seconds that the kernel keeps a closed connection's port
-SPARE = 64
-MOST_GROWN = 65_536
+RESERVED_DESCRIPTORS = 64
+MAX_PREGROWN = 65_536
 
 
 class LimitExceededError(ValueError):
     """The run would not fit; the message names the limit, what is needed and what there is."""
 
 
-def ports():
+def local_port_count():
     try:
-        with open(PORTS) as file:
+        with open(PORT_RANGE_FILE) as file:
             low, high = map(int, file.read().split())
         return high - low + 1
     except OSError:
@@ -34,7 +34,7 @@
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     if soft != hard:
         resource.setrlimit(resource.RLIMIT_NOFILE, (hard, hard))
-    os.close(fcntl.fcntl(0, fcntl.F_DUPFD, min(hard, MOST_GROWN) - 1))
+    os.close(fcntl.fcntl(0, fcntl.F_DUPFD, min(hard, MAX_PREGROWN) - 1))
     return hard
 
 
@@ -47,40 +47,42 @@
 def check(plan, schedule, hard=None, local_ports=None, cores=None):
     """What is to be said of cores, a list of lines; LimitExceededError if descriptors or ports cannot do."""
     x = plan.experiment
-    hard, local_ports = hard or raise_descriptor_limit(), local_ports or ports()
-    standing = max_established(schedule)
-    reconnects = sum(standing * s.share for s in x.load.shapes if s.kind == "reconnect")
-    need = standing // x.load.processes + SPARE
+    hard, local_ports = hard or raise_descriptor_limit(), local_ports or local_port_count()
+    established = max_established(schedule)
+    reconnects = sum(established * s.share for s in x.load.shapes if s.kind == "reconnect")
+    need = established // x.load.processes + RESERVED_DESCRIPTORS
     if need > hard:
         raise LimitExceededError(
             f"descriptors: {need} connections stand at once in each of {x.load.processes} load processes, "
             f"and the limit of open files (ulimit -Hn) is {hard}: "
-            f"raise load.processes to {standing // (hard - SPARE) + 1}"
+            f"raise load.processes to {established // (hard - RESERVED_DESCRIPTORS) + 1}"
         )
-    need = standing // x.hosts.processes + SPARE
+    need = established // x.hosts.processes + RESERVED_DESCRIPTORS
     if need > hard and x.audited:
         raise LimitExceededError(
             f"descriptors: {need} connections stand at once in each of {x.hosts.processes} host processes, "
             f"and the limit of open files (ulimit -Hn) is {hard}: "
-            f"raise hosts.processes to {standing // (hard - SPARE) + 1}"
+            f"raise hosts.processes to {established // (hard - RESERVED_DESCRIPTORS) + 1}"
         )
     # A port is taken from its connection's begin until a minute after its end, for
     # each pair of local address and node.
     ends = schedule.at + TIME_WAIT * 1_000_000
-    taken = int((np.arange(1, len(ends) + 1) - np.searchsorted(ends, schedule.at)).max()) if len(ends) else 0
-    taken += round(reconnects)
+    ports_used = (
+        int((np.arange(1, len(ends) + 1) - np.searchsorted(ends, schedule.at)).max()) if len(ends) else 0
+    )
+    ports_used += round(reconnects)
     pairs = len(plan.sources) * len(plan.nodes)
-    if taken / pairs > local_ports * 0.9:
+    if ports_used / pairs > local_ports * 0.9:
         raise LimitExceededError(
-            f"local ports: {taken} are taken within a minute from {len(plan.sources)} addresses "
+            f"local ports: {ports_used} are taken within a minute from {len(plan.sources)} addresses "
             f"to {len(plan.nodes)} nodes, and ip_local_port_range gives {local_ports} for each pair: "
             "raise load.sources to "
-            f"{int(taken / (local_ports * 0.9) / len(plan.nodes) / x.load.processes) + 1}"
+            f"{int(ports_used / (local_ports * 0.9) / len(plan.nodes) / x.load.processes) + 1}"
         )
     cores = cores or os.cpu_count()
-    wanted = x.load.processes + x.hosts.processes + x.nodes.count
+    process_count = x.load.processes + x.hosts.processes + x.nodes.count
     return (
-        [f"{wanted} processes share {cores} cores: figures of the nodes may tell of that"]
-        if wanted > cores
+        [f"{process_count} processes share {cores} cores: figures of the nodes may tell of that"]
+        if process_count > cores
         else []
     )
--- a/cottonspread/lab/node_config.py
+++ b/cottonspread/lab/node_config.py
@@ -51,26 +51,26 @@
     return merged(merged(merged(out, x.nodes.settings), shape), plan.variant.settings)
 
 
-def merged(under, over):
+def merged(base, override):
     return {
-        **under,
+        **base,
         **{
-            k: merged(under[k], v) if isinstance(v, dict) and isinstance(under.get(k), dict) else v
-            for k, v in over.items()
+            k: merged(base[k], v) if isinstance(v, dict) and isinstance(base.get(k), dict) else v
+            for k, v in override.items()
         },
     }
 
 
-def build(plan, number, retuned=0):
+def build(plan, number, settings_version=0):
     """A node's whole configuration.
 
-    `retuned`: how often it got other settings, each with a type more and another limit on legs.
+    `settings_version`: how often it got other settings, each with a type more and another limit on legs.
     """
     x, node = plan.experiment, plan.nodes[number]
-    tuned = settings(plan, number)
-    first = tuned["TrafficTypes"][0]
-    tuned["TrafficTypes"] += [first | {"Name": f"later-{n}"} for n in range(retuned)]
-    tuned["Limits"]["MostLegs"] += retuned % 2
+    settings_values = settings(plan, number)
+    first = settings_values["TrafficTypes"][0]
+    settings_values["TrafficTypes"] += [first | {"Name": f"later-{n}"} for n in range(settings_version)]
+    settings_values["Limits"]["MostLegs"] += settings_version % 2
     # what the lab's hosts mean by LOAD
     return {
         "name": node.name,
@@ -81,6 +81,6 @@
             "memory_mb": plan.variant.memory_mb or x.nodes.memory_mb,
             "sockets": plan.variant.sockets or x.nodes.sockets,
         },
-        "settings": tuned,
+        "settings": settings_values,
         "load_lines": "loads",
     }
--- a/cottonspread/lab/record.py
+++ b/cottonspread/lab/record.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-KEPT = 16 * 1024
+BUFFER_SIZE = 16 * 1024
 
 
 class Record:
@@ -22,30 +22,30 @@
 
     def __init__(self, path):
         self.file, self.encode = io.FileIO(path, "ab"), msgspec.json.Encoder().encode
-        self.kept, self.size = [], 0
-        self.full = queue.SimpleQueue()
-        self.writer = threading.Thread(target=self.write, daemon=True)
+        self.buffer, self.size = [], 0
+        self.queue = queue.SimpleQueue()
+        self.writer = threading.Thread(target=self.write_loop, daemon=True)
         self.writer.start()
 
     def put(self, line):
         data = self.encode(line)
-        self.kept.append(data)
+        self.buffer.append(data)
         self.size += len(data)
-        if self.size > KEPT:
+        if self.size > BUFFER_SIZE:
             self.flush()
 
     def flush(self):
-        if self.kept:
-            self.full.put(self.kept)
-            self.kept, self.size = [], 0
+        if self.buffer:
+            self.queue.put(self.buffer)
+            self.buffer, self.size = [], 0
 
-    def write(self):
-        while (lines := self.full.get()) is not None:
+    def write_loop(self):
+        while (lines := self.queue.get()) is not None:
             self.file.write(b"\n".join(lines) + b"\n")
 
     def close(self):
         self.flush()
-        self.full.put(None)
+        self.queue.put(None)
         self.writer.join()
         self.file.close()
 
--- a/cottonspread/lab/report.py
+++ b/cottonspread/lab/report.py
@@ -99,7 +99,7 @@
 
 def write(folder):
     """Makes `report.html` in the folder; its path. Replaced whole: a reader never meets half a page."""
-    plays = results.plays(folder)
+    plays = results.read_all(folder)
     path = os.path.join(folder, "report.html")
     with open(path + ".new", "w", encoding="utf-8") as file:
         file.write(PAGE.render(title=plays[0].name, plays=[(r, plot(r)) for r in plays]))
--- a/cottonspread/lab/results.py
+++ b/cottonspread/lab/results.py
@@ -12,10 +12,10 @@
 from cottonspread.lab.load import MAX_LATENESS, histogram
 
 SCHEMA = "cottonspread-lab-results/1"
-POINTS = (50.0, 90.0, 99.0, 99.9)
+PERCENTILES = (50.0, 90.0, 99.0, 99.9)
 
 
-class Spread(msgspec.Struct):
+class Distribution(msgspec.Struct):
     """Microseconds."""
 
     count: int
@@ -45,34 +45,34 @@
     served_share: float  # calls that came up, of all first calls
     revenue: float  # of those that came up within their setup target, over all that was asked for
     answers: dict[str, int]  # by how each call's connection ended
-    latency: dict[str, Spread]  # from the intended time to UP, by traffic type; "all"
-    lateness: Spread  # of the generator itself
-    echo: Spread  # from a line's intended time to its echo
+    latency: dict[str, Distribution]  # from the intended time to UP, by traffic type; "all"
+    lateness: Distribution  # of the generator itself
+    echo: Distribution  # from a line's intended time to its echo
     audit: dict
     nodes: dict[str, dict]  # CPU seconds, most memory, threads and descriptors
     timeline: list[dict]
     faults: list[dict]
 
 
-def spread(h):
+def distribution(h):
     if not h.get_total_count():
-        return Spread(0, 0.0, 0, 0, 0, 0, 0)
-    return Spread(
+        return Distribution(0, 0.0, 0, 0, 0, 0, 0)
+    return Distribution(
         h.get_total_count(),
         round(h.get_mean_value(), 1),
-        *(int(h.get_value_at_percentile(p)) for p in POINTS),
+        *(int(h.get_value_at_percentile(p)) for p in PERCENTILES),
         int(h.get_max_value()),
     )
 
 
-def decoded(text):
+def decode_histogram(text):
     h = histogram()
     h.add(HdrHistogram.decode(text))
     return h
 
 
 def audit_folder(folder):
-    """A play's folder: (its plan, its Audit, what the audit tells, the sums of its load processes)."""
+    """A play's folder: (its plan, its Audit, what the audit tells, the totals of its load processes)."""
     try:
         with open(os.path.join(folder, "plan.json"), "rb") as file:
             plan = msgspec.json.decode(file.read(), type=plans.Plan)
@@ -82,26 +82,26 @@
         raise plans.PlanError(f"{folder}: {fault}") from None
     load = list(record.read(folder, "load"))
     audit = audits.Audit(plan, start, lambda kind: load if kind == "load" else record.read(folder, kind))
-    told = audit.run() if plan.experiment.audited else audit.result()
-    return plan, audit, told, [line for line in load if line["k"] == "sum"]
+    audit_result = audit.run() if plan.experiment.audited else audit.result()
+    return plan, audit, audit_result, [line for line in load if line["k"] == "sum"]
 
 
-def histograms(sums):
+def histograms(totals):
     """(latency by type and of all, lateness, echo), of all load processes together."""
     latency, lateness, echo = {"all": histogram()}, histogram(), histogram()
-    for one in sums:
+    for one in totals:
         for name, text in one["latency"].items():
-            h = decoded(text)
+            h = decode_histogram(text)
             latency.setdefault(name, histogram()).add(h)
             latency["all"].add(h)
-        lateness.add(decoded(one["lateness"]))
-        echo.add(decoded(one["echo"]))
+        lateness.add(decode_histogram(one["lateness"]))
+        echo.add(decode_histogram(one["echo"]))
     return latency, lateness, echo
 
 
 def tally(calls, kinds):
-    """({answer: calls}, revenue asked for, revenue earned, keys of those that came up)."""
-    answers, asked, earned, came_up = {}, 0.0, 0.0, set()
+    """({answer: calls}, possible revenue, revenue earned, keys of those that came up)."""
+    answers, possible, earned, came_up = {}, 0.0, 0.0, set()
     for call in calls:
         kind = kinds[call["type"]]
         up = call["answers"][0][0] if call["answers"] and call["answers"][0][1] == "UP" else None
@@ -110,22 +110,22 @@
         if up is not None:
             came_up.add(call["key"])
         if not call["retry"]:
-            asked += kind.revenue
+            possible += kind.revenue
             if up is not None and up - call["intended"] <= kind.target_ms * 1000:
                 earned += kind.revenue
-    return answers, asked, earned, came_up
+    return answers, possible, earned, came_up
 
 
-def judge(play, repeat=0):
+def evaluate(run, repeat=0):
     """Reads what the play left in its folder; writes `results.json` there, whole or not at all."""
-    folder = play.folder
-    plan, audit, told, sums = audit_folder(folder)
+    folder = run.folder
+    plan, audit, audit_result, totals = audit_folder(folder)
     kinds = {k.name: k for k in plan.experiment.load.types}
-    latency, lateness, echo = histograms(sums)
+    latency, lateness, echo = histograms(totals)
     first = [c for c in audit.calls.values() if not c["retry"] and not c["again"]]
-    answers, asked, earned, came_up = tally(audit.calls.values(), kinds)
-    reasons, late = list(play.reasons), spread(lateness)
-    faults = {name: n for one in sums for name, n in one["faults"].items()}
+    answers, possible, earned, came_up = tally(audit.calls.values(), kinds)
+    reasons, late = list(run.reasons), distribution(lateness)
+    faults = {name: n for one in totals for name, n in one["faults"].items()}
     if late.p999 > MAX_LATENESS:
         reasons.append(
             f"the generator was late itself: {late.p999} us at p99.9, over {MAX_LATENESS}: not to be used"
@@ -133,39 +133,39 @@
     lost = {n: c for n, c in faults.items() if n != "ECONNREFUSED"}
     if lost:
         reasons.append(f"calls that the generator could not make: {lost}")
-    if len(sums) < plan.experiment.load.processes:
+    if len(totals) < plan.experiment.load.processes:
         reasons.append("a load process left no sum")
-    if play.cut:
-        reasons.append(f"cut off by {play.cut}")
+    if run.cut:
+        reasons.append(f"cut off by {run.cut}")
     result = Results(
         schema=SCHEMA,
         name=plan.experiment.name,
         variant=plan.variant.name,
         seed=plan.seed,
         repeat=repeat,
-        cut=play.cut,
+        cut=run.cut,
         usable=late.p999 <= MAX_LATENESS
         and not lost
-        and not play.cut
-        and len(sums) == plan.experiment.load.processes
-        and not any(" died " in r or " ended " in r or "did not stop" in r for r in play.reasons),
-        reasons=reasons + play.warnings,
-        schedule_sha256=sums[0]["digest"] if sums else "",
-        stolen_s=round(play.stolen, 2),
+        and not run.cut
+        and len(totals) == plan.experiment.load.processes
+        and not any(" died " in r or " ended " in r or "did not stop" in r for r in run.reasons),
+        reasons=reasons + run.warnings,
+        schedule_sha256=totals[0]["digest"] if totals else "",
+        stolen_s=round(run.stolen, 2),
         offered=len(audit.calls),
         seconds=plan.experiment.seconds,
         served_share=round(len(came_up) / len(first), 5) if first else 0.0,
-        revenue=round(earned / asked, 5) if asked else 0.0,
+        revenue=round(earned / possible, 5) if possible else 0.0,
         answers=answers,
-        latency={name: spread(h) for name, h in latency.items()},
+        latency={name: distribution(h) for name, h in latency.items()},
         lateness=late,
-        echo=spread(echo),
-        audit=told,
+        echo=distribution(echo),
+        audit=audit_result,
         nodes={
-            n.node.name: {"rss_mb": round(n.most_rss / 1e6, 1), "threads": n.most_threads, "fds": n.most_fds}
-            for n in play.nodes
+            n.node.name: {"rss_mb": round(n.max_rss / 1e6, 1), "threads": n.max_threads, "fds": n.max_fds}
+            for n in run.nodes
         },
-        timeline=play.timeline,
+        timeline=run.timeline,
         faults=[msgspec.to_builtins(f) for f in plan.faults],
     )
     write(os.path.join(folder, "results.json"), result)
@@ -193,7 +193,7 @@
     return result
 
 
-def plays(folder):
+def read_all(folder):
     """The results of a folder: one play's, or of all plays in it by name."""
     if os.path.exists(os.path.join(folder, "results.json")):
         return [read(folder)]
@@ -211,7 +211,7 @@
     return found
 
 
-FIGURES = {
+METRICS = {
     "served share": lambda r: r.served_share,
     "revenue": lambda r: r.revenue,
     "set-up p50 ms": lambda r: r.latency["all"].p50 / 1000,
@@ -228,7 +228,7 @@
     over a or None)], median ratio or None).
     """
     rows = []
-    for name, of in FIGURES.items():
+    for name, of in METRICS.items():
         values = [(of(a), of(b)) for a, b in pairs]
         ratios = [round(b / a, 4) if a else None for a, b in values]
         known = sorted(r for r in ratios if r is not None)
@@ -241,7 +241,7 @@
     return rows
 
 
-def lines(result):
+def summary_lines(result):
     """A play in a few lines."""
     late, all_ = result.lateness, result.latency["all"]
     return [
--- a/cottonspread/lab/run.py
+++ b/cottonspread/lab/run.py
@@ -26,18 +26,18 @@
 from cottonspread.lab.wire import now
 
 SECOND = 1_000_000
-READY_WAIT, STOP_WAIT = 30, 8
+READY_TIMEOUT, STOP_TIMEOUT = 30, 8
 
 
 class StartError(RuntimeError):
     """The run could not begin; the message names what was in the way."""
 
 
-class Play:
-    def __init__(self, experiment, variant, seed, folder, show=None):
+class LabRun:
+    def __init__(self, experiment, variant, seed, folder, on_sample=None):
         self.plan = plans.make(experiment, variant, seed)
-        self.folder, self.show, self.cut, self.reasons = os.path.abspath(folder), show, "", []
-        self.children, self.nodes, self.timeline, self.todo, self.stamp = [], [], [], [], 0
+        self.folder, self.on_sample, self.cut, self.reasons = os.path.abspath(folder), on_sample, "", []
+        self.children, self.nodes, self.timeline, self.timers, self.sequence = [], [], [], [], 0
         self.start, self.record, self.warnings, self.stolen, self.fleet = 0, None, [], 0.0, None
 
     def node_cores(self, number):
@@ -59,7 +59,7 @@
             return set(cores) or None
         return {cores[number]} if kind == "load" else set(cores[load.processes :])
 
-    def note(self, kind, node, **more):
+    def record_event(self, kind, node, **more):
         self.record.put({"k": kind, "t": now(), "node": node.node.name, **more})
         self.record.flush()
 
@@ -73,29 +73,32 @@
         with open(path, "wb") as file:
             file.write(msgspec.json.encode(self.plan))
         self.record = Record(os.path.join(self.folder, "nodes-0.jsonl"))
-        kept = signal.signal(signal.SIGINT, self.interrupted), signal.signal(signal.SIGTERM, self.interrupted)
+        previous_handlers = (
+            signal.signal(signal.SIGINT, self.on_signal),
+            signal.signal(signal.SIGTERM, self.on_signal),
+        )
         try:
-            self.begin(path)
-            self.play()
-            self.end()
+            self.start_all(path)
+            self.supervise()
+            self.stop_all()
         finally:
-            self.clear_away()
+            self.clean_up()
             self.record.close()
-            signal.signal(signal.SIGINT, kept[0])
-            signal.signal(signal.SIGTERM, kept[1])
+            signal.signal(signal.SIGINT, previous_handlers[0])
+            signal.signal(signal.SIGTERM, previous_handlers[1])
 
-    def interrupted(self, number, _):
+    def on_signal(self, number, _):
         self.cut = self.cut or signal.Signals(number).name
 
-    def begin(self, path):
-        until = time.monotonic() + READY_WAIT
+    def start_all(self, path):
+        until = time.monotonic() + READY_TIMEOUT
         self.start_children(path, until)
-        self.start_nodes(until + READY_WAIT)
+        self.start_nodes(until + READY_TIMEOUT)
         self.start = now() + 300_000
         with open(os.path.join(self.folder, "start.json"), "w", encoding="utf-8") as file:
             json.dump({"start": self.start}, file)  # the record's times are on the machine's clock
         for child in self.children:
-            child.say(f"begin {self.start}")
+            child.send(f"begin {self.start}")
 
     def start_children(self, path, until):
         """Hosts, list and load as processes, each of which has said that it is ready."""
@@ -109,10 +112,10 @@
         for child in self.children:
             self.selector.register(child.process.stdout, selectors.EVENT_READ, child)
         while not all(c.ready for c in self.children) and not self.cut:
-            self.hear(0.2)
+            self.read_children(0.2)
             for child in self.children:
-                if child.fault:
-                    raise StartError(f"{child.name}: {child.fault}")
+                if child.error:
+                    raise StartError(f"{child.name}: {child.error}")
                 if child.ended and not child.ready:
                     raise StartError(f"{child.name}: ended before it was ready")
             if time.monotonic() > until:
@@ -141,44 +144,44 @@
                 raise StartError(
                     "no PONG after 30 s from " + ", ".join(n.node.name for n in self.nodes if not n.up)
                 )
-            self.hear(0.02)
+            self.read_children(0.02)
         for node in self.nodes:
             node.sample()
 
-    def hear(self, wait):
+    def read_children(self, wait):
         for key, _ in self.selector.select(wait):
             if not key.data.read():
                 self.selector.unregister(key.fileobj)
                 key.data.ended = True
 
-    def play(self):
+    def supervise(self):
         x = self.plan.experiment
         ending = self.start + round((x.seconds + x.settle_s) * SECOND)
         stolen = psutil.cpu_times().steal
-        self.node_faults()
+        self.schedule_faults()
         sampled = self.start
         with open(os.path.join(self.folder, "live.jsonl"), "w", encoding="utf-8") as live:
             while now() < ending and not self.cut:
-                while self.todo and self.todo[0][0] <= now():
-                    _, _, what, args = heapq.heappop(self.todo)
-                    what(*args)
-                wait = min([ending, sampled + SECOND] + [one[0] for one in self.todo[:1]]) - now()
-                self.hear(max(0.0, min(wait / 1e6, 0.2)))
+                while self.timers and self.timers[0][0] <= now():
+                    _, _, callback, args = heapq.heappop(self.timers)
+                    callback(*args)
+                wait = min([ending, sampled + SECOND] + [one[0] for one in self.timers[:1]]) - now()
+                self.read_children(max(0.0, min(wait / 1e6, 0.2)))
                 if now() >= sampled + SECOND:
                     sampled += SECOND
-                    self.second(live, sampled)
+                    self.take_sample(live, sampled)
                 for child in self.children:
                     if child.ended and not self.cut:
                         self.cut = f"{child.name} died"
                 for node in self.nodes:
                     if node.wanted and node.process.poll() is not None:
                         node.wanted = node.up = False
-                        self.note("died", node, code=node.process.returncode)
+                        self.record_event("died", node, code=node.process.returncode)
                         self.reasons.append(f"{node.node.name} died with {node.process.returncode}")
-                        self.front("down", node)
+                        self.notify_load("down", node)
         self.stolen = psutil.cpu_times().steal - stolen
 
-    def second(self, live, at):
+    def take_sample(self, live, at):
         counts, hosts = {}, {}
         for child in self.children:
             if not child.counts.pop("new", False):
@@ -199,116 +202,118 @@
         self.timeline.append(line)
         live.write(json.dumps(line) + "\n")
         live.flush()
-        if self.show:
-            self.show(self, line)
+        if self.on_sample:
+            self.on_sample(self, line)
 
     # Nodes' faults
 
-    def node_faults(self):
-        for one in self.plan.faults:
-            if one.kind in FLEET_FAULTS:
-                self.at(self.start + round(one.at * SECOND), self.fleet.fault, one)
-            if one.kind in NODE_FAULTS:
-                for name in one.on:
+    def schedule_faults(self):
+        for fault in self.plan.faults:
+            if fault.kind in FLEET_FAULTS:
+                self.at(self.start + round(fault.at * SECOND), self.fleet.inject_fault, fault)
+            if fault.kind in NODE_FAULTS:
+                for name in fault.on:
                     node = next(p for p in self.nodes if p.node.name == name)
-                    self.at(self.start + round(one.at * SECOND), self.fault, node, one)
+                    self.at(self.start + round(fault.at * SECOND), self.inject_fault, node, fault)
 
-    def at(self, when, what, *args):
-        self.stamp += 1
-        heapq.heappush(self.todo, (when, self.stamp, what, args))
+    def at(self, when, callback, *args):
+        self.sequence += 1
+        heapq.heappush(self.timers, (when, self.sequence, callback, args))
 
-    def fault(self, node, one):
-        span = round(one.seconds * SECOND)
-        if one.kind == "freeze":
-            self.note("freeze", node)
+    def inject_fault(self, node, fault):
+        span = round(fault.seconds * SECOND)
+        if fault.kind == "freeze":
+            self.record_event("freeze", node)
             node.signal(signal.SIGSTOP)
             self.at(now() + span, self.thaw, node)
             return
-        if one.kind == "reload":
-            self.note("reload", node)
+        if fault.kind == "reload":
+            self.record_event("reload", node)
             node.signal(signal.SIGHUP)
             return
-        if one.kind == "retune":
-            self.note("retune", node)
-            node.retune()
+        if fault.kind == "retune":
+            self.record_event("retune", node)
+            node.reload_settings()
             return
-        if one.kind == "quiesce":
+        if fault.kind == "quiesce":
             self.quiesce(node, span)
             return
-        if one.kind == "replace":
-            self.note("replacing", node)
-            node.leaving = node.process
+        if fault.kind == "replace":
+            self.record_event("replacing", node)
+            node.old_process = node.process
             node.start()
             self.at(now() + 20_000, self.replace, node, 0)
             return
         if self.fleet:  # its supervisor brings it back; meanwhile connections wait
-            self.fleet.node_fault(node, one)
+            self.fleet.inject_node_fault(node, fault)
             return
         node.wanted = node.up = False
-        self.note("stopping" if one.kind == "stop" else "killed", node)
-        node.signal(signal.SIGTERM if one.kind == "stop" else signal.SIGKILL)
-        notice = 300_000 if one.kind == "stop" else round(self.plan.experiment.nodes.front_notice_s * SECOND)
-        self.at(now() + notice, self.front, "down", node)
+        self.record_event("stopping" if fault.kind == "stop" else "killed", node)
+        node.signal(signal.SIGTERM if fault.kind == "stop" else signal.SIGKILL)
+        notice = (
+            300_000 if fault.kind == "stop" else round(self.plan.experiment.nodes.front_notice_s * SECOND)
+        )
+        self.at(now() + notice, self.notify_load, "down", node)
         if span:
-            self.at(now() + span, self.start_anew, node)
+            self.at(now() + span, self.restart, node)
 
     def quiesce(self, node, span):
-        self.note("quiesce", node, ok=node.call("quiesce"))
+        self.record_event("quiesce", node, ok=node.admin_call("quiesce"))
         node.up = False
         # asked ten times a second, and noticed 0.2 s after the first no
-        self.at(now() + 300_000, self.front, "down", node)
+        self.at(now() + 300_000, self.notify_load, "down", node)
         self.at(now() + span, self.resume, node)
 
     def resume(self, node):
-        self.note("resume", node, ok=node.call("resume"))
-        self.at(now() + 50_000, self.take_in, node, 0)
+        self.record_event("resume", node, ok=node.admin_call("resume"))
+        self.at(now() + 50_000, self.add_when_up, node, 0)
 
     def replace(self, node, tries):
         """SIGTERM for the old process once the new one says yes."""
-        if node.serves():
-            node.leaving.send_signal(signal.SIGTERM)
-            self.at(now() + 50_000, self.replaced, node)
+        if node.is_healthy():
+            node.old_process.send_signal(signal.SIGTERM)
+            self.at(now() + 50_000, self.wait_until_replaced, node)
         elif tries < 300:
             self.at(now() + 20_000, self.replace, node, tries + 1)
 
-    def replaced(self, node):
-        if node.leaving.poll() is None:
-            self.at(now() + 50_000, self.replaced, node)
+    def wait_until_replaced(self, node):
+        if node.old_process.poll() is None:
+            self.at(now() + 50_000, self.wait_until_replaced, node)
         else:
-            self.note("replaced", node, code=node.leaving.returncode)
+            self.record_event("replaced", node, code=node.old_process.returncode)
 
     def thaw(self, node):
         node.signal(signal.SIGCONT)
-        self.note("thaw", node)
+        self.record_event("thaw", node)
 
-    def start_anew(self, node):
+    def restart(self, node):
         if node.process.poll() is None:
-            self.at(now() + 50_000, self.start_anew, node)
+            self.at(now() + 50_000, self.restart, node)
             return
-        self.note("stopped", node, code=node.process.returncode)
+        self.record_event("stopped", node, code=node.process.returncode)
         node.cpu = 0.0
         node.start()
         node.wanted = True
-        self.at(now() + 50_000, self.take_in, node, 0)
+        self.at(now() + 50_000, self.add_when_up, node, 0)
 
-    def take_in(self, node, tries):
+    def add_when_up(self, node, tries):
         """The front deals to it once it has answered PING."""
         if node.answers_ping():
             node.up = True
-            self.note("up", node)
-            self.front("up", node)
+            self.record_event("up", node)
+            self.notify_load("up", node)
         elif node.wanted and tries < 600:
-            self.at(now() + 50_000, self.take_in, node, tries + 1)
+            self.at(now() + 50_000, self.add_when_up, node, tries + 1)
 
-    def front(self, word, node):
+    def notify_load(self, word, node):
         """Tells the clients' front; one that is back meanwhile is not taken out."""
         for child in self.children:
             if child.name.startswith("load") and not (word == "down" and node.up):
-                child.say(f"{word} {node.number}")
+                child.send(f"{word} {node.number}")
 
     # The end
 
-    def end(self):
+    def stop_all(self):
         load = [c for c in self.children if c.name.startswith("load")]
         self.wait_for(load, "end")
         for node in self.nodes:
@@ -317,7 +322,7 @@
                 node.wanted = False
                 node.signal(signal.SIGCONT)
                 node.signal(signal.SIGTERM)
-        until = time.monotonic() + STOP_WAIT
+        until = time.monotonic() + STOP_TIMEOUT
         for node in self.nodes:
             try:
                 code = node.process.wait(max(0.1, until - time.monotonic()))
@@ -328,20 +333,20 @@
                 ):
                     self.reasons.append(f"{node.node.name} ended with {code}")
             except subprocess.TimeoutExpired:
-                self.reasons.append(f"{node.node.name} did not stop in {STOP_WAIT} s")
+                self.reasons.append(f"{node.node.name} did not stop in {STOP_TIMEOUT} s")
         self.wait_for([c for c in self.children if c not in load], "end")
 
     def wait_for(self, children, word):
         for child in children:
-            child.say(word)
+            child.send(word)
         until = time.monotonic() + 10
         while not all(c.ended for c in children) and time.monotonic() < until:
-            self.hear(0.1)
+            self.read_children(0.1)
 
-    def clear_away(self):
+    def clean_up(self):
         """Only what this play has started, by its own process objects."""
         if self.fleet:
-            self.fleet.clear_away()
+            self.fleet.clean_up()
         for node in self.nodes:
             if node.process is not None and node.process.poll() is None:
                 node.process.kill()
--- a/cottonspread/lab/selfcheck.py
+++ b/cottonspread/lab/selfcheck.py
@@ -19,14 +19,14 @@
 from cottonspread.lab import plan as plans
 from cottonspread.lab import record
 from cottonspread.lab.children import Child
-from cottonspread.lab.results import decoded
+from cottonspread.lab.results import decode_histogram
 from cottonspread.lab.wire import now
 
-LIMIT = 1000  # microseconds
+MAX_ERROR = 1000  # microseconds
 
 
-class Server(threading.Thread):
-    """Answers each first line after `delay` microseconds; `seen` holds (id, came, answered)."""
+class DelayedServer(threading.Thread):
+    """Answers each first line after `delay` microseconds; `seen` holds (id, received, answered)."""
 
     def __init__(self, address, delay):
         super().__init__(daemon=True)
@@ -47,9 +47,9 @@
                 else:
                     self.read(poll, conns, fd, waiting)
             while waiting and waiting[0][0] <= now():
-                _, fd, name, came = waiting.pop(0)
+                _, fd, name, received = waiting.pop(0)
                 if fd in conns:
-                    self.answer(conns[fd], name, came)
+                    self.answer(conns[fd], name, received)
 
     def accept(self, poll, conns):
         try:
@@ -61,7 +61,7 @@
         poll.register(sock, select.EPOLLIN)
 
     def read(self, poll, conns, fd, waiting):
-        came = now()
+        received = now()
         try:
             data = conns[fd].recv(4096)
         except OSError:
@@ -70,15 +70,15 @@
             poll.unregister(fd)
             conns.pop(fd).close()
         elif data.startswith(b"OPEN "):
-            waiting.append((came + self.delay, fd, data.split(b" ")[1].decode(), came))
+            waiting.append((received + self.delay, fd, data.split(b" ")[1].decode(), received))
 
-    def answer(self, sock, name, came):
+    def answer(self, sock, name, received):
         answered = now()
         try:
             sock.send(b"UP 1\r\n")
         except OSError:
             return
-        self.seen.append((name, came, answered))
+        self.seen.append((name, received, answered))
 
 
 def measure(rate, seconds, delay_ms):
@@ -97,7 +97,7 @@
     x = plans.Experiment(name="selfcheck", seconds=seconds, load=load, hosts=plans.Hosts(count=1))
     plan = plans.make(x, plans.Variant(name="only"), int(time.time()))
     node = plan.nodes[0]
-    server = Server((node.ip, node.port), round(delay_ms * 1000))
+    server = DelayedServer((node.ip, node.port), round(delay_ms * 1000))
     with tempfile.TemporaryDirectory() as folder:
         path = os.path.join(folder, "plan.json")
         with open(path, "wb") as file:
@@ -115,12 +115,12 @@
                 child.read()
                 time.sleep(0.01)
             start = now() + 200_000
-            child.say(f"begin {start}")
+            child.send(f"begin {start}")
             ending = start + round((seconds + delay_ms / 1000 + 1) * 1e6)
             while now() < ending:
                 child.read()
                 time.sleep(0.05)
-            child.say("end")
+            child.send("end")
             child.process.wait(10)
         finally:
             server.stopped = True
@@ -133,32 +133,34 @@
         lines = list(record.read(folder, "load"))
     calls = {c["id"]: c for c in lines if c["k"] == "call" and c["answers"]}
     total = next(line for line in lines if line["k"] == "sum")
-    late = decoded(total["lateness"]).get_value_at_percentile(99.9)
+    lateness = decode_histogram(total["lateness"]).get_value_at_percentile(99.9)
     timed = [(calls[n], answered) for n, _, answered in server.seen if n in calls]
-    told = np.array([call["answers"][0][0] - call["intended"] for call, _ in timed])
-    seen = np.array([answered - start - call["intended"] for call, answered in timed])
-    if len(told) < total["planned"]:
-        raise plans.PlanError(f"selfcheck: {total['planned']} calls planned, {len(told)} timed on both sides")
-    return told, seen, int(late)
+    by_generator = np.array([call["answers"][0][0] - call["intended"] for call, _ in timed])
+    by_server = np.array([answered - start - call["intended"] for call, answered in timed])
+    if len(by_generator) < total["planned"]:
+        raise plans.PlanError(
+            f"selfcheck: {total['planned']} calls planned, {len(by_generator)} timed on both sides"
+        )
+    return by_generator, by_server, int(lateness)
 
 
 def main(rate, seconds, delay_ms):
-    told, seen, late = measure(rate, seconds, delay_ms)
-    print(f"{len(told)} calls at {rate:g} a second, answered after {delay_ms:g} ms")
-    apart = np.abs(told - seen)  # call by call: no two errors make up for each other
+    by_generator, by_server, lateness = measure(rate, seconds, delay_ms)
+    print(f"{len(by_generator)} calls at {rate:g} a second, answered after {delay_ms:g} ms")
+    difference = np.abs(by_generator - by_server)  # call by call: no two errors make up for each other
     for name, p in (("p50", 50), ("p99", 99), ("max", 100)):
-        a, b, c = (float(np.percentile(x, p)) for x in (told, seen, apart))
+        a, b, c = (float(np.percentile(x, p)) for x in (by_generator, by_server, difference))
         print(
             f"{name}: generator {a / 1000:.3f} ms, server {b / 1000:.3f} ms; "
             f"the same call apart by {c:.0f} us at {name}"
         )
-    over = apart.max() > LIMIT
+    over = difference.max() > MAX_ERROR
     print(
         "over 1 ms apart: not to be trusted" if over else "agrees within 1 ms for every call",
         file=sys.stderr if over else sys.stdout,
     )
     print(
-        f"generator late, p99.9: {late} us"
-        + (f", over {LIMIT}: a run like this would not be used" if late > LIMIT else "")
+        f"generator late, p99.9: {lateness} us"
+        + (f", over {MAX_ERROR}: a run like this would not be used" if lateness > MAX_ERROR else "")
     )
     return 1 if over else 0
--- a/cottonspread/lab/stub_node.py
+++ b/cottonspread/lab/stub_node.py
@@ -31,44 +31,46 @@
 class StubNode:
     def __init__(self, config, sabotage):
         self.sabotage, self.servers, self.state, self.count, self.lock = sabotage, {}, {}, 0, threading.Lock()
-        self.list, self.fresh = config["discovery"], None
+        self.discovery, self.cold_host = config["discovery"], None
         host, _, port = config["listen"].rpartition(":")
         self.listener = socket.create_server((host, int(port)), backlog=1024)
         self.guards = {t["Name"]: t["GuardTime"] / 1000 for t in config["settings"]["TrafficTypes"]}
 
-    def follow(self):
+    def follow_list(self):
         version = None
         while True:
             query = "" if version is None else f"?since={version}&timeout_ms=5000"
             try:
-                with urllib.request.urlopen(f"http://{self.list}/api/targets{query}", timeout=10) as answer:
-                    said = json.load(answer)
+                with urllib.request.urlopen(
+                    f"http://{self.discovery}/api/targets{query}", timeout=10
+                ) as answer:
+                    reply = json.load(answer)
             except (OSError, ValueError):
                 time.sleep(0.1)
                 continue
-            version = said["generation"]
-            for one in said["instances"]:
-                if one["startedAtMs"]:
-                    self.fresh = one["instanceId"]
-                self.state[one["instanceId"]] = one["lifecycle"]
-                host, _, port = one["hostPort"].rpartition(":")
-                self.servers[one["instanceId"]] = host, int(port)
-
-    def choose(self, number, but=()):
-        fit = sorted(
+            version = reply["generation"]
+            for entry in reply["instances"]:
+                if entry["startedAtMs"]:
+                    self.cold_host = entry["instanceId"]
+                self.state[entry["instanceId"]] = entry["lifecycle"]
+                host, _, port = entry["hostPort"].rpartition(":")
+                self.servers[entry["instanceId"]] = host, int(port)
+
+    def choose(self, number, exclude=()):
+        candidates = sorted(
             n
             for n in self.servers
-            if n not in but
+            if n not in exclude
             and (self.state[n] == "Ready" or self.sabotage == "drained" and self.state[n] == "Terminating")
         )
-        if self.sabotage == "cold" and self.fresh in fit:
-            return self.fresh
+        if self.sabotage == "cold" and self.cold_host in candidates:
+            return self.cold_host
         if self.sabotage == "drained":
-            fit = [n for n in fit if self.state[n] == "Terminating"] or fit
-        return fit[number % len(fit)] if fit else None
+            candidates = [n for n in candidates if self.state[n] == "Terminating"] or candidates
+        return candidates[number % len(candidates)] if candidates else None
 
     def run(self):
-        threading.Thread(target=self.follow, daemon=True).start()
+        threading.Thread(target=self.follow_list, daemon=True).start()
         while True:
             sock, _ = self.listener.accept()
             threading.Thread(target=self.client, args=(sock,), daemon=True).start()
@@ -92,7 +94,7 @@
             self.count += 1
             number = self.count
         sabotage = self.sabotage if number % 3 == 0 else ""  # it strikes every third call
-        if self.spoiled_before(sock, first, sabotage):
+        if self.sabotaged_before_leg(sock, first, sabotage):
             return
         name = self.choose(number)
         if name is None:
@@ -115,7 +117,7 @@
             first += got
         return first
 
-    def spoiled_before(self, sock, first, sabotage):
+    def sabotaged_before_leg(self, sock, first, sabotage):
         """The sabotages that need no host; whether it was one of them."""
         if sabotage == "invented":
             sock.sendall(b"UP 123\r\n")
@@ -133,7 +135,7 @@
             sock.sendall(b"ERR\r\n")
             return
         if sabotage == "two":
-            self.leg(self.choose(number, but=(name,)), first)[1].readline()
+            self.leg(self.choose(number, exclude=(name,)), first)[1].readline()
         try:
             answer = file.readline() or b"ERR\r\n"
         except OSError:
@@ -143,15 +145,15 @@
             if sabotage == "rejected":
                 sock.sendall(b"BUSY\r\n")
                 return
-            other, file = self.leg(self.choose(number, but=(name,)), first)
+            other, file = self.leg(self.choose(number, exclude=(name,)), first)
             answer = file.readline()
         with other:
             up = answer.startswith(b"UP")
             sock.sendall(answer + (b"UP 99\r\n" if sabotage == "twice" and up else b""))
             if up:
-                self.stand(sock, other, file, sabotage)
+                self.relay_both_ways(sock, other, file, sabotage)
 
-    def stand(self, sock, other, file, sabotage):
+    def relay_both_ways(self, sock, other, file, sabotage):
         """Lines go both ways until one side ends."""
         if sabotage == "cut":
             time.sleep(0.1)
