--- a/cottonspread/lab/audit.py
+++ b/cottonspread/lab/audit.py
@@ -363,13 +363,13 @@
             recent.append(at)
             while recent[0] < at - window:
                 recent.popleft()
-            standing = sum(
+            connection_work = sum(
                 one["load"] * (min(at, one["end"] or at) - max(one["ran"], at - window)) / SECOND
                 for one in legs
                 if one["ran"] is not None and one["ran"] < at and (one["end"] or at) > at - window
             )
             share = t.cold_share + (1 - t.cold_share) * (at - start) / warm
-            used = (len(recent) * t.setup_us + standing) / (
+            used = (len(recent) * t.setup_us + connection_work) / (
                 t.tip_multiple * t.cores * t.speed * share * window
             )
             self.max_cold_budget = max(self.max_cold_budget, used)
