--- a/cottonspread/lab/audit.py
+++ b/cottonspread/lab/audit.py
@@ -1,14 +1,15 @@
-"""An audit of a run, from what clients, hosts, the list and the runner
-saw, and never from a node's own words.
-
-It shares no code with the node, nor with the model that stands behind the hosts. Each offence names its rule
-and holds the call in full. Rules, with the 50 ms that sockets get:
-
-1. Every call that a node's machine took gets one final answer before its guard time; nothing is sent for it
-   after; a standing connection is never cut off without MOVE, and an end or a silence is passed on in time.
-2. No effect twice; never two legs at once.
-3. Nothing new to a host later than the grace after the list told that node that it drains or is gone.
-4. No cold host tipped: a budget over any window, all nodes together.
+"""Audits a run from the records of clients, hosts, the list and the runner, never from what a node reports.
+
+The audit shares no code with the node or with the hosts' model. Each violation names its rule and holds the
+call with all its legs. The rules, which allow 50 ms for delays of the sockets and of the machine:
+
+1. Every call whose first line reached a node's machine gets exactly one final answer before its guard time,
+   and no leg is opened for it afterwards. An established connection is never cut off without MOVE, and the
+   end or the silence of its host is passed on in time.
+2. No call takes effect twice, and it never has two legs at once.
+3. No new call goes to a host later than the grace time after the list told that node that the host is
+   draining or gone.
+4. No cold host is overloaded: what all nodes together send it stays within a budget over any window.
 """
 
 from bisect import bisect_right
@@ -18,8 +19,8 @@
 MAX_END_DELAY = 1_000_000
 MAX_SILENCE = 7_000_000
 SECOND = 1_000_000
-MAX_EXAMPLES = 5  # offences of each kind that are kept in full
-LEG_EVENTS = ("leg", "ran", "up", "full", "late", "end", "swallowed")  # what hosts tell of one leg
+MAX_EXAMPLES = 5  # violations of each kind that are kept with all details
+LEG_EVENTS = ("leg", "ran", "up", "full", "late", "end", "swallowed")  # record kinds of hosts about one leg
 RULES = {
     1: "one final answer in time",
     2: "no effect twice",
@@ -29,9 +30,13 @@
 
 
 class Audit:
+    """The audit of one run; all times are microseconds after the run's start."""
+
     def __init__(self, plan, start, records):
-        """`records(kind)` gives the lines of load, hosts, list and nodes;
-        `start`: the run's, on the shared clock.
+        """Reads all records.
+
+        `records(kind)` returns the lines of load, hosts, list or nodes; `start`: when the run started, on the
+        monotonic clock that all processes share.
         """
         self.plan, self.start = plan, start
         self.kinds = {k.name: k for k in plan.experiment.load.types}
@@ -55,6 +60,7 @@
         self.read(records)
 
     def read(self, records):
+        """Reads the records of nodes, hosts, list and load."""
         for line in records("nodes"):
             self.read_node(line)
         open_legs = {}
@@ -72,6 +78,7 @@
                 self.ends_at = max(self.ends_at, line["end"])
 
     def read_node(self, line):
+        """Reads a line of the runner about a node."""
         kind, t, node = line["k"], line["t"] - self.start, line["node"]
         if kind in ("killed", "died"):
             self.deaths[node].append(t)
@@ -81,6 +88,7 @@
             self.freezes[node][-1][1] = t
 
     def read_leg(self, line, open_legs):
+        """Reads a host's line about a leg. `open_legs`: the latest leg by (call id, host)."""
         kind, t, key = line["k"], line["t"] - self.start, (line["id"], line.get("host"))
         if kind == "leg":
             leg = {
@@ -110,6 +118,7 @@
             leg["never"] = t
 
     def read_host(self, line):
+        """Reads a host's line about the host itself."""
         kind, t, host = line["k"], line["t"] - self.start, line.get("host")
         if kind == "started":
             self.starts[host].append(t)
@@ -121,14 +130,17 @@
             self.add_violation(1, "a host could not read its first line", line)
 
     def add_violation(self, rule, what, details):
+        """Counts a violation and keeps the first ones of each kind with their details."""
         self.violations[rule, what] += 1
         if len(self.examples[rule, what]) < MAX_EXAMPLES:
             self.examples[rule, what].append(details)
 
     def with_legs(self, call):
+        """Returns a call's record together with its legs."""
         return {**call, "legs": self.legs.get(call["id"], [])}
 
     def run(self):
+        """Checks all rules and returns the result."""
         for call in self.calls.values():
             self.check_answers(call)
             self.check_effects(call)
@@ -139,6 +151,7 @@
         return self.result()
 
     def result(self):
+        """Returns the counts and violations so far, as results.json holds them."""
         return {
             "calls": len(self.calls),
             "legs": sum(map(len, self.legs.values())),
@@ -162,14 +175,17 @@
     # Rule 1
 
     def node_died(self, node, after, before):
+        """Tells whether the node was killed or died between two times."""
         return any(after <= t <= before for t in self.deaths.get(node, ()))
 
     def node_frozen(self, node, after, before):
+        """Tells whether the node was frozen at any time between two times."""
         return any(since <= before and until >= after for since, until in self.freezes.get(node, ()))
 
     def check_answers(self, call):
+        """Checks rule 1 for a call."""
         if not call["sent"]:
-            return  # its node's machine never took it
+            return  # its node's machine never received it
         self.checked[1] += 1
         answers, guard = call["answers"], call["sent"] + round(call["d"] * 1000)
         if len(answers) > 1:
@@ -187,6 +203,7 @@
             self.check_end_delay(call)
 
     def check_answered(self, call, guard):
+        """Checks the time of a final answer, and that an UP carries the receipt that a host gave this call."""
         at, what, value = call["answers"][0]
         if at > guard + TOLERANCE and not self.node_frozen(
             call["node"], guard - TOLERANCE, guard + TOLERANCE
@@ -197,6 +214,7 @@
             self.add_violation(1, "UP that no host gave", self.with_legs(call))
 
     def check_unanswered(self, call, guard):
+        """Checks whether a call without a final answer is excused."""
         if self.node_died(call["node"], call["sent"] - TOLERANCE, call["end"] + TOLERANCE):
             self.excused += 1  # its node was killed with it
         elif self.node_frozen(call["node"], guard - TOLERANCE, guard + TOLERANCE):
@@ -210,7 +228,7 @@
             self.add_violation(1, "ended without an answer", self.with_legs(call))
 
     def check_cut_off(self, call):
-        """The node ended a standing connection without MOVE: had its host ended it?"""
+        """Checks that an established connection that ended without MOVE was ended by its host."""
         node, end = call["node"], call["end"]
         if self.node_died(node, 0, end + TOLERANCE):
             self.excused += 1
@@ -228,6 +246,7 @@
         self.add_violation(1, "cut off without MOVE while its host answered", self.with_legs(call))
 
     def check_end_delay(self, call):
+        """Checks that the node passed on the end or the silence of the host in time."""
         node, end = call["node"], call["end"]
         leg = next((leg for leg in self.legs.get(call["id"], ()) if leg["up"]), None)
         if (
@@ -245,6 +264,7 @@
     # Rule 2
 
     def check_effects(self, call):
+        """Checks rule 2 for a call."""
         legs = self.legs.get(call["id"], ())
         self.checked[2] += len(legs)
         kind = self.kinds[call["type"]]
@@ -279,7 +299,7 @@
             self.add_violation(2, "rejected though it may have run", self.with_legs(call))
 
     def is_active(self, leg, at):
-        """Whether another leg at that time is a second one at once."""
+        """Tells whether the leg was still active at that time."""
         if leg["never"] is not None:
             return False
         if leg["end"] is None:
@@ -287,12 +307,13 @@
         return leg["end"] > at + TOLERANCE
 
     def host_vanished(self, leg, before):
-        """Its host vanished, so that it saw no end."""
+        """Tells whether the leg's host vanished or went down before, and so recorded no end of the leg."""
         return any(
             t <= before and what in ("vanish", "cold") for t, _, what in self.host_faults.get(leg["host"], ())
         )
 
     def in_one_scope(self, kind, legs):
+        """Tells whether all hosts of the legs are in one scope, within which repeats are recognised."""
         if kind.scope == "all":
             return True
         return (
@@ -308,8 +329,9 @@
     # Rule 3
 
     def drained_since(self, node, host, at):
-        """Since when the list has named the host as draining or gone to this
-        node, as of `at`; None if it has not.
+        """Returns the time since when the list has reported the host to this node as draining or gone.
+
+        The state is that at the time `at`; None if the list reported no such state.
         """
         spans = self.drain_spans.get((node, host))
         if spans is None:
@@ -327,6 +349,7 @@
         return spans[index][1] if index >= 0 else None
 
     def check_drains(self, call):
+        """Checks rule 3 for a call's legs."""
         for leg in self.legs.get(call["id"], ()):
             self.checked[3] += 1
             since = self.drained_since(call["node"], leg["host"], leg["t"])
@@ -340,8 +363,10 @@
     # Rule 4
 
     def check_cold_budget(self, machine, start):
-        """What a cold host was sent, by the mean work of a set-up and the loads told,
-        over what it may be sent in any window.
+        """Checks rule 4 for a host that started at `start`.
+
+        The work that it was sent in a window, estimated from the mean work of a set-up and the recorded loads
+        of its connections, is compared with what it may be sent in any window.
         """
         t = machine.traits
         warm, window = round(t.warm_s * SECOND), round(t.tip_s * SECOND)
@@ -382,7 +407,7 @@
 
 
 def summary_lines(result):
-    """The audit in lines."""
+    """Returns an audit's result as lines of text."""
     out = [
         f"calls {result['calls']}, legs {result['legs']}, "
         f"excused with killed or frozen nodes {result['excused']}, "
--- a/cottonspread/lab/results.py
+++ b/cottonspread/lab/results.py
@@ -1,4 +1,4 @@
-"""The results of a play, from its folder alone: what `results.json` holds, and the means to compare two."""
+"""The results of a run, computed from its folder alone: the contents of `results.json`, and comparisons."""
 
 import json
 import os
@@ -16,7 +16,7 @@
 
 
 class Distribution(msgspec.Struct):
-    """Microseconds."""
+    """Count, mean, percentiles and maximum of a histogram, in microseconds."""
 
     count: int
     mean: float
@@ -28,33 +28,36 @@
 
 
 class Results(msgspec.Struct, kw_only=True):
-    """One play. Times are microseconds where a name does not say otherwise."""
+    """The results of one run. Times are microseconds unless a name says otherwise."""
 
     schema: str
     name: str
     variant: str
     seed: int
     repeat: int
-    cut: str  # "" or what cut it off: such a run is valid up to there
-    usable: bool  # false: no figure of it is to be quoted
-    reasons: list[str]  # why it is not usable, and what else is to be known
+    cut: str  # "" or what interrupted the run, which is valid up to there
+    usable: bool  # false: none of its measurements is valid
+    reasons: list[str]  # why it is not usable, and warnings
     schedule_sha256: str
-    stolen_s: float  # core seconds that the machine's own host gave to others meanwhile
+    stolen_s: float  # steal time: core seconds that the hypervisor gave to others meanwhile
     offered: int
     seconds: float
-    served_share: float  # calls that came up, of all first calls
-    revenue: float  # of those that came up within their setup target, over all that was asked for
-    answers: dict[str, int]  # by how each call's connection ended
+    served_share: float  # the share of first calls that came up in the end, retries included
+    revenue: (
+        float  # of calls that came up within their setup target, over the revenue of all calls but retries
+    )
+    answers: dict[str, int]  # number of calls by final answer, or by how they ended without one
     latency: dict[str, Distribution]  # from the intended time to UP, by traffic type; "all"
-    lateness: Distribution  # of the generator itself
+    lateness: Distribution  # of the load generator itself
     echo: Distribution  # from a line's intended time to its echo
     audit: dict
-    nodes: dict[str, dict]  # CPU seconds, most memory, threads and descriptors
+    nodes: dict[str, dict]  # peak memory, threads and descriptors by node
     timeline: list[dict]
     faults: list[dict]
 
 
 def distribution(h):
+    """Summarizes a histogram."""
     if not h.get_total_count():
         return Distribution(0, 0.0, 0, 0, 0, 0, 0)
     return Distribution(
@@ -66,13 +69,14 @@
 
 
 def decode_histogram(text):
+    """Decodes a histogram from its text form in a record."""
     h = histogram()
     h.add(HdrHistogram.decode(text))
     return h
 
 
 def audit_folder(folder):
-    """A play's folder: (its plan, its Audit, what the audit tells, the totals of its load processes)."""
+    """Returns (plan, Audit, result of the audit, totals of the load processes) of a run's folder."""
     try:
         with open(os.path.join(folder, "plan.json"), "rb") as file:
             plan = msgspec.json.decode(file.read(), type=plans.Plan)
@@ -87,7 +91,7 @@
 
 
 def histograms(totals):
-    """(latency by type and of all, lateness, echo), of all load processes together."""
+    """Returns the histograms (latency by type and "all", lateness, echo), merged over all load processes."""
     latency, lateness, echo = {"all": histogram()}, histogram(), histogram()
     for one in totals:
         for name, text in one["latency"].items():
@@ -100,7 +104,7 @@
 
 
 def tally(calls, kinds):
-    """({answer: calls}, possible revenue, revenue earned, keys of those that came up)."""
+    """Returns ({answer: number of calls}, possible revenue, revenue earned, keys of calls that came up)."""
     answers, possible, earned, came_up = {}, 0.0, 0.0, set()
     for call in calls:
         kind = kinds[call["type"]]
@@ -117,7 +121,7 @@
 
 
 def evaluate(run, repeat=0):
-    """Reads what the play left in its folder; writes `results.json` there, whole or not at all."""
+    """Evaluates the records in the run's folder and writes `results.json` there atomically."""
     folder = run.folder
     plan, audit, audit_result, totals = audit_folder(folder)
     kinds = {k.name: k for k in plan.experiment.load.types}
@@ -128,13 +132,13 @@
     faults = {name: n for one in totals for name, n in one["faults"].items()}
     if late.p999 > MAX_LATENESS:
         reasons.append(
-            f"the generator was late itself: {late.p999} us at p99.9, over {MAX_LATENESS}: not to be used"
+            f"the load generator was late: {late.p999} us at p99.9, limit {MAX_LATENESS}: results invalid"
         )
     lost = {n: c for n, c in faults.items() if n != "ECONNREFUSED"}
     if lost:
-        reasons.append(f"calls that the generator could not make: {lost}")
+        reasons.append(f"calls that the load generator failed to open: {lost}")
     if len(totals) < plan.experiment.load.processes:
-        reasons.append("a load process left no sum")
+        reasons.append("a load process left no totals")
     if run.cut:
         reasons.append(f"cut off by {run.cut}")
     result = Results(
@@ -173,13 +177,14 @@
 
 
 def write(path, result):
+    """Writes results to a file, atomically."""
     with open(path + ".new", "wb") as file:
         file.write(msgspec.json.format(msgspec.json.encode(result), indent=1))
     os.replace(path + ".new", path)
 
 
 def read(folder):
-    """Results of a folder; PlanError names the key that does not fit."""
+    """Reads the results of a run's folder; PlanError names the key at fault."""
     path = os.path.join(folder, "results.json")
     try:
         with open(path, "rb") as file:
@@ -194,7 +199,7 @@
 
 
 def read_all(folder):
-    """The results of a folder: one play's, or of all plays in it by name."""
+    """Returns the results of a run's folder, or of all runs in a folder ordered by name."""
     if os.path.exists(os.path.join(folder, "results.json")):
         return [read(folder)]
     try:
@@ -224,8 +229,9 @@
 
 
 def compare(pairs):
-    """[(Results, Results)] played in turn: rows of (figure, [(a, b, b
-    over a or None)], median ratio or None).
+    """Compares pairs of results of two variants whose runs alternated.
+
+    Returns rows of (metric, [(a, b, b / a or None)], median ratio or None).
     """
     rows = []
     for name, of in METRICS.items():
@@ -242,7 +248,7 @@
 
 
 def summary_lines(result):
-    """A play in a few lines."""
+    """Returns the results as a few lines of text."""
     late, all_ = result.lateness, result.latency["all"]
     return [
         f"{result.name} {result.variant} seed {result.seed}: {'usable' if result.usable else 'NOT USABLE'}"
--- a/tests/fleet/test_fleet.py
+++ b/tests/fleet/test_fleet.py
@@ -577,7 +577,8 @@
     node = worse / "cottonspread" / "net" / "node.py"
     node.write_text(
         node.read_text().replace(
-            "            admitted = self.admission_limiter.admits(self.clock.now())", "            admitted = False"
+            "            admitted = self.admission_limiter.admits(self.clock.now())",
+            "            admitted = False",
         )
     )
     upgrade = subprocess.Popen(
