--- a/cottonspread/lab/audit.py
+++ b/cottonspread/lab/audit.py
@@ -203,7 +203,7 @@
             self.check_end_delay(call)
 
     def check_answered(self, call, guard):
-        """Checks the time of a final answer, and that an UP carries the receipt that a host gave this call."""
+        """Checks the time of a final answer, and that an UP carries the receipt of a host."""
         at, what, value = call["answers"][0]
         if at > guard + TOLERANCE and not self.node_frozen(
             call["node"], guard - TOLERANCE, guard + TOLERANCE
--- a/cottonspread/lab/hosts.py
+++ b/cottonspread/lab/hosts.py
@@ -1,4 +1,4 @@
-"""Emulated farm servers on sockets: the pure model behind the hosts' side of the line protocol."""
+"""Emulated hosts on sockets: the host model behind the hosts' side of the line protocol."""
 
 import socket
 import struct
@@ -14,21 +14,25 @@
 SECOND = 1_000_000
 BACKLOG = 1024
 LINGER_RESET = struct.pack("ii", 1, 0)
-MAX_UNSENT = 64 * 1024  # bytes that a connection's reader may leave untaken
+MAX_UNSENT = 64 * 1024  # bytes that a peer may leave unread before its connection is reset
 
 
 class Conn:
+    """A connection at a host."""
+
     __slots__ = ("sock", "host", "lines", "call", "out", "over")
 
     def __init__(self, sock, host):
+        """`host`: the Server that accepted the connection."""
         self.sock, self.host, self.lines, self.call = sock, host, wire.LineSplitter(), None
         self.out, self.over = deque(), False
 
 
 class Server(HostServer):
-    """One host's address and its model."""
+    """One host: its address and its model."""
 
     def __init__(self, process, machine):
+        """Creates the host of a plan's machine; one that the plan starts later is down until then."""
         x = process.plan.experiment
         super().__init__(machine.name, host_model(process.plan, machine, now()), x.hosts.reports)
         self.process, self.machine, self.listener, self.backlog_fillers = process, machine, None, []
@@ -39,11 +43,13 @@
             self.open()
 
     def open(self):
+        """Accepts connections."""
         self.refuse()
         self.listener = listener((self.machine.ip, self.machine.port), BACKLOG, f"host {self.machine.name}")
         self.process.loop.watch(self.listener, self.accept)
 
     def refuse(self):
+        """Refuses connections."""
         if self.listener is not None:
             self.process.loop.unwatch(self.listener)
             self.listener.close()
@@ -53,8 +59,9 @@
         self.backlog_fillers = []
 
     def vanish(self):
-        """New ones never come up: the queue of those not taken yet is filled, and the
-        kernel drops the rest.
+        """Leaves connection requests without any reply.
+
+        The accept queue is filled with connections of its own, so that the kernel drops further requests.
         """
         if self.listener is None:
             return
@@ -67,6 +74,7 @@
             self.backlog_fillers.append(sock)
 
     def accept(self, _):
+        """Accepts the connections that wait, 64 at most at a time."""
         for _ in range(64):
             try:
                 sock, _ = self.listener.accept()
@@ -83,12 +91,13 @@
             self.process.loop.watch(sock, lambda mask, conn=conn: self.on_ready(conn, mask))
 
     def on_ready(self, conn, mask):
+        """Handles socket events of a connection."""
         if mask & OUT and conn.out:
             self.flush(conn)
         if not mask & ~OUT:
             return
-        if self.backlog_fillers:  # vanished
-            self.process.loop.unwatch(conn.sock)  # nothing is read either
+        if self.backlog_fillers:  # the host has vanished and reads nothing any more
+            self.process.loop.unwatch(conn.sock)
             return
         try:
             data = conn.sock.recv(65536)
@@ -102,10 +111,12 @@
             self.end(conn, "theirs")
 
     def write(self, conn, line):
+        """Sends a line."""
         conn.out.append(line + b"\r\n")
         self.flush(conn)
 
     def flush(self, conn):
+        """Sends what is buffered; resets a connection whose peer has left too much unread."""
         data = b"".join(conn.out)
         conn.out.clear()
         try:
@@ -123,6 +134,7 @@
         self.process.loop.set_mask(conn.sock, IN | OUT if conn.out else IN)
 
     def drop(self, conn, how):
+        """Closes the socket, with a reset if `how` is "reset"."""
         self.process.loop.unwatch(conn.sock)
         if how == "reset":
             conn.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
@@ -130,12 +142,16 @@
 
 
 class Hosts(LabProcess):
+    """One process of emulated hosts: its share of the plan's machines."""
+
     kind = "hosts"
 
     def prepare(self):
+        """Opens the hosts' addresses."""
         self.servers = {m.name: Server(self, m) for m in self.plan.machines if m.process == self.number}
 
     def begin(self):
+        """Schedules the faults of this process's hosts."""
         for fault in self.plan.faults:
             if fault.kind not in HOST_FAULTS:
                 continue
@@ -152,4 +168,5 @@
                     self.loop.at(at + round(fault.seconds * SECOND), server.end_fault, fault)
 
     def counts(self):
+        """Returns the number of connections by host."""
         return {"standing": {name: len(s.model.conns) for name, s in self.servers.items()}}
--- a/cottonspread/lab/listing.py
+++ b/cottonspread/lab/listing.py
@@ -1,7 +1,7 @@
-"""The list of hosts with its watch over HTTP: a pure core, and one address for each node.
+"""The emulated server list, which nodes watch over HTTP by long polling.
 
-`planned_changes` derives from a plan's faults what the list has to tell and when;
-`HostList` answers; `ListServer` is the shell.
+`planned_changes` derives the list's changes from a plan's faults; `HostList` holds the list and its versions,
+without any I/O; `ListServer` serves it, at an address of its own for each node.
 """
 
 import json
@@ -21,8 +21,9 @@
 
 
 def planned_changes(plan):
-    """[(microseconds after the start, host, lifecycle, start of the host
-    or None)], by time; the lag is in it.
+    """Returns the list's changes, ordered by time, with the list's lag included.
+
+    Each is (microseconds after the run's start, host, lifecycle, start time of the host or None).
     """
     lag, silent = plan.experiment.listing.lag_ms * 1000, plan.experiment.listing.silent_s * SECOND
     out = []
@@ -47,12 +48,14 @@
 
 
 class HostList:
-    """The list and its versions. An entry: the protocol's own names and values."""
+    """The list of hosts and its versions; entries have the names and values of the discovery protocol."""
 
     def __init__(self, entries, version=1):
+        """`entries`: the initial list."""
         self.version, self.entries, self.history = version, {e["instanceId"]: e for e in entries}, []
 
     def change(self, name, lifecycle, started_ms=None, entry=None):
+        """Changes a host's state in a new version; `entry` adds a host that is not listed."""
         self.version += 1
         entry = dict(entry or self.entries[name], lifecycle=lifecycle)
         if started_ms is not None:
@@ -64,8 +67,9 @@
             self.entries[name] = entry
 
     def set_weights(self, usage):
-        """Weights that move: each host's size over one and the connections that it
-        holds a core, as one change of the list.
+        """Sets all weights in one new version: a host's size / (1 + its connections per core).
+
+        `usage`: (size, connections per core) by host.
         """
         self.version += 1
         for name, (size, count) in usage.items():
@@ -75,33 +79,38 @@
         self.history = self.history[-20 * len(self.entries) - 1000 :]
 
     def full_list(self):
+        """Returns the reply with all hosts."""
         return {"generation": self.version, "reset": True, "instances": list(self.entries.values())}
 
     def changes_since(self, version):
-        """What changed after `version`: None if nothing did."""
+        """Returns the reply with what changed after `version`, None if nothing did."""
         if version >= self.version:
             return None
         latest = {entry["instanceId"]: entry for v, entry in self.history if v > version}
         return {"generation": self.version, "reset": False, "instances": list(latest.values())}
 
     def restart(self):
-        """As a list that lost its memory: the same hosts, a lower version."""
+        """Restarts the list without its history: the same hosts, a lower version."""
         self.version, self.history = 1, []
 
 
 class Watcher:
-    """One node's connection."""
+    """A node's connection to the list."""
 
     __slots__ = ("sock", "node", "rest", "since", "deadline")
 
     def __init__(self, sock, node):
+        """`node`: the plan's node whose address was connected to."""
         self.sock, self.node, self.rest, self.since, self.deadline = sock, node, b"", None, 0
 
 
 class ListServer(LabProcess):
+    """The process of the server list."""
+
     kind = "list"
 
     def prepare(self):
+        """Opens one address for each node."""
         self.host_list = HostList([self.entry(m) for m in self.plan.machines if not m.started])
         self.watchers, self.silent_until, self.garbage_left, self.listeners = set(), 0, 0, []
         for node in self.plan.nodes:
@@ -110,6 +119,7 @@
             self.loop.watch(sock, lambda _, sock=sock, node=node: self.accept(sock, node))
 
     def entry(self, m):
+        """Returns the list's entry of a machine of the plan."""
         return {
             "instanceId": m.name,
             "hostPort": f"{m.ip}:{m.port}",
@@ -122,6 +132,7 @@
         }
 
     def begin(self):
+        """Schedules the list's changes and faults."""
         if self.plan.experiment.listing.weights_ms:
             self.usage = {}
             threading.Thread(target=self.poll_hosts, daemon=True).start()
@@ -133,7 +144,7 @@
                 self.loop.at(self.start + round(fault.at * SECOND), self.inject_fault, fault)
 
     def poll_hosts(self):
-        """In a thread of its own, for a host may hang: the connections held a core, by host."""
+        """Polls the connections per core of each host, in a thread of its own because a host may hang."""
         while True:
             for m in self.plan.machines:
                 try:
@@ -143,16 +154,18 @@
                     cores = m.traits.cores
                     self.usage[m.name] = cores * m.traits.speed, float(report[b"outstanding"]) / cores
                 except (OSError, ValueError, IndexError, KeyError):
-                    continue  # it keeps the weight that it had
+                    continue  # the host keeps its last weight
             time.sleep(self.plan.experiment.listing.weights_ms / 2000)
 
     def update_weights(self):
+        """Sets new weights at regular intervals."""
         self.loop.at(now() + round(self.plan.experiment.listing.weights_ms * 1000), self.update_weights)
         if self.usage:
             self.host_list.set_weights(dict(self.usage))
             self.reply_to_watchers()
 
     def change(self, name, lifecycle, started):
+        """Applies a planned change and tells the watchers."""
         machine = next(m for m in self.plan.machines if m.name == name)
         at = None if started is None else (self.start + round(started) + self.plan.unix_offset) // 1000
         self.host_list.change(name, lifecycle, at, self.host_list.entries.get(name) or self.entry(machine))
@@ -162,6 +175,7 @@
         self.reply_to_watchers()
 
     def inject_fault(self, fault):
+        """Injects a fault: no replies for a time, five invalid replies, or a restart."""
         self.record.put({"k": "fault", "t": now(), "kind": fault.kind})
         if fault.kind == "list-cut":
             self.silent_until = now() + round(fault.seconds * SECOND)
@@ -174,6 +188,7 @@
                 self.drop(watcher)
 
     def accept(self, listener, node):
+        """Accepts a node's connection."""
         try:
             sock, _ = listener.accept()
         except OSError:
@@ -184,12 +199,14 @@
         self.loop.watch(sock, lambda _: self.read(watcher))
 
     def drop(self, watcher):
+        """Closes a watcher's connection."""
         if watcher in self.watchers:
             self.watchers.discard(watcher)
             self.loop.unwatch(watcher.sock)
             watcher.sock.close()
 
     def read(self, watcher):
+        """Reads requests."""
         try:
             data = watcher.sock.recv(16384)
         except BlockingIOError:
@@ -205,6 +222,7 @@
             self.on_request(watcher, head.split(b" ", 2)[1].decode("latin-1"))
 
     def on_request(self, watcher, path):
+        """Answers a request now, or when the list changes or the request times out."""
         query = urllib.parse.parse_qs(urllib.parse.urlsplit(path).query)
         watcher.since = int(query["since"][0]) if "since" in query else -1
         watcher.deadline = now() + min(MAX_WATCH, int(query.get("timeout_ms", ["0"])[0]) * 1000)
@@ -212,11 +230,12 @@
         self.reply(watcher)
 
     def reply_to_watchers(self):
+        """Answers all waiting requests for which there is a reply."""
         for watcher in list(self.watchers):
             self.reply(watcher)
 
     def reply(self, watcher):
-        """If there is something to say to it, or its time is up."""
+        """Answers a waiting request if the list has changed or the request has timed out."""
         at = now()
         if watcher.since is None or at < self.silent_until or watcher not in self.watchers:
             return
@@ -224,7 +243,7 @@
             self.host_list.full_list() if watcher.since < 0 else self.host_list.changes_since(watcher.since)
         )
         if reply is None:
-            if watcher.since > self.host_list.version:  # it knows a version that this list never had
+            if watcher.since > self.host_list.version:  # the node knows a version from before a restart
                 reply = self.host_list.full_list()
             elif at < watcher.deadline:
                 return
--- a/cottonspread/lab/load.py
+++ b/cottonspread/lab/load.py
@@ -1,7 +1,8 @@
-"""Clients. Open loop: interval call goes out at its intended time, whatever has become of the others.
+"""The load generator: emulated clients as an open loop.
 
-Latency counts from the intended time, so that a stalled node is not flattered; how late the generator itself
-was (from the intended time to when the kernel had its connection) is kept beside it.
+Every call is made at its intended time, whatever happens to the others. Latency counts from the intended
+time, so that a stalled node does not look better than it is; the lateness of the generator itself (from the
+intended time until the kernel has its connection) is recorded as well.
 """
 
 import errno
@@ -21,34 +22,36 @@
 
 SECOND = 1_000_000
 LINGER_RESET = struct.pack("ii", 1, 0)
-MAX_LATENESS = 1000  # microseconds at p99.9: a run whose generator was later is not used
+MAX_LATENESS = 1000  # microseconds at p99.9: the results of a run whose generator was later are invalid
 MAX_RECORDED = 600 * SECOND
 SO_TIMESTAMPNS, TIMESPEC, CONTROL_SIZE = 35, struct.Struct("qq"), 64
-BIND_NO_PORT = 24  # IP_BIND_ADDRESS_NO_PORT: the port is chosen at connect, one for each destination
-GUARD_TOLERANCE = 50_000  # after its guard time a client waits so long before it leaves: sockets are late
-SPIN_TIME = 400  # microseconds before an arrival that a spinning generator stays awake for
+BIND_NO_PORT = 24  # IP_BIND_ADDRESS_NO_PORT: the port is chosen at connect, separately for each destination
+GUARD_TOLERANCE = 50_000  # microseconds that a client waits on after its guard time, as sockets deliver late
+SPIN_TIME = 400  # microseconds before an arrival from which on a busy-waiting generator does not sleep
 
 
 def received_at(control_messages):
-    """When the kernel got the bytes, on the shared clock: whether this process
-    had its core just then does not count.
+    """Returns when the kernel received the bytes, on the monotonic clock.
+
+    The time that this process waited for its core is thus not counted as the node's latency.
     """
     at = now()
     for level, kind, value in control_messages:
         if level == socket.SOL_SOCKET and kind == SO_TIMESTAMPNS:
             seconds, rest = TIMESPEC.unpack(value)
             age = (time.time_ns() - seconds * 1_000_000_000 - rest) // 1000
-            if 0 <= age < SECOND:  # else the wall clock was set meanwhile
+            if 0 <= age < SECOND:  # otherwise the wall clock was set meanwhile
                 return at - age
     return at
 
 
 def histogram():
+    """Returns an empty histogram of microseconds with three significant digits."""
     return HdrHistogram(1, MAX_RECORDED, 3)
 
 
 class Call:
-    """One connection of a client: a first try, a retry, or one that comes again."""
+    """One connection of a client: a first call, a retry or a reconnect."""
 
     __slots__ = (
         "schedule_index",
@@ -76,6 +79,7 @@
     )
 
     def __init__(self, schedule_index, kind, key, group, intended, again, retry, tries):
+        """`intended`: when the call was due; `again`: it is a reconnect; `tries`: retries before this one."""
         self.schedule_index, self.kind, self.key, self.group = schedule_index, kind, key, group
         self.intended, self.again, self.retry, self.tries = intended, again, retry, tries
         self.id, self.node, self.sock, self.sent, self.begun = "", None, None, 0, 0
@@ -91,9 +95,12 @@
 
 
 class Clients(LabProcess):
+    """One load process: its share of the plan's clients."""
+
     kind = "load"
 
     def prepare(self):
+        """Takes this process's share of the schedule."""
         load = self.plan.experiment.load
         whole = plans.schedule(self.plan)
         self.digest = whole.digest()
@@ -107,7 +114,7 @@
         rng = np.random.default_rng([self.plan.seed, 3, self.number])
         self.reconnect_draws = rng.random(
             max(1, len(self.at))
-        ).tolist()  # who breaks off, and when it is back
+        ).tolist()  # which clients reset their connections in a mass reconnect, and when they come back
         self.types, self.load = load.types, load
         self.nodes, self.active_nodes = self.plan.nodes, list(range(len(self.plan.nodes)))
         self.sources = [s for n, s in enumerate(self.plan.sources) if n % load.processes == self.number] or [
@@ -136,6 +143,7 @@
         self.end_of_arrivals = round(self.plan.experiment.seconds * SECOND)
 
     def begin(self):
+        """Schedules the first arrival and the mass reconnects."""
         if self.at:
             self.loop.at(self.start + self.at[0], self.arrive)
         for shape in self.load.shapes:
@@ -143,7 +151,7 @@
                 self.loop.at(self.start + round(shape.start * SECOND), self.reset_connections, shape)
 
     def on_command(self, words):
-        """`up N` and `down N`: the front takes a node in, or deals no more to it."""
+        """`up N` and `down N`: from now on clients are sent to a node, or no longer."""
         number = int(words[1])
         if words[0] == "up" and number not in self.active_nodes:
             self.active_nodes = sorted([*self.active_nodes, number])
@@ -153,7 +161,7 @@
     # Arrivals
 
     def arrive(self):
-        """All first calls that are due; the timer for the next one."""
+        """Makes all first calls that are due and sets the timer for the next one."""
         n = self.next_index
         while n < len(self.at) and self.start + self.at[n] <= now():
             self.next_index = n + 1
@@ -174,7 +182,7 @@
             self.loop.at(self.start + self.at[n], self.arrive)
 
     def schedule_again(self, call, wait, again):
-        """The client of `call` comes again after `wait` microseconds, with a connection of its own."""
+        """Makes the client of `call` open another connection after `wait` microseconds."""
         when = now() + wait
         if when - self.start > self.end_of_arrivals + SECOND:
             return
@@ -194,11 +202,13 @@
         )
 
     def choose_node(self, call):
+        """Returns the number of the node that a call goes to: by the seed, among the active nodes."""
         draw = self.draws[call.schedule_index] + 2654435761 * (call.tries + call.again)
         candidates = self.active_nodes or range(len(self.nodes))
         return candidates[draw % len(candidates)]
 
     def start_call(self, call):
+        """Connects and sends the first line."""
         kind = self.types[call.kind]
         self.call_count += 1
         call.id, call.node = f"{self.number}x{self.call_count:x}", self.choose_node(call)
@@ -235,9 +245,7 @@
             self.loop.at(call.begun + wait * 1000 + GUARD_TOLERANCE, self.on_guard_timeout, call)
 
     def send(self, call):
-        """What is to go out; in most cases the connection is up at once on this machine,
-        and so is the line.
-        """
+        """Sends what is buffered; on the same machine the connection and the line mostly succeed at once."""
         try:
             sent = call.sock.send(call.out)
         except (BlockingIOError, InterruptedError):
@@ -253,6 +261,7 @@
         self.loop.set_mask(call.sock, IN | OUT if call.out else IN)
 
     def on_ready(self, call, mask):
+        """Handles socket events of a call."""
         if mask & OUT and call.out:
             self.send(call)
         if call.sock is None or not mask & ~OUT:
@@ -272,6 +281,7 @@
             self.on_line(call, line, at)
 
     def on_line(self, call, line, at):
+        """Handles a line that the client received at the time `at`."""
         if not call.up or line.startswith(b"UP "):
             what, value = wire.parse_answer(line)
             call.answers.append([at, what, value])
@@ -290,6 +300,7 @@
             self.echo.record_value(max(1, at - sent))
 
     def on_up(self, call, at):
+        """Counts the call as established and schedules its lines and its end."""
         call.up = at
         took = max(1, min(MAX_RECORDED, at - call.intended))
         self.latency[self.types[call.kind].name].record_value(took)
@@ -302,6 +313,7 @@
             self.loop.at(at + interval, self.send_line, call, at + interval, interval)
 
     def send_line(self, call, intended, interval):
+        """Sends a line that the host echoes, and schedules the next one."""
         if call.sock is None:
             return
         call.line += 1
@@ -313,19 +325,20 @@
     # Ends
 
     def leave(self, call):
-        """The client has what it came for."""
+        """Ends an established connection at the end of the client's stay."""
         if call.sock is not None and call.up:
             self.close(call)
             self.finish_call(call, "left")
 
     def on_guard_timeout(self, call):
+        """Ends a call that got no answer within its guard time."""
         if call.sock is not None and not call.answers:
             self.counts_since_report["none"] += 1
             self.close(call)
             self.finish_call(call, "gave-up")
 
     def reset_connections(self, shape):
-        """A mass reconnection: this share of those standing break off, and come back within the stretch."""
+        """Mass reconnect: resets a share of the established connections; clients return within the interval."""
         for call in list(self.established):
             draw = self.reconnect_draws[call.schedule_index]
             if draw < shape.share and call.sock is not None:
@@ -335,7 +348,7 @@
                 self.schedule_again(call, round(draw / shape.share * shape.seconds * SECOND), True)
 
     def on_end(self, call, how):
-        """The node has ended it."""
+        """Handles a connection that the node has ended."""
         self.close(call)
         if not call.up and not call.answers:
             self.counts_since_report["none"] += 1
@@ -344,6 +357,7 @@
         self.finish_call(call, call.how or how)
 
     def close(self, call):
+        """Closes a call's socket."""
         self.loop.unwatch(call.sock)
         call.sock.close()
         call.sock = None
@@ -351,7 +365,7 @@
         self.open.pop(call, None)
 
     def finish_call(self, call, how):
-        """The record of it, and what its client does next."""
+        """Writes the call's record and schedules the client's next connection, if it makes one."""
         start = self.start
         self.record.put(
             {
@@ -393,9 +407,10 @@
         if after:
             self.schedule_again(call, *after)
 
-    # What the runner gets
+    # Reports to the runner
 
     def counts(self):
+        """Returns the counts since the last report and the latencies, for the run's timeline."""
         out, self.counts_since_report = self.counts_since_report, dict.fromkeys(self.counts_since_report, 0)
         for key, value in out.items():
             self.total[key] += value
@@ -403,8 +418,8 @@
             (self.recent_latencies, []),
             (self.max_lateness, 0),
         )
-        # Of a thousand at most: sorting more, or the first use of a larger
-        # library, made calls late by milliseconds.
+        # A sample of a thousand at most: sorting more, or importing a numerical library on first use,
+        # made calls late by milliseconds.
         recent = sorted(recent[:: len(recent) // 1000 + 1])
         took = [recent[len(recent) // 2], recent[len(recent) * 99 // 100]] if recent else [0, 0]
         return {
@@ -416,6 +431,7 @@
         }
 
     def finish(self):
+        """Records the calls that are still open, and the totals."""
         for call in list(self.open):
             self.close(call)
             self.finish_call(call, "cut")
--- a/cottonspread/lab/run.py
+++ b/cottonspread/lab/run.py
@@ -1,9 +1,8 @@
-"""One play: starts hosts, list, nodes and clients as processes, carries the nodes'
-faults out, and gathers what was seen.
+"""One run: starts hosts, list, nodes and clients as processes, injects nodes' faults and takes samples.
 
-Whatever ends a run (its time, Ctrl-C, a process that dies), what was seen so far is kept and
-valid, and no process is left: the lab's own end when their standard input does, nodes when the
-kernel tells that their parent is gone.
+Whatever ends a run (its time, Ctrl-C, a process that dies), the records so far are kept and valid, and no
+process is left: the lab's own processes exit when their standard input is closed, and the kernel kills the
+nodes when their parent exits.
 """
 
 import contextlib
@@ -30,10 +29,12 @@
 
 
 class StartError(RuntimeError):
-    """The run could not begin; the message names what was in the way."""
+    """The run could not start; the message names the reason."""
 
 
 class LabRun:
+    """One run of an experiment. Its timer callbacks run between samples, in the runner's own thread."""
+
     def __init__(self, experiment, variant, seed, folder, on_sample=None):
         self.plan = plans.make(experiment, variant, seed)
         self.folder, self.on_sample, self.cut, self.reasons = os.path.abspath(folder), on_sample, "", []
@@ -41,6 +42,7 @@
         self.start, self.record, self.warnings, self.stolen, self.fleet = 0, None, [], 0.0, None
 
     def node_cores(self, number):
+        """Returns the CPU set that a node is pinned to, or None; nodes share the upper half of the cores."""
         cores = sorted(os.sched_getaffinity(0))
         if not self.plan.experiment.nodes.pin or len(cores) < 2:
             return None
@@ -48,8 +50,9 @@
         return {cores[len(cores) - 1 - number % most]}
 
     def child_cores(self, kind, number):
-        """A load process that spins has a core of its own where there are
-        enough; the others share what is left.
+        """Returns the CPU set of one of the lab's processes, or None.
+
+        A load process that busy-waits has a core of its own if there are enough; the others share the rest.
         """
         cores = set(os.sched_getaffinity(0))
         for n in range(len(self.plan.nodes)):
@@ -60,11 +63,12 @@
         return {cores[number]} if kind == "load" else set(cores[load.processes :])
 
     def record_event(self, kind, node, **more):
+        """Writes an event of a node to the record."""
         self.record.put({"k": kind, "t": now(), "node": node.node.name, **more})
         self.record.flush()
 
     def run(self):
-        """Plays it to its end, its cut or its fault."""
+        """Runs the experiment until its end, an interruption or an error."""
         os.makedirs(self.folder, exist_ok=True)
         schedule = plans.schedule(self.plan)
         self.warnings = limits.check(self.plan, schedule)
@@ -88,20 +92,22 @@
             signal.signal(signal.SIGTERM, previous_handlers[1])
 
     def on_signal(self, number, _):
+        """Interrupts the run."""
         self.cut = self.cut or signal.Signals(number).name
 
     def start_all(self, path):
+        """Starts all processes, and then the run's time. `path`: the plan's file."""
         until = time.monotonic() + READY_TIMEOUT
         self.start_children(path, until)
         self.start_nodes(until + READY_TIMEOUT)
         self.start = now() + 300_000
         with open(os.path.join(self.folder, "start.json"), "w", encoding="utf-8") as file:
-            json.dump({"start": self.start}, file)  # the record's times are on the machine's clock
+            json.dump({"start": self.start}, file)  # the records' times are on the machine's monotonic clock
         for child in self.children:
             child.send(f"begin {self.start}")
 
     def start_children(self, path, until):
-        """Hosts, list and load as processes, each of which has said that it is ready."""
+        """Starts the processes of hosts, list and load and waits until each has reported ready."""
         x = self.plan.experiment
         self.children = [
             Child(f"{kind} {n}", [kind, "--plan", path, "--number", str(n)], self.child_cores(kind, n))
@@ -124,7 +130,7 @@
                 )
 
     def start_nodes(self, until):
-        """The nodes, each of which has answered a PING."""
+        """Starts the nodes and waits until each has answered a PING."""
         if self.plan.experiment.nodes.fleet:
             self.fleet = fleet.FleetProcess(self)
             self.nodes = [fleet.FleetNode(self, n) for n in range(len(self.plan.nodes))]
@@ -149,12 +155,14 @@
             node.sample()
 
     def read_children(self, wait):
+        """Reads what the child processes report, for `wait` seconds at most."""
         for key, _ in self.selector.select(wait):
             if not key.data.read():
                 self.selector.unregister(key.fileobj)
                 key.data.ended = True
 
     def supervise(self):
+        """Runs timers, takes a sample every second and watches the processes until the run's end."""
         x = self.plan.experiment
         ending = self.start + round((x.seconds + x.settle_s) * SECOND)
         stolen = psutil.cpu_times().steal
@@ -182,6 +190,7 @@
         self.stolen = psutil.cpu_times().steal - stolen
 
     def take_sample(self, live, at):
+        """Writes one line of the timeline: counts of the load, connections by host, usage by node."""
         counts, hosts = {}, {}
         for child in self.children:
             if not child.counts.pop("new", False):
@@ -208,6 +217,7 @@
     # Nodes' faults
 
     def schedule_faults(self):
+        """Schedules the faults of nodes and of the fleet."""
         for fault in self.plan.faults:
             if fault.kind in FLEET_FAULTS:
                 self.at(self.start + round(fault.at * SECOND), self.fleet.inject_fault, fault)
@@ -217,10 +227,12 @@
                     self.at(self.start + round(fault.at * SECOND), self.inject_fault, node, fault)
 
     def at(self, when, callback, *args):
+        """Calls `callback(*args)` at a time of the monotonic clock, in microseconds."""
         self.sequence += 1
         heapq.heappush(self.timers, (when, self.sequence, callback, args))
 
     def inject_fault(self, node, fault):
+        """Injects a fault into a node."""
         span = round(fault.seconds * SECOND)
         if fault.kind == "freeze":
             self.record_event("freeze", node)
@@ -244,7 +256,7 @@
             node.start()
             self.at(now() + 20_000, self.replace, node, 0)
             return
-        if self.fleet:  # its supervisor brings it back; meanwhile connections wait
+        if self.fleet:  # the supervisor restarts the instance; connections wait meanwhile
             self.fleet.inject_node_fault(node, fault)
             return
         node.wanted = node.up = False
@@ -258,18 +270,20 @@
             self.at(now() + span, self.restart, node)
 
     def quiesce(self, node, span):
+        """Makes a node drain by an operator's call, for `span` microseconds."""
         self.record_event("quiesce", node, ok=node.admin_call("quiesce"))
         node.up = False
-        # asked ten times a second, and noticed 0.2 s after the first no
+        # The emulated front polls a node's health ten times a second and acts 0.2 s after the first failure.
         self.at(now() + 300_000, self.notify_load, "down", node)
         self.at(now() + span, self.resume, node)
 
     def resume(self, node):
+        """Ends a quiesce."""
         self.record_event("resume", node, ok=node.admin_call("resume"))
         self.at(now() + 50_000, self.add_when_up, node, 0)
 
     def replace(self, node, tries):
-        """SIGTERM for the old process once the new one says yes."""
+        """Sends SIGTERM to the old process once the new one reports that it is healthy."""
         if node.is_healthy():
             node.old_process.send_signal(signal.SIGTERM)
             self.at(now() + 50_000, self.wait_until_replaced, node)
@@ -277,16 +291,19 @@
             self.at(now() + 20_000, self.replace, node, tries + 1)
 
     def wait_until_replaced(self, node):
+        """Records the exit of the replaced process."""
         if node.old_process.poll() is None:
             self.at(now() + 50_000, self.wait_until_replaced, node)
         else:
             self.record_event("replaced", node, code=node.old_process.returncode)
 
     def thaw(self, node):
+        """Ends a freeze."""
         node.signal(signal.SIGCONT)
         self.record_event("thaw", node)
 
     def restart(self, node):
+        """Starts a stopped or killed node again once its process has exited."""
         if node.process.poll() is None:
             self.at(now() + 50_000, self.restart, node)
             return
@@ -297,7 +314,7 @@
         self.at(now() + 50_000, self.add_when_up, node, 0)
 
     def add_when_up(self, node, tries):
-        """The front deals to it once it has answered PING."""
+        """Sends clients to a node again once it has answered a PING."""
         if node.answers_ping():
             node.up = True
             self.record_event("up", node)
@@ -306,7 +323,7 @@
             self.at(now() + 50_000, self.add_when_up, node, tries + 1)
 
     def notify_load(self, word, node):
-        """Tells the clients' front; one that is back meanwhile is not taken out."""
+        """Tells the load processes that a node is "up" or "down"; a node that is up again stays in use."""
         for child in self.children:
             if child.name.startswith("load") and not (word == "down" and node.up):
                 child.send(f"{word} {node.number}")
@@ -314,6 +331,7 @@
     # The end
 
     def stop_all(self):
+        """Stops load, nodes, and then hosts and list."""
         load = [c for c in self.children if c.name.startswith("load")]
         self.wait_for(load, "end")
         for node in self.nodes:
@@ -337,6 +355,7 @@
         self.wait_for([c for c in self.children if c not in load], "end")
 
     def wait_for(self, children, word):
+        """Sends a command to child processes and waits until they have exited, for ten seconds at most."""
         for child in children:
             child.send(word)
         until = time.monotonic() + 10
@@ -344,7 +363,7 @@
             self.read_children(0.1)
 
     def clean_up(self):
-        """Only what this play has started, by its own process objects."""
+        """Kills the processes that this run has started and that are left, by its own process objects."""
         if self.fleet:
             self.fleet.clean_up()
         for node in self.nodes:
