--- a/cottonspread/lab/client_policy.py
+++ b/cottonspread/lab/client_policy.py
@@ -1,11 +1,12 @@
-"""What a client does once its connection has ended. Pure; for clients on sockets and simulated ones."""
+"""Whether and when a client connects again after its connection has ended; for real and simulated clients."""
 
 
 def next_attempt(load, kind, how, up, answer, tries, heeds_retry_after, jitter):
-    """None, or (microseconds until it comes again, whether it is one that was up: else it is a retry).
+    """Returns None, or (microseconds until the client connects again, whether it is a reconnect).
 
-    `answer`: its final one as ("BUSY", ms) or the like, None without; `tries` before this; whether it
-    heeds a retry-after (`heeds_retry_after`); `jitter`: its own draw from 0 to 1.
+    Otherwise it is a retry. `how`: how the connection ended; `up`: whether it was established; `answer`: its
+    final answer as ("BUSY", ms) or the like, or None; `tries`: retries before this one; `heeds_retry_after`:
+    whether the client does; `jitter`: the client's random number from 0 to 1.
     """
     if how in ("left", "bye", "cut"):
         return None
--- a/cottonspread/lab/host_server.py
+++ b/cottonspread/lab/host_server.py
@@ -1,9 +1,9 @@
-"""A host's side of the line protocol round the pure model, whatever carries the bytes: sockets
-(`hosts`) or simulated ways (`sim`).
+"""The hosts' side of the line protocol around the host model, independent of the transport.
 
-A carrier is a subclass that has `now()`, `at(when, what, *args)`, `put(line)` for the record,
-`open()`, `shut()` and `vanish()` for the address, `write(conn, line)`, and `drop(conn, how)`, which
-ends the carrier's part of a connection.
+The transport is a subclass, on sockets (`hosts`) or on the simulated network (`sim`). It has `now()`,
+`at(when, callback, *args)`, `put(line)` for the record, `open()`, `refuse()` and `vanish()` for the address,
+`write(conn, line)`, and `drop(conn, how)`, which closes the transport's connection. Its connections have
+`lines` (a LineSplitter), `call` (the OpenRequest, None before it) and `over` (whether it has ended).
 """
 
 import zlib
@@ -16,7 +16,7 @@
 
 
 def host_model(plan, machine, now):
-    """The model of one of a plan's machines: one seed, one behaviour."""
+    """Returns the model of one of a plan's machines; its randomness depends on the plan's seed alone."""
     return model.Host(
         machine.traits,
         {k.name: k.load_us for k in plan.experiment.load.types},
@@ -26,11 +26,14 @@
 
 
 class HostServer:
+    """A host that serves the line protocol."""
+
     def __init__(self, name, host, reports):
+        """`host`: its model; `reports`: whether it answers STATS with its load."""
         self.name, self.model, self.reports, self.conns = name, host, reports, {}
 
     def on_data(self, conn, data):
-        """Bytes of a connection."""
+        """Handles bytes that were received on a connection."""
         at = self.now()
         try:
             lines = conn.lines.feed(data)
@@ -46,6 +49,7 @@
                 return
 
     def on_first_line(self, conn, line, at):
+        """Handles a connection's first line: PING, STATS or OPEN."""
         if line in (b"PING", b"STATS"):
             self.send_line(conn, b"PONG" if line == b"PING" else self.load_report(at))
             return
@@ -75,12 +79,14 @@
         self.apply(self.model.on_first_line(at, conn, request))
 
     def load_report(self, at):
+        """Returns the reply to STATS."""
         if not self.reports:
             return b"NO"
         self.put({"k": "probe", "t": at, "host": self.name})
         return b"PONG " + b",".join(b"%s:%.4f" % (name, value) for name, value in self.model.load_report(at))
 
     def apply(self, effects):
+        """Executes the model's effects, each at its time."""
         for effect in effects:
             if isinstance(effect, (model.SendLine, model.Close)) and effect.conn.over:
                 continue
@@ -94,6 +100,7 @@
                 self.execute(effect)
 
     def execute(self, effect):
+        """Sends a line or closes a connection, unless the host has become unresponsive meanwhile."""
         conn = effect.conn
         if conn.over or self.model.unresponsive:
             return
@@ -103,6 +110,7 @@
             self.end(conn, effect.how)
 
     def on_model_event(self, effect):
+        """Records an event of the model, or sets the timer that it asks for."""
         conn, at = effect.conn, self.now()
         if effect.kind in ("turn", "change"):
             self.at(
@@ -118,13 +126,15 @@
             if effect.value is not None:
                 line["v"] = effect.value
             if effect.kind == "ran":
-                line["gone"] = conn.over  # its leg was given up before: it ran for nobody
+                line["gone"] = conn.over  # the leg had been given up before the set-up was done
             self.put(line)
 
     def resume(self, conn, what):
+        """Calls a method of the model when its timer is due."""
         self.apply(what(self.now(), conn))
 
     def send_line(self, conn, line):
+        """Sends a line, and records an UP."""
         if conn.over:
             return
         if conn.call is not None and line.startswith(b"UP "):
@@ -140,7 +150,7 @@
         self.write(conn, line)
 
     def end(self, conn, how):
-        """how: "theirs" (the other side ended it), "end" or "reset" (this one does)."""
+        """Ends a connection. how: "theirs" (the peer has ended it), "end" or "reset" (this host does)."""
         if conn.over:
             return
         conn.over = True
@@ -151,6 +161,7 @@
             self.apply(self.model.on_end(self.now(), conn))
 
     def start_fault(self, fault):
+        """Starts a fault of the plan."""
         self.put({"k": "fault", "t": self.now(), "host": self.name, "kind": fault.kind})
         if fault.kind in ("vanish", "cold"):
             self.put({"k": "down", "t": self.now(), "host": self.name})
@@ -162,7 +173,8 @@
                 self.end(conn, "reset")
 
     def end_fault(self, fault):
-        if fault.kind in ("drain", "vanish"):  # the process ends with what is left on it, or is back
+        """Ends a fault of the plan."""
+        if fault.kind in ("drain", "vanish"):  # the drained process exits, or the vanished one is back
             for conn in list(self.conns):
                 self.end(conn, "end" if fault.kind == "drain" else "reset")
         self.put({"k": "mend", "t": self.now(), "host": self.name, "kind": fault.kind})
--- a/cottonspread/lab/load.py
+++ b/cottonspread/lab/load.py
@@ -338,7 +338,7 @@
             self.finish_call(call, "gave-up")
 
     def reset_connections(self, shape):
-        """Mass reconnect: resets a share of the established connections; clients return within the interval."""
+        """Mass reconnect: resets a share of the connections; their clients return within the interval."""
         for call in list(self.established):
             draw = self.reconnect_draws[call.schedule_index]
             if draw < shape.share and call.sock is not None:
--- a/cottonspread/lab/model.py
+++ b/cottonspread/lab/model.py
@@ -1,10 +1,12 @@
-"""A farm server's behaviour, pure: (state, time, event) to effects.
+"""The model of a host: a pure function from (state, time, event) to effects.
 
-No clock, socket, thread or chance of its own.
+It has no clock, socket, thread or randomness of its own. `rng` is a numpy Generator; the same generator state
+and the same events give the same effects.
 
-A fluid queue: work is microseconds of one core. What stands costs its load every second, and its group's cost
-once a server; a set-up costs its work once. What the cores cannot do in time piles up, and every line waits
-behind the backlog. `rng` is a numpy Generator; the same one and the same events give the same effects.
+A fluid queue: work is measured in microseconds of one core. Each established connection costs its load every
+second, each group that the host holds any connection of costs a fixed amount every second, and each set-up
+costs its work once. Work that exceeds the cores' capacity accumulates in a backlog, and every line waits
+behind it.
 """
 
 from collections import Counter, deque
@@ -16,26 +18,26 @@
 
 
 class Traits(msgspec.Struct, forbid_unknown_fields=True, kw_only=True):
-    """What a server can bear. Times in the unit of their name; loads in microseconds of work a second."""
+    """A host's capacity and behaviour. Loads are in microseconds of work a second."""
 
     cores: float = 2.0
     speed: float = 1.0
-    room: int = 600  # connections, set-ups included
+    room: int = 600  # maximum number of connections, set-ups included
     setup_us: float = 2400.0  # work of one set-up
-    group_us: float = 2000.0  # each group that it holds any of, a second
-    message_us: int = 300  # what a line takes on an idle server
+    group_us: float = 2000.0  # work a second for each group that it holds any connection of
+    message_us: int = 300  # time that a line takes on an idle host
     change_s: float = 8.0  # mean time between changes of a connection's load
-    load_sigma: float = 0.5  # of the logarithm of loads round their type's mean
-    cold_share: float = 0.2  # what it can do just after a start
-    warm_s: float = 15.0
+    load_sigma: float = 0.5  # standard deviation of the logarithm of loads around their type's mean
+    cold_share: float = 0.2  # the share of its capacity that it has just after a start
+    warm_s: float = 15.0  # time after a start until it has its full capacity
     tip_multiple: float = (
-        3.0  # sent more than so many times what it can do for so long, it goes down for good
+        3.0  # a cold host that is sent more than this multiple of its capacity over tip_s fails for good
     )
     tip_s: float = 3.0
-    drain: str = "paced"  # how it sees its clients off: paced, at-once or none
-    drain_s: float = 2.0  # paced: over so long
-    cancels: bool = True  # a leg given up before its turn never runs
-    tells_load: bool = True
+    drain: str = "paced"  # how it moves its clients off when it drains: paced, at-once or none
+    drain_s: float = 2.0  # paced: the time over which it moves them off
+    cancels: bool = True  # a leg that is given up before its set-up is done never runs
+    tells_load: bool = True  # reports the load of its connections by LOAD lines
 
 
 # Effects
@@ -43,6 +45,8 @@
 
 @dataclass(frozen=True, slots=True)
 class SendLine:
+    """Send a line on a connection at the time `at`."""
+
     at: int
     conn: object
     line: bytes
@@ -50,6 +54,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Close:
+    """Close a connection at the time `at`."""
+
     at: int
     conn: object
     how: str  # "end" or "reset"
@@ -57,14 +63,17 @@
 
 @dataclass(frozen=True, slots=True)
 class AddressChange:
-    """How the address takes connections from now on: open, refused or vanished (silent, never up)."""
+    """How the address treats new connections from now on: open, refused or vanished (no reply at all)."""
 
     state: str
 
 
 @dataclass(frozen=True, slots=True)
 class HostEvent:
-    """For the record: what the audit reads."""
+    """An event for the record, which the audit reads; or, for "turn" and "change", a timer to set.
+
+    "turn": a set-up is done at the time `value`; "change": a connection's load changes then.
+    """
 
     kind: str
     conn: object = None
@@ -80,46 +89,49 @@
     load: float
     mean: float
     ran: bool = False
-    setup_done_at: int = 0  # when its set-up is done
-    last_line_at: int = 0  # when its last line goes out: lines keep their order
+    setup_done_at: int = 0
+    last_line_at: int = 0  # when its last line is sent; later lines are not sent before it
     changes: int = 0
 
 
 @dataclass(eq=False)
 class Host:
+    """The state of a host. All times are microseconds of the caller's clock."""
+
     traits: Traits
     loads: dict  # traffic type: mean load
     rng: object
     now: int = 0
-    started: int = 0  # 0: warm since long ago
+    started: int = 0  # 0: it has been warm for long
     state: str = "up"  # up, draining, down, tipped
-    backlog: float = 0.0  # work waiting
-    slow: float = 1.0
-    hung_until: int = 0  # hangs until then
-    unresponsive: bool = False  # half-dead or vanished: takes everything, answers nothing
+    backlog: float = 0.0  # work that waits
+    slow: float = 1.0  # factor by which a fault slows it down
+    hung_until: int = 0
+    unresponsive: bool = False  # half-dead or vanished: reads everything, answers nothing
     load: float = 0.0
     conns: dict = field(default_factory=dict)
     groups: Counter = field(default_factory=Counter)
     cold_work: deque = field(default_factory=deque)  # (time, work) sent to it while cold
     setups: int = 0
-    extra_setup_delay: int = 0  # what all set-ups wait for besides, in microseconds: a store, perhaps
+    extra_setup_delay: int = 0  # microseconds that all set-ups wait for a dependency, such as a store
 
     def capacity_share(self):
-        """Which part of its work it can do: rises evenly from the cold share."""
+        """Returns the share of its capacity that it has; it rises linearly after a start."""
         t, age = self.traits, self.now - self.started
         if not self.started or age >= t.warm_s * SECOND:
             return 1.0
         return t.cold_share + (1 - t.cold_share) * max(0, age) / (t.warm_s * SECOND)
 
     def capacity(self):
-        """Work a microsecond."""
+        """Returns the work that it can do in a microsecond."""
         return self.traits.cores * self.traits.speed * self.capacity_share() / self.slow
 
     def demand(self):
-        """Work a microsecond that stands on it."""
+        """Returns the work that its connections and groups cost in a microsecond."""
         return (self.load + self.traits.group_us * len(self.groups)) / SECOND
 
     def advance(self, now):
+        """Updates the backlog to the time `now`."""
         span = now - self.now
         if span <= 0:
             return
@@ -129,9 +141,7 @@
         self.now = now
 
     def load_report(self, now):
-        """What a probe is told, as (name, value): load asked over what it can do,
-        seconds of work piled up, connections.
-        """
+        """Returns the reply to a probe as (name, value): load ratio, backlog in seconds, connections."""
         self.advance(now)
         capacity = self.capacity()
         return (
@@ -141,7 +151,7 @@
         )
 
     def work_done_at(self, work=0.0):
-        """When work that comes now is through."""
+        """Returns when work that arrives now will be done."""
         return (
             max(self.now, self.hung_until)
             + round((self.backlog + work) / self.capacity())
@@ -151,7 +161,7 @@
     # Events
 
     def on_first_line(self, now, conn, request):
-        """A leg's first line is whole."""
+        """Handles a leg's complete first line."""
         self.advance(now)
         work = self.traits.setup_us * (0.5 + self.rng.random())
         out = self.add_cold_work(work)
@@ -174,13 +184,13 @@
             self.work_done_at() + self.extra_setup_delay
         )
         if request.wait_ms and setup_done_at - now > request.wait_ms * 1000:
-            late = now + request.wait_ms * 1000  # its client's time is up before its turn
+            late = now + request.wait_ms * 1000  # its client's time is up before the set-up is done
             self.conns.pop(conn)
             return out + [HostEvent("late", conn), SendLine(late, conn, b"BUSY"), Close(late, conn, "end")]
         return out + [HostEvent("turn", conn, setup_done_at)]
 
     def add_cold_work(self, work):
-        """A cold server that is sent too much goes down for good."""
+        """Counts the work that a cold host is sent; one that is sent too much fails for good."""
         t = self.traits
         if self.capacity_share() >= 1 or not t.tip_multiple:
             return []
@@ -195,12 +205,12 @@
         return [HostEvent("tipped", None, round(sent)), AddressChange("refused")] + self.close_all("reset")
 
     def finish_setup(self, now, conn):
-        """A set-up's turn has come: UP, and its load from now on."""
+        """Completes a set-up: UP, and the connection's load from now on."""
         self.advance(now)
         connection = self.conns.get(conn)
         if connection is None or connection.ran or self.unresponsive:
             return []
-        if now < self.hung_until:  # it hangs meanwhile: its turn is later
+        if now < self.hung_until:  # the host hangs: the set-up is done later
             connection.setup_done_at = self.work_done_at()
             return [HostEvent("turn", conn, connection.setup_done_at)]
         connection.ran = True
@@ -218,12 +228,13 @@
         return out
 
     def next_change(self, conn):
+        """Returns the timer for the next change of a connection's load."""
         return HostEvent(
             "change", conn, self.now + round(self.rng.exponential(self.traits.change_s) * SECOND) + 1
         )
 
     def change_load(self, now, conn):
-        """A connection's load changes."""
+        """Changes a connection's load."""
         self.advance(now)
         connection = self.conns.get(conn)
         if connection is None or not connection.ran or self.unresponsive or self.state == "tipped":
@@ -240,7 +251,7 @@
         ]
 
     def on_line(self, now, conn, line):
-        """A line after the first: its echo, behind all that is piled up."""
+        """Handles a line after the first: echoes it once the backlog before it is done."""
         self.advance(now)
         connection = self.conns.get(conn)
         if connection is None or self.unresponsive:
@@ -254,13 +265,13 @@
         return [SendLine(connection.last_line_at, conn, line)]
 
     def on_end(self, now, conn):
-        """The other side has ended it, or this one has."""
+        """Handles the end of a connection, by either side."""
         self.advance(now)
         connection = self.conns.get(conn)
         if connection is None:
             return []
         if not connection.ran and not self.traits.cancels and not self.unresponsive:
-            return []  # it runs all the same, for nobody
+            return []  # the set-up runs all the same, though its client is gone
         del self.conns[conn]
         if connection.ran:
             self.load -= connection.load
@@ -270,6 +281,7 @@
         return []
 
     def close_all(self, how):
+        """Closes all connections."""
         out = [Close(self.now, conn, how) for conn in self.conns]
         self.conns.clear()
         self.groups.clear()
@@ -277,7 +289,7 @@
         return out
 
     def start_fault(self, now, kind, span=0, factor=1.0):
-        """`span` in microseconds. Those that last are over with `mend`."""
+        """Starts a fault. `span` in microseconds; faults that last end by `end_fault`."""
         self.advance(now)
         if self.state == "tipped":
             return []
@@ -305,6 +317,7 @@
         return []
 
     def move_clients_off(self):
+        """Sends MOVE to all established connections and closes them, in the way that `traits.drain` names."""
         established = [conn for conn, s in self.conns.items() if s.ran]
         if self.traits.drain == "none":
             return []
@@ -316,7 +329,7 @@
         return out
 
     def end_fault(self, now, kind):
-        """The end of a fault that lasts."""
+        """Ends a fault that lasts."""
         self.advance(now)
         if self.state == "tipped":
             return []
--- a/cottonspread/lab/wire.py
+++ b/cottonspread/lab/wire.py
@@ -1,8 +1,8 @@
-"""The line protocol as clients and hosts see it: parsers of the lab's own, so that a
-fault of the node's is not mirrored.
+"""The line protocol as clients and hosts see it.
 
-Every line ends with LF or CRLF and holds at most 4,096 bytes. Times in the lab are whole microseconds of one
-monotonic clock, unless a name says otherwise.
+The lab has parsers of its own, so that a bug in the node's parser does not go unnoticed. Every line ends with
+LF or CRLF and holds at most 4,096 bytes. Times in the lab are whole microseconds of one monotonic clock,
+unless a name says otherwise.
 """
 
 import time
@@ -12,29 +12,33 @@
 
 
 def now():
-    """Microseconds of CLOCK_MONOTONIC, which all processes of a machine share."""
+    """Returns the microseconds of CLOCK_MONOTONIC, which all processes of a machine share."""
     return time.monotonic_ns() // 1000
 
 
 class LineSplitter:
-    """Bytes in, whole lines out (without their ends); the same lines wherever the bytes are cut."""
+    """Splits received bytes into lines, wherever the bytes are split into reads."""
 
     __slots__ = ("rest",)
 
     def __init__(self):
+        """Starts with an empty buffer."""
         self.rest = b""
 
     def feed(self, data):
-        """All lines that `data` completes. ValueError if one is longer than the protocol allows."""
+        """Returns the lines that `data` completes, without their line ends.
+
+        ValueError if one is longer than the protocol allows.
+        """
         *whole, self.rest = (self.rest + data).split(b"\n")
         if len(self.rest) > MAX_LINE or any(len(line) > MAX_LINE for line in whole):
-            raise ValueError("a line of over 4,096 bytes")
+            raise ValueError("line longer than 4,096 bytes")
         return [line[:-1] if line.endswith(b"\r") else line for line in whole]
 
 
 @dataclass(frozen=True, slots=True)
 class OpenRequest:
-    """A connection's first line, as a host reads it."""
+    """A connection's first line, as a host parses it."""
 
     id: str
     key: str
@@ -46,18 +50,18 @@
 
 
 def parse_open(line):
-    """`OPEN ID KEY c=..,d=..`; ValueError names what is wrong."""
+    """Parses `OPEN ID KEY c=..,d=..`; ValueError names what is wrong."""
     words = line.split(b" ")
     if len(words) != 4 or words[0] != b"OPEN":
-        raise ValueError("no OPEN line of four words")
+        raise ValueError("not an OPEN line of four words")
     pairs = {}
     for part in words[3].split(b","):
         name, equals, value = part.partition(b"=")
         if not equals or name in pairs:
-            raise ValueError(f"{part!r} is no name and value, or comes twice")
+            raise ValueError(f"{part!r} is no name=value pair, or appears twice")
         pairs[name] = value.decode("ascii")
     if b"c" not in pairs or b"d" not in pairs and b"at" not in pairs:
-        raise ValueError("c or d is missing")
+        raise ValueError("pair c or d is missing")
     return OpenRequest(
         words[1].decode("ascii"),
         words[2].decode("ascii"),
@@ -70,13 +74,13 @@
 
 
 def format_open(call_id, key, traffic_type, wait_ms, group="", again=False, retry=False):
-    """A client's first line."""
+    """Returns a client's first line."""
     more = (f",g={group}" if group else "") + (",again=1" if again else "") + (",r=1" if retry else "")
     return f"OPEN {call_id} {key} c={traffic_type},d={wait_ms}{more}\r\n".encode()
 
 
 def parse_answer(line):
-    """What a line tells a client that waits: ("UP", receipt), ("BUSY", ms or 0) or ("other", text)."""
+    """Parses the answer to a first line: ("UP", receipt), ("BUSY", ms or 0) or ("other", text)."""
     word, _, rest = line.partition(b" ")
     if word == b"UP" and rest:
         return "UP", rest.decode("ascii", "replace")
