--- a/cottonspread/lab/__init__.py
+++ b/cottonspread/lab/__init__.py
@@ -1,4 +1,4 @@
-"""The lab: stand-in hosts, lists and clients on sockets, load, experiments and their audit.
+"""The lab: emulated hosts, server lists and clients on sockets, load generation, experiments and their audit.
 
 `serve` imports none of it.
 """
--- a/cottonspread/lab/acceptor.py
+++ b/cottonspread/lab/acceptor.py
@@ -1,5 +1,6 @@
-"""Answers every first line with UP by itself: what a generator can do is measured against
-something that does next to nothing.
+"""A node without hosts that answers every first line with UP itself.
+
+It does next to nothing, so that a load generator's own capacity can be measured against it.
 """
 
 import signal
@@ -9,9 +10,10 @@
 
 
 def run(address):
+    """Serves the address until SIGTERM."""
     limits.raise_descriptor_limit()
     loop, conns = Loop(), {}
-    loop.spin = 2_000_000  # always awake: a core that sleeps is a virtual machine's to be taken away
+    loop.spin = 2_000_000  # always busy-waiting: a hypervisor may take away a core that sleeps
     server_socket = listener(address, 4096, "acceptor")
 
     def accept(_):
@@ -22,7 +24,7 @@
                 return
             sock.setblocking(False)
             conns[sock] = None
-            read(sock)  # in most cases its line is here already
+            read(sock)  # in most cases its first line has arrived already
             if sock in conns:
                 loop.watch(sock, lambda _, sock=sock: read(sock))
 
--- a/cottonspread/lab/children.py
+++ b/cottonspread/lab/children.py
@@ -1,4 +1,4 @@
-"""The processes of a play: the lab's own (hosts, list, load) and single nodes."""
+"""The processes of a run: the lab's own (hosts, list, load) and single nodes."""
 
 import contextlib
 import ctypes
@@ -19,9 +19,10 @@
 
 
 class Child:
-    """A process of the lab's own."""
+    """A process of the lab's own, as the runner sees it."""
 
     def __init__(self, name, arguments, cores):
+        """Starts it. `arguments` of `cottonspread lab`; `cores`: the CPU set to run on, or None."""
         self.name = name
         self.process = subprocess.Popen(
             [sys.executable, "-m", "cottonspread", "lab", *arguments],
@@ -35,11 +36,12 @@
         self.rest, self.ready, self.error, self.counts, self.ended = b"", False, "", {}, False
 
     def send(self, line):
+        """Sends a command."""
         with contextlib.suppress(OSError):
             self.process.stdin.write(line.encode() + b"\n")
 
     def read(self):
-        """False at its end."""
+        """Reads what the process has reported; False once it has exited."""
         data = self.process.stdout.read(65536)
         if data is None:
             return True
@@ -57,16 +59,18 @@
 
 
 def prepare_child(cores):
+    """Runs in a child before exec: ties its life to the runner's and pins it to `cores`."""
     libc.prctl(PR_SET_PDEATHSIG, signal.SIGKILL)
-    os.setpgrp()  # a terminal's Ctrl-C is the runner's alone
+    os.setpgrp()  # a terminal's Ctrl-C goes to the runner alone
     if cores:
         os.sched_setaffinity(0, cores)
 
 
 class NodeProcess:
-    """One node, started anew after a stop or a kill."""
+    """A node, which can be restarted after a stop or a kill."""
 
     def __init__(self, run, number):
+        """`run`: the LabRun; `number`: the node's index in the plan."""
         self.run, self.number, self.node = run, number, run.plan.nodes[number]
         self.process, self.probe, self.up, self.wanted, self.cpu = None, None, False, True, 0.0
         self.max_rss = self.max_threads = self.max_fds = 0
@@ -74,23 +78,26 @@
 
     @property
     def admin_address(self):
-        """Another address with each start, for two processes of a node may be there at the same time."""
+        """The operators' address; it changes with each start, as two processes of a node may overlap."""
         return self.node.ip, 20000 + 10 * self.number + self.starts % 10
 
     def admin_call(self, word):
+        """Sends an operators' call; tells whether it succeeded."""
         with socket.create_connection(self.admin_address, timeout=1) as sock:
             sock.sendall(word.encode() + b"\n")
             return sock.recv(16).startswith(b"200")
 
     def is_healthy(self):
+        """Tells whether the node reports that it is healthy."""
         try:
             return self.admin_call("health")
         except OSError:
             return False
 
     def inheritance(self):
-        """The environment and the descriptors of a process that is to be
-        replaced: the lab holds its socket then.
+        """Returns the environment and the descriptors that a process inherits.
+
+        If the plan replaces the node, the lab holds its listening socket and passes it on to each process.
         """
         if not any(f.kind == "replace" and self.node.name in f.on for f in self.run.plan.faults):
             return {}, ()
@@ -103,12 +110,13 @@
         )
 
     def reload_settings(self):
-        """One more traffic type, and other limits."""
+        """Reloads the node with one more traffic type and other limits."""
         self.settings_version += 1
         self.write_config()
         self.signal(signal.SIGHUP)
 
     def write_config(self):
+        """Writes the node's configuration and returns the file's path."""
         path = os.path.join(self.run.folder, f"{self.node.name}.json")
         with open(path + ".new", "w", encoding="utf-8") as file:
             json.dump(node_config.build(self.run.plan, self.number, self.settings_version), file, indent=1)
@@ -116,6 +124,7 @@
         return path
 
     def start(self):
+        """Starts the node's process."""
         plan, x = self.run.plan, self.run.plan.experiment
         path, (environment, kept) = self.write_config(), self.inheritance()
         self.starts += 1
@@ -142,6 +151,7 @@
         self.run.record_event("started", self)
 
     def answers_ping(self):
+        """Tells whether the node answers a PING with PONG."""
         try:
             with socket.create_connection((self.node.ip, self.node.port), timeout=0.3) as sock:
                 sock.sendall(b"PING\r\n")
@@ -150,11 +160,12 @@
             return False
 
     def signal(self, number):
+        """Sends a signal to the process, if it runs."""
         if self.process.poll() is None:
             self.process.send_signal(number)
 
     def sample(self):
-        """CPU seconds since the last sample, resident bytes, threads and descriptors."""
+        """Returns CPU seconds since the last sample, resident megabytes, threads and descriptors."""
         try:
             with self.probe.oneshot():
                 times, memory = self.probe.cpu_times(), self.probe.memory_info().rss
--- a/cottonspread/lab/experiment.py
+++ b/cottonspread/lab/experiment.py
@@ -1,4 +1,4 @@
-"""Experiments: plays of an experiment's variants in turn (A B A B), their results side by side."""
+"""Runs an experiment's variants alternately (A B A B) and compares their results."""
 
 import os
 import sys
@@ -15,16 +15,16 @@
 
 
 def run(file, out, seconds=None, repeats=None, quiet=False, max_repeats=2):
-    """Plays all; exit code 0, or 1 if a rule was broken, 3 if a play is not usable.
+    """Runs all variants; returns the exit code: 0, 1 if a rule was broken, 3 if a run is not usable.
 
-    A play whose generator was late is played anew, `max_repeats` times at most; what it left is kept.
+    A run whose load generator was late is repeated, `max_repeats` times at most; its folder is kept.
     """
     x = plans.read(file)
     if seconds:
         x = plans.check(msgspec.structs.replace(x, seconds=seconds))
     variants = x.variants or [plans.Variant(name="only")]
     if os.path.exists(os.path.join(out, "0-" + variants[0].name)):
-        raise plans.PlanError(f"--out {out}: holds plays already")
+        raise plans.PlanError(f"--out {out}: already holds runs")
     results_by_variant = {v.name: [] for v in variants}
     console, cut = Console(stderr=True), ""
     for repeat in range(repeats or x.repeats):
@@ -39,7 +39,7 @@
                 if lab_run.cut or result.lateness.p999 <= MAX_LATENESS or attempt == max_repeats:
                     break
                 print(
-                    "\n".join(results.summary_lines(result)) + "\nplayed anew: the generator was late",
+                    "\n".join(results.summary_lines(result)) + "\nrepeated: the load generator was late",
                     flush=True,
                 )
                 os.rename(folder, os.path.join(out, f"late{attempt}-{repeat}-{variant.name}"))
@@ -61,7 +61,7 @@
 
 
 def run_with_progress(lab_run, console):
-    """Its progress is shown on the console, if there is one."""
+    """Runs and shows the progress on the console, if there is one."""
     if console is None:
         lab_run.run()
         return
@@ -71,6 +71,7 @@
 
 
 def progress(lab_run, line):
+    """Returns a table of a sample of the timeline."""
     table = Table(
         title=f"{lab_run.plan.experiment.name} {lab_run.plan.variant.name}, {line['s']} of "
         f"{lab_run.plan.experiment.seconds + lab_run.plan.experiment.settle_s:.0f} s"
@@ -93,10 +94,11 @@
 
 
 def compare(a, b):
+    """Compares two runs or folders of runs; returns the exit code: 0, or 3 if a run is not usable."""
     pairs = list(zip(results.read_all(a), results.read_all(b), strict=False))
     for one, other in pairs:
         if one.schedule_sha256 != other.schedule_sha256:
-            print(f"seeds {one.seed} and {other.seed}: schedules differ: no pair", file=sys.stderr)
+            print(f"seeds {one.seed} and {other.seed}: schedules differ: not comparable", file=sys.stderr)
         if not (one.usable and other.usable):
             print(f"seed {one.seed}: not usable: {one.reasons + other.reasons}", file=sys.stderr)
     print_comparison(pairs, a, b)
@@ -104,8 +106,9 @@
 
 
 def print_comparison(pairs, a, b):
-    table = Table(title=f"{a} beside {b}: pairs in turn, {b} over {a} pair by pair")
-    for name in ("figure", a, b, "ratios", "median"):
+    """Prints a table of the metrics of pairs of runs."""
+    table = Table(title=f"{a} compared with {b}: alternating runs, ratio {b} / {a} of each pair")
+    for name in ("metric", a, b, "ratios", "median"):
         table.add_column(name)
     for name, values, median in results.compare(pairs):
         table.add_row(
--- a/cottonspread/lab/fleet.py
+++ b/cottonspread/lab/fleet.py
@@ -1,4 +1,4 @@
-"""Nodes that a fleet's supervisor runs, in the place of nodes that the lab runs one by one."""
+"""Nodes that a fleet supervisor runs, instead of nodes that the lab runs one by one."""
 
 import json
 import os
@@ -19,19 +19,21 @@
 
 
 class FleetProcess:
-    """`fleet run` over the operator's file of this run, and the commands that are given to it."""
+    """The supervisor (`fleet run`) of this run's nodes, and the commands that it is given."""
 
     def __init__(self, run):
+        """`run`: the LabRun."""
         self.run, self.process, self.running, self.changes, self.commands = run, None, False, 0, []
         self.path = os.path.join(run.folder, "operator.toml")
         self.template = os.path.join(run.folder, "node.json")
         self.state = os.path.join(run.folder, "s")
-        self.last_status = 0.0, {}  # a status, and when it was told
+        self.last_status = 0.0, {}  # when the last status was read, and the status
 
     def write(self):
+        """Writes the operator's file and the template of the nodes' configuration."""
         plan, first = self.run.plan, self.run.nodes[0]
         config = node_config.build(self.run.plan, first.number)
-        config["settings"]["Limits"]["MaxRetryAfter"] -= self.changes % 2  # what a reload is to find changed
+        config["settings"]["Limits"]["MaxRetryAfter"] -= self.changes % 2  # a change for a reload
         with open(self.template, "w", encoding="utf-8") as file:
             json.dump(config, file, indent=1)
         keys = {
@@ -50,6 +52,7 @@
             )
 
     def command_line(self, *arguments):
+        """Returns Popen's arguments for a `fleet` command."""
         checkout = self.run.plan.variant.checkout or self.run.plan.experiment.nodes.checkout or ROOT
         return {
             "args": [sys.executable, "-m", "cottonspread", "fleet", *arguments, "--operator", self.path],
@@ -59,6 +62,7 @@
         }
 
     def start(self):
+        """Starts the supervisor if it does not run."""
         if self.running:
             return
         self.running = True
@@ -69,6 +73,7 @@
             )
 
     def command(self, kind, *arguments):
+        """Starts a `fleet` command; `poll_commands` records its end."""
         self.commands.append(
             (
                 kind,
@@ -84,11 +89,12 @@
         self.record_event(kind)
 
     def record_event(self, kind, **more):
+        """Writes an event of the fleet to the record."""
         self.run.record.put({"k": kind, "t": now(), "node": "", **more})
         self.run.record.flush()
 
     def poll_commands(self):
-        """Which commands have ended, and how."""
+        """Records the commands that have ended."""
         for one in list(self.commands):
             kind, started_at, process = one
             if process.poll() is not None:
@@ -105,7 +111,7 @@
         self.run.at(now() + SECOND // 20, self.poll_commands)
 
     def status(self):
-        """What each instance is said to do; {} while no supervisor answers."""
+        """Returns the supervisor's status by node; {} while no supervisor answers."""
         try:
             with socket.socket(socket.AF_UNIX) as sock:
                 sock.settimeout(2)
@@ -119,13 +125,15 @@
             return {}
 
     def inject_node_fault(self, node, fault):
+        """Kills or stops one instance."""
         if fault.kind == "kill":
             self.run.record_event("killed", node)
             node.signal(signal.SIGKILL)
-        else:  # the supervisor's way to stop one
+        else:  # a stop: by the supervisor, which restarts the instance
             self.command("restart", "restart", node.node.name.replace("n", "n-"))
 
     def inject_fault(self, fault):
+        """Injects a fault of the whole fleet."""
         if not self.commands:
             self.run.at(now() + SECOND // 20, self.poll_commands)
         if fault.kind == "fleet-reload":
@@ -142,7 +150,7 @@
             self.process.wait()
             self.running = False
             self.start()
-        else:  # fleet-stop, and a new start
+        else:  # fleet-stop, and a start afterwards
             self.record_event("fleet-stop")
             self.process.send_signal(signal.SIGTERM)
             for node in self.run.nodes:
@@ -152,10 +160,12 @@
             self.run.at(now() + round(fault.seconds * SECOND), self.restart)
 
     def notify_down(self):
+        """Tells the load processes that all nodes are down."""
         for node in self.run.nodes:
             self.run.notify_load("down", node)
 
     def restart(self):
+        """Starts the supervisor again once it has exited."""
         if self.process.poll() is None:
             self.run.at(now() + 50_000, self.restart)
             return
@@ -167,7 +177,7 @@
             self.run.at(now() + 50_000, self.run.add_when_up, node, 0)
 
     def clean_up(self):
-        """After the end: nobody is left, or it is said."""
+        """Stops the supervisor and its instances at the run's end, and reports a failure to stop."""
         for _, _, process in self.commands:
             process.kill()
             process.communicate()
@@ -185,18 +195,22 @@
                 for pid in pids:
                     os.kill(pid, signal.SIGKILL)
         if self.process.returncode:
-            self.run.reasons.append(f"fleet run ended with {self.process.returncode}, see fleet.log")
+            self.run.reasons.append(
+                f"fleet run ended with exit code {self.process.returncode}, see fleet.log"
+            )
 
 
 class FleetNode(NodeProcess):
-    """One instance, looked at from outside."""
+    """A node that is an instance of the fleet."""
 
     def start(self):
+        """Starts the supervisor, which starts the instance."""
         self.run.fleet.start()
         self.up, self.probe = False, None
 
     @property
     def process(self):
+        """The supervisor's process."""
         return self.run.fleet.process
 
     @process.setter
@@ -204,20 +218,22 @@
         pass
 
     def pid(self):
+        """Returns the instance's process id, or None."""
         return self.run.fleet.status().get(self.node.name, {}).get("pid")
 
     def signal(self, number):
-        """To the instance; at the play's end the supervisor stops them all."""
+        """Sends a signal to the instance; at the run's end the supervisor stops all instances."""
         pid = self.pid()
         if not self.wanted:
-            if number == signal.SIGTERM and self.number == 0:  # a second one would hurry it
+            if number == signal.SIGTERM and self.number == 0:  # a second SIGTERM would cut its shutdown short
                 self.run.fleet.process.send_signal(signal.SIGTERM)
         elif pid:
             os.kill(pid, number)
 
     def sample(self):
+        """Returns the instance's usage, as NodeProcess.sample does."""
         fleet = self.run.fleet
-        if time.monotonic() - fleet.last_status[0] > 0.5:  # one for all nodes
+        if time.monotonic() - fleet.last_status[0] > 0.5:  # one status for all nodes
             fleet.last_status = time.monotonic(), fleet.status()
         pid = fleet.last_status[1].get(self.node.name, {}).get("pid")
         if pid and (self.probe is None or self.probe.pid != pid):
--- a/cottonspread/lab/limits.py
+++ b/cottonspread/lab/limits.py
@@ -1,4 +1,4 @@
-"""Limits that a run would meet, told before it begins: descriptors, local ports, cores."""
+"""Checks before a run whether it fits the machine's limits: descriptors, local ports, cores."""
 
 import fcntl
 import os
@@ -13,10 +13,11 @@
 
 
 class LimitExceededError(ValueError):
-    """The run would not fit; the message names the limit, what is needed and what there is."""
+    """The run would not fit; the message names the limit, what is needed and what is available."""
 
 
 def local_port_count():
+    """Returns the number of ephemeral ports."""
     try:
         with open(PORT_RANGE_FILE) as file:
             low, high = map(int, file.read().split())
@@ -26,10 +27,10 @@
 
 
 def raise_descriptor_limit():
-    """To the hard limit; that limit.
+    """Raises the limit of open descriptors to the hard limit and returns it.
 
-    The kernel's table of them grows here at once: each time that it grows in a process with threads, whoever
-    opens the next one waits for every core (10 to 25 ms, seen as late calls).
+    The kernel's descriptor table is grown here in advance: each time that it grows in a process with threads,
+    the thread that opens the next descriptor waits for every core (10 to 25 ms, seen as late calls).
     """
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     if soft != hard:
@@ -39,13 +40,13 @@
 
 
 def max_established(schedule, settle_us=2_000_000):
-    """How many of the first calls stand at once at most, each from its time to its life's end."""
+    """Returns how many first calls are open at a time at most, each until the end of its life."""
     starts, ends = schedule.at, np.sort(schedule.at + schedule.life + settle_us)
     return int((np.arange(1, len(starts) + 1) - np.searchsorted(ends, starts)).max()) if len(starts) else 0
 
 
 def check(plan, schedule, hard=None, local_ports=None, cores=None):
-    """What is to be said of cores, a list of lines; LimitExceededError if descriptors or ports cannot do."""
+    """Returns warnings about cores; LimitExceededError if there are too few descriptors or local ports."""
     x = plan.experiment
     hard, local_ports = hard or raise_descriptor_limit(), local_ports or local_port_count()
     established = max_established(schedule)
@@ -53,19 +54,19 @@
     need = established // x.load.processes + RESERVED_DESCRIPTORS
     if need > hard:
         raise LimitExceededError(
-            f"descriptors: {need} connections stand at once in each of {x.load.processes} load processes, "
+            f"descriptors: {need} simultaneous connections in each of {x.load.processes} load processes, "
             f"and the limit of open files (ulimit -Hn) is {hard}: "
             f"raise load.processes to {established // (hard - RESERVED_DESCRIPTORS) + 1}"
         )
     need = established // x.hosts.processes + RESERVED_DESCRIPTORS
     if need > hard and x.audited:
         raise LimitExceededError(
-            f"descriptors: {need} connections stand at once in each of {x.hosts.processes} host processes, "
+            f"descriptors: {need} simultaneous connections in each of {x.hosts.processes} host processes, "
             f"and the limit of open files (ulimit -Hn) is {hard}: "
             f"raise hosts.processes to {established // (hard - RESERVED_DESCRIPTORS) + 1}"
         )
-    # A port is taken from its connection's begin until a minute after its end, for
-    # each pair of local address and node.
+    # A port is in use from the start of its connection until a minute after its end, separately for each pair
+    # of local address and node.
     ends = schedule.at + TIME_WAIT * 1_000_000
     ports_used = (
         int((np.arange(1, len(ends) + 1) - np.searchsorted(ends, schedule.at)).max()) if len(ends) else 0
@@ -74,7 +75,7 @@
     pairs = len(plan.sources) * len(plan.nodes)
     if ports_used / pairs > local_ports * 0.9:
         raise LimitExceededError(
-            f"local ports: {ports_used} are taken within a minute from {len(plan.sources)} addresses "
+            f"local ports: {ports_used} are in use within a minute from {len(plan.sources)} addresses "
             f"to {len(plan.nodes)} nodes, and ip_local_port_range gives {local_ports} for each pair: "
             "raise load.sources to "
             f"{int(ports_used / (local_ports * 0.9) / len(plan.nodes) / x.load.processes) + 1}"
@@ -82,7 +83,7 @@
     cores = cores or os.cpu_count()
     process_count = x.load.processes + x.hosts.processes + x.nodes.count
     return (
-        [f"{process_count} processes share {cores} cores: figures of the nodes may tell of that"]
+        [f"{process_count} processes share {cores} cores, which may distort the measurements of the nodes"]
         if process_count > cores
         else []
     )
