--- a/cottonspread/lab/loop.py
+++ b/cottonspread/lab/loop.py
@@ -1,8 +1,8 @@
-"""One thread's sockets and timers, on epoll with waits in microseconds.
+"""An event loop for one thread's sockets and timers, on epoll with waits in microseconds.
 
-Python's epoll waits whole milliseconds, which alone would break the limit on lateness, so the wait
-is a `select` on the epoll descriptor. Between any two socket events the timers that are due come
-first: intended times go before all.
+Python's epoll waits whole milliseconds, which alone would exceed the limit on the generator's lateness, so
+the loop waits by a `select` on the epoll descriptor. Timers that are due run before the next socket event:
+intended times have priority.
 """
 
 import gc
@@ -19,41 +19,50 @@
 
 
 class Loop:
+    """The event loop. Times are microseconds of the monotonic clock."""
+
     def __init__(self):
+        """Create it before the thread's sockets: `select` takes only descriptors under 1024."""
         self.poll = select.epoll()
         if self.poll.fileno() >= 1024:
-            raise RuntimeError("a loop is made before its sockets: select takes descriptors under 1024 only")
+            raise RuntimeError("create the loop before its sockets: select takes only descriptors under 1024")
         self.handlers, self.timers, self.sequence, self.stopped = {}, [], 0, False
-        self.spin = 0  # microseconds before a timer that are spent awake; a sleep ends 0.1 ms late
+        self.spin = 0  # microseconds before a timer from which on it busy-waits; a sleep ends 0.1 ms late
 
     def at(self, when, callback, *args):
+        """Calls `callback(*args)` at the time `when`."""
         self.sequence += 1
         heapq.heappush(self.timers, (when, self.sequence, callback, args))
 
     def watch(self, sock, callback, mask=IN):
-        """`callback(mask)` is called when the socket has something for it."""
+        """Calls `callback(mask)` whenever the socket (or descriptor) has an event of the mask."""
         fd = sock if isinstance(sock, int) else sock.fileno()
         self.handlers[fd] = callback
         self.poll.register(fd, mask)
 
     def set_mask(self, sock, mask):
+        """Changes the events that a watched socket waits for."""
         self.poll.modify(sock.fileno(), mask)
 
     def unwatch(self, sock):
+        """Stops watching a socket or descriptor."""
         fd = sock if isinstance(sock, int) else sock.fileno()
         if self.handlers.pop(fd, None) is not None:
             self.poll.unregister(fd)
 
     def stop(self):
+        """Makes `run` return."""
         self.stopped = True
 
     def run_due_timers(self):
+        """Calls the callbacks of all timers that are due."""
         timers = self.timers
         while timers and timers[0][0] <= now() and not self.stopped:
             _, _, callback, args = heapq.heappop(timers)
             callback(*args)
 
     def run(self):
+        """Runs timers and socket callbacks until `stop`."""
         own = [self.poll.fileno()]
         while not self.stopped:
             self.run_due_timers()
@@ -68,9 +77,9 @@
                     self.run_due_timers()
 
     def read_parent_commands(self, on_command):
-        """Orders come as lines on standard input; `on_command(words)` for each.
+        """Calls `on_command(words)` for each line on standard input.
 
-        Its end ends this process: nothing outlives whoever started it.
+        The end of standard input stops the loop, so that the process does not outlive its parent.
         """
         rest = [b""]
         os.set_blocking(0, False)
@@ -92,7 +101,7 @@
 
 
 def listener(address, backlog, owner):
-    """A listening socket that does not block; OSError names whose address it was."""
+    """Returns a non-blocking listening socket; OSError names the owner of the address."""
     sock = socket.socket()
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     try:
@@ -106,12 +115,16 @@
 
 
 def send_to_parent(line):
+    """Writes a line to standard output, which the parent process reads."""
     sys.stdout.write(line + "\n")
     sys.stdout.flush()
 
 
 def disable_gc():
-    """A full collection pauses for milliseconds; the lab's objects are freed by their counts."""
+    """Disables the cyclic garbage collector: a full collection pauses the process for milliseconds.
+
+    The lab's objects are freed by their reference counts.
+    """
     gc.collect()
     gc.freeze()
     gc.disable()
--- a/cottonspread/lab/node_config.py
+++ b/cottonspread/lab/node_config.py
@@ -1,8 +1,8 @@
-"""What a plan's nodes are configured with: on sockets a file, in simulated time the same values."""
+"""The configuration of a plan's nodes, the same on sockets (as a file) and in simulated time."""
 
 
 def settings(plan, number):
-    """A node's settings, in the platform's words, from what the experiment says of hosts and load."""
+    """Returns a node's settings, by the platform's keys, derived from the experiment's hosts and load."""
     x, t = plan.experiment, plan.experiment.hosts.traits
     effects = {"repeatable": "safe", "referenced": "keyed", "once-only": "unsafe"}
     out = {
@@ -52,6 +52,7 @@
 
 
 def merged(base, override):
+    """Returns `base` with the values of `override`, merged recursively."""
     return {
         **base,
         **{
@@ -62,16 +63,16 @@
 
 
 def build(plan, number, settings_version=0):
-    """A node's whole configuration.
+    """Returns a node's whole configuration.
 
-    `settings_version`: how often it got other settings, each with a type more and another limit on legs.
+    `settings_version`: how often the settings were changed; each change adds a traffic type and changes the
+    limit on legs.
     """
     x, node = plan.experiment, plan.nodes[number]
     settings_values = settings(plan, number)
     first = settings_values["TrafficTypes"][0]
     settings_values["TrafficTypes"] += [first | {"Name": f"later-{n}"} for n in range(settings_version)]
     settings_values["Limits"]["MostLegs"] += settings_version % 2
-    # what the lab's hosts mean by LOAD
     return {
         "name": node.name,
         "listen": f"{node.ip}:{node.port}",
@@ -82,5 +83,5 @@
             "sockets": plan.variant.sockets or x.nodes.sockets,
         },
         "settings": settings_values,
-        "load_lines": "loads",
+        "load_lines": "loads",  # what the lab's hosts report by LOAD
     }
--- a/cottonspread/lab/record.py
+++ b/cottonspread/lab/record.py
@@ -1,6 +1,6 @@
-"""What clients, hosts, the list and the runner saw: JSON Lines, one file a process.
+"""The records that clients, hosts, the list and the runner write: JSON Lines, one file per process.
 
-A last line cut off by a kill is passed over.
+An incomplete last line, left by a killed process, is ignored.
 """
 
 import glob
@@ -15,12 +15,13 @@
 
 
 class Record:
-    """Appends lines; handed out to be written when much has come together, at `flush` and at `close`.
+    """Appends lines to a file; they are written when the buffer is full, at `flush` and at `close`.
 
-    A thread of its own writes: a disk that commits its journal held a generator up for 15 ms.
+    A separate thread writes, because a disk that committed its journal delayed a load generator by 15 ms.
     """
 
     def __init__(self, path):
+        """Opens the file and starts the thread."""
         self.file, self.encode = io.FileIO(path, "ab"), msgspec.json.Encoder().encode
         self.buffer, self.size = [], 0
         self.queue = queue.SimpleQueue()
@@ -28,6 +29,7 @@
         self.writer.start()
 
     def put(self, line):
+        """Adds a line."""
         data = self.encode(line)
         self.buffer.append(data)
         self.size += len(data)
@@ -35,15 +37,18 @@
             self.flush()
 
     def flush(self):
+        """Passes the buffered lines on to be written."""
         if self.buffer:
             self.queue.put(self.buffer)
             self.buffer, self.size = [], 0
 
     def write_loop(self):
+        """Writes lines until `close`; runs in a thread of its own."""
         while (lines := self.queue.get()) is not None:
             self.file.write(b"\n".join(lines) + b"\n")
 
     def close(self):
+        """Writes what is left and closes the file."""
         self.flush()
         self.queue.put(None)
         self.writer.join()
@@ -51,7 +56,7 @@
 
 
 def read(folder, kind):
-    """All lines of the files `kind-*.jsonl` of a folder, each file in its order."""
+    """Yields all lines of a folder's files `kind-*.jsonl`, file by file."""
     decode = msgspec.json.Decoder().decode
     for path in sorted(glob.glob(os.path.join(folder, f"{kind}-*.jsonl"))):
         with open(path, "rb") as file:
--- a/cottonspread/lab/report.py
+++ b/cottonspread/lab/report.py
@@ -1,4 +1,4 @@
-"""`report.html` of a folder of plays: one file, plots inside, that opens without a network."""
+"""Writes `report.html` for a folder of runs: one file with embedded plots, readable without a network."""
 
 import base64
 import io
@@ -10,7 +10,7 @@
 from cottonspread.lab import results
 
 matplotlib.use("Agg")
-import matplotlib.pyplot as plt  # noqa: E402  the backend is chosen first
+import matplotlib.pyplot as plt  # noqa: E402  the backend must be chosen first
 
 PAGE = jinja2.Environment(autoescape=True).from_string("""<!doctype html>
 <meta charset="utf-8"><title>{{ title }}</title>
@@ -40,7 +40,10 @@
 
 
 def plot(result):
-    """Rates, latency, connections by server and what the nodes used, over one time axis; faults marked."""
+    """Plots rates, latency, connections by host and the nodes' usage over time, with the faults marked.
+
+    Returns the PNG image in base64.
+    """
     lines = result.timeline
     s = [line["s"] for line in lines]
     figure, axes = plt.subplots(5, 1, figsize=(11, 15), sharex=True)
@@ -98,7 +101,7 @@
 
 
 def write(folder):
-    """Makes `report.html` in the folder; its path. Replaced whole: a reader never meets half a page."""
+    """Writes `report.html` into the folder, atomically, and returns its path."""
     plays = results.read_all(folder)
     path = os.path.join(folder, "report.html")
     with open(path + ".new", "w", encoding="utf-8") as file:
--- a/cottonspread/lab/run.py
+++ b/cottonspread/lab/run.py
@@ -36,6 +36,7 @@
     """One run of an experiment. Its timer callbacks run between samples, in the runner's own thread."""
 
     def __init__(self, experiment, variant, seed, folder, on_sample=None):
+        """`on_sample(run, line)` is called with each line of the timeline."""
         self.plan = plans.make(experiment, variant, seed)
         self.folder, self.on_sample, self.cut, self.reasons = os.path.abspath(folder), on_sample, "", []
         self.children, self.nodes, self.timeline, self.timers, self.sequence = [], [], [], [], 0
--- a/cottonspread/lab/selfcheck.py
+++ b/cottonspread/lab/selfcheck.py
@@ -1,8 +1,8 @@
-"""The generator against an echoing server with a known delay, timed by that server's own receive times.
+"""Checks the load generator's measurements against a server of known delay that takes its own times.
 
-The server notes when a call's first line came, waits the known delay, answers, and notes when it did. What
-the generator reports (intended time to UP) and what the server saw (intended time to its answer) must agree:
-both read one monotonic clock, and the two share no line of code on the way.
+The server records when a call's first line arrived, waits the known delay, answers, and records when it did.
+The latency that the generator reports (from the intended time to UP) and the one that the server measured
+(from the intended time to its answer) must agree: both read the same monotonic clock, but share no code.
 """
 
 import os
@@ -22,18 +22,20 @@
 from cottonspread.lab.results import decode_histogram
 from cottonspread.lab.wire import now
 
-MAX_ERROR = 1000  # microseconds
+MAX_ERROR = 1000  # microseconds; also the limit on the generator's lateness at p99.9
 
 
 class DelayedServer(threading.Thread):
     """Answers each first line after `delay` microseconds; `seen` holds (id, received, answered)."""
 
     def __init__(self, address, delay):
+        """Listens on the address."""
         super().__init__(daemon=True)
         self.listener = socket.create_server(address, backlog=4096)
         self.delay, self.seen, self.stopped = delay, [], False
 
     def run(self):
+        """Serves until `stopped` is set."""
         poll, conns, waiting = select.epoll(), {}, []
         self.listener.setblocking(False)
         poll.register(self.listener, select.EPOLLIN)
@@ -52,6 +54,7 @@
                     self.answer(conns[fd], name, received)
 
     def accept(self, poll, conns):
+        """Accepts a connection."""
         try:
             sock = self.listener.accept()[0]
         except BlockingIOError:
@@ -61,6 +64,7 @@
         poll.register(sock, select.EPOLLIN)
 
     def read(self, poll, conns, fd, waiting):
+        """Reads a first line and schedules its answer."""
         received = now()
         try:
             data = conns[fd].recv(4096)
@@ -73,6 +77,7 @@
             waiting.append((received + self.delay, fd, data.split(b" ")[1].decode(), received))
 
     def answer(self, sock, name, received):
+        """Answers a call and records the times."""
         answered = now()
         try:
             sock.send(b"UP 1\r\n")
@@ -82,8 +87,9 @@
 
 
 def measure(rate, seconds, delay_ms):
-    """(by the generator, by the server, the generator's lateness p99.9): from the
-    intended time to the answer, microseconds.
+    """Measures the latencies of a load, in microseconds from each call's intended time to its answer.
+
+    Returns (as the generator measured them, as the server did, the generator's lateness at p99.9).
     """
     load = plans.Load(
         shapes=[plans.Shape(kind="poisson", rate=rate)],
@@ -145,22 +151,27 @@
 
 
 def main(rate, seconds, delay_ms):
+    """Prints the comparison; exit code 1 if the two differ by more than 1 ms for any call."""
     by_generator, by_server, lateness = measure(rate, seconds, delay_ms)
     print(f"{len(by_generator)} calls at {rate:g} a second, answered after {delay_ms:g} ms")
-    difference = np.abs(by_generator - by_server)  # call by call: no two errors make up for each other
+    difference = np.abs(by_generator - by_server)  # call by call, so that errors cannot cancel out
     for name, p in (("p50", 50), ("p99", 99), ("max", 100)):
         a, b, c = (float(np.percentile(x, p)) for x in (by_generator, by_server, difference))
         print(
             f"{name}: generator {a / 1000:.3f} ms, server {b / 1000:.3f} ms; "
-            f"the same call apart by {c:.0f} us at {name}"
+            f"difference for the same call {c:.0f} us at {name}"
         )
     over = difference.max() > MAX_ERROR
     print(
-        "over 1 ms apart: not to be trusted" if over else "agrees within 1 ms for every call",
+        "differs by more than 1 ms: not reliable" if over else "agrees within 1 ms for every call",
         file=sys.stderr if over else sys.stdout,
     )
     print(
         f"generator late, p99.9: {lateness} us"
-        + (f", over {MAX_ERROR}: a run like this would not be used" if lateness > MAX_ERROR else "")
+        + (
+            f", over {MAX_ERROR}: the results of a run like this would be invalid"
+            if lateness > MAX_ERROR
+            else ""
+        )
     )
     return 1 if over else 0
--- a/cottonspread/lab/stub_node.py
+++ b/cottonspread/lab/stub_node.py
@@ -1,7 +1,8 @@
-"""Stand-in nodes for the lab itself: one that relays honestly, and ones that break a rule on purpose.
+"""Stub nodes that test the lab itself: one that relays correctly, and ones that break a rule on purpose.
 
-They prove the ledger: an audit that has never found anything proves little. Threads and blocking sockets;
-each client goes to the servers in turn. `sabotage` names what is done to every third call or so.
+They show that the audit finds violations: one that has never found any proves little. They use threads and
+blocking sockets and assign clients to the hosts in turn. `sabotage` names the rule that is broken, in most
+cases for every third call.
 """
 
 import contextlib
@@ -29,7 +30,10 @@
 
 
 class StubNode:
+    """A node that breaks the rule named by `sabotage`."""
+
     def __init__(self, config, sabotage):
+        """`config`: a node's configuration."""
         self.sabotage, self.servers, self.state, self.count, self.lock = sabotage, {}, {}, 0, threading.Lock()
         self.discovery, self.cold_host = config["discovery"], None
         host, _, port = config["listen"].rpartition(":")
@@ -37,6 +41,7 @@
         self.guards = {t["Name"]: t["GuardTime"] / 1000 for t in config["settings"]["TrafficTypes"]}
 
     def follow_list(self):
+        """Watches the server list; runs in a thread of its own."""
         version = None
         while True:
             query = "" if version is None else f"?since={version}&timeout_ms=5000"
@@ -57,6 +62,7 @@
                 self.servers[entry["instanceId"]] = host, int(port)
 
     def choose(self, number, exclude=()):
+        """Returns the name of the host for a call of this number, or None."""
         candidates = sorted(
             n
             for n in self.servers
@@ -70,12 +76,14 @@
         return candidates[number % len(candidates)] if candidates else None
 
     def run(self):
+        """Accepts connections for ever."""
         threading.Thread(target=self.follow_list, daemon=True).start()
         while True:
             sock, _ = self.listener.accept()
             threading.Thread(target=self.client, args=(sock,), daemon=True).start()
 
     def client(self, sock):
+        """Serves a client; runs in a thread of its own."""
         try:
             with sock:
                 self.serve(sock)
@@ -83,6 +91,7 @@
             pass
 
     def serve(self, sock):
+        """Serves a client's connection until its end."""
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         first = self.first_line(sock)
         if not first:
@@ -93,7 +102,7 @@
         with self.lock:
             self.count += 1
             number = self.count
-        sabotage = self.sabotage if number % 3 == 0 else ""  # it strikes every third call
+        sabotage = self.sabotage if number % 3 == 0 else ""  # every third call
         if self.sabotaged_before_leg(sock, first, sabotage):
             return
         name = self.choose(number)
@@ -108,7 +117,7 @@
 
     @staticmethod
     def first_line(sock):
-        """b"" if the client ended before."""
+        """Reads the first line; b"" if the client closed the connection before."""
         first = b""
         while not first.endswith(b"\n"):
             got = sock.recv(4096)
@@ -118,7 +127,7 @@
         return first
 
     def sabotaged_before_leg(self, sock, first, sabotage):
-        """The sabotages that need no host; whether it was one of them."""
+        """Carries out the sabotages that need no host; tells whether it was one of them."""
         if sabotage == "invented":
             sock.sendall(b"UP 123\r\n")
         elif sabotage == "late":
@@ -128,7 +137,7 @@
         return sabotage in ("lost", "invented", "late")
 
     def set_up(self, sock, first, sabotage, number, name):
-        """A leg, and what becomes of it."""
+        """Opens a leg and passes its answer on to the client."""
         try:
             other, file = self.leg(name, first)
         except OSError:
@@ -141,7 +150,7 @@
         except OSError:
             answer = b"ERR\r\n"
         if sabotage in ("again", "rejected"):
-            other.close()  # it has run; its answer is thrown away
+            other.close()  # the call has run; its answer is dropped
             if sabotage == "rejected":
                 sock.sendall(b"BUSY\r\n")
                 return
@@ -154,7 +163,7 @@
                 self.relay_both_ways(sock, other, file, sabotage)
 
     def relay_both_ways(self, sock, other, file, sabotage):
-        """Lines go both ways until one side ends."""
+        """Relays lines in both directions until one side closes."""
         if sabotage == "cut":
             time.sleep(0.1)
             return
@@ -164,6 +173,7 @@
                 sock.sendall(data)
 
     def leg(self, name, first):
+        """Connects to a host and sends the first line; returns the socket and a file to read from it."""
         sock = socket.create_connection(self.servers[name], timeout=5)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         sock.settimeout(None)
@@ -172,6 +182,7 @@
 
     @staticmethod
     def relay(source, target):
+        """Relays bytes in one direction."""
         try:
             while data := source.recv(65536):
                 target.sendall(data)
@@ -182,6 +193,6 @@
 
 
 def main(sabotage):
-    """Configured as a node is, by $PROXY_CONFIG."""
+    """Runs a stub node, configured by $PROXY_CONFIG as a node is."""
     with open(os.environ["PROXY_CONFIG"], encoding="utf-8") as file:
         StubNode(json.load(file), sabotage).run()
--- a/cottonspread/lab/trace.py
+++ b/cottonspread/lab/trace.py
@@ -1,6 +1,6 @@
-"""Recorded connections, in and out: JSON Lines compressed with zstandard.
+"""Reads and writes traces of recorded connections: JSON Lines compressed with zstandard.
 
-A bad line is named by its number, and nothing is half loaded.
+An error names the number of the invalid line; a trace with an invalid line is not loaded at all.
 """
 
 import io
@@ -14,21 +14,21 @@
 
 
 class Entry(msgspec.Struct, forbid_unknown_fields=True, kw_only=True):
-    """One connection."""
+    """One recorded connection."""
 
-    at_us: int  # after the trace's start
+    at_us: int  # microseconds after the trace's start
     type: str
-    life_us: int  # from UP to its end
+    life_us: int  # microseconds from UP to its end
     group: str = ""
     tenant: int = 0
 
 
 class TraceError(ValueError):
-    pass
+    """A trace that cannot be read or does not fit the plan."""
 
 
 def read(path):
-    """All entries, by time. TraceError names the line."""
+    """Returns all entries, ordered by time. TraceError names the invalid line."""
     decoder, entries = msgspec.json.Decoder(Entry), []
     try:
         with open(path, "rb") as file, zstandard.ZstdDecompressor().stream_reader(file) as plain:
@@ -43,11 +43,12 @@
     except zstandard.ZstdError as fault:
         raise TraceError(f"{path}: after line {len(entries)}: {fault}") from None
     if not entries:
-        raise TraceError(f"{path}: no line")
+        raise TraceError(f"{path}: the trace is empty")
     return sorted(entries, key=lambda e: e.at_us)
 
 
 def write(path, entries):
+    """Writes the entries, ordered by time."""
     encoder = msgspec.json.Encoder()
     with open(path, "wb") as file, zstandard.ZstdCompressor(level=6).stream_writer(file) as out:
         for entry in sorted(entries, key=lambda e: e.at_us):
@@ -55,12 +56,12 @@
 
 
 def columns(entries, types, start):
-    """The entries as a schedule's columns."""
+    """Returns the entries as a schedule's columns. `start`: seconds after the run's start."""
     numbers = {name: n for n, name in enumerate(types)}
     for entry in entries:
         if entry.type not in numbers:
             raise TraceError(
-                f"traffic type {entry.type} of the trace is none of the load's: {', '.join(types)}"
+                f"traffic type {entry.type} of the trace is not among the load's: {', '.join(types)}"
             )
     return (
         np.array([e.at_us for e in entries], np.int64) + round(start * SECOND),
@@ -72,7 +73,7 @@
 
 
 def from_calls(calls):
-    """What a run's clients had, as a trace: first calls that came up, with the time they stood."""
+    """Returns a run's connections as a trace: first calls that came up, with their durations."""
     return [
         Entry(
             at_us=call["intended"],
