--- a/cottonspread/lab/plan.py
+++ b/cottonspread/lab/plan.py
@@ -117,7 +117,7 @@
 
     lag_ms: float = 300  # from a host's change until the list reports it
     silent_s: float = 6.0  # until a silent machine is listed as gone
-    weights_ms: float = 0  # over 0: how often weights become size / (1 + connections per core)
+    weights_ms: float = 0  # over 0: how often weights become size / (1 + connections per core); needs reports
 
 
 class Nodes(msgspec.Struct, forbid_unknown_fields=True, kw_only=True):
