--- a/cottonspread/lab/report.py
+++ b/cottonspread/lab/report.py
@@ -19,7 +19,7 @@
 td,th{border:1px solid #ccc;padding:.25em .7em;text-align:right}td:first-child,th:first-child{text-align:left}
 .bad{color:#a00;font-weight:bold}img{max-width:100%}pre{white-space:pre-wrap;background:#f4f4f4;padding:.6em}</style>
 <h1>{{ title }}</h1><p>All figures come from simulated servers and clients on one machine.</p>
-{% for r, plot in plays %}<h2>{{ r.variant }}, seed {{ r.seed }}</h2>
+{% for r, plot in runs %}<h2>{{ r.variant }}, seed {{ r.seed }}</h2>
 <p{% if not r.usable %} class="bad"{% endif %}>{{ "usable" if r.usable else "not usable" }}
 {%- for x in r.reasons %}; {{ x }}{% endfor %}</p>
 <table><tr><th>offered<th>came up<th>revenue<th>generator late p99.9 us
@@ -102,9 +102,9 @@
 
 def write(folder):
     """Writes `report.html` into the folder, atomically, and returns its path."""
-    plays = results.read_all(folder)
+    runs = results.read_all(folder)
     path = os.path.join(folder, "report.html")
     with open(path + ".new", "w", encoding="utf-8") as file:
-        file.write(PAGE.render(title=plays[0].name, plays=[(r, plot(r)) for r in plays]))
+        file.write(PAGE.render(title=runs[0].name, runs=[(r, plot(r)) for r in runs]))
     os.replace(path + ".new", path)
     return path
