--- a/tests/lab/test_lab_parts.py
+++ b/tests/lab/test_lab_parts.py
@@ -18,7 +18,7 @@
 
 
 @given(st.lists(st.integers(0, 40), max_size=8))
-def test_any_cut_of_the_bytes_gives_the_same_lines(cuts):
+def test_any_split_of_the_bytes_gives_the_same_lines(cuts):
     data = b"OPEN a b c=x,d=5\r\n\nPING\r\nlast"
     whole, parts = wire.LineSplitter(), wire.LineSplitter()
     expected, got, cuts = whole.feed(data), [], sorted({min(c, len(data)) for c in cuts} | {0, len(data)})
@@ -27,7 +27,7 @@
     assert got == expected == [b"OPEN a b c=x,d=5", b"", b"PING"] and parts.rest == whole.rest == b"last"
 
 
-def test_a_line_over_the_limit_is_refused_and_the_longest_passes():
+def test_a_line_over_the_limit_is_rejected_and_the_longest_is_accepted():
     assert wire.LineSplitter().feed(b"x" * 4094 + b"\r\n") == [b"x" * 4094]
     with pytest.raises(ValueError, match="4,096"):
         wire.LineSplitter().feed(b"x" * 4097)
@@ -44,12 +44,12 @@
         (b"OPEN a b c=x,d=z", "invalid"),
     ],
 )
-def test_a_host_tells_what_is_wrong_with_a_first_line(line, why):
+def test_parsing_an_invalid_first_line_names_the_error(line, why):
     with pytest.raises(ValueError, match=why):
         wire.parse_open(line)
 
 
-def test_a_first_line_is_read_as_it_was_written():
+def test_a_first_line_is_parsed_as_it_was_formatted():
     first = wire.parse_open(wire.format_open("id1", "k", "farm-view", 2000, "g", again=True).rstrip())
     assert first == wire.OpenRequest("id1", "k", "farm-view", 2000, "g", True, "")
     assert [wire.parse_answer(x) for x in (b"UP 7", b"BUSY", b"BUSY 250", b"BUSY x", b"UP")] == [
@@ -64,7 +64,7 @@
 # Model
 
 
-class Played:
+class ModelDriver:
     """A host model with its effects carried out in time order."""
 
     def __init__(self, started=0, **traits):
@@ -75,94 +75,94 @@
             now=SECOND,
             started=started,
         )
-        self.now, self.said, self.due = SECOND, [], []
+        self.now, self.sent, self.due = SECOND, [], []
 
-    def do(self, effects):
+    def apply(self, effects):
         for e in effects:
             if isinstance(e, model.HostEvent) and e.kind == "turn":
                 self.due.append((e.value, "finish_setup", e.conn))
             elif isinstance(e, model.HostEvent) and e.kind == "change":
                 self.due.append((e.value, "change_load", e.conn))
             elif isinstance(e, (model.SendLine, model.Close)):
-                self.said.append((e.at, e.conn, e.line if isinstance(e, model.SendLine) else e.how))
+                self.sent.append((e.at, e.conn, e.line if isinstance(e, model.SendLine) else e.how))
             else:
-                self.said.append((self.now, None, e.state if isinstance(e, model.AddressChange) else e.kind))
+                self.sent.append((self.now, None, e.state if isinstance(e, model.AddressChange) else e.kind))
 
     def until(self, at):
         while self.due and min(self.due)[0] <= at:
             one = min(self.due)
             self.due.remove(one)
             self.now = one[0]
-            self.do(getattr(self.host, one[1])(one[0], one[2]))
+            self.apply(getattr(self.host, one[1])(one[0], one[2]))
         self.now = at
         return self
 
     def open(self, conn, group="", wait=4800):
-        self.do(
+        self.apply(
             self.host.on_first_line(
                 self.now, conn, wire.OpenRequest(conn, "k" + conn, "farm-view", wait, group, False, "")
             )
         )
         return self
 
-    def words(self, conn):
+    def events_of(self, conn):
         return [
-            what.split(b" ")[0] if isinstance(what, bytes) else what for _, c, what in self.said if c == conn
+            what.split(b" ")[0] if isinstance(what, bytes) else what for _, c, what in self.sent if c == conn
         ]
 
 
-def test_an_idle_host_takes_a_connection_at_once_and_tells_its_load():
-    one = Played().open("a").until(SECOND + 10_000)
-    assert one.words("a") == [b"UP", b"LOAD"] and one.host.load == 10_000
-    assert next(at for at, c, _ in one.said if c == "a") < SECOND + 2000
+def test_an_idle_host_accepts_a_call_at_once_and_reports_its_load():
+    one = ModelDriver().open("a").until(SECOND + 10_000)
+    assert one.events_of("a") == [b"UP", b"LOAD"] and one.host.load == 10_000
+    assert next(at for at, c, _ in one.sent if c == "a") < SECOND + 2000
 
 
-def test_what_the_cores_cannot_do_piles_up_and_makes_lines_late():
-    one = Played(cores=0.02, group_us=0, setup_us=0, change_s=1e6)  # 20,000 us a second
+def test_work_beyond_the_capacity_queues_and_delays_lines():
+    one = ModelDriver(cores=0.02, group_us=0, setup_us=0, change_s=1e6)  # 20,000 us a second
     for n in range(4):  # 40,000 us a second stand on it
         one.open(f"c{n}")
     one.until(2 * SECOND)
-    one.do(one.host.on_line(3 * SECOND, "c0", b"e1"))
-    at = [at for at, c, what in one.said if what == b"e1"][0]
+    one.apply(one.host.on_line(3 * SECOND, "c0", b"e1"))
+    at = [at for at, c, what in one.sent if what == b"e1"][0]
     # 2 s at 20,000 too many, done at 20,000 a second
     assert at - 3 * SECOND == pytest.approx(2 * SECOND, rel=0.01)
 
 
-def test_a_group_costs_each_host_once_however_many_connections_it_holds():
-    one = Played()
+def test_a_group_costs_a_host_once_for_any_number_of_connections():
+    one = ModelDriver()
     for n in range(3):
         one.open(f"c{n}", group="g")
     one.until(2 * SECOND)
     assert one.host.demand() * SECOND == pytest.approx(3 * 10_000 + one.host.traits.group_us)
     for n in range(3):
-        one.do(one.host.on_end(2 * SECOND, f"c{n}"))
+        one.apply(one.host.on_end(2 * SECOND, f"c{n}"))
     assert one.host.demand() == 0 and not one.host.groups
 
 
-def test_a_hang_ends_and_what_waited_is_done_in_order():
-    one = Played()
-    one.do(one.host.start_fault(SECOND, "hang", 3 * SECOND))
+def test_after_a_hang_waiting_set_ups_are_done_in_order():
+    one = ModelDriver()
+    one.apply(one.host.start_fault(SECOND, "hang", 3 * SECOND))
     one.open("a").until(2 * SECOND).open("b").until(5 * SECOND)
-    ups = [(at, c) for at, c, what in one.said if isinstance(what, bytes) and what.startswith(b"UP")]
+    ups = [(at, c) for at, c, what in one.sent if isinstance(what, bytes) and what.startswith(b"UP")]
     assert [c for _, c in ups] == ["a", "b"] and all(4 * SECOND <= at < 4.1 * SECOND for at, _ in ups)
 
 
-def test_a_set_up_whose_time_is_up_before_its_turn_is_turned_away_and_never_runs():
-    one = Played(cores=0.001, message_us=300).open("a").open("b", wait=50).until(9 * SECOND)
-    assert one.words("b") == [b"BUSY", "end"] and one.words("a")[0] == b"UP"
-    assert [at for at, c, _ in one.said if c == "b"][0] == SECOND + 50_000
+def test_a_set_up_that_would_be_too_late_is_rejected_and_never_runs():
+    one = ModelDriver(cores=0.001, message_us=300).open("a").open("b", wait=50).until(9 * SECOND)
+    assert one.events_of("b") == [b"BUSY", "end"] and one.events_of("a")[0] == b"UP"
+    assert [at for at, c, _ in one.sent if c == "b"][0] == SECOND + 50_000
 
 
-def test_a_cold_host_that_is_pushed_goes_down_for_good_and_a_careful_one_warms_up():
-    one = Played(
+def test_an_overloaded_cold_host_fails_for_good_and_one_with_little_load_warms_up():
+    one = ModelDriver(
         started=SECOND, cores=0.1, cold_share=0.2, warm_s=10, tip_multiple=2, tip_s=1, setup_us=20_000
     )
     for n in range(4):
         one.open(f"c{n}")
-    assert "tipped" in one.words(None) and one.host.state == "tipped"
-    one.do(one.host.end_fault(5 * SECOND, "cold"))
-    assert one.host.state == "tipped" and one.open("x").words("x") == ["reset"]
-    careful = Played(
+    assert "tipped" in one.events_of(None) and one.host.state == "tipped"
+    one.apply(one.host.end_fault(5 * SECOND, "cold"))
+    assert one.host.state == "tipped" and one.open("x").events_of("x") == ["reset"]
+    careful = ModelDriver(
         started=SECOND, cores=0.1, cold_share=0.2, warm_s=10, tip_multiple=2, tip_s=1, setup_us=10_000
     )
     for n in range(8):
@@ -171,41 +171,43 @@
 
 
 @pytest.mark.parametrize("how, last", [("paced", 2), ("at-once", 0), ("none", None)])
-def test_a_drain_sees_clients_off_in_three_ways(how, last):
-    one = Played(drain=how, drain_s=3)
+def test_a_drain_moves_clients_off_in_three_ways(how, last):
+    one = ModelDriver(drain=how, drain_s=3)
     for n in range(3):
         one.open(f"c{n}")
     one.until(2 * SECOND)
-    one.do(one.host.start_fault(2 * SECOND, "drain", 5 * SECOND))
-    moves = sorted(at - 2 * SECOND for at, _, what in one.said if what == b"MOVE")
+    one.apply(one.host.start_fault(2 * SECOND, "drain", 5 * SECOND))
+    moves = sorted(at - 2 * SECOND for at, _, what in one.sent if what == b"MOVE")
     assert moves[-1] == pytest.approx(last * SECOND, abs=SECOND // 10) if moves else last is None
     assert len(moves) == (0 if how == "none" else 3)
-    assert one.until(3 * SECOND).open("late").words("late") == [b"BUSY", "end"]
-    one.do(one.host.end_fault(7 * SECOND, "drain"))
+    assert one.until(3 * SECOND).open("late").events_of("late") == [b"BUSY", "end"]
+    one.apply(one.host.end_fault(7 * SECOND, "drain"))
     assert one.host.state == "down" and not one.host.conns
 
 
-def test_half_dead_takes_everything_and_answers_nothing():
-    one = Played().open("a").until(2 * SECOND)
-    before = len(one.said)
-    one.do(one.host.start_fault(2 * SECOND, "half-dead", SECOND))
-    one.do(one.host.on_line(2 * SECOND, "a", b"e1"))
+def test_a_half_dead_host_reads_everything_and_answers_nothing():
+    one = ModelDriver().open("a").until(2 * SECOND)
+    before = len(one.sent)
+    one.apply(one.host.start_fault(2 * SECOND, "half-dead", SECOND))
+    one.apply(one.host.on_line(2 * SECOND, "a", b"e1"))
     one.open("b").until(3 * SECOND)
-    assert [what for _, c, what in one.said[before:]] == ["swallowed"]
+    assert [what for _, c, what in one.sent[before:]] == ["swallowed"]
 
 
 # List
 
 
-def test_the_list_tells_a_watch_only_what_changed_after_its_version():
-    book = listing.HostList([{"instanceId": "h0", "lifecycle": "Ready", "startedAtMs": 0}])
-    assert book.changes_since(1) is None
-    book.change("h0", "Terminating")
-    book.change("h0", "Gone")
-    assert book.changes_since(1)["instances"] == [{"instanceId": "h0", "lifecycle": "Gone", "startedAtMs": 0}]
-    assert book.full_list() == {"generation": 3, "reset": True, "instances": []}
-    book.restart()
-    assert book.version == 1 and book.changes_since(3) is None
+def test_the_list_sends_a_watcher_only_what_changed_after_its_version():
+    host_list = listing.HostList([{"instanceId": "h0", "lifecycle": "Ready", "startedAtMs": 0}])
+    assert host_list.changes_since(1) is None
+    host_list.change("h0", "Terminating")
+    host_list.change("h0", "Gone")
+    assert host_list.changes_since(1)["instances"] == [
+        {"instanceId": "h0", "lifecycle": "Gone", "startedAtMs": 0}
+    ]
+    assert host_list.full_list() == {"generation": 3, "reset": True, "instances": []}
+    host_list.restart()
+    assert host_list.version == 1 and host_list.changes_since(3) is None
 
 
 # Plans, schedules, traces
@@ -235,7 +237,7 @@
     assert 0.7 < (one.kind == 1).mean() < 0.8
 
 
-def test_shapes_are_what_they_are_called():
+def test_each_shape_has_its_distribution_of_arrivals():
     rng = np.random.default_rng(3)
     ramp = plan.arrivals(plan.Shape(kind="ramp", rate=0, rate_to=1000), 10, rng)
     assert (ramp > 5).mean() == pytest.approx(0.75, abs=0.03) and len(ramp) == pytest.approx(5000, rel=0.1)
@@ -258,19 +260,19 @@
         ({"hosts": {"traits": {"drain": "no"}}}, "hosts.traits.drain"),
     ],
 )
-def test_a_faulty_experiment_names_its_key(change, key):
+def test_an_invalid_experiment_names_the_key(change, key):
     with pytest.raises(plan.PlanError, match=key):
         experiment(**change)
 
 
-def test_a_misspelt_key_of_a_file_is_named(tmp_path):
+def test_an_unknown_key_of_a_file_is_named(tmp_path):
     file = tmp_path / "x.toml"
     file.write_text('name = "x"\nseconds = 1\nloda = 1\n')
     with pytest.raises(plan.PlanError, match="loda"):
         plan.read(file)
 
 
-def test_a_trace_comes_back_as_it_was_written_and_is_played_at_its_times(tmp_path):
+def test_a_trace_is_read_as_written_and_replayed_at_its_times(tmp_path):
     file = str(tmp_path / "t.zst")
     entries = [
         trace.Entry(at_us=n * 1000, type="farm-view", life_us=5 * n, group=f"g{n % 3}") for n in range(500)
@@ -290,7 +292,7 @@
 @pytest.mark.parametrize(
     "bad", [b'{"at_us": 1, "type": "x"}', b'{"at_us": -1, "type": "x", "life_us": 1}', b"no", b""]
 )
-def test_a_bad_line_of_a_trace_is_named_by_its_number(tmp_path, bad):
+def test_an_invalid_line_of_a_trace_is_named_by_its_number(tmp_path, bad):
     file = tmp_path / "t.zst"
     good = b'{"at_us": 1, "type": "x", "life_us": 1}\n'
     file.write_bytes(zstandard.ZstdCompressor().compress(good * 7 + bad + b"\n" + good))
@@ -304,7 +306,7 @@
 # Limits
 
 
-def test_limits_are_told_before_the_run_with_what_there_is_and_what_helps():
+def test_an_exceeded_limit_is_reported_with_the_available_amount_and_a_remedy():
     x = experiment(
         load={"types": [{"name": "a", "life_s": 1000}], "shapes": [{"kind": "constant", "rate": 500}]}
     )
@@ -326,7 +328,7 @@
 # Ledger
 
 
-def audit(call, legs=(), nodes=(), told=()):
+def audit(call, legs=(), nodes=(), list_updates=()):
     """The offences of one call: sent at 1 s with a guard time of 2 s, by one node, to hosts h0 and h1."""
     from cottonspread.lab import audit as audits
 
@@ -348,7 +350,7 @@
     records = {
         "load": [base | call],
         "hosts": [{"id": "c"} | leg for leg in legs],
-        "list": told,
+        "list": list_updates,
         "nodes": [{"node": "n0"} | n for n in nodes],
     }
     result = audits.Audit(
@@ -405,17 +407,17 @@
         ),
     ],
 )
-def test_what_the_ledger_calls_an_offence_and_what_it_excuses(call, legs, nodes, offences, excused):
+def test_what_the_audit_reports_as_a_violation_and_what_it_excuses(call, legs, nodes, offences, excused):
     assert audit(call, legs, nodes) == (offences, excused)
 
 
-@pytest.mark.parametrize("told_at, late", [(440_000, True), (460_000, False)])
-def test_the_grace_counts_from_the_word_to_that_node(told_at, late):
-    told = [
+@pytest.mark.parametrize("updated_at, late", [(440_000, True), (460_000, False)])
+def test_the_grace_time_counts_from_the_list_update_to_that_node(updated_at, late):
+    list_updates = [
         {"k": "told", "t": 100_000, "node": "n0", "whole": True, "hosts": [["h0", "Ready", 0]]},
-        {"k": "told", "t": told_at, "node": "n0", "whole": False, "hosts": [["h0", "Terminating", 0]]},
+        {"k": "told", "t": updated_at, "node": "n0", "whole": False, "hosts": [["h0", "Terminating", 0]]},
         {"k": "told", "t": 1_200_000, "node": "n0", "whole": False, "hosts": []},
         {"k": "told", "t": 200_000, "node": "n1", "whole": False, "hosts": [["h0", "Terminating", 0]]},
     ]
-    found, _ = audit(ANSWERED | {"how": "left"}, [LEG, *UP], told=told)
+    found, _ = audit(ANSWERED | {"how": "left"}, [LEG, *UP], list_updates=list_updates)
     assert found == ({"a leg to a server that drains or is gone"} if late else set())
--- a/tests/lab/test_lab_runs.py
+++ b/tests/lab/test_lab_runs.py
@@ -17,7 +17,7 @@
 
 ROOT = Path(__file__).parent.parent.parent
 TYPE = {"name": "farm-view", "life_s": 1.0, "guard_ms": 700, "target_ms": 300}
-WAIT = 60
+TIMEOUT = 60
 
 
 def toml(value):
@@ -28,7 +28,7 @@
     return json.dumps(value)
 
 
-def begin(folder, rate=40, seconds=2.0, effect="repeatable", command=(), faults=(), **more):
+def start_run(folder, rate=40, seconds=2.0, effect="repeatable", command=(), faults=(), **more):
     """`lab run` of a small experiment as a process of its own."""
     x = {
         "name": "t",
@@ -82,17 +82,17 @@
     )
 
 
-def end(folder, process):
-    said = process.communicate(timeout=WAIT)[0]
-    assert "Traceback" not in said, said
-    return results.read(str(folder / "out" / "0-only")), said
+def finish_run(folder, process):
+    output = process.communicate(timeout=TIMEOUT)[0]
+    assert "Traceback" not in output, output
+    return results.read(str(folder / "out" / "0-only")), output
 
 
-def standin(sabotage):
+def stub_node(sabotage):
     return ["python", "-m", "cottonspread", "lab", "standin", "--sabotage", sabotage]
 
 
-AT_ONCE = 3  # plays
+MAX_PARALLEL = 3  # plays
 
 
 def batched(names, size):
@@ -131,23 +131,25 @@
 
 
 @pytest.mark.alone  # a generator that is late makes a play unusable
-@pytest.mark.parametrize("names", list(batched(SABOTAGES, AT_ONCE)), ids="-".join)
-def test_the_ledger_finds_each_rule_that_a_node_breaks_and_nothing_in_an_honest_one(tmp_path, names):
+@pytest.mark.parametrize("names", list(batched(SABOTAGES, MAX_PARALLEL)), ids="-".join)
+def test_the_audit_finds_each_broken_rule_and_nothing_in_a_correct_node(tmp_path, names):
     """A few plays at once, each of several processes: with all twelve the generators were late by 9 to 19 ms
     (`NOT USABLE`) where they may be by 1 ms, and one that is late makes calls that have no time left.
     """
-    running = {name: begin(tmp_path / name, command=standin(name), **SABOTAGES[name][1]) for name in names}
+    running = {
+        name: start_run(tmp_path / name, command=stub_node(name), **SABOTAGES[name][1]) for name in names
+    }
     for name, process in running.items():
-        result, said = end(tmp_path / name, process)
+        result, output = finish_run(tmp_path / name, process)
         found = {(o["rule"], o["what"]) for o in result.audit["offences"]}
-        assert found == SABOTAGES[name][0], (name, said)
-        assert process.returncode == (1 if found else 0) or not result.usable, (name, said)
+        assert found == SABOTAGES[name][0], (name, output)
+        assert process.returncode == (1 if found else 0) or not result.usable, (name, output)
         assert result.offered >= 70 and all(o["first"] for o in result.audit["offences"])
 
 
-def test_a_node_that_freezes_is_not_flattered_and_still_answers_each_call_once(tmp_path):
+def test_a_freeze_counts_as_latency_and_each_call_is_still_answered_once(tmp_path):
     """SIGSTOP for 3 s: whoever was due in it waited to its end, whether connected before or not."""
-    process = begin(
+    process = start_run(
         tmp_path,
         rate=100,
         seconds=7.0,
@@ -155,7 +157,7 @@
         type={"guard_ms": 4800, "target_ms": 500},
         traits={"cores": 4.0},
     )
-    result, said = end(tmp_path, process)
+    result, output = finish_run(tmp_path, process)
     folder = str(tmp_path / "out" / "0-only")
     start = json.loads((Path(folder) / "start.json").read_text())["start"]
     freeze, thaw = (
@@ -172,11 +174,11 @@
     # How many of the 300 at once come up depends on the cores there are (44 to 300 seen): measured in
     # benchmarks/lab/faults.py. That the freeze is not taken for overload or for slowness of servers:
     # test_lateness.py and reducer/node_stood_still*.txt.
-    assert not result.audit["offences"], said
+    assert not result.audit["offences"], output
 
 
-def test_a_node_is_drained_retuned_and_replaced_under_load_without_an_offence(tmp_path):
-    process = begin(
+def test_a_node_is_drained_reloaded_and_replaced_under_load_without_a_violation(tmp_path):
+    process = start_run(
         tmp_path,
         rate=60,
         seconds=10.0,
@@ -188,58 +190,58 @@
         type={"guard_ms": 2000, "target_ms": 500, "life_s": 4.0},
         traits={"cores": 4.0},
     )
-    result, said = end(tmp_path, process)
-    notes = {line["k"]: line for line in record.read(str(tmp_path / "out" / "0-only"), "nodes")}
-    assert notes["replaced"]["code"] == 0 and notes["quiesce"]["ok"] and notes["resume"]["ok"], said
+    result, output = finish_run(tmp_path, process)
+    events = {line["k"]: line for line in record.read(str(tmp_path / "out" / "0-only"), "nodes")}
+    assert events["replaced"]["code"] == 0 and events["quiesce"]["ok"] and events["resume"]["ok"], output
     log = (tmp_path / "out" / "0-only" / "n0.log").read_text()
     assert (
         "event=takes handed=True" in log
         and "types=farm-view,later-0" in log
         and "reason=moved-draining" in log
     )
-    assert result.offered > 500 and not result.audit["offences"], said
+    assert result.offered > 500 and not result.audit["offences"], output
 
 
-def descendants(process):
+def child_processes(process):
     return psutil.Process(process.pid).children(recursive=True)
 
 
-def running(folder, kind, count):
+def wait_for_records(folder, kind, count):
     """Waits until so many lines of a kind are on disk: the run is in its midst."""
-    until = time.monotonic() + WAIT
+    until = time.monotonic() + TIMEOUT
     while sum(1 for _ in record.read(folder, kind)) < count:
         assert time.monotonic() < until
         time.sleep(0.05)
 
 
 @pytest.mark.parametrize("how", ["ctrl-c", "hosts-die", "runner-dies"])
-def test_a_run_that_is_cut_off_keeps_what_it_has_and_leaves_no_process(tmp_path, how):
-    process = begin(tmp_path, seconds=50.0)
+def test_an_interrupted_run_keeps_its_records_and_leaves_no_process(tmp_path, how):
+    process = start_run(tmp_path, seconds=50.0)
     folder = str(tmp_path / "out" / "0-only")
-    running(folder, "load", 20)
-    family = descendants(process)
-    assert len(family) == 4  # hosts, list, load, node
+    wait_for_records(folder, "load", 20)
+    descendants = child_processes(process)
+    assert len(descendants) == 4  # hosts, list, load, node
     if how == "ctrl-c":
         process.send_signal(signal.SIGINT)
     elif how == "hosts-die":
-        next(p for p in family if "hosts" in p.cmdline()).kill()
+        next(p for p in descendants if "hosts" in p.cmdline()).kill()
     else:
         process.kill()
-    said = process.communicate(timeout=WAIT)[0]
-    assert psutil.wait_procs(family, timeout=WAIT)[1] == []
+    output = process.communicate(timeout=TIMEOUT)[0]
+    assert psutil.wait_procs(descendants, timeout=TIMEOUT)[1] == []
     if how == "runner-dies":
         assert sum(1 for _ in record.read(folder, "load")) >= 20
         return
     result = results.read(folder)
     assert "SIGINT" in result.cut if how == "ctrl-c" else "hosts 0 died" in result.cut
-    assert not result.usable and "cut off by" in said and process.returncode in (1, 3)
+    assert not result.usable and "cut off by" in output and process.returncode in (1, 3)
     assert result.offered >= 20 and (tmp_path / "out" / "report.html").stat().st_size > 10_000
     if how == "ctrl-c":
-        assert not result.audit["offences"], said
+        assert not result.audit["offences"], output
 
 
-def test_what_stands_in_the_way_is_named_and_nothing_is_left(tmp_path):
-    process = begin(tmp_path, command=["python", "-c", "raise SystemExit(7)"])
-    said = process.communicate(timeout=WAIT)[0]
-    assert process.returncode == 2 and "n0: ended with 7 at its start" in said
+def test_a_node_that_fails_to_start_is_named_and_no_results_are_left(tmp_path):
+    process = start_run(tmp_path, command=["python", "-c", "raise SystemExit(7)"])
+    output = process.communicate(timeout=TIMEOUT)[0]
+    assert process.returncode == 2 and "n0: ended with 7 at its start" in output
     assert not os.path.exists(tmp_path / "out" / "0-only" / "results.json")
--- a/tests/lab/test_layers.py
+++ b/tests/lab/test_layers.py
@@ -29,13 +29,13 @@
     "interface": set(),
 }
 # One import each that the table does not allow, with the reason.
-BESIDES = {
+EXCEPTIONS = {
     (
         "cottonspread.configstore.callers",
         "cottonspread.net.http",
     ),  # the one HTTP client there is; it imports nothing
 }
-SERVES = ("cottonspread.cli.node", "cottonspread.cli.instance")
+SERVING_MODULES = ("cottonspread.cli.node", "cottonspread.cli.instance")
 
 
 def sources():
@@ -89,7 +89,7 @@
         f"{name} imports {other}"
         for name, others in edges.items()
         for other in sorted(others)
-        if (name, other) not in BESIDES
+        if (name, other) not in EXCEPTIONS
         and layer(name) not in (layer(other), "cli")
         and layer(other)
         and layer(other) not in MAY_IMPORT.get(layer(name), set())
@@ -107,7 +107,7 @@
     return seen
 
 
-def circles(edges):
+def cycles(edges):
     """Modules that import themselves by way of others."""
     return sorted(name for name in edges if name in reached(edges, edges[name]))
 
@@ -125,24 +125,26 @@
     }
 
 
-def served_by_lab(texts):
+def lab_modules_of_serve(texts):
     """Modules of the lab that a serving node loads, or that its command may come to load."""
-    loaded = reached(with_parents(graph(texts, in_functions=False)), ["cottonspread.__main__", *SERVES])
-    return sorted(name for name in loaded | reached(graph(texts), SERVES) if layer(name) == "lab")
+    loaded = reached(
+        with_parents(graph(texts, in_functions=False)), ["cottonspread.__main__", *SERVING_MODULES]
+    )
+    return sorted(name for name in loaded | reached(graph(texts), SERVING_MODULES) if layer(name) == "lab")
 
 
-def faults(texts):
-    return forbidden(graph(texts)) + circles(graph(texts)) + served_by_lab(texts)
+def violations(texts):
+    return forbidden(graph(texts)) + cycles(graph(texts)) + lab_modules_of_serve(texts)
 
 
-def test_arrows_point_down_and_there_is_no_circle():
+def test_imports_follow_the_layers_without_a_cycle():
     assert len(sources()) > 60
-    assert faults(sources()) == []
+    assert violations(sources()) == []
 
 
-def test_what_is_allowed_besides_is_needed_and_no_more():
+def test_each_exception_is_needed():
     edges = graph(sources())
-    assert all(other in edges[name] and not edges[other] for name, other in BESIDES)
+    assert all(other in edges[name] and not edges[other] for name, other in EXCEPTIONS)
 
 
 def test_every_folder_has_its_layer():
@@ -170,8 +172,8 @@
         ("cli.node", "def f():\n    from cottonspread.lab import plan", "cottonspread.lab.plan"),
     ],
 )
-def test_a_wrong_import_is_found(module, line, found):
+def test_a_forbidden_import_is_found(module, line, found):
     """A line more in one module, as a change could bring it."""
     texts = sources()
     texts[f"cottonspread.{module}"] += f"\n{line}\n"
-    assert any(one.endswith(found) for one in faults(texts)), faults(texts)
+    assert any(one.endswith(found) for one in violations(texts)), violations(texts)
--- a/tests/lab/test_mixed_shapes.py
+++ b/tests/lab/test_mixed_shapes.py
@@ -13,7 +13,7 @@
 OLD, NEW = {"n0", "n2"}, {"n1", "n3"}
 
 
-def test_nodes_of_both_shapes_keep_the_rules_and_neither_starves_the_other(tmp_path):
+def test_nodes_of_both_configurations_keep_the_rules_and_neither_starves_the_other(tmp_path):
     process = subprocess.run(
         [
             sys.executable,
@@ -38,23 +38,26 @@
     folder = tmp_path / "out" / "0-only"
     # Lost, doubled, sent again, or sent to a server that drains: never. Milliseconds are
     # judged where the machine gave them.
-    timed = {"a leg after the final answer", "no answer before the guard time"}
-    assert not [o for o in results.read(str(folder)).audit["offences"] if o["what"] not in timed], (
-        process.stdout
-    )
+    timing_violations = {"a leg after the final answer", "no answer before the guard time"}
+    assert not [
+        o for o in results.read(str(folder)).audit["offences"] if o["what"] not in timing_violations
+    ], process.stdout
     calls, up = Counter(), Counter()
     for call in record.read(str(folder), "load"):
         if call["k"] == "call":
             calls[call["node"]] += 1
             up[call["node"]] += bool(call["answers"]) and call["answers"][0][1] == "UP"
-    kinds = [sum(up[n] for n in kind) / sum(calls[n] for n in kind) for kind in (OLD, NEW)]
-    assert sum(calls.values()) > 400 and min(kinds) > 0.5 and max(kinds) < 1.5 * min(kinds), (calls, up)
+    up_shares = [sum(up[n] for n in nodes) / sum(calls[n] for n in nodes) for nodes in (OLD, NEW)]
+    assert sum(calls.values()) > 400 and min(up_shares) > 0.5 and max(up_shares) < 1.5 * min(up_shares), (
+        calls,
+        up,
+    )
     logs = {n: (folder / f"{n}.log").read_text() for n in OLD | NEW}
     assert not any("event=fault" in text for text in logs.values())
     # A word that only moves weights is no news of the list: 20 of them and more came.
     assert all(text.count("event=list") < 10 for text in logs.values())
-    told = [h for h in record.read(str(folder), "hosts") if h["k"] == "probe"]
+    probes = [h for h in record.read(str(folder), "hosts") if h["k"] == "probe"]
     legs = [h for h in record.read(str(folder), "hosts") if h["k"] == "leg"]
     # the list's own askings, twice a change, at most
-    changes = 2 * len({h["host"] for h in told}) * 20 / 0.35
-    assert legs and len(told) <= changes + 3 * sum(calls[n] for n in NEW), "three probes a call"
+    changes = 2 * len({h["host"] for h in probes}) * 20 / 0.35
+    assert legs and len(probes) <= changes + 3 * sum(calls[n] for n in NEW), "three probes a call"
