--- a/examples/toy.py
+++ b/examples/toy.py
@@ -83,7 +83,7 @@
                 file.flush()
 
     def answer(self, query):
-        """Returns the full list, or, for a long poll, the changes once there are some or the poll times out."""
+        """Returns the full list, or, for a long poll, the changes, once there are some or it times out."""
         with self.changed:
             if "since" not in query:
                 return {"generation": self.version, "reset": True, "instances": self.servers}
--- a/tests/lab/test_lab_parts.py
+++ b/tests/lab/test_lab_parts.py
@@ -329,7 +329,7 @@
 
 
 def audit(call, legs=(), nodes=(), list_updates=()):
-    """Returns the violations of a call: sent at 1 s with a guard time of 2 s, by one node, to hosts h0 and h1."""
+    """Audits one call, sent at 1 s with a guard time of 2 s by one node to hosts h0 and h1."""
     from cottonspread.lab import audit as audits
 
     x = experiment(load={"types": [{"name": "farm-view"}], "shapes": [{"kind": "constant", "rate": 1}]})
--- a/tests/lab/test_lab_runs.py
+++ b/tests/lab/test_lab_runs.py
@@ -131,7 +131,7 @@
 @pytest.mark.alone  # a load generator that is late makes a run unusable
 @pytest.mark.parametrize("names", list(batched(SABOTAGES, MAX_PARALLEL)), ids="-".join)
 def test_the_audit_finds_each_broken_rule_and_nothing_in_a_correct_node(tmp_path, names):
-    """Only a few runs in parallel, as each has several processes: with all twelve, load generators were late by
+    """Few runs in parallel, as each has several processes: with all twelve, load generators were late by
     9 to 19 ms (`NOT USABLE`), where 1 ms is allowed, and a late generator makes calls with no time left.
     """
     running = {
