--- a/benchmarks/lab/engines.py
+++ b/benchmarks/lab/engines.py
@@ -87,7 +87,7 @@
     return late
 
 
-def measured(name, address, rate, seconds, core, out):
+def run_engine(name, address, rate, seconds, core, out):
     os.sched_setaffinity(0, {core})
     start = now() + 200_000
     at = (
@@ -138,7 +138,7 @@
         for name in names:
             out = multiprocessing.Queue()
             one = multiprocessing.Process(
-                target=measured, args=(name, address, rate, seconds, cores[-1], out)
+                target=run_engine, args=(name, address, rate, seconds, cores[-1], out)
             )
             one.start()
             print(*out.get(timeout=60), flush=True)
--- a/benchmarks/operating/calls.py
+++ b/benchmarks/operating/calls.py
@@ -30,12 +30,12 @@
 
 
 def call(address, word):
-    began = time.perf_counter()
+    started_at = time.perf_counter()
     with socket.create_connection(address, timeout=10) as sock:
         sock.sendall(word + b"\n")
         with sock.makefile("rb") as file:
             answer = file.read()
-    return time.perf_counter() - began, answer
+    return time.perf_counter() - started_at, answer
 
 
 def main(seconds):
@@ -101,11 +101,11 @@
     threads = [threading.Thread(target=what) for what in [client] * CLIENTS + [silent] * SILENT]
     for thread in threads:
         thread.start()
-    took, bad = [], 0
+    durations, bad = [], 0
     while time.monotonic() < end:
         for word in (b"health", b"counters"):
-            passed, answer = call(operator, word)
-            took.append(passed * 1000)
+            elapsed, answer = call(operator, word)
+            durations.append(elapsed * 1000)
             bad += not answer.startswith(b"200")
         time.sleep(0.02)
     for thread in threads:
@@ -116,17 +116,17 @@
         for line in call(operator, b"counters")[1].decode().splitlines()
         if line.startswith("app_")
     )
-    took.sort()
+    durations.sort()
     return {
         "seconds": seconds,
         "clients": CLIENTS,
         "silent_callers": SILENT,
-        "calls": len(took),
+        "calls": len(durations),
         "wrong": bad,
         "ms": {
-            "p50": round(took[len(took) // 2], 2),
-            "p99": round(took[len(took) * 99 // 100], 2),
-            "most": round(took[-1], 2),
+            "p50": round(durations[len(durations) // 2], 2),
+            "p99": round(durations[len(durations) * 99 // 100], 2),
+            "most": round(durations[-1], 2),
         },
         "seen_by_clients": seen,
         "figures": figures,
--- a/cottonspread/lab/children.py
+++ b/cottonspread/lab/children.py
@@ -33,7 +33,7 @@
             preexec_fn=lambda: prepare_child(cores),
         )
         os.set_blocking(self.process.stdout.fileno(), False)
-        self.rest, self.ready, self.error, self.counts, self.ended = b"", False, "", {}, False
+        self.partial_line, self.ready, self.error, self.counts, self.ended = b"", False, "", {}, False
 
     def send(self, line):
         """Sends a command."""
@@ -45,7 +45,7 @@
         data = self.process.stdout.read(65536)
         if data is None:
             return True
-        *lines, self.rest = (self.rest + data).split(b"\n")
+        *lines, self.partial_line = (self.partial_line + data).split(b"\n")
         for line in lines:
             word, _, rest = line.decode().partition(" ")
             if word == "ready":
@@ -72,7 +72,7 @@
     def __init__(self, run, number):
         """`run`: the LabRun; `number`: the node's index in the plan."""
         self.run, self.number, self.node = run, number, run.plan.nodes[number]
-        self.process, self.probe, self.up, self.wanted, self.cpu = None, None, False, True, 0.0
+        self.process, self.probe, self.up, self.should_run, self.cpu = None, None, False, True, 0.0
         self.max_rss = self.max_threads = self.max_fds = 0
         self.starts, self.settings_version, self.old_process, self.listener = 0, 0, None, None
 
--- a/cottonspread/lab/experiment.py
+++ b/cottonspread/lab/experiment.py
@@ -26,17 +26,17 @@
     if os.path.exists(os.path.join(out, "0-" + variants[0].name)):
         raise plans.PlanError(f"--out {out}: already holds runs")
     results_by_variant = {v.name: [] for v in variants}
-    console, cut = Console(stderr=True), ""
+    console, interrupted_by = Console(stderr=True), ""
     for repeat in range(repeats or x.repeats):
         for variant in variants:
-            if cut:
+            if interrupted_by:
                 break
             for attempt in range(max_repeats + 1):
                 folder = os.path.join(out, f"{repeat}-{variant.name}")
                 lab_run = LabRun(x, variant, x.seed + repeat, folder)
                 run_with_progress(lab_run, None if quiet or not console.is_terminal else console)
                 result = results.evaluate(lab_run, repeat)
-                if lab_run.cut or result.lateness.p999 <= MAX_LATENESS or attempt == max_repeats:
+                if lab_run.interrupted_by or result.lateness.p999 <= MAX_LATENESS or attempt == max_repeats:
                     break
                 print(
                     "\n".join(results.summary_lines(result)) + "\nrepeated: the load generator was late",
@@ -44,7 +44,7 @@
                 )
                 os.rename(folder, os.path.join(out, f"late{attempt}-{repeat}-{variant.name}"))
             results_by_variant[variant.name].append(result)
-            cut = lab_run.cut
+            interrupted_by = lab_run.interrupted_by
             print("\n".join(results.summary_lines(result)), flush=True)
     pairs = (
         list(zip(*(results_by_variant[v.name] for v in variants[:2]), strict=False))
--- a/cottonspread/lab/fleet.py
+++ b/cottonspread/lab/fleet.py
@@ -154,7 +154,7 @@
             self.record_event("fleet-stop")
             self.process.send_signal(signal.SIGTERM)
             for node in self.run.nodes:
-                node.up = node.wanted = False
+                node.up = node.should_run = False
                 self.run.record_event("stopping", node)
             self.run.at(now() + 300_000, self.notify_down)
             self.run.at(now() + round(fault.seconds * SECOND), self.restart)
@@ -173,7 +173,7 @@
         self.running = False
         self.start()
         for node in self.run.nodes:
-            node.wanted = True
+            node.should_run = True
             self.run.at(now() + 50_000, self.run.add_when_up, node, 0)
 
     def clean_up(self):
@@ -224,7 +224,7 @@
     def signal(self, number):
         """Sends a signal to the instance; at the run's end the supervisor stops all instances."""
         pid = self.pid()
-        if not self.wanted:
+        if not self.should_run:
             if number == signal.SIGTERM and self.number == 0:  # a second SIGTERM would cut its shutdown short
                 self.run.fleet.process.send_signal(signal.SIGTERM)
         elif pid:
--- a/cottonspread/lab/listing.py
+++ b/cottonspread/lab/listing.py
@@ -97,11 +97,11 @@
 class Watcher:
     """A node's connection to the list."""
 
-    __slots__ = ("sock", "node", "rest", "since", "deadline")
+    __slots__ = ("sock", "node", "buffer", "since", "deadline")
 
     def __init__(self, sock, node):
         """`node`: the plan's node whose address was connected to."""
-        self.sock, self.node, self.rest, self.since, self.deadline = sock, node, b"", None, 0
+        self.sock, self.node, self.buffer, self.since, self.deadline = sock, node, b"", None, 0
 
 
 class ListServer(LabProcess):
@@ -213,12 +213,12 @@
             return
         except OSError:
             data = b""
-        watcher.rest += data
-        if not data or len(watcher.rest) > 65536:
+        watcher.buffer += data
+        if not data or len(watcher.buffer) > 65536:
             self.drop(watcher)
             return
-        while (end := watcher.rest.find(b"\r\n\r\n")) >= 0:
-            head, watcher.rest = watcher.rest[:end], watcher.rest[end + 4 :]
+        while (end := watcher.buffer.find(b"\r\n\r\n")) >= 0:
+            head, watcher.buffer = watcher.buffer[:end], watcher.buffer[end + 4 :]
             self.on_request(watcher, head.split(b" ", 2)[1].decode("latin-1"))
 
     def on_request(self, watcher, path):
--- a/cottonspread/lab/results.py
+++ b/cottonspread/lab/results.py
@@ -139,23 +139,23 @@
         reasons.append(f"calls that the load generator failed to open: {lost}")
     if len(totals) < plan.experiment.load.processes:
         reasons.append("a load process left no totals")
-    if run.cut:
-        reasons.append(f"cut off by {run.cut}")
+    if run.interrupted_by:
+        reasons.append(f"cut off by {run.interrupted_by}")
     result = Results(
         schema=SCHEMA,
         name=plan.experiment.name,
         variant=plan.variant.name,
         seed=plan.seed,
         repeat=repeat,
-        cut=run.cut,
+        cut=run.interrupted_by,
         usable=late.p999 <= MAX_LATENESS
         and not lost
-        and not run.cut
+        and not run.interrupted_by
         and len(totals) == plan.experiment.load.processes
         and not any(" died " in r or " ended " in r or "did not stop" in r for r in run.reasons),
         reasons=reasons + run.warnings,
         schedule_sha256=totals[0]["digest"] if totals else "",
-        stolen_s=round(run.stolen, 2),
+        stolen_s=round(run.steal_seconds, 2),
         offered=len(audit.calls),
         seconds=plan.experiment.seconds,
         served_share=round(len(came_up) / len(first), 5) if first else 0.0,
--- a/cottonspread/lab/run.py
+++ b/cottonspread/lab/run.py
@@ -38,9 +38,14 @@
     def __init__(self, experiment, variant, seed, folder, on_sample=None):
         """`on_sample(run, line)` is called with each line of the timeline."""
         self.plan = plans.make(experiment, variant, seed)
-        self.folder, self.on_sample, self.cut, self.reasons = os.path.abspath(folder), on_sample, "", []
+        self.folder, self.on_sample, self.interrupted_by, self.reasons = (
+            os.path.abspath(folder),
+            on_sample,
+            "",
+            [],
+        )
         self.children, self.nodes, self.timeline, self.timers, self.sequence = [], [], [], [], 0
-        self.start, self.record, self.warnings, self.stolen, self.fleet = 0, None, [], 0.0, None
+        self.start, self.record, self.warnings, self.steal_seconds, self.fleet = 0, None, [], 0.0, None
 
     def node_cores(self, number):
         """Returns the CPU set that a node is pinned to, or None; nodes share the upper half of the cores."""
@@ -94,7 +99,7 @@
 
     def on_signal(self, number, _):
         """Interrupts the run."""
-        self.cut = self.cut or signal.Signals(number).name
+        self.interrupted_by = self.interrupted_by or signal.Signals(number).name
 
     def start_all(self, path):
         """Starts all processes, and then the run's time. `path`: the plan's file."""
@@ -118,7 +123,7 @@
         self.selector = selectors.DefaultSelector()
         for child in self.children:
             self.selector.register(child.process.stdout, selectors.EVENT_READ, child)
-        while not all(c.ready for c in self.children) and not self.cut:
+        while not all(c.ready for c in self.children) and not self.interrupted_by:
             self.read_children(0.2)
             for child in self.children:
                 if child.error:
@@ -139,7 +144,7 @@
             self.nodes = [NodeProcess(self, n) for n in range(len(self.plan.nodes))]
         for node in self.nodes:
             node.start()
-        while not all(node.up for node in self.nodes) and not self.cut:
+        while not all(node.up for node in self.nodes) and not self.interrupted_by:
             for node in self.nodes:
                 if node.process.poll() is not None:
                     raise StartError(
@@ -166,11 +171,11 @@
         """Runs timers, takes a sample every second and watches the processes until the run's end."""
         x = self.plan.experiment
         ending = self.start + round((x.seconds + x.settle_s) * SECOND)
-        stolen = psutil.cpu_times().steal
+        steal_before = psutil.cpu_times().steal
         self.schedule_faults()
         sampled = self.start
         with open(os.path.join(self.folder, "live.jsonl"), "w", encoding="utf-8") as live:
-            while now() < ending and not self.cut:
+            while now() < ending and not self.interrupted_by:
                 while self.timers and self.timers[0][0] <= now():
                     _, _, callback, args = heapq.heappop(self.timers)
                     callback(*args)
@@ -180,15 +185,15 @@
                     sampled += SECOND
                     self.take_sample(live, sampled)
                 for child in self.children:
-                    if child.ended and not self.cut:
-                        self.cut = f"{child.name} died"
+                    if child.ended and not self.interrupted_by:
+                        self.interrupted_by = f"{child.name} died"
                 for node in self.nodes:
-                    if node.wanted and node.process.poll() is not None:
-                        node.wanted = node.up = False
+                    if node.should_run and node.process.poll() is not None:
+                        node.should_run = node.up = False
                         self.record_event("died", node, code=node.process.returncode)
                         self.reasons.append(f"{node.node.name} died with {node.process.returncode}")
                         self.notify_load("down", node)
-        self.stolen = psutil.cpu_times().steal - stolen
+        self.steal_seconds = psutil.cpu_times().steal - steal_before
 
     def take_sample(self, live, at):
         """Writes one line of the timeline: counts of the load, connections by host, usage by node."""
@@ -207,7 +212,7 @@
             "s": round((at - self.start) / SECOND),
             **counts,
             "hosts": hosts,
-            "nodes": {n.node.name: n.sample() for n in self.nodes if n.wanted},
+            "nodes": {n.node.name: n.sample() for n in self.nodes if n.should_run},
         }
         self.timeline.append(line)
         live.write(json.dumps(line) + "\n")
@@ -260,7 +265,7 @@
         if self.fleet:  # the supervisor restarts the instance; connections wait meanwhile
             self.fleet.inject_node_fault(node, fault)
             return
-        node.wanted = node.up = False
+        node.should_run = node.up = False
         self.record_event("stopping" if fault.kind == "stop" else "killed", node)
         node.signal(signal.SIGTERM if fault.kind == "stop" else signal.SIGKILL)
         notice = (
@@ -311,7 +316,7 @@
         self.record_event("stopped", node, code=node.process.returncode)
         node.cpu = 0.0
         node.start()
-        node.wanted = True
+        node.should_run = True
         self.at(now() + 50_000, self.add_when_up, node, 0)
 
     def add_when_up(self, node, tries):
@@ -320,7 +325,7 @@
             node.up = True
             self.record_event("up", node)
             self.notify_load("up", node)
-        elif node.wanted and tries < 600:
+        elif node.should_run and tries < 600:
             self.at(now() + 50_000, self.add_when_up, node, tries + 1)
 
     def notify_load(self, word, node):
@@ -338,7 +343,7 @@
         for node in self.nodes:
             if node.process.poll() is None:
                 node.sample()
-                node.wanted = False
+                node.should_run = False
                 node.signal(signal.SIGCONT)
                 node.signal(signal.SIGTERM)
         until = time.monotonic() + STOP_TIMEOUT
--- a/cottonspread/lab/wire.py
+++ b/cottonspread/lab/wire.py
@@ -19,19 +19,19 @@
 class LineSplitter:
     """Splits received bytes into lines, wherever the bytes are split into reads."""
 
-    __slots__ = ("rest",)
+    __slots__ = ("partial_line",)
 
     def __init__(self):
         """Starts with an empty buffer."""
-        self.rest = b""
+        self.partial_line = b""
 
     def feed(self, data):
         """Returns the lines that `data` completes, without their line ends.
 
         ValueError if one is longer than the protocol allows.
         """
-        *whole, self.rest = (self.rest + data).split(b"\n")
-        if len(self.rest) > MAX_LINE or any(len(line) > MAX_LINE for line in whole):
+        *whole, self.partial_line = (self.partial_line + data).split(b"\n")
+        if len(self.partial_line) > MAX_LINE or any(len(line) > MAX_LINE for line in whole):
             raise ValueError("line longer than 4,096 bytes")
         return [line[:-1] if line.endswith(b"\r") else line for line in whole]
 
--- a/examples/toy.py
+++ b/examples/toy.py
@@ -69,9 +69,9 @@
     def discover(self, sock):
         """Serves a connection to the discovery."""
         with contextlib.suppress(ConnectionError):  # the node has closed the connection or was killed
-            self.tell_list(sock)
+            self.serve_list(sock)
 
-    def tell_list(self, sock):
+    def serve_list(self, sock):
         """Answers HTTP requests for the list until the connection's end."""
         with sock, sock.makefile("rwb") as file:
             while line := file.readline():
@@ -89,8 +89,8 @@
                 return {"generation": self.version, "reset": True, "instances": self.servers}
             since = int(query["since"][0])
             self.changed.wait_for(lambda: self.version > since, int(query["timeout_ms"][0]) / 1000)
-            news = {s["instanceId"]: s for version, s in self.changes if version > since}
-            return {"generation": self.version, "reset": False, "instances": list(news.values())}
+            latest = {s["instanceId"]: s for version, s in self.changes if version > since}
+            return {"generation": self.version, "reset": False, "instances": list(latest.values())}
 
     def change(self, n, state):
         """Changes the state of server n in the list."""
--- a/tests/lab/test_lab_parts.py
+++ b/tests/lab/test_lab_parts.py
@@ -24,7 +24,10 @@
     expected, got, cuts = whole.feed(data), [], sorted({min(c, len(data)) for c in cuts} | {0, len(data)})
     for start, end in itertools.pairwise(cuts):
         got += parts.feed(data[start:end])
-    assert got == expected == [b"OPEN a b c=x,d=5", b"", b"PING"] and parts.rest == whole.rest == b"last"
+    assert (
+        got == expected == [b"OPEN a b c=x,d=5", b"", b"PING"]
+        and parts.partial_line == whole.partial_line == b"last"
+    )
 
 
 def test_a_line_over_the_limit_is_rejected_and_the_longest_is_accepted():
