--- a/benchmarks/configstore/mutants.py
+++ b/benchmarks/configstore/mutants.py
@@ -14,7 +14,7 @@
 from pathlib import Path
 
 ROOT = Path(__file__).resolve().parents[2]
-AT_ONCE, WAIT = 2, 300
+PARALLEL, TIMEOUT_S = 2, 300
 REPLICA, FOLLOWER, PUBLISHER, PLAYS = (
     f"tests/configstore/test_{name}.py"
     for name in ("replica", "follower", "publisher", "configuration_plays")
@@ -58,7 +58,7 @@
         REPLICA,
     ),
     (
-        "the missed good version beside a canary",
+        "a missed good version is caught up beside a canary",
         "register.py",
         "return msgspec.structs.replace(state, good=good)",
         "return state",
@@ -72,7 +72,7 @@
         REPLICA,
     ),
     (
-        "told only once stored",
+        "served only once stored",
         "replica.py",
         "            self._storing = write, state\n",
         "            self._storing = write, state\n            self.state = state\n",
@@ -93,7 +93,7 @@
         REPLICA,
     ),
     (
-        "canaries alone",
+        "only canaries receive a canary version",
         "replica.py",
         "if committed is not None and committed.applies_to(node):",
         "if committed is not None:",
@@ -107,9 +107,9 @@
         REPLICA,
     ),
     ("the bound on reports", "reports.py", "len(self._reports) >= MAX_NODES", "False", REPLICA),
-    ("old reports", "reports.py", "if now - heard <= REPORT_RETENTION:", "if True:", REPLICA),
+    ("old reports", "reports.py", "if now - received_at <= REPORT_RETENTION:", "if True:", REPLICA),
     (
-        "the heap of waits",
+        "the heap of pending requests",
         "pending.py",
         "if len(self._heap) > 2 * len(self._requests) + HEAP_SLACK:",
         "if False:",
@@ -141,7 +141,7 @@
     ),
     ("an older answer", "follower.py", "if record.generation <= since:", "if False:", FOLLOWER),
     (
-        "the floor after a restart",
+        "the minimum version after a restart",
         "follower.py",
         "or record.version < self._min_version:",
         "or False:",
@@ -170,14 +170,14 @@
         FOLLOWER,
     ),
     (
-        "the report goes at once",
+        "a watch waits for the record's result",
         "follower.py",
         "return self._current is not None and now < self._hold_until",
         "return False",
         FOLLOWER,
     ),
     (
-        "the hold has an end",
+        "that wait is bounded",
         "follower.py",
         "return self._current is not None and now < self._hold_until",
         "return self._current is not None",
@@ -192,13 +192,13 @@
     ),
     ("two watches", "watches.py", "WATCH_COUNT = 2\n", "WATCH_COUNT = 1\n", FOLLOWER),
     (
-        "the bound on pauses",
+        "the bound on retry delays",
         "watches.py",
         "min(RETRY_DELAY << min(watch.failures, 16), MAX_RETRY_DELAY)",
         "RETRY_DELAY << min(watch.failures, 16)",
         FOLLOWER,
     ),
-    ("the spare", "watches.py", "        self._fail_over(watch)\n", "", FOLLOWER),
+    ("failover to the spare", "watches.py", "        self._fail_over(watch)\n", "", FOLLOWER),
     (
         "a short first watch",
         "watches.py",
@@ -206,7 +206,13 @@
         "self._timeout()",
         FOLLOWER,
     ),
-    ("a pause between asks", "watches.py", "max(now, watch.called_at + MIN_CALL_INTERVAL)", "now", FOLLOWER),
+    (
+        "the minimum interval between calls",
+        "watches.py",
+        "max(now, watch.called_at + MIN_CALL_INTERVAL)",
+        "now",
+        FOLLOWER,
+    ),
     (
         "a majority of acceptances",
         "publisher.py",
@@ -229,21 +235,21 @@
         PUBLISHER,
     ),
     (
-        "a version of its own",
+        "a new version number",
         "publisher.py",
         "version = highest.version + 1",
         "version = highest.version",
         PUBLISHER,
     ),
     (
-        "what comes after what was told late",
+        "a proposal newer than a late state",
         "publisher.py",
         "return known.version < record.version",
         "return False",
         PUBLISHER,
     ),
     (
-        "another's canaries",
+        "another publisher's canaries",
         "publisher.py",
         "        if _is_at_canaries(majority_state):\n            self._finish(",
         "        if False:\n            self._finish(",
@@ -257,34 +263,40 @@
         PUBLISHER,
     ),
     (
-        "the disputed stage",
+        "the later of two disputed stages",
         "majority.py",
         "(position.generation, position.version, position.stage)",
         "(position.generation, position.version)",
         PUBLISHER,
     ),
-    ("no quorum has an end", "publisher.py", "elif now >= self._deadline:", "elif False:", PUBLISHER),
+    ("no quorum times out", "publisher.py", "elif now >= self._deadline:", "elif False:", PUBLISHER),
     (
-        "one refusal",
+        "one refusal withdraws",
         "canaries.py",
         "if self._version in (report.refused, report.failing):",
         "if False:",
         PUBLISHER,
     ),
-    ("illness", "canaries.py", "in (report.refused, report.failing):", "== report.refused:", PUBLISHER),
+    (
+        "an unhealthy canary",
+        "canaries.py",
+        "in (report.refused, report.failing):",
+        "== report.refused:",
+        PUBLISHER,
+    ),
     ("enough canaries", "canaries.py", "len(self.in_force) >= self._required:", "self.in_force:", PUBLISHER),
     ("the settle time", "canaries.py", "now >= self._reached_at + SETTLE_TIME:", "True:", PUBLISHER),
     (
-        "silence has an end",
+        "silent canaries time out",
         "canaries.py",
         "if self._reached_at is None and now >= self._since + CANARY_TIMEOUT:",
         "if False:",
         PUBLISHER,
     ),
     (
-        "nodes that are gone as canaries",
+        "absent nodes as canaries",
         "majority.py",
-        "(heard.watching or heard.age_us <= REPORT_MAX_AGE) and",
+        "(received.watching or received.age_us <= REPORT_MAX_AGE) and",
         "",
         PUBLISHER,
     ),
@@ -350,7 +362,7 @@
         PLAYS,
     ),
     (
-        "play: told at the commit",
+        "play: watches answered at the commit",
         "replica.py",
         "            self._reply_to_waiting(now)",
         "            pass",
@@ -359,9 +371,9 @@
 ]
 
 
-def play(mutant):
+def run_mutant(mutant):
     """Runs the tests with one mutant; returns whether they failed."""
-    what, file, text, other, tests = mutant
+    what, file, text, replacement, tests = mutant
     with tempfile.TemporaryDirectory() as folder:
         copy = Path(folder) / "tree"
         for part in ("cottonspread", "tests"):
@@ -372,13 +384,13 @@
         if source.count(text) != 1:
             why = f"its text occurs {source.count(text)} times"
             return {"mutant": what, "file": file, "noticed": False, "why": why}
-        path.write_text(source.replace(text, other))
+        path.write_text(source.replace(text, replacement))
         command = [sys.executable, "-m", "pytest", "-n", "0", "-q", "-x", "-p", "no:cacheprovider", tests]
         command += ["-k", "not command"]  # that test needs the checkout's commit, and the copy has none
         try:
-            done = subprocess.run(command, cwd=copy, capture_output=True, text=True, timeout=WAIT)
+            done = subprocess.run(command, cwd=copy, capture_output=True, text=True, timeout=TIMEOUT_S)
         except subprocess.TimeoutExpired:
-            return {"mutant": what, "file": file, "noticed": True, "why": f"hung for {WAIT} s"}
+            return {"mutant": what, "file": file, "noticed": True, "why": f"hung for {TIMEOUT_S} s"}
         lines = [line for line in done.stdout.splitlines() if line.startswith("FAILED")]
         why = lines[0].split("::")[-1][:120] if lines else done.stdout.strip()[-120:]
         return {"mutant": what, "file": file, "noticed": done.returncode == 1 and bool(lines), "why": why}
@@ -388,15 +400,15 @@
     """Runs all mutants, or those whose name contains one of the words after the result's path."""
     words = given[1:]
     chosen = [one for one in MUTANTS if not words or any(word in one[0] for word in words)]
-    told = []
-    with ThreadPoolExecutor(AT_ONCE) as pool:
-        for one in pool.map(play, chosen):
-            told.append(one)
+    results = []
+    with ThreadPoolExecutor(PARALLEL) as pool:
+        for one in pool.map(run_mutant, chosen):
+            results.append(one)
             verdict = "noticed" if one["noticed"] else "NOT NOTICED"
             print(f"{verdict}: {one['mutant']} ({one['file']}): {one['why']}", flush=True)
     if given:
-        Path(given[0]).write_text(json.dumps(told, indent=1) + "\n")
-    return 0 if all(one["noticed"] for one in told) else 1
+        Path(given[0]).write_text(json.dumps(results, indent=1) + "\n")
+    return 0 if all(one["noticed"] for one in results) else 1
 
 
 if __name__ == "__main__":
--- a/cottonspread/lab/scale/reducer_sweeps.py
+++ b/cottonspread/lab/scale/reducer_sweeps.py
@@ -1,19 +1,19 @@
-"""Sweeps of the reducer with its module, no sockets: what a tick, a line, a call and an order of staff cost.
+"""Sweeps of the reducer with its balancer, no sockets: cost of timers, lines, calls, operators' commands.
 
     python -m cottonspread.lab.scale.reducer_sweeps [--small] [--sweep NAME] [--out DIR] [--suffix TEXT]
 
-The measures `sweep` and `listen` are the reducer's own timers, four and ten times a second;
-`timers_a_second` is what both take of a second of processor time.
+The measures `sweep` and `listen` are the reducer's own timers, which run four and ten times a second;
+`timers_a_second` is the processor time that both take in a second.
 """
 
 import gc
 
 from cottonspread.lab.scale.measuring import Cost, memory_taken
-from cottonspread.lab.scale.module_sweeps import CALLS, PLAYS, Play, run
+from cottonspread.lab.scale.module_sweeps import CALLS, REPEATS, NodeBenchmark, run_command
 from cottonspread.lab.scale.reducer_node import ReducerNode
 from cottonspread.net.reducer import ECHO_CHECK_INTERVAL, SECOND, SWEEP_INTERVAL
 
-WAITING_PART = 10  # one connection in so many has a line out without an echo
+UNECHOED_DIVISOR = 10  # one connection in so many has a line that awaits its echo
 SIZES = {
     "connections": (1_000, 5_000, 10_000, 20_000, 40_000, 76_190),
     "servers": (50, 200, 400, 1_000, 3_000),
@@ -27,60 +27,62 @@
 UNITS = {"connections": "connections on the node", "servers": "servers listed"}
 
 
-class ReducerPlay(Play):
-    """Everything that is measured of one reducer."""
+class ReducerBenchmark(NodeBenchmark):
+    """All measurements of one reducer."""
 
     def __init__(self, node):
         super().__init__(node, None)
         self.clients = list(node.hosts)
 
-    def timers(self):
-        """The two timers of the reducer with nothing under way, then with lines out."""
+    def measure_timers(self):
+        """The reducer's two timers while nothing is in progress, then with lines that await an echo."""
         node = self.node
-        for state, busy in (("idle", []), ("lines_out", self.clients[::WAITING_PART])):
+        for state, busy in (("idle", []), ("lines_out", self.clients[::UNECHOED_DIVISOR])):
             for kind in ("sweep", "listen"):
-                timed = Timed(node, kind, busy)
-                self.note(f"{kind}_{state}", Cost.of([timed] * PLAYS), True)
+                timed = TimerRun(node, kind, busy)
+                self.record(f"{kind}_{state}", Cost.measure([timed] * REPEATS), True)
                 timed.echo()
             sweeps, listens = (self.figures[f"{kind}_{state}_us", "us", True] for kind in ("sweep", "listen"))
             second = round(sweeps * (SECOND // SWEEP_INTERVAL) + listens * (SECOND // ECHO_CHECK_INTERVAL))
             self.figures[f"timers_a_second_{state}_us", "us a second", True] = second
 
-    def clients_lines(self):
-        """What clients cause: lines, calls."""
+    def measure_lines_and_calls(self):
+        """Events caused by clients: lines, calls."""
         node = self.node
-        works = [lambda client=client: node.there_and_back(client) for client in self.clients[1 : CALLS + 1]]
-        self.note("line_and_echo", Cost.of(works), False)
-        works = [lambda group=group: node.whole_call(group) for group in self.drawn_groups()]
-        self.note("call", Cost.of(works), False)
-        works = [lambda group=group: node.whole_call(group) for group in self.new_groups()]
-        self.note("call_new_group", Cost.of(works), False)
-
-    def orders(self):
-        """What the list and staff cause."""
+        tasks = [lambda client=client: node.line_and_echo(client) for client in self.clients[1 : CALLS + 1]]
+        self.record("line_and_echo", Cost.measure(tasks), False)
+        tasks = [lambda group=group: node.run_call(group) for group in self.random_groups()]
+        self.record("call", Cost.measure(tasks), False)
+        tasks = [lambda group=group: node.run_call(group) for group in self.new_groups()]
+        self.record("call_new_group", Cost.measure(tasks), False)
+
+    def measure_list_and_operator_events(self):
+        """Events caused by the list and by operators."""
         node = self.node
-        self.note("whole_list", Cost.of([node.whole_list] * PLAYS), True, longest=True)
-        self.note("hand_over", Cost.of([node.hand_over] * 2), True, longest=True)
-        self.note("drain", Cost.of([node.drain, node.resume, node.resume, node.drain]), True, longest=True)
-
-    def all(self):
-        """Plays all of it; returns the figures."""
-        self.clients_lines()
-        self.timers()
-        self.orders()
+        self.record("whole_list", Cost.measure([node.send_full_list] * REPEATS), True, longest=True)
+        self.record("hand_over", Cost.measure([node.hand_over] * 2), True, longest=True)
+        self.record(
+            "drain", Cost.measure([node.drain, node.resume, node.resume, node.drain]), True, longest=True
+        )
+
+    def run_all(self):
+        """Runs all measurements; returns the figures."""
+        self.measure_lines_and_calls()
+        self.measure_timers()
+        self.measure_list_and_operator_events()
         return self.figures
 
 
-class Timed:
-    """The next run of one timer alone: waited for as it is made ready, outside what is measured."""
+class TimerRun:
+    """The next run of one timer alone; advancing to it is not measured."""
 
     def __init__(self, node, kind, busy):
         self.node, self.kind, self.busy, self.sent = node, kind, busy, []
 
-    def ready(self):
-        """Goes to the moment at which it is due, a line just sent by each of `busy`; returns the work."""
+    def prepare(self):
+        """Advances to when it is due, just after each of `busy` sent a line; returns the work."""
         self.echo()
-        work = self.node.timers(self.kind, self.busy)
+        work = self.node.advance_to_timer(self.kind, self.busy)
         self.sent = self.busy
         return work
 
@@ -96,10 +98,10 @@
     shape = {**fixed, sweep: size}
     node, taken = memory_taken(lambda: ReducerNode(**shape))
     gc.collect()
-    figures = ReducerPlay(node).all()
+    figures = ReducerBenchmark(node).run_all()
     figures["memory", "bytes", True] = taken
     return figures
 
 
 if __name__ == "__main__":
-    run("reducer", SIZES, SMALL, FIXED, SMALL_FIXED, UNITS, measure, __doc__)
+    run_command("reducer", SIZES, SMALL, FIXED, SMALL_FIXED, UNITS, measure, __doc__)
