--- a/benchmarks/lab/engines.py
+++ b/benchmarks/lab/engines.py
@@ -1,9 +1,9 @@
-"""Which engine the generator stands on: the same open loop on epoll,
-asyncio and uvloop, against one acceptor.
+"""Compares event loops for the load generator: the same open loop on epoll, asyncio and uvloop, against one
+acceptor.
 
-`engines.py [RATE] [SECONDS]`: each engine alone on a core, in turn, three times; prints how late its calls
-went out and the CPU for each. uvloop is a part of this comparison alone: `pip install uvloop` beside
-requirements-dev.txt, else it is left out.
+`engines.py [RATE] [SECONDS]`: each engine alone on a core, in turn, three times; prints the lateness of its
+calls and the CPU time per call. Only this comparison uses uvloop: `pip install uvloop` in addition to
+requirements-dev.txt, otherwise it is left out.
 """
 
 import asyncio
@@ -16,7 +16,7 @@
 
 import numpy as np
 
-from cottonspread.lab.loop import Loop, quiet_collector
+from cottonspread.lab.loop import Loop, disable_gc
 from cottonspread.lab.wire import now
 
 LINE = b"OPEN 1 k c=farm-view,d=4800,g=g1\r\n"
@@ -36,7 +36,7 @@
 
         def read(_):
             if sock.recv(4096):
-                loop.drop(sock)
+                loop.unwatch(sock)
                 sock.close()
                 left[0] -= 1
                 if not left[0]:
@@ -44,7 +44,7 @@
 
         loop.watch(sock, read)
 
-    quiet_collector()
+    disable_gc()
     loop.at(at[0], call, 0)
     loop.run()
     return late
@@ -82,12 +82,12 @@
             tasks.append(loop.create_task(call(loop, n)))
         await asyncio.gather(*tasks)
 
-    quiet_collector()
+    disable_gc()
     runner(main())
     return late
 
 
-def measured(name, address, rate, seconds, core, out):
+def run_engine(name, address, rate, seconds, core, out):
     os.sched_setaffinity(0, {core})
     start = now() + 200_000
     at = (
@@ -138,7 +138,7 @@
         for name in names:
             out = multiprocessing.Queue()
             one = multiprocessing.Process(
-                target=measured, args=(name, address, rate, seconds, cores[-1], out)
+                target=run_engine, args=(name, address, rate, seconds, cores[-1], out)
             )
             one.start()
             print(*out.get(timeout=60), flush=True)
--- a/benchmarks/lab/faults.py
+++ b/benchmarks/lab/faults.py
@@ -1,7 +1,6 @@
-"""Behaviour through each fault: the same evening once for every fault,
-results as JSON. `faults.py OUT [SECONDS]`.
+"""Measures the behaviour during each fault: the same experiment once for every fault, results as JSON.
 
-Two nodes, six servers at a third of what they bear; the fault comes at 6 s.
+`faults.py OUT [SECONDS]`. Two nodes, six hosts at a third of their capacity; the fault starts at 6 s.
 """
 
 import json
@@ -12,7 +11,7 @@
 
 from cottonspread.lab import plan as plans
 from cottonspread.lab import results
-from cottonspread.lab.run import Play
+from cottonspread.lab.run import LabRun
 
 FAULTS = {
     "none": [],
@@ -79,9 +78,11 @@
 def main(out, seconds="14"):
     table = {}
     for name in FAULTS:
-        play = Play(experiment(name, float(seconds)), plans.Variant(name="only"), 21, os.path.join(out, name))
-        play.run()
-        r = results.judge(play)
+        lab_run = LabRun(
+            experiment(name, float(seconds)), plans.Variant(name="only"), 21, os.path.join(out, name)
+        )
+        lab_run.run()
+        r = results.evaluate(lab_run)
         table[name] = {
             "usable": r.usable,
             "late_p999_us": r.lateness.p999,
--- a/cottonspread/lab/acceptor.py
+++ b/cottonspread/lab/acceptor.py
@@ -1,28 +1,30 @@
-"""Answers every first line with UP by itself: what a generator can do is measured against
-something that does next to nothing.
+"""A node without hosts that answers every first line with UP itself.
+
+It does next to nothing, so that a load generator's own capacity can be measured against it.
 """
 
 import signal
 
 from cottonspread.lab import limits
-from cottonspread.lab.loop import Loop, listener, quiet_collector
+from cottonspread.lab.loop import Loop, disable_gc, listener
 
 
 def run(address):
-    limits.raise_descriptors()
+    """Serves the address until SIGTERM."""
+    limits.raise_descriptor_limit()
     loop, conns = Loop(), {}
-    loop.spin = 2_000_000  # always awake: a core that sleeps is a virtual machine's to be taken away
-    door = listener(address, 4096, "acceptor")
+    loop.spin = 2_000_000  # always busy-waiting: a hypervisor may take away a core that sleeps
+    server_socket = listener(address, 4096, "acceptor")
 
     def accept(_):
         for _ in range(16):
             try:
-                sock = door.accept()[0]
+                sock = server_socket.accept()[0]
             except OSError:
                 return
             sock.setblocking(False)
             conns[sock] = None
-            read(sock)  # in most cases its line is here already
+            read(sock)  # in most cases its first line has arrived already
             if sock in conns:
                 loop.watch(sock, lambda _, sock=sock: read(sock))
 
@@ -42,12 +44,12 @@
             return
         except OSError:
             pass
-        loop.drop(sock)
+        loop.unwatch(sock)
         sock.close()
         conns.pop(sock, None)
 
     signal.signal(signal.SIGTERM, lambda *_: loop.stop())
-    loop.watch(door, accept)
-    quiet_collector()
+    loop.watch(server_socket, accept)
+    disable_gc()
     loop.run()
     return 0
--- a/cottonspread/lab/ledger.py
+++ b/cottonspread/lab/audit.py
@@ -1,26 +1,27 @@
-"""An audit of a run, from what clients, hosts, the list and the runner
-saw, and never from a node's own words.
-
-It shares no code with the node, nor with the model that stands behind the hosts. Each offence names its rule
-and holds the call in full. Rules, with the 50 ms that sockets get:
-
-1. Every call that a node's machine took gets one final answer before its guard time; nothing is sent for it
-   after; a standing connection is never cut off without MOVE, and an end or a silence is passed on in time.
-2. No effect twice; never two legs at once.
-3. Nothing new to a host later than the grace after the list told that node that it drains or is gone.
-4. No cold host tipped: a budget over any window, all nodes together.
+"""Audits a run from the records of clients, hosts, the list and the runner, never from what a node reports.
+
+The audit shares no code with the node or with the hosts' model. Each violation names its rule and holds the
+call with all its legs. The rules, which allow 50 ms for delays of the sockets and of the machine:
+
+1. Every call whose first line reached a node's machine gets exactly one final answer before its guard time,
+   and no leg is opened for it afterwards. An established connection is never cut off without MOVE, and the
+   end or the silence of its host is passed on in time.
+2. No call takes effect twice, and it never has two legs at once.
+3. No new call goes to a host later than the grace time after the list told that node that the host is
+   draining or gone.
+4. No cold host is overloaded: what all nodes together send it stays within a budget over any window.
 """
 
 from bisect import bisect_right
 from collections import Counter, defaultdict, deque
 
-SLACK = 50_000
-PASSED_ON = 1_000_000
-SILENCE = 7_000_000
+TOLERANCE = 50_000
+MAX_END_DELAY = 1_000_000
+MAX_SILENCE = 7_000_000
 SECOND = 1_000_000
-SHOWN = 5  # offences of each kind that are kept in full
-LEG_EVENTS = ("leg", "ran", "up", "full", "late", "end", "swallowed")  # what hosts tell of one leg
-MEANINGS = {
+MAX_EXAMPLES = 5  # violations of each kind that are kept with all details
+LEG_EVENTS = ("leg", "ran", "up", "full", "late", "end", "swallowed")  # record kinds of hosts about one leg
+RULES = {
     1: "one final answer in time",
     2: "no effect twice",
     3: "nothing new to a drained server",
@@ -29,32 +30,37 @@
 
 
 class Audit:
+    """The audit of one run; all times are microseconds after the run's start."""
+
     def __init__(self, plan, start, records):
-        """`records(kind)` gives the lines of load, hosts, list and nodes;
-        `start`: the run's, on the shared clock.
+        """Reads all records.
+
+        `records(kind)` returns the lines of load, hosts, list or nodes; `start`: when the run started, on the
+        monotonic clock that all processes share.
         """
         self.plan, self.start = plan, start
         self.kinds = {k.name: k for k in plan.experiment.load.types}
         self.machines = {m.name: m for m in plan.machines}
         self.grace = round(plan.experiment.nodes.grace_ms * 1000)
-        self.offences, self.shown, self.checked = Counter(), defaultdict(list), Counter()
-        self.calls, self.excused, self.twice, self.ends_at = {}, 0, 0, 0
-        self.legs, self.host_ends, self.starts, self.troubled = (
+        self.violations, self.examples, self.checked = Counter(), defaultdict(list), Counter()
+        self.calls, self.excused, self.harmless_repeats, self.ends_at = {}, 0, 0, 0
+        self.legs, self.host_ends, self.starts, self.host_faults = (
             defaultdict(list),
             {},
             defaultdict(list),
             defaultdict(list),
         )
-        self.deaths, self.freezes, self.told, self.budget = (
+        self.deaths, self.freezes, self.list_updates, self.max_cold_budget = (
             defaultdict(list),
             defaultdict(list),
             defaultdict(list),
             0.0,
         )
-        self.spans = {}
+        self.drain_spans = {}
         self.read(records)
 
     def read(self, records):
+        """Reads the records of nodes, hosts, list and load."""
         for line in records("nodes"):
             self.read_node(line)
         open_legs = {}
@@ -65,13 +71,14 @@
                 self.read_host(line)
         for line in records("list"):
             if line["k"] == "told":
-                self.told[line["node"]].append((line["t"] - self.start, line["whole"], line["hosts"]))
+                self.list_updates[line["node"]].append((line["t"] - self.start, line["whole"], line["hosts"]))
         for line in records("load"):
             if line["k"] == "call":
                 self.calls[line["id"]] = line
                 self.ends_at = max(self.ends_at, line["end"])
 
     def read_node(self, line):
+        """Reads a line of the runner about a node."""
         kind, t, node = line["k"], line["t"] - self.start, line["node"]
         if kind in ("killed", "died"):
             self.deaths[node].append(t)
@@ -81,6 +88,7 @@
             self.freezes[node][-1][1] = t
 
     def read_leg(self, line, open_legs):
+        """Reads a host's line about a leg. `open_legs`: the latest leg by (call id, host)."""
         kind, t, key = line["k"], line["t"] - self.start, (line["id"], line.get("host"))
         if kind == "leg":
             leg = {
@@ -110,159 +118,177 @@
             leg["never"] = t
 
     def read_host(self, line):
+        """Reads a host's line about the host itself."""
         kind, t, host = line["k"], line["t"] - self.start, line.get("host")
         if kind == "started":
             self.starts[host].append(t)
         elif kind in ("fault", "mend", "down"):
-            self.troubled[host].append((t, kind, line.get("kind")))
+            self.host_faults[host].append((t, kind, line.get("kind")))
         elif kind == "tipped":
-            self.offence(4, "tipped", {"host": host, "t": t, "sent_us": line["v"]})
+            self.add_violation(4, "tipped", {"host": host, "t": t, "sent_us": line["v"]})
         elif kind == "syntax":
-            self.offence(1, "a host could not read its first line", line)
+            self.add_violation(1, "a host could not read its first line", line)
 
-    def offence(self, rule, what, full):
-        self.offences[rule, what] += 1
-        if len(self.shown[rule, what]) < SHOWN:
-            self.shown[rule, what].append(full)
+    def add_violation(self, rule, what, details):
+        """Counts a violation and keeps the first ones of each kind with their details."""
+        self.violations[rule, what] += 1
+        if len(self.examples[rule, what]) < MAX_EXAMPLES:
+            self.examples[rule, what].append(details)
 
-    def full(self, call):
+    def with_legs(self, call):
+        """Returns a call's record together with its legs."""
         return {**call, "legs": self.legs.get(call["id"], [])}
 
     def run(self):
+        """Checks all rules and returns the result."""
         for call in self.calls.values():
-            self.answers(call)
-            self.effects(call)
-            self.drains(call)
+            self.check_answers(call)
+            self.check_effects(call)
+            self.check_drains(call)
         for host, machine in self.machines.items():
             for start in self.starts.get(host, ()):
-                self.cold(machine, start)
+                self.check_cold_budget(machine, start)
         return self.result()
 
     def result(self):
+        """Returns the counts and violations so far, as results.json holds them."""
         return {
             "calls": len(self.calls),
             "legs": sum(map(len, self.legs.values())),
             "excused": self.excused,
-            "ran_twice_harmlessly": self.twice,
-            "cold_budget_used": round(self.budget, 3),
+            "ran_twice_harmlessly": self.harmless_repeats,
+            "cold_budget_used": round(self.max_cold_budget, 3),
             "rules": {
                 str(rule): {
                     "meaning": meaning,
                     "checked": self.checked[rule],
-                    "broken": sum(n for (r, _), n in self.offences.items() if r == rule),
+                    "broken": sum(n for (r, _), n in self.violations.items() if r == rule),
                 }
-                for rule, meaning in MEANINGS.items()
+                for rule, meaning in RULES.items()
             },
             "offences": [
-                {"rule": rule, "what": what, "count": n, "first": self.shown[rule, what]}
-                for (rule, what), n in sorted(self.offences.items())
+                {"rule": rule, "what": what, "count": n, "first": self.examples[rule, what]}
+                for (rule, what), n in sorted(self.violations.items())
             ],
         }
 
     # Rule 1
 
-    def died(self, node, after, before):
+    def node_died(self, node, after, before):
+        """Tells whether the node was killed or died between two times."""
         return any(after <= t <= before for t in self.deaths.get(node, ()))
 
-    def frozen(self, node, after, before):
+    def node_frozen(self, node, after, before):
+        """Tells whether the node was frozen at any time between two times."""
         return any(since <= before and until >= after for since, until in self.freezes.get(node, ()))
 
-    def answers(self, call):
+    def check_answers(self, call):
+        """Checks rule 1 for a call."""
         if not call["sent"]:
-            return  # its node's machine never took it
+            return  # its node's machine never received it
         self.checked[1] += 1
         answers, guard = call["answers"], call["sent"] + round(call["d"] * 1000)
         if len(answers) > 1:
-            self.offence(1, "more than one final answer", self.full(call))
+            self.add_violation(1, "more than one final answer", self.with_legs(call))
         if answers:
-            self.answered(call, guard)
+            self.check_answered(call, guard)
         else:
-            self.unanswered(call, guard)
+            self.check_unanswered(call, guard)
         last = answers[0][0] if answers else call["end"]
-        if any(leg["t"] > min(last, guard) + SLACK for leg in self.legs.get(call["id"], ())):
-            self.offence(1, "a leg after the final answer", self.full(call))
+        if any(leg["t"] > min(last, guard) + TOLERANCE for leg in self.legs.get(call["id"], ())):
+            self.add_violation(1, "a leg after the final answer", self.with_legs(call))
         if answers and answers[0][1] == "UP":
             if call["how"] in ("end", "reset"):
-                self.cut_off(call)
-            self.passed_on(call)
+                self.check_cut_off(call)
+            self.check_end_delay(call)
 
-    def answered(self, call, guard):
+    def check_answered(self, call, guard):
+        """Checks the time of a final answer, and that an UP carries the receipt of a host."""
         at, what, value = call["answers"][0]
-        if at > guard + SLACK and not self.frozen(call["node"], guard - SLACK, guard + SLACK):
-            self.offence(1, "answered after the guard time", self.full(call))
+        if at > guard + TOLERANCE and not self.node_frozen(
+            call["node"], guard - TOLERANCE, guard + TOLERANCE
+        ):
+            self.add_violation(1, "answered after the guard time", self.with_legs(call))
         legs = self.legs.get(call["id"], ())
         if what == "UP" and not any(leg["up"] and leg["up"][1] == value for leg in legs):
-            self.offence(1, "UP that no host gave", self.full(call))
+            self.add_violation(1, "UP that no host gave", self.with_legs(call))
 
-    def unanswered(self, call, guard):
-        if self.died(call["node"], call["sent"] - SLACK, call["end"] + SLACK):
+    def check_unanswered(self, call, guard):
+        """Checks whether a call without a final answer is excused."""
+        if self.node_died(call["node"], call["sent"] - TOLERANCE, call["end"] + TOLERANCE):
             self.excused += 1  # its node was killed with it
-        elif self.frozen(call["node"], guard - SLACK, guard + SLACK):
+        elif self.node_frozen(call["node"], guard - TOLERANCE, guard + TOLERANCE):
             self.excused += 1  # its node was stopped over its guard time
         elif call["how"] == "cut":
-            if call["end"] > guard + SLACK:
-                self.offence(1, "no answer before the guard time", self.full(call))
+            if call["end"] > guard + TOLERANCE:
+                self.add_violation(1, "no answer before the guard time", self.with_legs(call))
         elif call["how"] == "gave-up":
-            self.offence(1, "no answer before the guard time", self.full(call))
+            self.add_violation(1, "no answer before the guard time", self.with_legs(call))
         else:
-            self.offence(1, "ended without an answer", self.full(call))
+            self.add_violation(1, "ended without an answer", self.with_legs(call))
 
-    def cut_off(self, call):
-        """The node ended a standing connection without MOVE: had its host ended it?"""
+    def check_cut_off(self, call):
+        """Checks that an established connection that ended without MOVE was ended by its host."""
         node, end = call["node"], call["end"]
-        if self.died(node, 0, end + SLACK):
+        if self.node_died(node, 0, end + TOLERANCE):
             self.excused += 1
             return
         leg = next((leg for leg in self.legs.get(call["id"], ()) if leg["up"]), None)
-        if leg is None or leg["how"] in ("end", "reset") and leg["end"] <= end + SLACK:
+        if leg is None or leg["how"] in ("end", "reset") and leg["end"] <= end + TOLERANCE:
             return
         if leg["how"] == "" or any(
-            t <= end + SLACK and kind in ("down", "fault") and what in (None, "vanish", "half-dead", "hang")
-            for t, kind, what in self.troubled.get(leg["host"], ())
+            t <= end + TOLERANCE
+            and kind in ("down", "fault")
+            and what in (None, "vanish", "half-dead", "hang")
+            for t, kind, what in self.host_faults.get(leg["host"], ())
         ):
             return  # its host was silent
-        self.offence(1, "cut off without MOVE while its host answered", self.full(call))
+        self.add_violation(1, "cut off without MOVE while its host answered", self.with_legs(call))
 
-    def passed_on(self, call):
+    def check_end_delay(self, call):
+        """Checks that the node passed on the end or the silence of the host in time."""
         node, end = call["node"], call["end"]
         leg = next((leg for leg in self.legs.get(call["id"], ()) if leg["up"]), None)
         if (
             leg
             and leg["how"] in ("end", "reset")
-            and end > leg["end"] + PASSED_ON + SLACK
-            and not self.frozen(node, leg["end"], end)
+            and end > leg["end"] + MAX_END_DELAY + TOLERANCE
+            and not self.node_frozen(node, leg["end"], end)
+        ):
+            self.add_violation(1, "a host's end passed on late", self.with_legs(call))
+        if call["unanswered"] > MAX_SILENCE + TOLERANCE and not self.node_frozen(
+            node, end - call["unanswered"], end
         ):
-            self.offence(1, "a host's end passed on late", self.full(call))
-        if call["unanswered"] > SILENCE + SLACK and not self.frozen(node, end - call["unanswered"], end):
-            self.offence(1, "silent for over 7 s", self.full(call))
+            self.add_violation(1, "silent for over 7 s", self.with_legs(call))
 
     # Rule 2
 
-    def effects(self, call):
+    def check_effects(self, call):
+        """Checks rule 2 for a call."""
         legs = self.legs.get(call["id"], ())
         self.checked[2] += len(legs)
         kind = self.kinds[call["type"]]
         ran = [leg for leg in legs if leg["ran"] is not None]
         if len(ran) > 1:
-            if kind.effect == "once-only" or kind.effect == "referenced" and not self.one_group(kind, ran):
-                self.offence(2, "ran twice", self.full(call))
+            if kind.effect == "once-only" or kind.effect == "referenced" and not self.in_one_scope(kind, ran):
+                self.add_violation(2, "ran twice", self.with_legs(call))
             else:
-                self.twice += 1
+                self.harmless_repeats += 1
         for n, leg in enumerate(legs):
-            if any(self.still_open(earlier, leg["t"]) for earlier in legs[:n]):
-                self.offence(2, "two legs at once", self.full(call))
+            if any(self.is_active(earlier, leg["t"]) for earlier in legs[:n]):
+                self.add_violation(2, "two legs at once", self.with_legs(call))
                 return
             open_before = [one for one in legs[:n] if one["never"] is None]
             if not open_before or kind.effect == "repeatable":
                 continue
             if kind.effect == "once-only":
-                self.offence(2, "once-only sent again though it may have run", self.full(call))
+                self.add_violation(2, "once-only sent again though it may have run", self.with_legs(call))
                 return
-            if not self.one_group(kind, [open_before[0], leg]):
-                self.offence(2, "referenced sent where its repeats are not known", self.full(call))
+            if not self.in_one_scope(kind, [open_before[0], leg]):
+                self.add_violation(2, "referenced sent where its repeats are not known", self.with_legs(call))
                 return
-            if kind.remembered_ms and leg["t"] > open_before[0]["t"] + kind.remembered_ms * 1000 + SLACK:
-                self.offence(2, "referenced sent again after its time", self.full(call))
+            if kind.remembered_ms and leg["t"] > open_before[0]["t"] + kind.remembered_ms * 1000 + TOLERANCE:
+                self.add_violation(2, "referenced sent again after its time", self.with_legs(call))
                 return
         rejected = call["answers"] and call["answers"][0][1] == "BUSY"
         if (
@@ -270,23 +296,24 @@
             and any(leg["never"] is None for leg in legs)
             and (kind.effect == "once-only" or kind.effect == "referenced" and kind.scope != "all")
         ):
-            self.offence(2, "rejected though it may have run", self.full(call))
+            self.add_violation(2, "rejected though it may have run", self.with_legs(call))
 
-    def still_open(self, leg, at):
-        """Whether another leg at that time is a second one at once."""
+    def is_active(self, leg, at):
+        """Tells whether the leg was still active at that time."""
         if leg["never"] is not None:
             return False
         if leg["end"] is None:
-            return not self.gone(leg, at)
-        return leg["end"] > at + SLACK
+            return not self.host_vanished(leg, at)
+        return leg["end"] > at + TOLERANCE
 
-    def gone(self, leg, before):
-        """Its host vanished, so that it saw no end."""
+    def host_vanished(self, leg, before):
+        """Tells whether the leg's host vanished or went down before, and so recorded no end of the leg."""
         return any(
-            t <= before and what in ("vanish", "cold") for t, _, what in self.troubled.get(leg["host"], ())
+            t <= before and what in ("vanish", "cold") for t, _, what in self.host_faults.get(leg["host"], ())
         )
 
-    def one_group(self, kind, legs):
+    def in_one_scope(self, kind, legs):
+        """Tells whether all hosts of the legs are in one scope, within which repeats are recognised."""
         if kind.scope == "all":
             return True
         return (
@@ -301,14 +328,15 @@
 
     # Rule 3
 
-    def unfit_since(self, node, host, at):
-        """Since when the list has named the host as draining or gone to this
-        node, as of `at`; None if it has not.
+    def drained_since(self, node, host, at):
+        """Returns the time since when the list has reported the host to this node as draining or gone.
+
+        The state is that at the time `at`; None if the list reported no such state.
         """
-        spans = self.spans.get((node, host))
+        spans = self.drain_spans.get((node, host))
         if spans is None:
             spans, since = [], None
-            for t, whole, hosts in self.told.get(node, ()):
+            for t, whole, hosts in self.list_updates.get(node, ()):
                 state = next((s for name, s, _ in hosts if name == host), "Gone" if whole else None)
                 if state in ("Terminating", "Gone"):
                     since = t if since is None else since
@@ -316,26 +344,29 @@
                 elif state is not None:
                     since = None
                     spans.append((t, None))
-            self.spans[node, host] = spans
-        place = bisect_right(spans, (at, float("inf"))) - 1
-        return spans[place][1] if place >= 0 else None
+            self.drain_spans[node, host] = spans
+        index = bisect_right(spans, (at, float("inf"))) - 1
+        return spans[index][1] if index >= 0 else None
 
-    def drains(self, call):
+    def check_drains(self, call):
+        """Checks rule 3 for a call's legs."""
         for leg in self.legs.get(call["id"], ()):
             self.checked[3] += 1
-            since = self.unfit_since(call["node"], leg["host"], leg["t"])
-            if since is not None and leg["t"] > since + self.grace + SLACK:
-                self.offence(
+            since = self.drained_since(call["node"], leg["host"], leg["t"])
+            if since is not None and leg["t"] > since + self.grace + TOLERANCE:
+                self.add_violation(
                     3,
                     "a leg to a server that drains or is gone",
-                    {**self.full(call), "told": since, "late_ms": (leg["t"] - since) / 1000},
+                    {**self.with_legs(call), "told": since, "late_ms": (leg["t"] - since) / 1000},
                 )
 
     # Rule 4
 
-    def cold(self, machine, start):
-        """What a cold host was sent, by the mean work of a set-up and the loads told,
-        over what it may be sent in any window.
+    def check_cold_budget(self, machine, start):
+        """Checks rule 4 for a host that started at `start`.
+
+        The work that it was sent in a window, estimated from the mean work of a set-up and the recorded loads
+        of its connections, is compared with what it may be sent in any window.
         """
         t = machine.traits
         warm, window = round(t.warm_s * SECOND), round(t.tip_s * SECOND)
@@ -357,26 +388,26 @@
             recent.append(at)
             while recent[0] < at - window:
                 recent.popleft()
-            standing = sum(
+            connection_work = sum(
                 one["load"] * (min(at, one["end"] or at) - max(one["ran"], at - window)) / SECOND
                 for one in legs
                 if one["ran"] is not None and one["ran"] < at and (one["end"] or at) > at - window
             )
             share = t.cold_share + (1 - t.cold_share) * (at - start) / warm
-            used = (len(recent) * t.setup_us + standing) / (
+            used = (len(recent) * t.setup_us + connection_work) / (
                 t.tip_multiple * t.cores * t.speed * share * window
             )
-            self.budget = max(self.budget, used)
+            self.max_cold_budget = max(self.max_cold_budget, used)
             if used > 1:
-                self.offence(
+                self.add_violation(
                     4,
                     "more than its budget sent to a cold server",
                     {"host": machine.name, "t": at, "started": start, "used": round(used, 3)},
                 )
 
 
-def told(result):
-    """The audit in lines."""
+def summary_lines(result):
+    """Returns an audit's result as lines of text."""
     out = [
         f"calls {result['calls']}, legs {result['legs']}, "
         f"excused with killed or frozen nodes {result['excused']}, "
--- a/cottonspread/lab/children.py
+++ b/cottonspread/lab/children.py
@@ -1,4 +1,4 @@
-"""The processes of a play: the lab's own (hosts, list, load) and single nodes."""
+"""The processes of a run: the lab's own (hosts, list, load) and single nodes."""
 
 import contextlib
 import ctypes
@@ -11,20 +11,21 @@
 
 import psutil
 
-from cottonspread.lab import tuning
+from cottonspread.lab import node_config
 
-DIES_WITH_PARENT = 1  # PR_SET_PDEATHSIG
+PR_SET_PDEATHSIG = 1
 ROOT = os.path.dirname(os.path.dirname(os.path.dirname(os.path.abspath(__file__))))
 libc = ctypes.CDLL(None)
 
 
 class Child:
-    """A process of the lab's own."""
+    """A process of the lab's own, as the runner sees it."""
 
-    def __init__(self, name, words, cores):
+    def __init__(self, name, arguments, cores):
+        """Starts it. `arguments` of `cottonspread lab`; `cores`: the CPU set to run on, or None."""
         self.name = name
         self.process = subprocess.Popen(
-            [sys.executable, "-m", "cottonspread", "lab", *words],
+            [sys.executable, "-m", "cottonspread", "lab", *arguments],
             cwd=ROOT,
             stdin=subprocess.PIPE,
             stdout=subprocess.PIPE,
@@ -32,24 +33,25 @@
             preexec_fn=lambda: prepare_child(cores),
         )
         os.set_blocking(self.process.stdout.fileno(), False)
-        self.rest, self.ready, self.fault, self.counts, self.ended = b"", False, "", {}, False
+        self.partial_line, self.ready, self.error, self.counts, self.ended = b"", False, "", {}, False
 
-    def say(self, line):
+    def send(self, line):
+        """Sends a command."""
         with contextlib.suppress(OSError):
             self.process.stdin.write(line.encode() + b"\n")
 
     def read(self):
-        """False at its end."""
+        """Reads what the process has reported; False once it has exited."""
         data = self.process.stdout.read(65536)
         if data is None:
             return True
-        *lines, self.rest = (self.rest + data).split(b"\n")
+        *lines, self.partial_line = (self.partial_line + data).split(b"\n")
         for line in lines:
             word, _, rest = line.decode().partition(" ")
             if word == "ready":
                 self.ready = True
             elif word == "fault":
-                self.fault = rest
+                self.error = rest
             elif word == "counts":
                 self.counts = json.loads(rest)
                 self.counts["new"] = True
@@ -57,71 +59,78 @@
 
 
 def prepare_child(cores):
-    libc.prctl(DIES_WITH_PARENT, signal.SIGKILL)
-    os.setpgrp()  # a terminal's Ctrl-C is the runner's alone
+    """Runs in a child before exec: ties its life to the runner's and pins it to `cores`."""
+    libc.prctl(PR_SET_PDEATHSIG, signal.SIGKILL)
+    os.setpgrp()  # a terminal's Ctrl-C goes to the runner alone
     if cores:
         os.sched_setaffinity(0, cores)
 
 
 class NodeProcess:
-    """One node, started anew after a stop or a kill."""
+    """A node, which can be restarted after a stop or a kill."""
 
-    def __init__(self, play, number):
-        self.play, self.number, self.node = play, number, play.plan.nodes[number]
-        self.process, self.probe, self.up, self.wanted, self.cpu = None, None, False, True, 0.0
-        self.most_rss = self.most_threads = self.most_fds = 0
-        self.starts, self.retuned, self.leaving, self.listener = 0, 0, None, None
+    def __init__(self, run, number):
+        """`run`: the LabRun; `number`: the node's index in the plan."""
+        self.run, self.number, self.node = run, number, run.plan.nodes[number]
+        self.process, self.probe, self.up, self.should_run, self.cpu = None, None, False, True, 0.0
+        self.max_rss = self.max_threads = self.max_fds = 0
+        self.starts, self.settings_version, self.old_process, self.listener = 0, 0, None, None
 
     @property
-    def operator(self):
-        """Another address with each start, for two processes of a node may be there at the same time."""
+    def admin_address(self):
+        """The operators' address; it changes with each start, as two processes of a node may overlap."""
         return self.node.ip, 20000 + 10 * self.number + self.starts % 10
 
-    def call(self, word):
-        with socket.create_connection(self.operator, timeout=1) as sock:
+    def admin_call(self, word):
+        """Sends an operators' call; tells whether it succeeded."""
+        with socket.create_connection(self.admin_address, timeout=1) as sock:
             sock.sendall(word.encode() + b"\n")
             return sock.recv(16).startswith(b"200")
 
-    def serves(self):
+    def is_healthy(self):
+        """Tells whether the node reports that it is healthy."""
         try:
-            return self.call("health")
+            return self.admin_call("health")
         except OSError:
             return False
 
-    def inherited(self):
-        """The environment and the descriptors of a process that is to be
-        replaced: the lab holds its socket then.
+    def inheritance(self):
+        """Returns the environment and the descriptors that a process inherits.
+
+        If the plan replaces the node, the lab holds its listening socket and passes it on to each process.
         """
-        if not any(f.kind == "replace" and self.node.name in f.on for f in self.play.plan.faults):
+        if not any(f.kind == "replace" and self.node.name in f.on for f in self.run.plan.faults):
             return {}, ()
         if self.listener is None:
             self.listener = socket.create_server((self.node.ip, self.node.port), backlog=1024)
-        folder = os.path.join(self.play.folder, self.node.name)
+        folder = os.path.join(self.run.folder, self.node.name)
         os.makedirs(folder, exist_ok=True)
         return {"TMPDIR": folder, "PROXY_INHERITED_FD": str(self.listener.fileno())}, (
             self.listener.fileno(),
         )
 
-    def retune(self):
-        """One more traffic type, and other limits."""
-        self.retuned += 1
+    def reload_settings(self):
+        """Reloads the node with one more traffic type and other limits."""
+        self.settings_version += 1
         self.write_config()
         self.signal(signal.SIGHUP)
 
     def write_config(self):
-        path = os.path.join(self.play.folder, f"{self.node.name}.json")
+        """Writes the node's configuration and returns the file's path."""
+        path = os.path.join(self.run.folder, f"{self.node.name}.json")
         with open(path + ".new", "w", encoding="utf-8") as file:
-            json.dump(tuning.values(self.play.plan, self.number, self.retuned), file, indent=1)
+            json.dump(node_config.build(self.run.plan, self.number, self.settings_version), file, indent=1)
         os.replace(path + ".new", path)
         return path
 
     def start(self):
-        plan, x = self.play.plan, self.play.plan.experiment
-        path, (environment, kept) = self.write_config(), self.inherited()
+        """Starts the node's process."""
+        plan, x = self.run.plan, self.run.plan.experiment
+        path, (environment, kept) = self.write_config(), self.inheritance()
         self.starts += 1
         command = plan.variant.command or x.nodes.command or [sys.executable, "-m", "cottonspread", "serve"]
         checkout = plan.variant.checkout or x.nodes.checkout or ROOT
-        with open(os.path.join(self.play.folder, f"{self.node.name}.log"), "ab") as log:
+        with open(os.path.join(self.run.folder, f"{self.node.name}.log"), "ab") as log:
             self.process = subprocess.Popen(
                 [sys.executable if word == "python" else word for word in command],
                 cwd=checkout,
@@ -134,14 +143,15 @@
                     **environment,
                     "PROXY_CONFIG": path,
                     "PYTHONPATH": checkout,
-                    "PROXY_OPERATOR": "{}:{}".format(*self.operator),
+                    "PROXY_OPERATOR": "{}:{}".format(*self.admin_address),
                 },
-                preexec_fn=lambda: prepare_child(self.play.node_cores(self.number)),
+                preexec_fn=lambda: prepare_child(self.run.node_cores(self.number)),
             )
         self.probe, self.up = psutil.Process(self.process.pid), False
-        self.play.note("started", self)
+        self.run.record_event("started", self)
 
     def answers_ping(self):
+        """Tells whether the node answers a PING with PONG."""
         try:
             with socket.create_connection((self.node.ip, self.node.port), timeout=0.3) as sock:
                 sock.sendall(b"PING\r\n")
@@ -150,11 +160,12 @@
             return False
 
     def signal(self, number):
+        """Sends a signal to the process, if it runs."""
         if self.process.poll() is None:
             self.process.send_signal(number)
 
     def sample(self):
-        """CPU seconds since the last sample, resident bytes, threads and descriptors."""
+        """Returns CPU seconds since the last sample, resident megabytes, threads and descriptors."""
         try:
             with self.probe.oneshot():
                 times, memory = self.probe.cpu_times(), self.probe.memory_info().rss
@@ -163,6 +174,6 @@
             return {"cpu": 0, "rss_mb": 0, "threads": 0, "fds": 0}
         total = times.user + times.system
         used, self.cpu = max(0.0, total - self.cpu), total
-        self.most_rss, self.most_threads = max(self.most_rss, memory), max(self.most_threads, threads)
-        self.most_fds = max(self.most_fds, fds)
+        self.max_rss, self.max_threads = max(self.max_rss, memory), max(self.max_threads, threads)
+        self.max_fds = max(self.max_fds, fds)
         return {"cpu": round(used, 3), "rss_mb": round(memory / 1e6, 1), "threads": threads, "fds": fds}
--- /dev/null
+++ b/cottonspread/lab/client_policy.py
@@ -0,0 +1,21 @@
+"""Whether and when a client connects again after its connection has ended; for real and simulated clients."""
+
+
+def next_attempt(load, kind, how, up, answer, tries, heeds_retry_after, jitter):
+    """Returns None, or (microseconds until the client connects again, whether it is a reconnect).
+
+    Otherwise it is a retry. `how`: how the connection ended; `up`: whether it was established; `answer`: its
+    final answer as ("BUSY", ms) or the like, or None; `tries`: retries before this one; `heeds_retry_after`:
+    whether the client does; `jitter`: the client's random number from 0 to 1.
+    """
+    if how in ("left", "bye", "cut"):
+        return None
+    if up:
+        return None if how == "broke-off" else (round(load.rejoin_ms * 1000 * (0.5 + jitter)), True)
+    word, value = answer or ("", 0)
+    if tries >= load.retries or kind.effect == "once-only" and not (word == "BUSY" or how == "refused"):
+        return None
+    wait = round(load.backoff_ms * 1000 * 2**tries * (0.5 + jitter))
+    if word == "BUSY" and value and heeds_retry_after:
+        wait = max(wait, value * 1000) if tries else value * 1000
+    return wait, False
--- a/cottonspread/lab/experiment.py
+++ b/cottonspread/lab/experiment.py
@@ -1,4 +1,4 @@
-"""Experiments: plays of an experiment's variants in turn (A B A B), their results side by side."""
+"""Runs an experiment's variants alternately (A B A B) and compares their results."""
 
 import os
 import sys
@@ -10,63 +10,71 @@
 
 from cottonspread.lab import plan as plans
 from cottonspread.lab import report, results
-from cottonspread.lab.load import LATE
-from cottonspread.lab.run import Play
+from cottonspread.lab.load import MAX_LATENESS
+from cottonspread.lab.run import LabRun
 
 
-def run(file, out, seconds=None, repeats=None, quiet=False, again=2):
-    """Plays all; exit code 0, or 1 if a rule was broken, 3 if a play is not usable.
+def run(file, out, seconds=None, repeats=None, quiet=False, max_repeats=2):
+    """Runs all variants; returns the exit code: 0, 1 if a rule was broken, 3 if a run is not usable.
 
-    A play whose generator was late is played anew, `again` times at most; what it left is kept beside it.
+    A run whose load generator was late is repeated, `max_repeats` times at most; its folder is kept.
     """
     x = plans.read(file)
     if seconds:
         x = plans.check(msgspec.structs.replace(x, seconds=seconds))
     variants = x.variants or [plans.Variant(name="only")]
     if os.path.exists(os.path.join(out, "0-" + variants[0].name)):
-        raise plans.PlanError(f"--out {out}: holds plays already")
-    played = {v.name: [] for v in variants}
-    console, cut = Console(stderr=True), ""
+        raise plans.PlanError(f"--out {out}: already holds runs")
+    results_by_variant = {v.name: [] for v in variants}
+    console, interrupted_by = Console(stderr=True), ""
     for repeat in range(repeats or x.repeats):
         for variant in variants:
-            if cut:
+            if interrupted_by:
                 break
-            for tried in range(again + 1):
+            for attempt in range(max_repeats + 1):
                 folder = os.path.join(out, f"{repeat}-{variant.name}")
-                play = Play(x, variant, x.seed + repeat, folder)
-                run_play(play, None if quiet or not console.is_terminal else console)
-                result = results.judge(play, repeat)
-                if play.cut or result.lateness.p999 <= LATE or tried == again:
+                lab_run = LabRun(x, variant, x.seed + repeat, folder)
+                run_with_progress(lab_run, None if quiet or not console.is_terminal else console)
+                result = results.evaluate(lab_run, repeat)
+                if lab_run.interrupted_by or result.lateness.p999 <= MAX_LATENESS or attempt == max_repeats:
                     break
-                print("\n".join(results.lines(result)) + "\nplayed anew: the generator was late", flush=True)
-                os.rename(folder, os.path.join(out, f"late{tried}-{repeat}-{variant.name}"))
-            played[variant.name].append(result)
-            cut = play.cut
-            print("\n".join(results.lines(result)), flush=True)
-    pairs = list(zip(*(played[v.name] for v in variants[:2]), strict=False)) if len(variants) > 1 else []
+                print(
+                    "\n".join(results.summary_lines(result)) + "\nrepeated: the load generator was late",
+                    flush=True,
+                )
+                os.rename(folder, os.path.join(out, f"late{attempt}-{repeat}-{variant.name}"))
+            results_by_variant[variant.name].append(result)
+            interrupted_by = lab_run.interrupted_by
+            print("\n".join(results.summary_lines(result)), flush=True)
+    pairs = (
+        list(zip(*(results_by_variant[v.name] for v in variants[:2]), strict=False))
+        if len(variants) > 1
+        else []
+    )
     if pairs:
-        show_pairs(pairs, variants[0].name, variants[1].name)
+        print_comparison(pairs, variants[0].name, variants[1].name)
     print(report.write(out))
-    everything = [r for rs in played.values() for r in rs]
+    everything = [r for rs in results_by_variant.values() for r in rs]
     if any(r.audit["offences"] for r in everything):
         return 1
     return 0 if all(r.usable for r in everything) else 3
 
 
-def run_play(play, console):
-    """Its progress is shown on the console, if there is one."""
+def run_with_progress(lab_run, console):
+    """Runs and shows the progress on the console, if there is one."""
     if console is None:
-        play.run()
+        lab_run.run()
         return
     with Live(console=console, refresh_per_second=4) as live:
-        play.show = lambda play, line: live.update(progress(play, line))
-        play.run()
+        lab_run.on_sample = lambda lab_run, line: live.update(progress(lab_run, line))
+        lab_run.run()
 
 
-def progress(play, line):
+def progress(lab_run, line):
+    """Returns a table of a sample of the timeline."""
     table = Table(
-        title=f"{play.plan.experiment.name} {play.plan.variant.name}, {line['s']} of "
-        f"{play.plan.experiment.seconds + play.plan.experiment.settle_s:.0f} s"
+        title=f"{lab_run.plan.experiment.name} {lab_run.plan.variant.name}, {line['s']} of "
+        f"{lab_run.plan.experiment.seconds + lab_run.plan.experiment.settle_s:.0f} s"
     )
     for name in (
         "offered",
@@ -86,19 +94,21 @@
 
 
 def compare(a, b):
-    pairs = list(zip(results.plays(a), results.plays(b), strict=False))
+    """Compares two runs or folders of runs; returns the exit code: 0, or 3 if a run is not usable."""
+    pairs = list(zip(results.read_all(a), results.read_all(b), strict=False))
     for one, other in pairs:
         if one.schedule_sha256 != other.schedule_sha256:
-            print(f"seeds {one.seed} and {other.seed}: schedules differ: no pair", file=sys.stderr)
+            print(f"seeds {one.seed} and {other.seed}: schedules differ: not comparable", file=sys.stderr)
         if not (one.usable and other.usable):
             print(f"seed {one.seed}: not usable: {one.reasons + other.reasons}", file=sys.stderr)
-    show_pairs(pairs, a, b)
+    print_comparison(pairs, a, b)
     return 0 if all(one.usable and other.usable for one, other in pairs) else 3
 
 
-def show_pairs(pairs, a, b):
-    table = Table(title=f"{a} beside {b}: pairs in turn, {b} over {a} pair by pair")
-    for name in ("figure", a, b, "ratios", "median"):
+def print_comparison(pairs, a, b):
+    """Prints a table of the metrics of pairs of runs."""
+    table = Table(title=f"{a} compared with {b}: alternating runs, ratio {b} / {a} of each pair")
+    for name in ("metric", a, b, "ratios", "median"):
         table.add_column(name)
     for name, values, median in results.compare(pairs):
         table.add_row(
--- a/cottonspread/lab/loop.py
+++ b/cottonspread/lab/loop.py
@@ -1,8 +1,8 @@
-"""One thread's sockets and timers, on epoll with waits in microseconds.
+"""An event loop for one thread's sockets and timers, on epoll with waits in microseconds.
 
-Python's epoll waits whole milliseconds, which alone would break the limit on lateness, so the wait
-is a `select` on the epoll descriptor. Between any two socket events the timers that are due come
-first: intended times go before all.
+Python's epoll waits whole milliseconds, which alone would exceed the limit on the generator's lateness, so
+the loop waits by a `select` on the epoll descriptor. Timers that are due run before the next socket event:
+intended times have priority.
 """
 
 import gc
@@ -15,62 +15,71 @@
 from cottonspread.lab.wire import now
 
 IN, OUT, GONE = select.EPOLLIN, select.EPOLLOUT, select.EPOLLHUP | select.EPOLLERR
-BATCH = 32  # socket events taken from the kernel at a time
+MAX_EVENTS = 32  # socket events taken from the kernel at a time
 
 
 class Loop:
+    """The event loop. Times are microseconds of the monotonic clock."""
+
     def __init__(self):
+        """Create it before the thread's sockets: `select` takes only descriptors under 1024."""
         self.poll = select.epoll()
         if self.poll.fileno() >= 1024:
-            raise RuntimeError("a loop is made before its sockets: select takes descriptors under 1024 only")
-        self.handlers, self.timers, self.stamp, self.stopped = {}, [], 0, False
-        self.spin = 0  # microseconds before a timer that are spent awake; a sleep ends 0.1 ms late
+            raise RuntimeError("create the loop before its sockets: select takes only descriptors under 1024")
+        self.handlers, self.timers, self.sequence, self.stopped = {}, [], 0, False
+        self.spin = 0  # microseconds before a timer from which on it busy-waits; a sleep ends 0.1 ms late
 
-    def at(self, when, what, *args):
-        self.stamp += 1
-        heapq.heappush(self.timers, (when, self.stamp, what, args))
+    def at(self, when, callback, *args):
+        """Calls `callback(*args)` at the time `when`."""
+        self.sequence += 1
+        heapq.heappush(self.timers, (when, self.sequence, callback, args))
 
-    def watch(self, sock, what, mask=IN):
-        """`what(mask)` is called when the socket has something for it."""
+    def watch(self, sock, callback, mask=IN):
+        """Calls `callback(mask)` whenever the socket (or descriptor) has an event of the mask."""
         fd = sock if isinstance(sock, int) else sock.fileno()
-        self.handlers[fd] = what
+        self.handlers[fd] = callback
         self.poll.register(fd, mask)
 
-    def change(self, sock, mask):
+    def set_mask(self, sock, mask):
+        """Changes the events that a watched socket waits for."""
         self.poll.modify(sock.fileno(), mask)
 
-    def drop(self, sock):
+    def unwatch(self, sock):
+        """Stops watching a socket or descriptor."""
         fd = sock if isinstance(sock, int) else sock.fileno()
         if self.handlers.pop(fd, None) is not None:
             self.poll.unregister(fd)
 
     def stop(self):
+        """Makes `run` return."""
         self.stopped = True
 
-    def due(self):
+    def run_due_timers(self):
+        """Calls the callbacks of all timers that are due."""
         timers = self.timers
         while timers and timers[0][0] <= now() and not self.stopped:
-            _, _, what, args = heapq.heappop(timers)
-            what(*args)
+            _, _, callback, args = heapq.heappop(timers)
+            callback(*args)
 
     def run(self):
+        """Runs timers and socket callbacks until `stop`."""
         own = [self.poll.fileno()]
         while not self.stopped:
-            self.due()
+            self.run_due_timers()
             wait = (self.timers[0][0] - now()) / 1e6 if self.timers else 1.0
             if wait > self.spin / 1e6:
                 select.select(own, [], [], min(wait - self.spin / 1e6, 1.0))
-            for fd, mask in self.poll.poll(0, BATCH):
-                what = self.handlers.get(fd)
-                if what is not None:
-                    what(mask)
+            for fd, mask in self.poll.poll(0, MAX_EVENTS):
+                callback = self.handlers.get(fd)
+                if callback is not None:
+                    callback(mask)
                 if self.timers and self.timers[0][0] <= now():
-                    self.due()
+                    self.run_due_timers()
 
-    def follow_parent(self, said):
-        """Orders come as lines on standard input; `said(words)` for each.
+    def read_parent_commands(self, on_command):
+        """Calls `on_command(words)` for each line on standard input.
 
-        Its end ends this process: nothing outlives whoever started it.
+        The end of standard input stops the loop, so that the process does not outlive its parent.
         """
         rest = [b""]
         os.set_blocking(0, False)
@@ -81,37 +90,41 @@
             except BlockingIOError:
                 return
             if not data:
-                self.drop(0)
+                self.unwatch(0)
                 self.stop()
                 return
             *lines, rest[0] = (rest[0] + data).split(b"\n")
             for line in lines:
-                said(line.decode().split())
+                on_command(line.decode().split())
 
         self.watch(0, read)
 
 
-def listener(address, backlog, whose):
-    """A listening socket that does not block; OSError names whose address it was."""
+def listener(address, backlog, owner):
+    """Returns a non-blocking listening socket; OSError names the owner of the address."""
     sock = socket.socket()
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     try:
         sock.bind(address)
     except OSError as fault:
         sock.close()
-        raise OSError("{}: {}:{}: {}".format(whose, *address, fault.strerror)) from None
+        raise OSError("{}: {}:{}: {}".format(owner, *address, fault.strerror)) from None
     sock.listen(backlog)
     sock.setblocking(False)
     return sock
 
 
-def tell_parent(line):
+def send_to_parent(line):
+    """Writes a line to standard output, which the parent process reads."""
     sys.stdout.write(line + "\n")
     sys.stdout.flush()
 
 
-def quiet_collector():
-    """A full collection pauses for milliseconds; the lab's objects are freed by their counts."""
+def disable_gc():
+    """Disables the cyclic garbage collector: a full collection pauses the process for milliseconds.
+
+    The lab's objects are freed by their reference counts.
+    """
     gc.collect()
     gc.freeze()
     gc.disable()
--- a/cottonspread/lab/tuning.py
+++ b/cottonspread/lab/node_config.py
@@ -1,8 +1,8 @@
-"""What a plan's nodes are configured with: on sockets a file, in simulated time the same values."""
+"""The configuration of a plan's nodes, the same on sockets (as a file) and in simulated time."""
 
 
 def settings(plan, number):
-    """A node's settings, in the platform's words, from what the experiment says of hosts and load."""
+    """Returns a node's settings, by the platform's keys, derived from the experiment's hosts and load."""
     x, t = plan.experiment, plan.experiment.hosts.traits
     effects = {"repeatable": "safe", "referenced": "keyed", "once-only": "unsafe"}
     out = {
@@ -51,27 +51,28 @@
     return merged(merged(merged(out, x.nodes.settings), shape), plan.variant.settings)
 
 
-def merged(under, over):
+def merged(base, override):
+    """Returns `base` with the values of `override`, merged recursively."""
     return {
-        **under,
+        **base,
         **{
-            k: merged(under[k], v) if isinstance(v, dict) and isinstance(under.get(k), dict) else v
-            for k, v in over.items()
+            k: merged(base[k], v) if isinstance(v, dict) and isinstance(base.get(k), dict) else v
+            for k, v in override.items()
         },
     }
 
 
-def values(plan, number, retuned=0):
-    """A node's whole configuration.
+def build(plan, number, settings_version=0):
+    """Returns a node's whole configuration.
 
-    `retuned`: how often it got other settings, each with a type more and another limit on legs.
+    `settings_version`: how often the settings were changed; each change adds a traffic type and changes the
+    limit on legs.
     """
     x, node = plan.experiment, plan.nodes[number]
-    tuned = settings(plan, number)
-    first = tuned["TrafficTypes"][0]
-    tuned["TrafficTypes"] += [first | {"Name": f"later-{n}"} for n in range(retuned)]
-    tuned["Limits"]["MostLegs"] += retuned % 2
-    # what the lab's hosts mean by LOAD
+    settings_values = settings(plan, number)
+    first = settings_values["TrafficTypes"][0]
+    settings_values["TrafficTypes"] += [first | {"Name": f"later-{n}"} for n in range(settings_version)]
+    settings_values["Limits"]["MostLegs"] += settings_version % 2
     return {
         "name": node.name,
         "listen": f"{node.ip}:{node.port}",
@@ -81,6 +82,6 @@
             "memory_mb": plan.variant.memory_mb or x.nodes.memory_mb,
             "sockets": plan.variant.sockets or x.nodes.sockets,
         },
-        "settings": tuned,
-        "load_lines": "loads",
+        "settings": settings_values,
+        "load_lines": "loads",  # what the lab's hosts report by LOAD
     }
--- a/cottonspread/lab/report.py
+++ b/cottonspread/lab/report.py
@@ -1,4 +1,4 @@
-"""`report.html` of a folder of plays: one file, plots inside, that opens without a network."""
+"""Writes `report.html` for a folder of runs: one file with embedded plots, readable without a network."""
 
 import base64
 import io
@@ -10,7 +10,7 @@
 from cottonspread.lab import results
 
 matplotlib.use("Agg")
-import matplotlib.pyplot as plt  # noqa: E402  the backend is chosen first
+import matplotlib.pyplot as plt  # noqa: E402  the backend must be chosen first
 
 PAGE = jinja2.Environment(autoescape=True).from_string("""<!doctype html>
 <meta charset="utf-8"><title>{{ title }}</title>
@@ -19,7 +19,7 @@
 td,th{border:1px solid #ccc;padding:.25em .7em;text-align:right}td:first-child,th:first-child{text-align:left}
 .bad{color:#a00;font-weight:bold}img{max-width:100%}pre{white-space:pre-wrap;background:#f4f4f4;padding:.6em}</style>
 <h1>{{ title }}</h1><p>All figures come from simulated servers and clients on one machine.</p>
-{% for r, plot in plays %}<h2>{{ r.variant }}, seed {{ r.seed }}</h2>
+{% for r, plot in runs %}<h2>{{ r.variant }}, seed {{ r.seed }}</h2>
 <p{% if not r.usable %} class="bad"{% endif %}>{{ "usable" if r.usable else "not usable" }}
 {%- for x in r.reasons %}; {{ x }}{% endfor %}</p>
 <table><tr><th>offered<th>came up<th>revenue<th>generator late p99.9 us
@@ -40,7 +40,10 @@
 
 
 def plot(result):
-    """Rates, latency, connections by server and what the nodes used, over one time axis; faults marked."""
+    """Plots rates, latency, connections by host and the nodes' usage over time, with the faults marked.
+
+    Returns the PNG image in base64.
+    """
     lines = result.timeline
     s = [line["s"] for line in lines]
     figure, axes = plt.subplots(5, 1, figsize=(11, 15), sharex=True)
@@ -98,10 +101,10 @@
 
 
 def write(folder):
-    """Makes `report.html` in the folder; its path. Replaced whole: a reader never meets half a page."""
-    plays = results.plays(folder)
+    """Writes `report.html` into the folder, atomically, and returns its path."""
+    runs = results.read_all(folder)
     path = os.path.join(folder, "report.html")
     with open(path + ".new", "w", encoding="utf-8") as file:
-        file.write(PAGE.render(title=plays[0].name, plays=[(r, plot(r)) for r in plays]))
+        file.write(PAGE.render(title=runs[0].name, runs=[(r, plot(r)) for r in runs]))
     os.replace(path + ".new", path)
     return path
--- a/cottonspread/lab/results.py
+++ b/cottonspread/lab/results.py
@@ -1,4 +1,4 @@
-"""The results of a play, from its folder alone: what `results.json` holds, and the means to compare two."""
+"""The results of a run, computed from its folder alone: the contents of `results.json`, and comparisons."""
 
 import json
 import os
@@ -6,16 +6,17 @@
 import msgspec
 from hdrh.histogram import HdrHistogram
 
-from cottonspread.lab import ledger, record
+from cottonspread.lab import audit as audits
 from cottonspread.lab import plan as plans
-from cottonspread.lab.load import LATE, histogram
+from cottonspread.lab import record
+from cottonspread.lab.load import MAX_LATENESS, histogram
 
 SCHEMA = "cottonspread-lab-results/1"
-POINTS = (50.0, 90.0, 99.0, 99.9)
+PERCENTILES = (50.0, 90.0, 99.0, 99.9)
 
 
-class Spread(msgspec.Struct):
-    """Microseconds."""
+class Distribution(msgspec.Struct):
+    """Count, mean, percentiles and maximum of a histogram, in microseconds."""
 
     count: int
     mean: float
@@ -27,51 +28,55 @@
 
 
 class Results(msgspec.Struct, kw_only=True):
-    """One play. Times are microseconds where a name does not say otherwise."""
+    """The results of one run. Times are microseconds unless a name says otherwise."""
 
     schema: str
     name: str
     variant: str
     seed: int
     repeat: int
-    cut: str  # "" or what cut it off: such a run is valid up to there
-    usable: bool  # false: no figure of it is to be quoted
-    reasons: list[str]  # why it is not usable, and what else is to be known
+    cut: str  # "" or what interrupted the run, which is valid up to there
+    usable: bool  # false: none of its measurements is valid
+    reasons: list[str]  # why it is not usable, and warnings
     schedule_sha256: str
-    stolen_s: float  # core seconds that the machine's own host gave to others meanwhile
+    stolen_s: float  # steal time: core seconds that the hypervisor gave to others meanwhile
     offered: int
     seconds: float
-    served_share: float  # calls that came up, of all first calls
-    revenue: float  # of those that came up within their setup target, over all that was asked for
-    answers: dict[str, int]  # by how each call's connection ended
-    latency: dict[str, Spread]  # from the intended time to UP, by traffic type; "all"
-    lateness: Spread  # of the generator itself
-    echo: Spread  # from a line's intended time to its echo
+    served_share: float  # the share of first calls that came up in the end, retries included
+    revenue: (
+        float  # of calls that came up within their setup target, over the revenue of all calls but retries
+    )
+    answers: dict[str, int]  # number of calls by final answer, or by how they ended without one
+    latency: dict[str, Distribution]  # from the intended time to UP, by traffic type; "all"
+    lateness: Distribution  # of the load generator itself
+    echo: Distribution  # from a line's intended time to its echo
     audit: dict
-    nodes: dict[str, dict]  # CPU seconds, most memory, threads and descriptors
+    nodes: dict[str, dict]  # peak memory, threads and descriptors by node
     timeline: list[dict]
     faults: list[dict]
 
 
-def spread(h):
+def distribution(h):
+    """Summarizes a histogram."""
     if not h.get_total_count():
-        return Spread(0, 0.0, 0, 0, 0, 0, 0)
-    return Spread(
+        return Distribution(0, 0.0, 0, 0, 0, 0, 0)
+    return Distribution(
         h.get_total_count(),
         round(h.get_mean_value(), 1),
-        *(int(h.get_value_at_percentile(p)) for p in POINTS),
+        *(int(h.get_value_at_percentile(p)) for p in PERCENTILES),
         int(h.get_max_value()),
     )
 
 
-def decoded(text):
+def decode_histogram(text):
+    """Decodes a histogram from its text form in a record."""
     h = histogram()
     h.add(HdrHistogram.decode(text))
     return h
 
 
-def audited(folder):
-    """A play's folder: (its plan, its Audit, what the audit tells, the sums of its load processes)."""
+def audit_folder(folder):
+    """Returns (plan, Audit, result of the audit, totals of the load processes) of a run's folder."""
     try:
         with open(os.path.join(folder, "plan.json"), "rb") as file:
             plan = msgspec.json.decode(file.read(), type=plans.Plan)
@@ -80,27 +85,27 @@
     except (OSError, ValueError, msgspec.ValidationError) as fault:
         raise plans.PlanError(f"{folder}: {fault}") from None
     load = list(record.read(folder, "load"))
-    audit = ledger.Audit(plan, start, lambda kind: load if kind == "load" else record.read(folder, kind))
-    told = audit.run() if plan.experiment.audited else audit.result()
-    return plan, audit, told, [line for line in load if line["k"] == "sum"]
+    audit = audits.Audit(plan, start, lambda kind: load if kind == "load" else record.read(folder, kind))
+    audit_result = audit.run() if plan.experiment.audited else audit.result()
+    return plan, audit, audit_result, [line for line in load if line["k"] == "sum"]
 
 
-def histograms(sums):
-    """(latency by type and of all, lateness, echo), of all load processes together."""
+def histograms(totals):
+    """Returns the histograms (latency by type and "all", lateness, echo), merged over all load processes."""
     latency, lateness, echo = {"all": histogram()}, histogram(), histogram()
-    for one in sums:
+    for one in totals:
         for name, text in one["latency"].items():
-            h = decoded(text)
+            h = decode_histogram(text)
             latency.setdefault(name, histogram()).add(h)
             latency["all"].add(h)
-        lateness.add(decoded(one["lateness"]))
-        echo.add(decoded(one["echo"]))
+        lateness.add(decode_histogram(one["lateness"]))
+        echo.add(decode_histogram(one["echo"]))
     return latency, lateness, echo
 
 
 def tally(calls, kinds):
-    """({answer: calls}, revenue asked for, revenue earned, keys of those that came up)."""
-    answers, asked, earned, came_up = {}, 0.0, 0.0, set()
+    """Returns ({answer: number of calls}, possible revenue, revenue earned, keys of calls that came up)."""
+    answers, possible, earned, came_up = {}, 0.0, 0.0, set()
     for call in calls:
         kind = kinds[call["type"]]
         up = call["answers"][0][0] if call["answers"] and call["answers"][0][1] == "UP" else None
@@ -109,60 +114,62 @@
         if up is not None:
             came_up.add(call["key"])
         if not call["retry"]:
-            asked += kind.revenue
+            possible += kind.revenue
             if up is not None and up - call["intended"] <= kind.target_ms * 1000:
                 earned += kind.revenue
-    return answers, asked, earned, came_up
+    return answers, possible, earned, came_up
 
 
-def judge(play, repeat=0):
-    """Reads what the play left in its folder; writes `results.json` there, whole or not at all."""
-    folder = play.folder
-    plan, audit, told, sums = audited(folder)
+def evaluate(run, repeat=0):
+    """Evaluates the records in the run's folder and writes `results.json` there atomically."""
+    folder = run.folder
+    plan, audit, audit_result, totals = audit_folder(folder)
     kinds = {k.name: k for k in plan.experiment.load.types}
-    latency, lateness, echo = histograms(sums)
+    latency, lateness, echo = histograms(totals)
     first = [c for c in audit.calls.values() if not c["retry"] and not c["again"]]
-    answers, asked, earned, came_up = tally(audit.calls.values(), kinds)
-    reasons, late = list(play.reasons), spread(lateness)
-    faults = {name: n for one in sums for name, n in one["faults"].items()}
-    if late.p999 > LATE:
-        reasons.append(f"the generator was late itself: {late.p999} us at p99.9, over {LATE}: not to be used")
+    answers, possible, earned, came_up = tally(audit.calls.values(), kinds)
+    reasons, late = list(run.reasons), distribution(lateness)
+    faults = {name: n for one in totals for name, n in one["faults"].items()}
+    if late.p999 > MAX_LATENESS:
+        reasons.append(
+            f"the load generator was late: {late.p999} us at p99.9, limit {MAX_LATENESS}: results invalid"
+        )
     lost = {n: c for n, c in faults.items() if n != "ECONNREFUSED"}
     if lost:
-        reasons.append(f"calls that the generator could not make: {lost}")
-    if len(sums) < plan.experiment.load.processes:
-        reasons.append("a load process left no sum")
-    if play.cut:
-        reasons.append(f"cut off by {play.cut}")
+        reasons.append(f"calls that the load generator failed to open: {lost}")
+    if len(totals) < plan.experiment.load.processes:
+        reasons.append("a load process left no totals")
+    if run.interrupted_by:
+        reasons.append(f"cut off by {run.interrupted_by}")
     result = Results(
         schema=SCHEMA,
         name=plan.experiment.name,
         variant=plan.variant.name,
         seed=plan.seed,
         repeat=repeat,
-        cut=play.cut,
-        usable=late.p999 <= LATE
+        cut=run.interrupted_by,
+        usable=late.p999 <= MAX_LATENESS
         and not lost
-        and not play.cut
-        and len(sums) == plan.experiment.load.processes
-        and not any(" died " in r or " ended " in r or "did not stop" in r for r in play.reasons),
-        reasons=reasons + play.warnings,
-        schedule_sha256=sums[0]["digest"] if sums else "",
-        stolen_s=round(play.stolen, 2),
+        and not run.interrupted_by
+        and len(totals) == plan.experiment.load.processes
+        and not any(" died " in r or " ended " in r or "did not stop" in r for r in run.reasons),
+        reasons=reasons + run.warnings,
+        schedule_sha256=totals[0]["digest"] if totals else "",
+        stolen_s=round(run.steal_seconds, 2),
         offered=len(audit.calls),
         seconds=plan.experiment.seconds,
         served_share=round(len(came_up) / len(first), 5) if first else 0.0,
-        revenue=round(earned / asked, 5) if asked else 0.0,
+        revenue=round(earned / possible, 5) if possible else 0.0,
         answers=answers,
-        latency={name: spread(h) for name, h in latency.items()},
+        latency={name: distribution(h) for name, h in latency.items()},
         lateness=late,
-        echo=spread(echo),
-        audit=told,
+        echo=distribution(echo),
+        audit=audit_result,
         nodes={
-            n.node.name: {"rss_mb": round(n.most_rss / 1e6, 1), "threads": n.most_threads, "fds": n.most_fds}
-            for n in play.nodes
+            n.node.name: {"rss_mb": round(n.max_rss / 1e6, 1), "threads": n.max_threads, "fds": n.max_fds}
+            for n in run.nodes
         },
-        timeline=play.timeline,
+        timeline=run.timeline,
         faults=[msgspec.to_builtins(f) for f in plan.faults],
     )
     write(os.path.join(folder, "results.json"), result)
@@ -170,13 +177,14 @@
 
 
 def write(path, result):
+    """Writes results to a file, atomically."""
     with open(path + ".new", "wb") as file:
         file.write(msgspec.json.format(msgspec.json.encode(result), indent=1))
     os.replace(path + ".new", path)
 
 
 def read(folder):
-    """Results of a folder; PlanError names the key that does not fit."""
+    """Reads the results of a run's folder; PlanError names the key at fault."""
     path = os.path.join(folder, "results.json")
     try:
         with open(path, "rb") as file:
@@ -190,8 +198,8 @@
     return result
 
 
-def plays(folder):
-    """The results of a folder: one play's, or of all plays in it by name."""
+def read_all(folder):
+    """Returns the results of a run's folder, or of all runs in a folder ordered by name."""
     if os.path.exists(os.path.join(folder, "results.json")):
         return [read(folder)]
     try:
@@ -208,7 +216,7 @@
     return found
 
 
-FIGURES = {
+METRICS = {
     "served share": lambda r: r.served_share,
     "revenue": lambda r: r.revenue,
     "set-up p50 ms": lambda r: r.latency["all"].p50 / 1000,
@@ -221,11 +229,12 @@
 
 
 def compare(pairs):
-    """[(Results, Results)] played in turn: rows of (figure, [(a, b, b
-    over a or None)], median ratio or None).
+    """Compares pairs of results of two variants whose runs alternated.
+
+    Returns rows of (metric, [(a, b, b / a or None)], median ratio or None).
     """
     rows = []
-    for name, of in FIGURES.items():
+    for name, of in METRICS.items():
         values = [(of(a), of(b)) for a, b in pairs]
         ratios = [round(b / a, 4) if a else None for a, b in values]
         known = sorted(r for r in ratios if r is not None)
@@ -238,8 +247,8 @@
     return rows
 
 
-def lines(result):
-    """A play in a few lines."""
+def summary_lines(result):
+    """Returns the results as a few lines of text."""
     late, all_ = result.lateness, result.latency["all"]
     return [
         f"{result.name} {result.variant} seed {result.seed}: {'usable' if result.usable else 'NOT USABLE'}"
@@ -249,5 +258,5 @@
         f"set-up ms p50 {all_.p50 / 1000:.2f} p99 {all_.p99 / 1000:.2f} p99.9 {all_.p999 / 1000:.2f} "
         f"max {all_.max / 1000:.2f} (generator late us p50 {late.p50} p99 {late.p99} p99.9 {late.p999} "
         f"max {late.max}; {result.stolen_s} core seconds taken from this machine)",
-        *ledger.told(result.audit),
+        *audits.summary_lines(result.audit),
     ]
--- a/cottonspread/lab/run.py
+++ b/cottonspread/lab/run.py
@@ -1,9 +1,8 @@
-"""One play: starts hosts, list, nodes and clients as processes, carries the nodes'
-faults out, and gathers what was seen.
+"""One run: starts hosts, list, nodes and clients as processes, injects nodes' faults and takes samples.
 
-Whatever ends a run (its time, Ctrl-C, a process that dies), what was seen so far is kept and
-valid, and no process is left: the lab's own end when their standard input does, nodes when the
-kernel tells that their parent is gone.
+Whatever ends a run (its time, Ctrl-C, a process that dies), the records so far are kept and valid, and no
+process is left: the lab's own processes exit when their standard input is closed, and the kernel kills the
+nodes when their parent exits.
 """
 
 import contextlib
@@ -26,21 +25,30 @@
 from cottonspread.lab.wire import now
 
 SECOND = 1_000_000
-READY_WAIT, STOP_WAIT = 30, 8
+READY_TIMEOUT, STOP_TIMEOUT = 30, 8
 
 
 class StartError(RuntimeError):
-    """The run could not begin; the message names what was in the way."""
+    """The run could not start; the message names the reason."""
 
 
-class Play:
-    def __init__(self, experiment, variant, seed, folder, show=None):
+class LabRun:
+    """One run of an experiment. Its timer callbacks run between samples, in the runner's own thread."""
+
+    def __init__(self, experiment, variant, seed, folder, on_sample=None):
+        """`on_sample(run, line)` is called with each line of the timeline."""
         self.plan = plans.make(experiment, variant, seed)
-        self.folder, self.show, self.cut, self.reasons = os.path.abspath(folder), show, "", []
-        self.children, self.nodes, self.timeline, self.todo, self.stamp = [], [], [], [], 0
-        self.start, self.record, self.warnings, self.stolen, self.fleet = 0, None, [], 0.0, None
+        self.folder, self.on_sample, self.interrupted_by, self.reasons = (
+            os.path.abspath(folder),
+            on_sample,
+            "",
+            [],
+        )
+        self.children, self.nodes, self.timeline, self.timers, self.sequence = [], [], [], [], 0
+        self.start, self.record, self.warnings, self.steal_seconds, self.fleet = 0, None, [], 0.0, None
 
     def node_cores(self, number):
+        """Returns the CPU set that a node is pinned to, or None; nodes share the upper half of the cores."""
         cores = sorted(os.sched_getaffinity(0))
         if not self.plan.experiment.nodes.pin or len(cores) < 2:
             return None
@@ -48,8 +56,9 @@
         return {cores[len(cores) - 1 - number % most]}
 
     def child_cores(self, kind, number):
-        """A load process that spins has a core of its own where there are
-        enough; the others share what is left.
+        """Returns the CPU set of one of the lab's processes, or None.
+
+        A load process that busy-waits has a core of its own if there are enough; the others share the rest.
         """
         cores = set(os.sched_getaffinity(0))
         for n in range(len(self.plan.nodes)):
@@ -59,12 +68,13 @@
             return set(cores) or None
         return {cores[number]} if kind == "load" else set(cores[load.processes :])
 
-    def note(self, kind, node, **more):
+    def record_event(self, kind, node, **more):
+        """Writes an event of a node to the record."""
         self.record.put({"k": kind, "t": now(), "node": node.node.name, **more})
         self.record.flush()
 
     def run(self):
-        """Plays it to its end, its cut or its fault."""
+        """Runs the experiment until its end, an interruption or an error."""
         os.makedirs(self.folder, exist_ok=True)
         schedule = plans.schedule(self.plan)
         self.warnings = limits.check(self.plan, schedule)
@@ -73,32 +83,37 @@
         with open(path, "wb") as file:
             file.write(msgspec.json.encode(self.plan))
         self.record = Record(os.path.join(self.folder, "nodes-0.jsonl"))
-        kept = signal.signal(signal.SIGINT, self.interrupted), signal.signal(signal.SIGTERM, self.interrupted)
+        previous_handlers = (
+            signal.signal(signal.SIGINT, self.on_signal),
+            signal.signal(signal.SIGTERM, self.on_signal),
+        )
         try:
-            self.begin(path)
-            self.play()
-            self.end()
+            self.start_all(path)
+            self.supervise()
+            self.stop_all()
         finally:
-            self.clear_away()
+            self.clean_up()
             self.record.close()
-            signal.signal(signal.SIGINT, kept[0])
-            signal.signal(signal.SIGTERM, kept[1])
+            signal.signal(signal.SIGINT, previous_handlers[0])
+            signal.signal(signal.SIGTERM, previous_handlers[1])
 
-    def interrupted(self, number, _):
-        self.cut = self.cut or signal.Signals(number).name
+    def on_signal(self, number, _):
+        """Interrupts the run."""
+        self.interrupted_by = self.interrupted_by or signal.Signals(number).name
 
-    def begin(self, path):
-        until = time.monotonic() + READY_WAIT
+    def start_all(self, path):
+        """Starts all processes, and then the run's time. `path`: the plan's file."""
+        until = time.monotonic() + READY_TIMEOUT
         self.start_children(path, until)
-        self.start_nodes(until + READY_WAIT)
+        self.start_nodes(until + READY_TIMEOUT)
         self.start = now() + 300_000
         with open(os.path.join(self.folder, "start.json"), "w", encoding="utf-8") as file:
-            json.dump({"start": self.start}, file)  # the record's times are on the machine's clock
+            json.dump({"start": self.start}, file)  # the records' times are on the machine's monotonic clock
         for child in self.children:
-            child.say(f"begin {self.start}")
+            child.send(f"begin {self.start}")
 
     def start_children(self, path, until):
-        """Hosts, list and load as processes, each of which has said that it is ready."""
+        """Starts the processes of hosts, list and load and waits until each has reported ready."""
         x = self.plan.experiment
         self.children = [
             Child(f"{kind} {n}", [kind, "--plan", path, "--number", str(n)], self.child_cores(kind, n))
@@ -108,11 +123,11 @@
         self.selector = selectors.DefaultSelector()
         for child in self.children:
             self.selector.register(child.process.stdout, selectors.EVENT_READ, child)
-        while not all(c.ready for c in self.children) and not self.cut:
-            self.hear(0.2)
+        while not all(c.ready for c in self.children) and not self.interrupted_by:
+            self.read_children(0.2)
             for child in self.children:
-                if child.fault:
-                    raise StartError(f"{child.name}: {child.fault}")
+                if child.error:
+                    raise StartError(f"{child.name}: {child.error}")
                 if child.ended and not child.ready:
                     raise StartError(f"{child.name}: ended before it was ready")
             if time.monotonic() > until:
@@ -121,7 +136,7 @@
                 )
 
     def start_nodes(self, until):
-        """The nodes, each of which has answered a PING."""
+        """Starts the nodes and waits until each has answered a PING."""
         if self.plan.experiment.nodes.fleet:
             self.fleet = fleet.FleetProcess(self)
             self.nodes = [fleet.FleetNode(self, n) for n in range(len(self.plan.nodes))]
@@ -129,7 +144,7 @@
             self.nodes = [NodeProcess(self, n) for n in range(len(self.plan.nodes))]
         for node in self.nodes:
             node.start()
-        while not all(node.up for node in self.nodes) and not self.cut:
+        while not all(node.up for node in self.nodes) and not self.interrupted_by:
             for node in self.nodes:
                 if node.process.poll() is not None:
                     raise StartError(
@@ -141,44 +156,47 @@
                 raise StartError(
                     "no PONG after 30 s from " + ", ".join(n.node.name for n in self.nodes if not n.up)
                 )
-            self.hear(0.02)
+            self.read_children(0.02)
         for node in self.nodes:
             node.sample()
 
-    def hear(self, wait):
+    def read_children(self, wait):
+        """Reads what the child processes report, for `wait` seconds at most."""
         for key, _ in self.selector.select(wait):
             if not key.data.read():
                 self.selector.unregister(key.fileobj)
                 key.data.ended = True
 
-    def play(self):
+    def supervise(self):
+        """Runs timers, takes a sample every second and watches the processes until the run's end."""
         x = self.plan.experiment
         ending = self.start + round((x.seconds + x.settle_s) * SECOND)
-        stolen = psutil.cpu_times().steal
-        self.node_faults()
+        steal_before = psutil.cpu_times().steal
+        self.schedule_faults()
         sampled = self.start
         with open(os.path.join(self.folder, "live.jsonl"), "w", encoding="utf-8") as live:
-            while now() < ending and not self.cut:
-                while self.todo and self.todo[0][0] <= now():
-                    _, _, what, args = heapq.heappop(self.todo)
-                    what(*args)
-                wait = min([ending, sampled + SECOND] + [one[0] for one in self.todo[:1]]) - now()
-                self.hear(max(0.0, min(wait / 1e6, 0.2)))
+            while now() < ending and not self.interrupted_by:
+                while self.timers and self.timers[0][0] <= now():
+                    _, _, callback, args = heapq.heappop(self.timers)
+                    callback(*args)
+                wait = min([ending, sampled + SECOND] + [one[0] for one in self.timers[:1]]) - now()
+                self.read_children(max(0.0, min(wait / 1e6, 0.2)))
                 if now() >= sampled + SECOND:
                     sampled += SECOND
-                    self.second(live, sampled)
+                    self.take_sample(live, sampled)
                 for child in self.children:
-                    if child.ended and not self.cut:
-                        self.cut = f"{child.name} died"
+                    if child.ended and not self.interrupted_by:
+                        self.interrupted_by = f"{child.name} died"
                 for node in self.nodes:
-                    if node.wanted and node.process.poll() is not None:
-                        node.wanted = node.up = False
-                        self.note("died", node, code=node.process.returncode)
+                    if node.should_run and node.process.poll() is not None:
+                        node.should_run = node.up = False
+                        self.record_event("died", node, code=node.process.returncode)
                         self.reasons.append(f"{node.node.name} died with {node.process.returncode}")
-                        self.front("down", node)
-        self.stolen = psutil.cpu_times().steal - stolen
+                        self.notify_load("down", node)
+        self.steal_seconds = psutil.cpu_times().steal - steal_before
 
-    def second(self, live, at):
+    def take_sample(self, live, at):
+        """Writes one line of the timeline: counts of the load, connections by host, usage by node."""
         counts, hosts = {}, {}
         for child in self.children:
             if not child.counts.pop("new", False):
@@ -194,130 +212,141 @@
             "s": round((at - self.start) / SECOND),
             **counts,
             "hosts": hosts,
-            "nodes": {n.node.name: n.sample() for n in self.nodes if n.wanted},
+            "nodes": {n.node.name: n.sample() for n in self.nodes if n.should_run},
         }
         self.timeline.append(line)
         live.write(json.dumps(line) + "\n")
         live.flush()
-        if self.show:
-            self.show(self, line)
+        if self.on_sample:
+            self.on_sample(self, line)
 
     # Nodes' faults
 
-    def node_faults(self):
-        for one in self.plan.faults:
-            if one.kind in FLEET_FAULTS:
-                self.at(self.start + round(one.at * SECOND), self.fleet.fault, one)
-            if one.kind in NODE_FAULTS:
-                for name in one.on:
+    def schedule_faults(self):
+        """Schedules the faults of nodes and of the fleet."""
+        for fault in self.plan.faults:
+            if fault.kind in FLEET_FAULTS:
+                self.at(self.start + round(fault.at * SECOND), self.fleet.inject_fault, fault)
+            if fault.kind in NODE_FAULTS:
+                for name in fault.on:
                     node = next(p for p in self.nodes if p.node.name == name)
-                    self.at(self.start + round(one.at * SECOND), self.fault, node, one)
-
-    def at(self, when, what, *args):
-        self.stamp += 1
-        heapq.heappush(self.todo, (when, self.stamp, what, args))
-
-    def fault(self, node, one):
-        span = round(one.seconds * SECOND)
-        if one.kind == "freeze":
-            self.note("freeze", node)
+                    self.at(self.start + round(fault.at * SECOND), self.inject_fault, node, fault)
+
+    def at(self, when, callback, *args):
+        """Calls `callback(*args)` at a time of the monotonic clock, in microseconds."""
+        self.sequence += 1
+        heapq.heappush(self.timers, (when, self.sequence, callback, args))
+
+    def inject_fault(self, node, fault):
+        """Injects a fault into a node."""
+        span = round(fault.seconds * SECOND)
+        if fault.kind == "freeze":
+            self.record_event("freeze", node)
             node.signal(signal.SIGSTOP)
             self.at(now() + span, self.thaw, node)
             return
-        if one.kind == "reload":
-            self.note("reload", node)
+        if fault.kind == "reload":
+            self.record_event("reload", node)
             node.signal(signal.SIGHUP)
             return
-        if one.kind == "retune":
-            self.note("retune", node)
-            node.retune()
+        if fault.kind == "retune":
+            self.record_event("retune", node)
+            node.reload_settings()
             return
-        if one.kind == "quiesce":
+        if fault.kind == "quiesce":
             self.quiesce(node, span)
             return
-        if one.kind == "replace":
-            self.note("replacing", node)
-            node.leaving = node.process
+        if fault.kind == "replace":
+            self.record_event("replacing", node)
+            node.old_process = node.process
             node.start()
             self.at(now() + 20_000, self.replace, node, 0)
             return
-        if self.fleet:  # its supervisor brings it back; meanwhile connections wait
-            self.fleet.node_fault(node, one)
+        if self.fleet:  # the supervisor restarts the instance; connections wait meanwhile
+            self.fleet.inject_node_fault(node, fault)
             return
-        node.wanted = node.up = False
-        self.note("stopping" if one.kind == "stop" else "killed", node)
-        node.signal(signal.SIGTERM if one.kind == "stop" else signal.SIGKILL)
-        notice = 300_000 if one.kind == "stop" else round(self.plan.experiment.nodes.front_notice_s * SECOND)
-        self.at(now() + notice, self.front, "down", node)
+        node.should_run = node.up = False
+        self.record_event("stopping" if fault.kind == "stop" else "killed", node)
+        node.signal(signal.SIGTERM if fault.kind == "stop" else signal.SIGKILL)
+        notice = (
+            300_000 if fault.kind == "stop" else round(self.plan.experiment.nodes.front_notice_s * SECOND)
+        )
+        self.at(now() + notice, self.notify_load, "down", node)
         if span:
-            self.at(now() + span, self.start_anew, node)
+            self.at(now() + span, self.restart, node)
 
     def quiesce(self, node, span):
-        self.note("quiesce", node, ok=node.call("quiesce"))
+        """Makes a node drain by an operator's call, for `span` microseconds."""
+        self.record_event("quiesce", node, ok=node.admin_call("quiesce"))
         node.up = False
-        # asked ten times a second, and noticed 0.2 s after the first no
-        self.at(now() + 300_000, self.front, "down", node)
+        # The emulated front polls a node's health ten times a second and acts 0.2 s after the first failure.
+        self.at(now() + 300_000, self.notify_load, "down", node)
         self.at(now() + span, self.resume, node)
 
     def resume(self, node):
-        self.note("resume", node, ok=node.call("resume"))
-        self.at(now() + 50_000, self.take_in, node, 0)
+        """Ends a quiesce."""
+        self.record_event("resume", node, ok=node.admin_call("resume"))
+        self.at(now() + 50_000, self.add_when_up, node, 0)
 
     def replace(self, node, tries):
-        """SIGTERM for the old process once the new one says yes."""
-        if node.serves():
-            node.leaving.send_signal(signal.SIGTERM)
-            self.at(now() + 50_000, self.replaced, node)
+        """Sends SIGTERM to the old process once the new one reports that it is healthy."""
+        if node.is_healthy():
+            node.old_process.send_signal(signal.SIGTERM)
+            self.at(now() + 50_000, self.wait_until_replaced, node)
         elif tries < 300:
             self.at(now() + 20_000, self.replace, node, tries + 1)
 
-    def replaced(self, node):
-        if node.leaving.poll() is None:
-            self.at(now() + 50_000, self.replaced, node)
+    def wait_until_replaced(self, node):
+        """Records the exit of the replaced process."""
+        if node.old_process.poll() is None:
+            self.at(now() + 50_000, self.wait_until_replaced, node)
         else:
-            self.note("replaced", node, code=node.leaving.returncode)
+            self.record_event("replaced", node, code=node.old_process.returncode)
 
     def thaw(self, node):
+        """Ends a freeze."""
         node.signal(signal.SIGCONT)
-        self.note("thaw", node)
+        self.record_event("thaw", node)
 
-    def start_anew(self, node):
+    def restart(self, node):
+        """Starts a stopped or killed node again once its process has exited."""
         if node.process.poll() is None:
-            self.at(now() + 50_000, self.start_anew, node)
+            self.at(now() + 50_000, self.restart, node)
             return
-        self.note("stopped", node, code=node.process.returncode)
+        self.record_event("stopped", node, code=node.process.returncode)
         node.cpu = 0.0
         node.start()
-        node.wanted = True
-        self.at(now() + 50_000, self.take_in, node, 0)
+        node.should_run = True
+        self.at(now() + 50_000, self.add_when_up, node, 0)
 
-    def take_in(self, node, tries):
-        """The front deals to it once it has answered PING."""
+    def add_when_up(self, node, tries):
+        """Sends clients to a node again once it has answered a PING."""
         if node.answers_ping():
             node.up = True
-            self.note("up", node)
-            self.front("up", node)
-        elif node.wanted and tries < 600:
-            self.at(now() + 50_000, self.take_in, node, tries + 1)
+            self.record_event("up", node)
+            self.notify_load("up", node)
+        elif node.should_run and tries < 600:
+            self.at(now() + 50_000, self.add_when_up, node, tries + 1)
 
-    def front(self, word, node):
-        """Tells the clients' front; one that is back meanwhile is not taken out."""
+    def notify_load(self, word, node):
+        """Tells the load processes that a node is "up" or "down"; a node that is up again stays in use."""
         for child in self.children:
             if child.name.startswith("load") and not (word == "down" and node.up):
-                child.say(f"{word} {node.number}")
+                child.send(f"{word} {node.number}")
 
     # The end
 
-    def end(self):
+    def stop_all(self):
+        """Stops load, nodes, and then hosts and list."""
         load = [c for c in self.children if c.name.startswith("load")]
         self.wait_for(load, "end")
         for node in self.nodes:
             if node.process.poll() is None:
                 node.sample()
-                node.wanted = False
+                node.should_run = False
                 node.signal(signal.SIGCONT)
                 node.signal(signal.SIGTERM)
-        until = time.monotonic() + STOP_WAIT
+        until = time.monotonic() + STOP_TIMEOUT
         for node in self.nodes:
             try:
                 code = node.process.wait(max(0.1, until - time.monotonic()))
@@ -328,20 +357,21 @@
                 ):
                     self.reasons.append(f"{node.node.name} ended with {code}")
             except subprocess.TimeoutExpired:
-                self.reasons.append(f"{node.node.name} did not stop in {STOP_WAIT} s")
+                self.reasons.append(f"{node.node.name} did not stop in {STOP_TIMEOUT} s")
         self.wait_for([c for c in self.children if c not in load], "end")
 
     def wait_for(self, children, word):
+        """Sends a command to child processes and waits until they have exited, for ten seconds at most."""
         for child in children:
-            child.say(word)
+            child.send(word)
         until = time.monotonic() + 10
         while not all(c.ended for c in children) and time.monotonic() < until:
-            self.hear(0.1)
+            self.read_children(0.1)
 
-    def clear_away(self):
-        """Only what this play has started, by its own process objects."""
+    def clean_up(self):
+        """Kills the processes that this run has started and that are left, by its own process objects."""
         if self.fleet:
-            self.fleet.clear_away()
+            self.fleet.clean_up()
         for node in self.nodes:
             if node.process is not None and node.process.poll() is None:
                 node.process.kill()
--- a/cottonspread/lab/scale/hollow_faults.py
+++ b/cottonspread/lab/scale/hollow_faults.py
@@ -3,7 +3,7 @@
 Every event begins at `FAULT_AT_S`, when all clients are connected. A client counts as lost when its
 established connection ends against its will; it reconnects by itself. The fleet has recovered ("is whole"
 in the results) when no client is lost any more and every node has applied each list change. Rules are
-checked by the invariants of `lab/sim` at every step and by `lab/ledger.py` over the record.
+checked by the invariants of `lab/sim` at every step and by `lab/audit.py` over the record.
 
 A lost machine's connections break at once, as if its process had ended. Servers are those of the lab, but
 smaller: the established connections use two thirds of them, and reconnecting a lost zone's clients takes
@@ -20,9 +20,9 @@
 import msgspec
 import numpy as np
 
-from cottonspread.lab import ledger
+from cottonspread.lab import audit as audits
 from cottonspread.lab import plan as plans
-from cottonspread.lab.plan import Happening
+from cottonspread.lab.plan import Fault
 from cottonspread.lab.scale.hollow import HollowFleet, Meter
 from cottonspread.lab.scale.hollow_plans import ADDRESS_BLOCK, WARMUP_S, ZONES, Size, experiment
 from cottonspread.lab.scale.hollow_sweeps import Figure, SweepPlan, meter_difference, run_in_subprocess
@@ -110,7 +110,7 @@
     notes: str
     seconds: float = 20.0
     size: Size = FAULT_SIZE
-    faults: Callable[[Size], list[Happening]] = lambda size: []
+    faults: Callable[[Size], list[Fault]] = lambda size: []
     on_fault: Callable[[HollowFleet], None] = lambda fleet: None
     changes: tuple[float, ...] = (1.0, 2.0, 8.0, 9.0)
     setup_us: float = 2400.0
@@ -126,32 +126,31 @@
     return [f"h{n}" for n in range(size.servers) if n % divisor == offset % divisor]
 
 
-def partial_outage(size: Size, divisor: int, offset: int) -> list[Happening]:
+def partial_outage(size: Size, divisor: int, offset: int) -> list[Fault]:
     """Loses one of `divisor` parts of nodes and servers: nodes are killed, servers stop answering."""
     lost = server_names(size, divisor, offset) or [f"h{offset % size.servers}"]
     return [
-        Happening(at=FAULT_AT_S, kind="kill", on=node_names(size, divisor, offset)),
-        Happening(at=FAULT_AT_S, kind="vanish", on=lost, seconds=PERMANENT_S),
+        Fault(at=FAULT_AT_S, kind="kill", on=node_names(size, divisor, offset)),
+        Fault(at=FAULT_AT_S, kind="vanish", on=lost, seconds=PERMANENT_S),
     ]
 
 
-def rolling_replacement(size: Size) -> list[Happening]:
+def rolling_replacement(size: Size) -> list[Fault]:
     """Every node's process is replaced, one node after the other within twenty seconds."""
     gap = 20.0 / size.nodes
-    return [Happening(at=FAULT_AT_S + n * gap, kind="replace", on=[f"n{n}"]) for n in range(size.nodes)]
+    return [Fault(at=FAULT_AT_S + n * gap, kind="replace", on=[f"n{n}"]) for n in range(size.nodes)]
 
 
-def ordinary_day(size: Size) -> list[Happening]:
+def ordinary_day(size: Size) -> list[Fault]:
     """Two nodes fail, six are restarted, a server is replaced and another drained."""
     picked = [f"n{(7 + 31 * n) % size.nodes}" for n in range(8)]
-    failed = [Happening(at=FAULT_AT_S + 5.0 * n, kind="kill", on=[picked[n]], seconds=4.0) for n in range(2)]
+    failed = [Fault(at=FAULT_AT_S + 5.0 * n, kind="kill", on=[picked[n]], seconds=4.0) for n in range(2)]
     restarted = [
-        Happening(at=FAULT_AT_S + 1.5 * n, kind="stop", on=[name], seconds=5.0)
-        for n, name in enumerate(picked[2:], 1)
+        Fault(at=FAULT_AT_S + 1.5 * n, kind="stop", on=[name], seconds=5.0) for n, name in enumerate(picked[2:], 1)
     ]
     hosts = [
-        Happening(at=FAULT_AT_S + 2, kind="cold", on=["h3"], seconds=3.0),
-        Happening(at=FAULT_AT_S + 4, kind="drain", on=["h1"], seconds=4.0),
+        Fault(at=FAULT_AT_S + 2, kind="cold", on=["h3"], seconds=3.0),
+        Fault(at=FAULT_AT_S + 4, kind="drain", on=["h1"], seconds=4.0),
     ]
     return sorted(failed + restarted + hosts, key=lambda one: one.at)
 
@@ -219,7 +218,7 @@
     count = held[name]
     fleet.extra_figures["largest_group_connections_lost"] = count
     fleet.extra_figures["largest_group_servers"] = len(held)
-    lost = Happening(at=FAULT_AT_S, kind="vanish", on=[name], seconds=PERMANENT_S)
+    lost = Fault(at=FAULT_AT_S, kind="vanish", on=[name], seconds=PERMANENT_S)
     fault_injection.inject(fleet, lost)
     fleet.schedule_change(
         round((FAULT_AT_S + fleet.plan.experiment.listing.silent_s) * SECOND), name, "Gone", None
@@ -237,13 +236,13 @@
         "node-lost",
         "One node's process ends without a word; no successor.",
         12.0,
-        faults=lambda size: [Happening(at=FAULT_AT_S, kind="kill", on=["n7"])],
+        faults=lambda size: [Fault(at=FAULT_AT_S, kind="kill", on=["n7"])],
     ),
     Event(
         "node-restarted",
         "SIGTERM to one node, back after 4 s.",
         14.0,
-        faults=lambda size: [Happening(at=FAULT_AT_S, kind="stop", on=["n7"], seconds=4.0)],
+        faults=lambda size: [Fault(at=FAULT_AT_S, kind="stop", on=["n7"], seconds=4.0)],
     ),
     Event("rolling-release", "Every node's process replaced within 20 s.", 28.0, faults=rolling_replacement),
     Event(
@@ -263,8 +262,8 @@
         REGION_CUT_S + 12.0,
         size=FEW_CONNECTIONS,
         faults=lambda size: [
-            Happening(at=FAULT_AT_S + 10.0, kind="drain", on=["h1"], seconds=10.0),
-            Happening(at=FAULT_AT_S + 30.0, kind="drain", on=["h2"], seconds=10.0),
+            Fault(at=FAULT_AT_S + 10.0, kind="drain", on=["h1"], seconds=10.0),
+            Fault(at=FAULT_AT_S + 30.0, kind="drain", on=["h2"], seconds=10.0),
         ],
         on_fault=cut_region,
         changes=(5.0, 15.0, 25.0, 35.0, 45.0, 55.0),
@@ -335,7 +334,7 @@
     lost, recovered_at = len(fleet.clients.lost_at), fleet.clients.recovered_at
     work = meter_difference(fleet.total_work(), before)
     fleet.clients.finish()
-    audit = ledger.Audit(fleet.plan, 0, fleet.records.__getitem__).run()
+    audit = audits.Audit(fleet.plan, 0, fleet.records.__getitem__).run()
     propagated = propagation(fleet, changed_at)
     figures = {
         "standing_before": established,
--- a/cottonspread/lab/scale/hollow_plans.py
+++ b/cottonspread/lab/scale/hollow_plans.py
@@ -40,7 +40,7 @@
 SOCKETS = 4096
 
 
-def experiment(size: Size, seconds: float, faults: list[plans.Happening] | tuple = ()) -> plans.Experiment:
+def experiment(size: Size, seconds: float, faults: list[plans.Fault] | tuple = ()) -> plans.Experiment:
     """An experiment in which all clients connect within the first seconds and stay."""
     count = size.nodes * size.connections
     shape = {
@@ -75,7 +75,7 @@
 """The first group's share of all clients is then 1.3%: 430,000 of 32 million."""
 
 
-def fleet_plan(size: Size, seconds: float, faults: list[plans.Happening] | tuple = ()) -> plans.Plan:
+def fleet_plan(size: Size, seconds: float, faults: list[plans.Fault] | tuple = ()) -> plans.Plan:
     """The plan of a hollow fleet of this size that runs for so many seconds."""
     planned = experiment(size, seconds, faults)
     return plans.make(planned, plans.Variant(name="only"), size.seed, ADDRESS_BLOCK)
--- a/cottonspread/lab/scale/processes.py
+++ b/cottonspread/lab/scale/processes.py
@@ -11,8 +11,8 @@
 
 import msgspec
 
+from cottonspread.lab import node_config, record
 from cottonspread.lab import plan as plans
-from cottonspread.lab import record, tuning
 from cottonspread.lab.scale.hollow_plans import Size, experiment
 from cottonspread.lab.sim.world import SECOND
 
@@ -105,7 +105,7 @@
         seconds = max(changes, default=1.0) + 600
         planned = experiment(Size(nodes=1, servers=servers), seconds)
         planned.faults = [
-            plans.Happening(at=at, kind="drain", on=[f"h{n % servers}"]) for n, at in enumerate(changes)
+            plans.Fault(at=at, kind="drain", on=[f"h{n % servers}"]) for n, at in enumerate(changes)
         ]
         self.plan = plans.make(planned, plans.Variant(name="only"), 1, address_block(number))
         super().__init__("list", self.folder, self.plan)
@@ -127,7 +127,7 @@
 
     def __init__(self, folder: Path, plan: plans.Plan, discovery: tuple[str, int]):
         """Starts the node; its configuration and log go to the folder."""
-        values = tuning.values(plan, 0) | {"discovery": f"{discovery[0]}:{discovery[1]}"}
+        values = node_config.build(plan, 0) | {"discovery": f"{discovery[0]}:{discovery[1]}"}
         path = folder / "node.json"
         path.write_bytes(msgspec.json.encode(values))
         self.process = start_cottonspread(
--- a/cottonspread/lab/sim/fault_injection.py
+++ b/cottonspread/lab/sim/fault_injection.py
@@ -3,8 +3,8 @@
 Spans are in microseconds.
 """
 
-from cottonspread.lab import tuning
-from cottonspread.lab.plan import AT_ONCE, HOST_FAULTS
+from cottonspread.lab import node_config
+from cottonspread.lab.plan import HOST_FAULTS, INSTANT_FAULTS
 from cottonspread.lab.sim.world import SECOND
 
 STOP_TIMEOUT = 3_700_000  # from SIGTERM to SIGKILL: the longest guard time, 3 s at most, and 0.7 s
@@ -28,11 +28,11 @@
 def inject_host_fault(fleet, host, fault, span):
     """Starts a fault of one host and schedules its end."""
     if fault.kind == "join":
-        host.mend(fault)
+        host.end_fault(fault)
         return
-    host.fault(fault)
-    if fault.kind not in AT_ONCE and fault.kind != "hang" and span:
-        fleet.world.after(span, host.mend, fault)
+    host.start_fault(fault)
+    if fault.kind not in INSTANT_FAULTS and fault.kind != "hang" and span:
+        fleet.world.after(span, host.end_fault, fault)
 
 
 # Nodes
@@ -108,7 +108,7 @@
 def retune(fleet, node, process, fault, span):
     """Sends SIGHUP with a new version of the settings."""
     node.settings_version += 1
-    process.reload(tuning.values(fleet.plan, node.number, node.settings_version))
+    process.reload(node_config.build(fleet.plan, node.number, node.settings_version))
 
 
 def quiesce(fleet, node, process, fault, span):
@@ -273,7 +273,7 @@
 def store_slow(fleet, fault, span):
     """Makes what all set-ups need slower by `factor` tenths of a second."""
     for host in fleet.hosts.values():
-        host.model.store = round(fault.factor * SECOND / 10)
+        host.model.extra_setup_delay = round(fault.factor * SECOND / 10)
         fleet.world.after(span, setattr, host.model, "store", 0)
 
 
--- a/cottonspread/lab/sim/fleet.py
+++ b/cottonspread/lab/sim/fleet.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from cottonspread.lab import listing, tuning
+from cottonspread.lab import listing, node_config
 from cottonspread.lab import plan as plans
 from cottonspread.lab.sim import fault_injection
 from cottonspread.lab.sim.agent import Agent
@@ -39,8 +39,8 @@
             [],
         )
         self.skew, self.drift = (
-            random.randint(-x.ways.skew_us, x.ways.skew_us),
-            random.randint(-x.ways.drift_ppm, x.ways.drift_ppm),
+            random.randint(-x.network.skew_us, x.network.skew_us),
+            random.randint(-x.network.drift_ppm, x.network.drift_ppm),
         )
         self.shares_listener = any(f.kind == "replace" and self.name in f.on for f in fleet.plan.faults)
         self.should_run, self.down_at, self.saved_instances, self.generation = True, None, {}, 0
@@ -49,7 +49,7 @@
     def start(self):
         """Starts a process with the configuration that `serve` would read."""
         self.start_count += 1
-        values = tuning.values(self.fleet.plan, self.number, self.settings_version)
+        values = node_config.build(self.fleet.plan, self.number, self.settings_version)
         # the list that the previous process saved in the directory that both share
         if self.shares_listener and self.saved_instances:
             values["known"] = {
@@ -145,7 +145,7 @@
         """
         self.plan, x = expand_zone_faults(plan), plan.experiment
         self.world = World(plan.seed if seed is None else seed, traced)
-        self.world.network = Network(self.world, x.ways.same_us, x.ways.cross_us, x.ways.jitter_us)
+        self.world.network = Network(self.world, x.network.same_us, x.network.cross_us, x.network.jitter_us)
         self.policy, self.addresses, self.reasons = policy, {}, {}
         self.entries = [self.entry(m) for m in plan.machines if not m.started]
         self.invariants = Invariants(self, checked)
@@ -158,7 +158,7 @@
         for node in self.nodes:
             # Nodes start at about the same time, as a fleet's machines do, but not in the same microsecond.
             self.world.at(node.random.randbelow(self.start_window), node.start)
-        for after, name, lifecycle, started in listing.changes(self.plan):
+        for after, name, lifecycle, started in listing.planned_changes(self.plan):
             self.schedule_change(after - round(x.listing.lag_ms * 1000), name, lifecycle, started)
         for fault in self.plan.faults:
             self.world.at(round(fault.at * SECOND), fault_injection.inject, self, fault)
--- a/cottonspread/lab/sim/hosts.py
+++ b/cottonspread/lab/sim/hosts.py
@@ -1,7 +1,7 @@
 """Simulated hosts: the lab's host model and protocol on the simulated network."""
 
 from cottonspread.lab import wire
-from cottonspread.lab.serving import Serving, modelled
+from cottonspread.lab.host_server import HostServer, host_model
 from cottonspread.lab.sim.network import Endpoint
 
 MAX_UNREAD = 64 * 1024  # bytes that a node may leave unread before its connection is reset
@@ -14,7 +14,13 @@
 
     def __init__(self, side, server):
         """`side`: the host's side of the connection."""
-        self.side, self.lines, self.call, self.over, self.server = side, wire.Lines(), None, False, server
+        self.side, self.lines, self.call, self.over, self.server = (
+            side,
+            wire.LineSplitter(),
+            None,
+            False,
+            server,
+        )
 
     def on_readable(self, side):
         """Reads what has arrived; a machine that has vanished reads nothing."""
@@ -23,7 +29,7 @@
         if side.received:
             data = side.recv()
             self.server.fleet.invariants.on_host_data(self, data)
-            self.server.came(self, data)
+            self.server.on_data(self, data)
         if not self.over and (side.eof or side.was_reset):
             self.server.end(self, "theirs")
 
@@ -32,12 +38,14 @@
         pass
 
 
-class Host(Serving):
+class Host(HostServer):
     """A host of the plan."""
 
     def __init__(self, fleet, machine):
         """Creates the host of a plan's machine; one that the plan starts later is down until then."""
-        super().__init__(machine.name, modelled(fleet.plan, machine, 0), fleet.plan.experiment.hosts.reports)
+        super().__init__(
+            machine.name, host_model(fleet.plan, machine, 0), fleet.plan.experiment.hosts.reports
+        )
         self.fleet, self.machine, self.endpoint, self.gone = (
             fleet,
             machine,
@@ -63,7 +71,7 @@
         """Accepts connections."""
         self.endpoint.on_connect, self.gone = self.accept, False
 
-    def shut(self):
+    def refuse(self):
         """Refuses connections."""
         self.endpoint.on_connect, self.gone = None, False
 
@@ -94,8 +102,8 @@
         else:
             conn.side.close()
 
-    def mend(self, fault):
+    def end_fault(self, fault):
         """Ends a fault."""
         if fault.kind == "vanish":
             self.gone = False
-        super().mend(fault)
+        super().end_fault(fault)
--- a/cottonspread/lab/standin.py
+++ b/cottonspread/lab/stub_node.py
@@ -1,7 +1,8 @@
-"""Stand-in nodes for the lab itself: one that relays honestly, and ones that break a rule on purpose.
+"""Stub nodes that test the lab itself: one that relays correctly, and ones that break a rule on purpose.
 
-They prove the ledger: an audit that has never found anything proves little. Threads and blocking sockets;
-each client goes to the servers in turn. `sabotage` names what is done to every third call or so.
+They show that the audit finds violations: one that has never found any proves little. They use threads and
+blocking sockets and assign clients to the hosts in turn. `sabotage` names the rule that is broken, in most
+cases for every third call.
 """
 
 import contextlib
@@ -28,52 +29,61 @@
 )
 
 
-class Standin:
+class StubNode:
+    """A node that breaks the rule named by `sabotage`."""
+
     def __init__(self, config, sabotage):
+        """`config`: a node's configuration."""
         self.sabotage, self.servers, self.state, self.count, self.lock = sabotage, {}, {}, 0, threading.Lock()
-        self.list, self.fresh = config["discovery"], None
+        self.discovery, self.cold_host = config["discovery"], None
         host, _, port = config["listen"].rpartition(":")
         self.listener = socket.create_server((host, int(port)), backlog=1024)
         self.guards = {t["Name"]: t["GuardTime"] / 1000 for t in config["settings"]["TrafficTypes"]}
 
-    def follow(self):
+    def follow_list(self):
+        """Watches the server list; runs in a thread of its own."""
         version = None
         while True:
             query = "" if version is None else f"?since={version}&timeout_ms=5000"
             try:
-                with urllib.request.urlopen(f"http://{self.list}/api/targets{query}", timeout=10) as answer:
-                    said = json.load(answer)
+                with urllib.request.urlopen(
+                    f"http://{self.discovery}/api/targets{query}", timeout=10
+                ) as answer:
+                    reply = json.load(answer)
             except (OSError, ValueError):
                 time.sleep(0.1)
                 continue
-            version = said["generation"]
-            for one in said["instances"]:
-                if one["startedAtMs"]:
-                    self.fresh = one["instanceId"]
-                self.state[one["instanceId"]] = one["lifecycle"]
-                host, _, port = one["hostPort"].rpartition(":")
-                self.servers[one["instanceId"]] = host, int(port)
-
-    def choose(self, number, but=()):
-        fit = sorted(
+            version = reply["generation"]
+            for entry in reply["instances"]:
+                if entry["startedAtMs"]:
+                    self.cold_host = entry["instanceId"]
+                self.state[entry["instanceId"]] = entry["lifecycle"]
+                host, _, port = entry["hostPort"].rpartition(":")
+                self.servers[entry["instanceId"]] = host, int(port)
+
+    def choose(self, number, exclude=()):
+        """Returns the name of the host for a call of this number, or None."""
+        candidates = sorted(
             n
             for n in self.servers
-            if n not in but
+            if n not in exclude
             and (self.state[n] == "Ready" or self.sabotage == "drained" and self.state[n] == "Terminating")
         )
-        if self.sabotage == "cold" and self.fresh in fit:
-            return self.fresh
+        if self.sabotage == "cold" and self.cold_host in candidates:
+            return self.cold_host
         if self.sabotage == "drained":
-            fit = [n for n in fit if self.state[n] == "Terminating"] or fit
-        return fit[number % len(fit)] if fit else None
+            candidates = [n for n in candidates if self.state[n] == "Terminating"] or candidates
+        return candidates[number % len(candidates)] if candidates else None
 
     def run(self):
-        threading.Thread(target=self.follow, daemon=True).start()
+        """Accepts connections for ever."""
+        threading.Thread(target=self.follow_list, daemon=True).start()
         while True:
             sock, _ = self.listener.accept()
             threading.Thread(target=self.client, args=(sock,), daemon=True).start()
 
     def client(self, sock):
+        """Serves a client; runs in a thread of its own."""
         try:
             with sock:
                 self.serve(sock)
@@ -81,6 +91,7 @@
             pass
 
     def serve(self, sock):
+        """Serves a client's connection until its end."""
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         first = self.first_line(sock)
         if not first:
@@ -91,8 +102,8 @@
         with self.lock:
             self.count += 1
             number = self.count
-        sabotage = self.sabotage if number % 3 == 0 else ""  # it strikes every third call
-        if self.spoiled_before(sock, first, sabotage):
+        sabotage = self.sabotage if number % 3 == 0 else ""  # every third call
+        if self.sabotaged_before_leg(sock, first, sabotage):
             return
         name = self.choose(number)
         if name is None:
@@ -106,7 +117,7 @@
 
     @staticmethod
     def first_line(sock):
-        """b"" if the client ended before."""
+        """Reads the first line; b"" if the client closed the connection before."""
         first = b""
         while not first.endswith(b"\n"):
             got = sock.recv(4096)
@@ -115,8 +126,8 @@
             first += got
         return first
 
-    def spoiled_before(self, sock, first, sabotage):
-        """The sabotages that need no host; whether it was one of them."""
+    def sabotaged_before_leg(self, sock, first, sabotage):
+        """Carries out the sabotages that need no host; tells whether it was one of them."""
         if sabotage == "invented":
             sock.sendall(b"UP 123\r\n")
         elif sabotage == "late":
@@ -126,33 +137,33 @@
         return sabotage in ("lost", "invented", "late")
 
     def set_up(self, sock, first, sabotage, number, name):
-        """A leg, and what becomes of it."""
+        """Opens a leg and passes its answer on to the client."""
         try:
             other, file = self.leg(name, first)
         except OSError:
             sock.sendall(b"ERR\r\n")
             return
         if sabotage == "two":
-            self.leg(self.choose(number, but=(name,)), first)[1].readline()
+            self.leg(self.choose(number, exclude=(name,)), first)[1].readline()
         try:
             answer = file.readline() or b"ERR\r\n"
         except OSError:
             answer = b"ERR\r\n"
         if sabotage in ("again", "rejected"):
-            other.close()  # it has run; its answer is thrown away
+            other.close()  # the call has run; its answer is dropped
             if sabotage == "rejected":
                 sock.sendall(b"BUSY\r\n")
                 return
-            other, file = self.leg(self.choose(number, but=(name,)), first)
+            other, file = self.leg(self.choose(number, exclude=(name,)), first)
             answer = file.readline()
         with other:
             up = answer.startswith(b"UP")
             sock.sendall(answer + (b"UP 99\r\n" if sabotage == "twice" and up else b""))
             if up:
-                self.stand(sock, other, file, sabotage)
+                self.relay_both_ways(sock, other, file, sabotage)
 
-    def stand(self, sock, other, file, sabotage):
-        """Lines go both ways until one side ends."""
+    def relay_both_ways(self, sock, other, file, sabotage):
+        """Relays lines in both directions until one side closes."""
         if sabotage == "cut":
             time.sleep(0.1)
             return
@@ -162,6 +173,7 @@
                 sock.sendall(data)
 
     def leg(self, name, first):
+        """Connects to a host and sends the first line; returns the socket and a file to read from it."""
         sock = socket.create_connection(self.servers[name], timeout=5)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         sock.settimeout(None)
@@ -170,6 +182,7 @@
 
     @staticmethod
     def relay(source, target):
+        """Relays bytes in one direction."""
         try:
             while data := source.recv(65536):
                 target.sendall(data)
@@ -180,6 +193,6 @@
 
 
 def main(sabotage):
-    """Configured as a node is, by $PROXY_CONFIG."""
+    """Runs a stub node, configured by $PROXY_CONFIG as a node is."""
     with open(os.environ["PROXY_CONFIG"], encoding="utf-8") as file:
-        Standin(json.load(file), sabotage).run()
+        StubNode(json.load(file), sabotage).run()
