--- a/cottonspread/net/message_delays.py
+++ b/cottonspread/net/message_delays.py
@@ -95,12 +95,12 @@
         any connection: a single dead connection must not make its host look hung.
         """
         oldest = [
-            (sent, n, one)
-            for n, one in enumerate(connections)
-            if (sent := one.signals.oldest_after(self.last_echoed)) is not None
+            (sent, n, conn)
+            for n, conn in enumerate(connections)
+            if (sent := conn.signals.oldest_after(self.last_echoed)) is not None
         ]
-        sent, _, one = min(oldest, default=(now, 0, None))
-        return now - sent, one
+        sent, _, conn = min(oldest, default=(now, 0, None))
+        return now - sent, conn
 
     def classify(self, now, signals, value, silent_for, mean_load):
         """The delay of messages if `LOAD value` is a delay report, None if it is a load, 0 if not clear yet.
--- a/tests/crossings/test_attempts.py
+++ b/tests/crossings/test_attempts.py
@@ -206,9 +206,9 @@
         peer.send_lines(b"UP r")
         wait_until(lambda: node.clock.now() - began > 400_000, "time stands still")
         gate.open.set()
-        said = one.read_line()
-        assert said in (b"UP r", b"ERR", b"BUSY")
-        if said != b"UP r":
+        answer = one.read_line()
+        assert answer in (b"UP r", b"ERR", b"BUSY")
+        if answer != b"UP r":
             assert one.read_line() == b"" and peer.read_all() == b""
 
 
@@ -293,13 +293,13 @@
                 return
             peers.append(peer)
             line = peer.read_line()
-            said = (
+            answer = (
                 (None, b"", b"BUSY\r\n", b"\x00\xff\r\n", b"UP", b"ERR\r\n")[len(peers) % 6] if line else b""
             )
-            if said is None:  # it hangs
+            if answer is None:  # it hangs
                 continue
-            peer.sock.sendall(said)
-            if len(peers) % 4 or said == b"":
+            peer.sock.sendall(answer)
+            if len(peers) % 4 or answer == b"":
                 peer.close("reset" if len(peers) % 2 else "close")
 
     threads = [threading.Thread(target=run_host, args=(host,), daemon=True) for host in hosts]
--- a/tests/test_reducer.py
+++ b/tests/test_reducer.py
@@ -181,9 +181,9 @@
         """The counters as they follow from the lines on the connections, not from the node's own count."""
         counted = Counter(backend_calls=len(self.got_first_line - self.taken_over))
         for name, end in self.ends.items():
-            said = self.answers.get(name)
-            if end.is_client and end not in self.taken_over and end.conn.request and said:
-                word = said[0].split()[0]
+            answers = self.answers.get(name)
+            if end.is_client and end not in self.taken_over and end.conn.request and answers:
+                word = answers[0].split()[0]
                 answer = {b"UP": "success", b"BUSY": "busy"}.get(word, "failure")
                 counted[answer, end.conn.type.name] += 1
         return +counted
@@ -305,14 +305,14 @@
     def on_handover(self, end, args, at):
         self.step(
             ev.HandOverRequested(
-                lambda handed: self.out.append(
+                lambda state: self.out.append(
                     [
                         "state",
-                        f"room={handed.room}",
-                        *handed.ids,
-                        *(f"{k}={h}" for k, h in handed.records),
-                        *(f"{h}:{n}" for h, _, n in handed.sent),
-                        *["draining"] * handed.draining,
+                        f"room={state.room}",
+                        *state.ids,
+                        *(f"{k}={h}" for k, h in state.records),
+                        *(f"{h}:{n}" for h, _, n in state.sent),
+                        *["draining"] * state.draining,
                     ]
                 )
             )
@@ -325,12 +325,12 @@
         self.step(ev.DrainRequested(False))
 
     def on_counters(self, end, args, at):
-        told = {
+        values = {
             name + "." * bool(labels) + labels[7:-2]: value
             for name, labels, value in self.reducer.counters.samples(len(self.reducer.calls_by_id))
         }
         for word in args:
-            assert told[word.split("=")[0]] == int(word.split("=")[1]), (word, told)
+            assert values[word.split("=")[0]] == int(word.split("=")[1]), (word, values)
 
     def on_tick(self, end, args, at):
         self.step(ev.Tick())
@@ -361,13 +361,13 @@
         assert not self.reducer.balancer.calls and not any(s.legs for s in self.reducer.hosts.values())
         for name, end in self.ends.items():
             if end.is_client and end.conn and end.conn.request and end not in self.taken_over:
-                said = self.answers.get(name, [])
+                answers = self.answers.get(name, [])
                 # after UP, lines are only forwarded
-                finals = 1 if said and said[0].startswith(b"UP") else len(said)
-                gone = end.conn.reason == "left-in-setup"  # a call that was transferred has its UP
-                assert finals + gone == 1, f"{name}: {said}, {end.conn.reason}"
+                finals = 1 if answers and answers[0].startswith(b"UP") else len(answers)
+                client_left = end.conn.reason == "left-in-setup"  # a call that was transferred has its UP
+                assert finals + client_left == 1, f"{name}: {answers}, {end.conn.reason}"
                 in_time = (
-                    gone
+                    client_left
                     or self.stalled
                     or end.conn.request.held_by
                     or self.answered_at[name] <= end.conn.guard
