--- a/tests/crossings/test_attempts.py
+++ b/tests/crossings/test_attempts.py
@@ -114,7 +114,7 @@
         first = next(
             h
             for h in hosts
-            if wait_until(lambda: any(h.has_connection() for h in hosts), "nobody came") is None
+            if wait_until(lambda: any(h.has_connection() for h in hosts), "no connection has arrived") is None
             and h.has_connection()
         )
         peer = first.accept()
@@ -122,7 +122,7 @@
         assert peer.read_line().startswith(b"OPEN ")
         peer.close("reset")
         assert gate.reached.wait(10)
-        wait_until(lambda: node.clock.now() - began > 450_000, "time stands still")
+        wait_until(lambda: node.clock.now() - began > 450_000, "the clock does not advance")
         gate.open.set()
         other = next(h for h in hosts if h is not first)
         assert other.accept().read_all() == b""
@@ -151,7 +151,7 @@
     with running(list_server) as node:
         wait_for_list(node)
         one = client(node, open_line(1, "once"))
-        wait_until(lambda: any(h.has_connection() for h in hosts), "nobody came")
+        wait_until(lambda: any(h.has_connection() for h in hosts), "no connection has arrived")
         first, other = sorted(hosts, key=lambda h: not h.has_connection())
         peer = first.accept()
         assert peer.read_line().startswith(b"OPEN ")
@@ -204,7 +204,7 @@
         assert gate.reached.wait(10)
         began = node.clock.now()
         peer.send_lines(b"UP r")
-        wait_until(lambda: node.clock.now() - began > 400_000, "time stands still")
+        wait_until(lambda: node.clock.now() - began > 400_000, "the clock does not advance")
         gate.open.set()
         answer = one.read_line()
         assert answer in (b"UP r", b"ERR", b"BUSY")
@@ -239,7 +239,7 @@
     with running(list_server) as node:
         wait_for_list(node)
         one = client(node, open_line(1, "once"))
-        wait_until(lambda: any(h.has_connection() for h in hosts), "nobody came")
+        wait_until(lambda: any(h.has_connection() for h in hosts), "no connection has arrived")
         first, other = sorted(hosts, key=lambda h: not h.has_connection())
         peer = first.accept()
         node.seen.wait(ev.WriteDone, lambda e: not e.end.is_client)
