--- a/cottonspread/lab/scale/capacity.py
+++ b/cottonspread/lab/scale/capacity.py
@@ -1,8 +1,8 @@
-"""The rows of the capacity page: read from TOML, every field checked, worked out from results and variables.
+"""The capacity model: rows read from TOML, every field checked, evaluated from results and variables.
 
-A row has a formula over names. A name is a variable (told by the operators, assumed with a range, or
-derived), the `id` of another row, or one of the row's own `costs` (a fit of a result's measure, taken at a
-size) and `figures` (one value out of a result's fault rows or of an older results file).
+A row has a formula over names. A name is a variable (given by the operators, assumed with a range, or
+derived), the `id` of another row, or one of the row's own `costs` (a fit of a result's measure, evaluated at
+a size) and `figures` (a single value from a result or from an older file).
 """
 
 import itertools
@@ -21,24 +21,24 @@
 
 Aspect = Literal["state", "messages", "processor time", "memory", "descriptors", "bytes a second", "time"]
 
-AMPLE = 2.0
-"""A value under the budget by this factor holds; between, it holds with its factor."""
+BUDGET_MARGIN = 2.0
+"""A value below the budget by this factor holds; a value closer to the budget holds with its factor."""
 
 
 class RowError(ValueError):
-    """A row that cannot be worked out; the message names it."""
+    """A row that cannot be evaluated; the message names it."""
 
 
-class Told(msgspec.Struct, forbid_unknown_fields=True):
-    """A variable that the operators gave."""
+class GivenVariable(msgspec.Struct, forbid_unknown_fields=True):
+    """A variable that the operators gave; `[told.NAME]` in TOML."""
 
     value: float
     unit: str
     why: str
 
 
-class Assumed(msgspec.Struct, forbid_unknown_fields=True):
-    """A variable that nobody told, with the range in which it may lie."""
+class AssumedVariable(msgspec.Struct, forbid_unknown_fields=True):
+    """A variable that nobody gave, with the range in which it may lie."""
 
     value: float
     low: float
@@ -47,8 +47,8 @@
     why: str
 
 
-class Derived(msgspec.Struct, forbid_unknown_fields=True):
-    """A variable that follows from others."""
+class DerivedVariable(msgspec.Struct, forbid_unknown_fields=True):
+    """A variable that is computed from others."""
 
     formula: str
     unit: str
@@ -56,7 +56,7 @@
 
 
 class Cost(msgspec.Struct, forbid_unknown_fields=True):
-    """The fit of a measure at a size (a formula); with `slope` that of the line, value a unit of size."""
+    """The fit of a measure at a size (a formula); with `slope` the line's slope, value per unit of size."""
 
     name: str
     result: str
@@ -66,11 +66,11 @@
 
 
 class Figure(msgspec.Struct, forbid_unknown_fields=True):
-    """One value.
+    """A single value.
 
-    It is `figure` of a fault run's `event`; a point of a sweep (`figure`: the measure, `size`); out of a JSON
-    file of the repository (`at`: keys joined by `/`); or out of a page (`at`: words that stand there, with
-    `value` among them). Seconds until whole that were not met within the play are infinite.
+    It is `figure` of a fault run's `event`; a point of a sweep (`figure`: the measure, `size`); from a JSON
+    file of the repository (`at`: keys joined by `/`); or from a page (`at`: words quoted from it, with
+    `value` among them). `seconds_until_whole` is infinite where the fleet did not recover within the run.
     """
 
     name: str
@@ -84,7 +84,7 @@
 
 
 class Row(msgspec.Struct, forbid_unknown_fields=True):
-    """One line of a role's table."""
+    """One row of a role's table."""
 
     role: str
     control: bool
@@ -98,11 +98,11 @@
     costs: list[Cost] = []
     figures: list[Figure] = []
     not_run: str = ""
-    """Why there is no run yet: the row has no value then."""
+    """Why there is no run yet; a row with it has no value."""
 
 
 class Line(msgspec.Struct, forbid_unknown_fields=True):
-    """One line of any other table; `{name}` in a cell stands for one of its `values`."""
+    """One line of another table; `{name}` in a cell stands for one of its values or figures."""
 
     table: str
     cells: list[str]
@@ -113,12 +113,12 @@
     not_run: str = ""
 
 
-class Book(msgspec.Struct, forbid_unknown_fields=True):
-    """All that the page's tables are made from, but for the results."""
+class Definitions(msgspec.Struct, forbid_unknown_fields=True):
+    """Everything that the page's tables are made from, except the results."""
 
-    told: dict[str, Told]
-    assumed: dict[str, Assumed]
-    derived: dict[str, Derived]
+    told: dict[str, GivenVariable]
+    assumed: dict[str, AssumedVariable]
+    derived: dict[str, DerivedVariable]
     tables: dict[str, list[str]]
     """Columns by table."""
     row: list[Row]
@@ -126,8 +126,8 @@
 
 
 @dataclass(frozen=True)
-class Used:
-    """A cost as a row used it."""
+class FittedCost:
+    """A cost of a row, with its fit and its value at its size."""
 
     cost: Cost
     fit: Fit
@@ -137,110 +137,122 @@
 
 
 @dataclass(frozen=True)
-class Worked:
-    """A row worked out; all None where it was not run."""
+class EvaluatedRow:
+    """A row with its values, all None where it was not run."""
 
     row: Row
     value: float | None
     low: float | None
     high: float | None
     budget: float | None
-    used: tuple[Used, ...]
+    fitted_costs: tuple[FittedCost, ...]
 
     @property
     def verdict(self) -> str:
-        """Holds, holds with a factor, does not hold; said of the value, and of the whole range besides."""
+        """Whether the value is within the budget, and whether it is so over the whole assumed range."""
         if self.value is None:
             return "not run"
         if self.budget is None:
             return "no budget told"
         if self.value > self.budget:
-            return f"**does not hold**: {_times(self.value, self.budget)} the budget"
-        said = "holds"
-        if self.value * AMPLE > self.budget:
-            said = f"holds with a factor of {self.budget / self.value:.2g}"
-        return said + "; not over the whole range" * (self.high > self.budget)
+            return f"**does not hold**: {_ratio_text(self.value, self.budget)} the budget"
+        text = "holds"
+        if self.value * BUDGET_MARGIN > self.budget:
+            text = f"holds with a factor of {self.budget / self.value:.2g}"
+        return text + "; not over the whole range" * (self.high > self.budget)
 
     @property
-    def beyond(self) -> float:
-        """How many times the largest size played the target lies at, of the cost that is furthest."""
-        return max((used.fit.beyond(used.size) for used in self.used), default=0.0)
+    def extrapolation(self) -> float:
+        """The target over the largest measured size, for the cost where that ratio is largest."""
+        return max(
+            (fitted_cost.fit.extrapolation(fitted_cost.size) for fitted_cost in self.fitted_costs),
+            default=0.0,
+        )
 
 
-def _times(value: float, budget: float) -> str:
+def _ratio_text(value: float, budget: float) -> str:
     return f"{value / budget:.3g} times" if budget else "with"
 
 
-def read_book(path: Path) -> Book:
-    """The TOML file's rows; RowError names what is wrong."""
+def read_definitions(path: Path) -> Definitions:
+    """The definitions in the TOML file; RowError names what is wrong with it."""
     try:
-        book = msgspec.toml.decode(path.read_bytes(), type=Book)
+        definitions = msgspec.toml.decode(path.read_bytes(), type=Definitions)
     except (OSError, msgspec.DecodeError, UnicodeDecodeError) as fault:
         raise RowError(f"{path.name}: {fault}") from None
-    variables = [*book.told, *book.assumed, *book.derived, *(row.id for row in book.row if row.id)]
-    doubled = {name for name in variables if variables.count(name) > 1}
-    if doubled:
-        raise RowError(f"{path.name}: names that are there twice: {sorted(doubled)}")
-    for name, one in book.assumed.items():
+    variables = [
+        *definitions.told,
+        *definitions.assumed,
+        *definitions.derived,
+        *(row.id for row in definitions.row if row.id),
+    ]
+    duplicates = {name for name in variables if variables.count(name) > 1}
+    if duplicates:
+        raise RowError(f"{path.name}: duplicate names: {sorted(duplicates)}")
+    for name, one in definitions.assumed.items():
         if not one.low <= one.value <= one.high:
             raise RowError(f"{path.name}: assumed.{name}: value outside its range")
-    for line in book.line:
-        if len(line.cells) != len(book.tables.get(line.table, [])):
-            raise RowError(f"{path.name}: table {line.table!r}: {line.cells[:1]}: other than its columns")
-    return book
+    for line in definitions.line:
+        if len(line.cells) != len(definitions.tables.get(line.table, [])):
+            raise RowError(
+                f"{path.name}: table {line.table!r}: {line.cells[:1]}: cell count differs from columns"
+            )
+    return definitions
 
 
-class Sheet:
-    """Values of names under one choice of the assumed variables; remembers which of them were used."""
+class Evaluator:
+    """Evaluates names under given values of the assumed variables; remembers which of those were used."""
 
-    def __init__(self, book: Book, results: dict[str, Result], root: Path, chosen: dict[str, float]):
-        self.book, self.results, self.root, self.chosen = book, results, root, chosen
-        self.rows = {row.id: row for row in book.row if row.id}
-        self.touched: set[str] = set()
-        self.under_way: list[str] = []
+    def __init__(
+        self, definitions: Definitions, results: dict[str, Result], root: Path, assumptions: dict[str, float]
+    ):
+        self.definitions, self.results, self.root, self.assumptions = definitions, results, root, assumptions
+        self.rows = {row.id: row for row in definitions.row if row.id}
+        self.used_assumptions: set[str] = set()
+        self.in_progress: list[str] = []
 
     def value(self, name: str) -> float:
-        """That of a variable or of a row's id."""
-        if name in self.under_way:
-            raise RowError(f"{name}: rests on itself")
-        if name in self.book.told:
-            return self.book.told[name].value
-        if name in self.book.assumed:
-            self.touched.add(name)
-            return self.chosen.get(name, self.book.assumed[name].value)
-        if name not in self.book.derived and name not in self.rows:
+        """The value of a variable or of the row with that id."""
+        if name in self.in_progress:
+            raise RowError(f"{name}: depends on itself")
+        if name in self.definitions.told:
+            return self.definitions.told[name].value
+        if name in self.definitions.assumed:
+            self.used_assumptions.add(name)
+            return self.assumptions.get(name, self.definitions.assumed[name].value)
+        if name not in self.definitions.derived and name not in self.rows:
             raise RowError(f"no variable or row is named {name!r}")
-        self.under_way.append(name)
+        self.in_progress.append(name)
         try:
-            if name in self.book.derived:
-                return formula.evaluate(self.book.derived[name].formula, self.value)
+            if name in self.definitions.derived:
+                return formula.evaluate(self.definitions.derived[name].formula, self.value)
             return self.row_value(self.rows[name])
         finally:
-            self.under_way.pop()
+            self.in_progress.pop()
 
     def row_value(self, row: Row) -> float:
         """A row's value; RowError where it was not run."""
         if row.not_run:
-            raise RowError(f"{row.what}: was not run, and another row rests on it")
-        return self.with_own(row.formula, self.own_values(row.costs, row.figures))
+            raise RowError(f"{row.what}: was not run, and another row depends on it")
+        return self.evaluate(row.formula, self.own_values(row.costs, row.figures))
 
     def budget(self, row: Row) -> float | None:
         """A row's budget; None where there is none."""
         if not row.budget:
             return None
-        return self.with_own(row.budget, self.own_values(row.costs, row.figures))
+        return self.evaluate(row.budget, self.own_values(row.costs, row.figures))
 
-    def with_own(self, text: str, own: dict[str, float]) -> float:
-        """The value of a formula over variables and a row's own values, which go first."""
+    def evaluate(self, text: str, own: dict[str, float]) -> float:
+        """The value of a formula over variables and a row's own values, which take precedence."""
         return formula.evaluate(text, lambda name: own[name] if name in own else self.value(name))
 
     def own_values(self, costs: list[Cost], figures: list[Figure]) -> dict[str, float]:
         """The values of a row's costs and figures by name."""
-        own = {cost.name: self.used(cost).value for cost in costs}
+        own = {cost.name: self.fitted_cost(cost).value for cost in costs}
         return own | {figure.name: self.figure(figure) for figure in figures}
 
-    def used(self, cost: Cost) -> Used:
-        """A cost at its size."""
+    def fitted_cost(self, cost: Cost) -> FittedCost:
+        """The cost's fit and its value at its size."""
         result = self.result(cost.result)
         if not isinstance(result, Sweep):
             raise RowError(f"{cost.result}: not a sweep")
@@ -248,22 +260,24 @@
         found = fit(measure.points)
         size = formula.evaluate(cost.size, self.value)
         if cost.slope and found.term not in ("linear", "constant"):
-            raise RowError(f"{cost.result}: {cost.measure}: grows by {found.term}, so that no slope tells it")
-        return Used(cost, found, measure.unit, size, found.slope if cost.slope else found.at(size))
+            raise RowError(f"{cost.result}: {cost.measure}: grows by {found.term}, so it has no single slope")
+        return FittedCost(cost, found, measure.unit, size, found.slope if cost.slope else found.at(size))
 
     def figure(self, figure: Figure) -> float:
-        """One value out of a result or of an older file."""
+        """A single value from a result or an older file."""
         where = figure.result or figure.file
         if figure.file:
-            value = self._quoted(figure) if figure.value else self._older(figure)
+            value = self._page_value(figure) if figure.value else self._json_value(figure)
         else:
             result = self.result(figure.result)
-            value = _point(result, figure) if isinstance(result, Sweep) else _of_event(result, figure)
+            value = (
+                _point_value(result, figure) if isinstance(result, Sweep) else _event_value(result, figure)
+            )
         if isinstance(value, bool) or not isinstance(value, int | float):
-            raise RowError(f"{where}: {figure.name}: {value!r} is no number")
+            raise RowError(f"{where}: {figure.name}: {value!r} is not a number")
         return float(value)
 
-    def _older(self, figure: Figure) -> object:
+    def _json_value(self, figure: Figure) -> object:
         try:
             value = json.loads((self.root / figure.file).read_text())
             for key in figure.at.split("/"):
@@ -272,13 +286,13 @@
             raise RowError(f"{figure.file}: {figure.at}: {type(fault).__name__}: {fault}") from None
         return value
 
-    def _quoted(self, figure: Figure) -> float:
+    def _page_value(self, figure: Figure) -> float:
         try:
             text = (self.root / figure.file).read_text(encoding="utf-8")
         except OSError as fault:
             raise RowError(f"{figure.file}: {fault.strerror}") from None
         if figure.at not in text or figure.value not in figure.at.split():
-            raise RowError(f"{figure.file}: {figure.value!r} in {figure.at!r} does not stand there")
+            raise RowError(f"{figure.file}: {figure.value!r} in {figure.at!r} not found")
         return float(figure.value.replace(",", ""))
 
     def result(self, name: str) -> Result:
@@ -288,15 +302,15 @@
         return self.results[name]
 
 
-def _point(sweep: Sweep, figure: Figure) -> float:
-    """What was measured at one size."""
+def _point_value(sweep: Sweep, figure: Figure) -> float:
+    """The measured value at one size."""
     for point in sweep.measure(figure.figure).points:
         if point.size == figure.size:
             return point.value
-    raise RowError(f"{sweep.name}: {figure.figure}: size {figure.size:g} was not played")
+    raise RowError(f"{sweep.name}: {figure.figure}: size {figure.size:g} was not measured")
 
 
-def _of_event(run: FaultRun, figure: Figure) -> float:
+def _event_value(run: FaultRun, figure: Figure) -> float:
     """One figure of an event."""
     row = run.row(figure.event)
     whole = math.inf if row.seconds_until_whole is None else row.seconds_until_whole
@@ -307,91 +321,98 @@
 
 
 class Capacity:
-    """The book worked out over the results."""
+    """The definitions evaluated over the results."""
 
-    def __init__(self, book: Book, results: dict[str, Result], root: Path):
-        self.book, self.results, self.root = book, results, root
+    def __init__(self, definitions: Definitions, results: dict[str, Result], root: Path):
+        self.definitions, self.results, self.root = definitions, results, root
 
-    def sheet(self, chosen: dict[str, float] | None = None) -> Sheet:
-        """Values under a choice of the assumed variables; those left out have their stated value."""
-        return Sheet(self.book, self.results, self.root, chosen or {})
+    def evaluator(self, assumptions: dict[str, float] | None = None) -> Evaluator:
+        """An evaluator with values for assumed variables; those left out have their stated value."""
+        return Evaluator(self.definitions, self.results, self.root, assumptions or {})
 
-    def rows(self, role: str, control: bool) -> list[Worked]:
-        """A role's rows, worked out."""
-        return [self.work(row) for row in self.book.row if (row.role, row.control) == (role, control)]
+    def rows(self, role: str, control: bool) -> list[EvaluatedRow]:
+        """A role's rows, evaluated."""
+        return [
+            self.evaluate_row(row)
+            for row in self.definitions.row
+            if (row.role, row.control) == (role, control)
+        ]
 
-    def work(self, row: Row) -> Worked:
-        """One row: value, the lowest and highest over the corners of the assumed ranges, budget."""
+    def evaluate_row(self, row: Row) -> EvaluatedRow:
+        """Evaluates a row: value, budget, lowest and highest value over the corners of the assumed ranges."""
         if row.not_run:
-            self._demand_missing(row.what, row.costs, row.figures)
-            return Worked(row, None, None, None, None, ())
+            self._check_not_run(row.what, row.costs, row.figures)
+            return EvaluatedRow(row, None, None, None, None, ())
         try:
-            sheet = self.sheet()
-            value = sheet.row_value(row)
-            used = tuple(sheet.used(cost) for cost in row.costs)
-            corners = [self.sheet(chosen).row_value(row) for chosen in self.corners(sheet.touched)]
-            budget = self.sheet().budget(row)
+            evaluator = self.evaluator()
+            value = evaluator.row_value(row)
+            fitted_costs = tuple(evaluator.fitted_cost(cost) for cost in row.costs)
+            corners = [
+                self.evaluator(assumptions).row_value(row)
+                for assumptions in self.corners(evaluator.used_assumptions)
+            ]
+            budget = self.evaluator().budget(row)
         except (RowError, ResultError, formula.FormulaError) as fault:
             raise RowError(f"{row.role}: {row.what}: {fault}") from None
-        return Worked(row, value, min(corners), max(corners), budget, used)
+        return EvaluatedRow(row, value, min(corners), max(corners), budget, fitted_costs)
 
-    def allowed(self, row: Row, cost: Cost) -> float | None:
-        """What the cost may be until the row meets its budget, all else as it is; None: nothing tells it."""
+    def max_cost(self, row: Row, cost: Cost) -> float | None:
+        """The cost at which the row reaches its budget, all else unchanged; None if there is no such cost."""
         if row.not_run or not row.budget:
             return None
-        sheet = self.sheet()
-        own = sheet.own_values(row.costs, row.figures)
+        evaluator = self.evaluator()
+        own = evaluator.own_values(row.costs, row.figures)
 
-        def total(tried: float) -> float:
-            return sheet.with_own(row.formula, own | {cost.name: tried})
+        def total(cost_value: float) -> float:
+            return evaluator.evaluate(row.formula, own | {cost.name: cost_value})
 
         growth = total(1.0) - total(0.0)
-        budget = sheet.budget(row)
+        budget = evaluator.budget(row)
         return (budget - total(0.0)) / growth if growth > 0 and budget > total(0.0) else None
 
     def line(self, line: Line) -> dict[str, float] | None:
         """A line's values by name; None where it was not run."""
         if line.not_run:
-            self._demand_missing(line.cells[0], line.costs, line.figures)
+            self._check_not_run(line.cells[0], line.costs, line.figures)
             return None
-        sheet = self.sheet()
+        evaluator = self.evaluator()
         try:
-            own = sheet.own_values(line.costs, line.figures)
+            own = evaluator.own_values(line.costs, line.figures)
             for name, text in line.values.items():
-                own[name] = sheet.with_own(text, own)
+                own[name] = evaluator.evaluate(text, own)
         except (RowError, ResultError, formula.FormulaError) as fault:
             raise RowError(f"{line.table}: {line.cells[0]}: {fault}") from None
         return own
 
     def corners(self, names: set[str]) -> Iterator[dict[str, float]]:
-        """Every choice of lowest and highest of these assumed variables."""
+        """Every combination of the lowest and highest values of these assumed variables."""
         ordered = sorted(names)
-        ends = [(self.book.assumed[name].low, self.book.assumed[name].high) for name in ordered]
+        ends = [(self.definitions.assumed[name].low, self.definitions.assumed[name].high) for name in ordered]
         for choice in itertools.product(*ends):
             yield dict(zip(ordered, choice, strict=True))
 
-    def costs(self) -> list[Used]:
+    def costs(self) -> list[FittedCost]:
         """Every cost that a row or line uses, once each."""
         found = {}
-        for one in [*self.book.row, *self.book.line]:
+        for one in [*self.definitions.row, *self.definitions.line]:
             if one.not_run:
                 continue
             for cost in one.costs:
                 key = cost.result, cost.measure, cost.size, cost.slope
-                found.setdefault(key, self.sheet().used(cost))
+                found.setdefault(key, self.evaluator().fitted_cost(cost))
         return [found[key] for key in sorted(found)]
 
     def figures(self) -> list[tuple[Figure, float]]:
         """Every figure of an older file that a row or line uses, once each."""
         found = {}
-        for one in [*self.book.row, *self.book.line]:
+        for one in [*self.definitions.row, *self.definitions.line]:
             for figure in one.figures if not one.not_run else ():
                 if figure.file:
-                    found.setdefault((figure.file, figure.at), (figure, self.sheet().figure(figure)))
+                    found.setdefault((figure.file, figure.at), (figure, self.evaluator().figure(figure)))
         return [found[key] for key in sorted(found)]
 
-    def _demand_missing(self, what: str, costs: list[Cost], figures: list[Figure]) -> None:
-        """A row that names only results that are there has been run, and may not say otherwise."""
+    def _check_not_run(self, what: str, costs: list[Cost], figures: list[Figure]) -> None:
+        """Raises if all results that a row names exist: such a row must not be marked as not run."""
         wanted = {cost.result for cost in costs} | {figure.result for figure in figures if figure.result}
         if wanted and wanted <= self.results.keys():
-            raise RowError(f"{what}: says that it was not run, and its results are there")
+            raise RowError(f"{what}: marked as not run, but its results exist")
--- a/cottonspread/lab/scale/reducer_node.py
+++ b/cottonspread/lab/scale/reducer_node.py
@@ -1,19 +1,19 @@
-"""One node's reducer filled to a size, driven by the events of its workers. No sockets, no threads.
+"""One node's reducer filled to a size and driven by the events of its workers. No sockets, no threads.
 
-Every write is done at once and every host answers well. Times are microseconds of a simulated clock.
+Every write completes at once and every host answers. Times are microseconds of a simulated clock.
 """
 
 from cottonspread import config
 from cottonspread import interface as io
 from cottonspread.front import handover
-from cottonspread.lab.scale.module_node import GUARD, LOAD, SECOND, begin, entry
+from cottonspread.lab.scale.balancer_node import GUARD, LOAD, SECOND, entry, node_config
 from cottonspread.net import events as ev
 from cottonspread.net.reducer import ECHO_CHECK_INTERVAL, SWEEP_INTERVAL, Reducer
 
-MOST_ENDS = 1_000_000
-CONNECT_WAIT = SECOND // 20
+MAX_SOCKETS = 1_000_000
+CONNECT_TIMEOUT = SECOND // 20
 TYPE = "listen"
-JUST_BEFORE = 1000  # microseconds
+LINE_LEAD_US = 1000  # a busy client sends its line so long before the timer
 
 
 def address(number):
@@ -22,26 +22,26 @@
 
 
 class ReducerNode:
-    """A reducer with `servers` listed and `connections` standing, of `groups` groups in turn."""
+    """A reducer with `servers` listed and `connections` established, in turn of `groups` groups."""
 
     def __init__(self, connections, servers, groups, seed=1):
         self.now, self.version, self.servers, self.groups = SECOND, 0, servers, groups
-        self.made = 0
+        self.call_count = 0
         names = config.Names({TYPE: 0}, {}, {}, {})
-        hearing = config.HostProtocol(CONNECT_WAIT, True, True)
-        self.reducer = Reducer(self.now, begin(seed), names, hearing, MOST_ENDS)
-        self.hosts = {}  # a client's end: its host's end
+        host_protocol = config.HostProtocol(CONNECT_TIMEOUT, True, True)
+        self.reducer = Reducer(self.now, node_config(seed), names, host_protocol, MAX_SOCKETS)
+        self.hosts = {}  # client's connection end: host's connection end
         self.step(ev.Tick())
-        self.whole_list()
+        self.send_full_list()
         for number in range(connections):
             self.adopt(number, f"group-{number % groups}")
 
     def step(self, event):
-        """One event; returns what the reducer asks for."""
+        """Runs one event; returns the effects that the reducer requests."""
         return self.reducer.step(self.now, event)
 
-    def whole_list(self):
-        """The whole list is read, all servers up."""
+    def send_full_list(self):
+        """The full list is read, all servers up."""
         self.version += 1
         entries = tuple(entry(n) for n in range(self.servers))
         addresses = {one.host: address(n) for n, one in enumerate(entries)}
@@ -50,21 +50,23 @@
         )
 
     def adopt(self, number, group, waiting=()):
-        """A connection that stands already; they are spread evenly, as the module keeps them. `waiting`: when
-        lines without an echo were sent."""
+        """Adds an established connection; the servers take them in turn, as the balancer spreads them.
+
+        `waiting`: when lines without an echo were sent.
+        """
         server = number % self.servers
         client, host = ev.ConnectionEnd(True), ev.ConnectionEnd(False)
         client.worker = host.worker = "a thread"
-        standing = handover.OpenConnection(
+        connection = handover.OpenConnection(
             f"id-{number}", TYPE, f"server-{server}", self.now, 1000, f"key-{number}", group, 0, LOAD, waiting
         )
-        taken = []
-        self.step(ev.TransferOffered(client, host, standing, taken.append))
-        assert taken == [True]
+        accepted = []
+        self.step(ev.TransferOffered(client, host, connection, accepted.append))
+        assert accepted == [True]
         self.hosts[client] = host
 
-    def timers(self, wanted, busy=()):
-        """Goes to when timers of one kind alone ("sweep" or "listen") are due; returns that step.
+    def advance_to_timer(self, wanted, busy=()):
+        """Advances to when timers of one kind alone ("sweep" or "listen") are due; returns that step.
 
         `busy`: clients that send a line just before.
         """
@@ -76,38 +78,38 @@
                 break
             self.now = due
             self.step(ev.Tick())
-        self.now = max(self.now, due - JUST_BEFORE)
+        self.now = max(self.now, due - LINE_LEAD_US)
         for client in busy:
-            self.line_out(client)
+            self.send_line(client)
         self.now = due
         return lambda: self.step(ev.Tick())
 
-    def line_out(self, client):
-        """A line of a client goes on to its host."""
+    def send_line(self, client):
+        """A line of the client is passed on to its host."""
         self.step(ev.LinesRead(client, b"hello\n"))
         self.step(ev.WriteDone(self.hosts[client], True, self.now))
 
     def echo(self, client):
-        """The host's echo goes back to the client."""
+        """The host's echo is passed back to the client."""
         self.step(ev.LinesRead(self.hosts[client], b"hello\n"))
         self.step(ev.WriteDone(client, True, self.now))
 
-    def load_line(self, client):
-        """The host tells a load on the client's connection."""
+    def send_load_report(self, client):
+        """The host reports a load on the client's connection."""
         return self.step(ev.LinesRead(self.hosts[client], b"LOAD 12000\n"))
 
-    def there_and_back(self, client):
+    def line_and_echo(self, client):
         """One line and its echo."""
-        self.line_out(client)
+        self.send_line(client)
         self.echo(client)
 
-    def whole_call(self, group):
-        """A client comes, is taken by a host, and leaves."""
-        self.made += 1
+    def run_call(self, group):
+        """A client connects, is accepted by a host, and leaves."""
+        self.call_count += 1
         self.now += 10
         client = ev.ConnectionEnd(True, worker="a thread")
         self.step(ev.ClientAccepted(client))
-        line = f"OPEN call-{self.made} key-{self.made} c={TYPE},g={group},d={GUARD // 1000}\n"
+        line = f"OPEN call-{self.call_count} key-{self.call_count} c={TYPE},g={group},d={GUARD // 1000}\n"
         out = self.step(ev.LinesRead(client, line.encode()))
         connects = [effect for effect in out if isinstance(effect, ev.Connect)]
         assert connects, out
@@ -125,9 +127,9 @@
         return self.step(ev.DrainRequested(True))
 
     def resume(self):
-        """And take that back."""
+        """The operators end the drain."""
         return self.step(ev.DrainRequested(False))
 
     def hand_over(self):
-        """A successor asks for what it needs."""
+        """A successor process asks for the node's state."""
         return self.step(ev.HandOverRequested(lambda handed: None))
