--- a/tests/crossings/test_attempts.py
+++ b/tests/crossings/test_attempts.py
@@ -114,7 +114,7 @@
         first = next(
             h
             for h in hosts
-            if wait_until(lambda: any(h.has_connection() for h in hosts), "nobody came") is None
+            if wait_until(lambda: any(h.has_connection() for h in hosts), "no connection has arrived") is None
             and h.has_connection()
         )
         peer = first.accept()
@@ -122,7 +122,7 @@
         assert peer.read_line().startswith(b"OPEN ")
         peer.close("reset")
         assert gate.reached.wait(10)
-        wait_until(lambda: node.clock.now() - began > 450_000, "time stands still")
+        wait_until(lambda: node.clock.now() - began > 450_000, "the clock does not advance")
         gate.open.set()
         other = next(h for h in hosts if h is not first)
         assert other.accept().read_all() == b""
@@ -151,7 +151,7 @@
     with running(list_server) as node:
         wait_for_list(node)
         one = client(node, open_line(1, "once"))
-        wait_until(lambda: any(h.has_connection() for h in hosts), "nobody came")
+        wait_until(lambda: any(h.has_connection() for h in hosts), "no connection has arrived")
         first, other = sorted(hosts, key=lambda h: not h.has_connection())
         peer = first.accept()
         assert peer.read_line().startswith(b"OPEN ")
@@ -204,11 +204,11 @@
         assert gate.reached.wait(10)
         began = node.clock.now()
         peer.send_lines(b"UP r")
-        wait_until(lambda: node.clock.now() - began > 400_000, "time stands still")
+        wait_until(lambda: node.clock.now() - began > 400_000, "the clock does not advance")
         gate.open.set()
-        said = one.read_line()
-        assert said in (b"UP r", b"ERR", b"BUSY")
-        if said != b"UP r":
+        answer = one.read_line()
+        assert answer in (b"UP r", b"ERR", b"BUSY")
+        if answer != b"UP r":
             assert one.read_line() == b"" and peer.read_all() == b""
 
 
@@ -239,7 +239,7 @@
     with running(list_server) as node:
         wait_for_list(node)
         one = client(node, open_line(1, "once"))
-        wait_until(lambda: any(h.has_connection() for h in hosts), "nobody came")
+        wait_until(lambda: any(h.has_connection() for h in hosts), "no connection has arrived")
         first, other = sorted(hosts, key=lambda h: not h.has_connection())
         peer = first.accept()
         node.seen.wait(ev.WriteDone, lambda e: not e.end.is_client)
@@ -293,13 +293,13 @@
                 return
             peers.append(peer)
             line = peer.read_line()
-            said = (
+            answer = (
                 (None, b"", b"BUSY\r\n", b"\x00\xff\r\n", b"UP", b"ERR\r\n")[len(peers) % 6] if line else b""
             )
-            if said is None:  # it hangs
+            if answer is None:  # it hangs
                 continue
-            peer.sock.sendall(said)
-            if len(peers) % 4 or said == b"":
+            peer.sock.sendall(answer)
+            if len(peers) % 4 or answer == b"":
                 peer.close("reset" if len(peers) % 2 else "close")
 
     threads = [threading.Thread(target=run_host, args=(host,), daemon=True) for host in hosts]
