--- a/cottonspread/lab/scale/hollow_faults.py
+++ b/cottonspread/lab/scale/hollow_faults.py
@@ -145,7 +145,8 @@
     picked = [f"n{(7 + 31 * n) % size.nodes}" for n in range(8)]
     failed = [Fault(at=FAULT_AT_S + 5.0 * n, kind="kill", on=[picked[n]], seconds=4.0) for n in range(2)]
     restarted = [
-        Fault(at=FAULT_AT_S + 1.5 * n, kind="stop", on=[name], seconds=5.0) for n, name in enumerate(picked[2:], 1)
+        Fault(at=FAULT_AT_S + 1.5 * n, kind="stop", on=[name], seconds=5.0)
+        for n, name in enumerate(picked[2:], 1)
     ]
     hosts = [
         Fault(at=FAULT_AT_S + 2, kind="cold", on=["h3"], seconds=3.0),
