--- a/cottonspread/lab/sim/fault_injection.py
+++ b/cottonspread/lab/sim/fault_injection.py
@@ -274,7 +274,7 @@
     """Makes what all set-ups need slower by `factor` tenths of a second."""
     for host in fleet.hosts.values():
         host.model.extra_setup_delay = round(fault.factor * SECOND / 10)
-        fleet.world.after(span, setattr, host.model, "store", 0)
+        fleet.world.after(span, setattr, host.model, "extra_setup_delay", 0)
 
 
 def reconnect(fleet, fault, span):
