--- a/tests/soak/test_soak.py
+++ b/tests/soak/test_soak.py
@@ -8,6 +8,8 @@
 `net/admission.py`; see docs/incidents/2026-12-03-silent-crowd.md.
 """
 
+import gc
+
 import pytest
 
 from cottonspread.lab.soak import audit, plan, runner
@@ -27,3 +29,32 @@
     assert plan.generate(10) == full and plan.generate(11) != full
     without = plan.generate(10, ("crowd",))
     assert without.faults == tuple(one for one in full.faults if one.what != "crowd") != full.faults
+
+
+def test_garbage_collector_does_not_run_during_a_run(monkeypatch):
+    """Guards against runs that a full collection makes invalid.
+
+    The runner shares its process with all that a test worker has allocated. A full collection there took
+    0.2 to 0.3 s, in which the stub hosts and the clients stood still (`load generator 0.25 s late`).
+    """
+    monkeypatch.setattr(runner, "TRAFFIC_SECONDS", 0.5)
+    collections, thresholds = [], gc.get_threshold()
+    soak_run = runner.SoakRun(plan.generate(1))
+    drive = soak_run.drive
+
+    def on_collection(phase, info):
+        collections.append(info)
+
+    def observed_drive():
+        gc.set_threshold(10)
+        gc.callbacks.append(on_collection)
+        try:
+            drive()
+        finally:
+            gc.callbacks.remove(on_collection)
+            gc.set_threshold(*thresholds)
+
+    soak_run.drive = observed_drive
+    record = soak_run.run()
+    assert record.exit_code == 0 and record.calls
+    assert not collections and gc.isenabled()
