--- a/tests/scale/test_hollow_counts.py
+++ b/tests/scale/test_hollow_counts.py
@@ -186,9 +186,7 @@
 
     one = hollow_sweeps.scaled_down(hollow_sweeps.SWEEPS[1])
     reported = []
-    result = hollow_sweeps.run_sweep(
-        one, "the test", 1, False, lambda value, _: reported.append(value), hollow_sweeps.run_inline
-    )
+    result = hollow_sweeps.run_sweep(one, "the test", 1, False, lambda value, _: reported.append(value))
     kept = read_sweep(write(result, tmp_path))
     assert reported == list(one.values)
     entries = kept.measure("entries_read")
