--- a/benchmarks/scale/page.py
+++ b/benchmarks/scale/page.py
@@ -28,8 +28,8 @@
         model = capacity.Capacity(capacity.read_definitions(rows), results.read_all(folder), ROOT)
         wanted = tables.Page(model, folder).write(text)
         unverified = tables.unverified_numbers(text, model)
-    except (capacity.RowError, results.ResultError, formula.FormulaError) as fault:
-        return [str(fault)], text
+    except (capacity.RowError, results.ResultError, formula.FormulaError) as error:
+        return [str(error)], text
     differing = difflib.unified_diff(
         text.splitlines(), wanted.splitlines(), "page", "results", n=0, lineterm=""
     )
--- a/benchmarks/sizes/instances.py
+++ b/benchmarks/sizes/instances.py
@@ -89,7 +89,7 @@
 
 
 if __name__ == "__main__":
-    threading.excepthook = lambda fault: None  # the list's connections break when the instances end
+    threading.excepthook = lambda args: None  # the list's connections break when the instances end
     print(
         json.dumps(
             main(int(sys.argv[1]) if len(sys.argv) > 1 else 240) | {"cores": len(os.sched_getaffinity(0))},
--- a/cottonspread/lab/scale/capacity.py
+++ b/cottonspread/lab/scale/capacity.py
@@ -178,8 +178,8 @@
     """The definitions in the TOML file; RowError names what is wrong with it."""
     try:
         definitions = msgspec.toml.decode(path.read_bytes(), type=Definitions)
-    except (OSError, msgspec.DecodeError, UnicodeDecodeError) as fault:
-        raise RowError(f"{path.name}: {fault}") from None
+    except (OSError, msgspec.DecodeError, UnicodeDecodeError) as error:
+        raise RowError(f"{path.name}: {error}") from None
     variables = [
         *definitions.told,
         *definitions.assumed,
@@ -284,15 +284,15 @@
             value = json.loads((self.root / figure.file).read_text())
             for key in figure.at.split("/"):
                 value = value[int(key)] if isinstance(value, list) else value[key]
-        except (OSError, ValueError, LookupError, TypeError) as fault:
-            raise RowError(f"{figure.file}: {figure.at}: {type(fault).__name__}: {fault}") from None
+        except (OSError, ValueError, LookupError, TypeError) as error:
+            raise RowError(f"{figure.file}: {figure.at}: {type(error).__name__}: {error}") from None
         return value
 
     def _page_value(self, figure: Figure) -> float:
         try:
             text = (self.root / figure.file).read_text(encoding="utf-8")
-        except OSError as fault:
-            raise RowError(f"{figure.file}: {fault.strerror}") from None
+        except OSError as error:
+            raise RowError(f"{figure.file}: {error.strerror}") from None
         if figure.at not in text or figure.value not in figure.at.split():
             raise RowError(f"{figure.file}: {figure.value!r} in {figure.at!r} not found")
         return float(figure.value.replace(",", ""))
@@ -354,8 +354,8 @@
                 for assumptions in self.corners(evaluator.used_assumptions)
             ]
             budget = self.evaluator().budget(row)
-        except (RowError, ResultError, formula.FormulaError) as fault:
-            raise RowError(f"{row.role}: {row.what}: {fault}") from None
+        except (RowError, ResultError, formula.FormulaError) as error:
+            raise RowError(f"{row.role}: {row.what}: {error}") from None
         return EvaluatedRow(row, value, min(corners), max(corners), budget, fitted_costs)
 
     def max_cost(self, row: Row, cost: Cost) -> float | None:
@@ -382,8 +382,8 @@
             own = evaluator.own_values(line.costs, line.figures)
             for name, text in line.values.items():
                 own[name] = evaluator.evaluate(text, own)
-        except (RowError, ResultError, formula.FormulaError) as fault:
-            raise RowError(f"{line.table}: {line.cells[0]}: {fault}") from None
+        except (RowError, ResultError, formula.FormulaError) as error:
+            raise RowError(f"{line.table}: {line.cells[0]}: {error}") from None
         return own
 
     def corners(self, names: set[str]) -> Iterator[dict[str, float]]:
--- a/cottonspread/lab/scale/configuration_fleet.py
+++ b/cottonspread/lab/scale/configuration_fleet.py
@@ -97,8 +97,8 @@
         def on_end(response, why):
             try:
                 reply = from_response(response, kind) if response is not None else None
-            except m.MessageError as fault:
-                reply, why = None, str(fault)
+            except m.MessageError as error:
+                reply, why = None, str(error)
             on_done(reply, why)
 
         self.fleet.network.call(self, to, to_request(to.name, message), deadline, on_end)
@@ -227,8 +227,8 @@
         if self.disk is not None:
             try:
                 saved = m.decode(self.disk, m.Record)
-            except m.MessageError as fault:
-                why = str(fault)
+            except m.MessageError as error:
+                why = str(error)
         if saved is None or not saved.is_valid():
             self.fleet.invariants.on_node_reset(self.name)
         self.handle(fo.Started(saved, why))
--- a/cottonspread/lab/scale/formula.py
+++ b/cottonspread/lab/scale/formula.py
@@ -24,8 +24,8 @@
         return _evaluate_node(_parse(formula), value)
     except ZeroDivisionError:
         raise FormulaError(f"{formula}: division by zero") from None
-    except FormulaError as fault:
-        raise FormulaError(f"{formula}: {fault}") from None
+    except FormulaError as error:
+        raise FormulaError(f"{formula}: {error}") from None
 
 
 def _parse(formula: str) -> ast.expr:
@@ -33,8 +33,8 @@
         raise FormulaError(f"{formula[:40]}...: over {MAX_LENGTH} characters")
     try:
         return ast.parse(formula.strip(), mode="eval").body
-    except (SyntaxError, ValueError, RecursionError, MemoryError) as fault:
-        raise FormulaError(f"{formula}: {type(fault).__name__}") from None
+    except (SyntaxError, ValueError, RecursionError, MemoryError) as error:
+        raise FormulaError(f"{formula}: {type(error).__name__}") from None
 
 
 def _evaluate_node(node: ast.expr, value: Callable[[str], float]) -> float:
--- a/cottonspread/lab/scale/hollow_faults.py
+++ b/cottonspread/lab/scale/hollow_faults.py
@@ -317,7 +317,7 @@
     logging.getLogger("cottonspread").addHandler(logging.NullHandler())  # failed calls are part of the runs
     started_at = time.monotonic()
     fleet = FaultFleet(fault_plan(event, size))
-    fleet.size, fleet.extra_figures, error = size, {}, ""
+    fleet.size, fleet.extra_figures, violation = size, {}, ""
     set_cores(fleet, WARMUP_CORES)
     fleet.world.at(round(WARMUP_S * SECOND), set_cores, fleet, TRAITS["cores"])
     fleet.world.at(round(FAULT_AT_S * SECOND), event.on_fault, fleet)
@@ -330,8 +330,8 @@
         before, established = fleet.total_work(), len(fleet.clients.established)
         fleet.world.run(round((FAULT_AT_S + event.seconds) * SECOND))
         fleet.invariants.check_at_end()
-    except (InvariantError, ContractError, NodeError) as broken:
-        error = str(broken)
+    except (InvariantError, ContractError, NodeError) as error:
+        violation = str(error)
     lost, recovered_at = len(fleet.clients.lost_at), fleet.clients.recovered_at
     work = meter_difference(fleet.total_work(), before)
     fleet.clients.finish()
@@ -356,8 +356,10 @@
         "peak_mib": resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024,
         "real_s": time.monotonic() - started_at,
     }
-    violations = [f"{one['what']} ({one['count']})" for one in audit["offences"]] + ([error] if error else [])
-    rules = sum(rule["broken"] for rule in audit["rules"].values()) + bool(error)
+    violations = [f"{one['what']} ({one['count']})" for one in audit["offences"]] + (
+        [violation] if violation else []
+    )
+    rules = sum(rule["broken"] for rule in audit["rules"].values()) + bool(violation)
     whole = None if lost or propagated.missing else max(recovered_at, propagated.at) / SECOND - FAULT_AT_S
     return EventResult(
         {k: round(float(v), 4) for k, v in figures.items()},
--- a/cottonspread/lab/scale/results.py
+++ b/cottonspread/lab/scale/results.py
@@ -186,8 +186,8 @@
     path = Path(path)
     try:
         text = path.read_bytes()
-    except OSError as fault:
-        raise ResultError(f"{path.name}: {fault.strerror}") from None
+    except OSError as error:
+        raise ResultError(f"{path.name}: {error.strerror}") from None
     result = _decode(text, path.name)
     if result.name != path.stem:
         raise ResultError(f"{path.name}: name: {result.name!r} differs from the file's")
@@ -227,8 +227,8 @@
 def _decode(text: bytes, where: str) -> Result:
     try:
         result = msgspec.json.decode(text, type=Result)
-    except (msgspec.DecodeError, UnicodeDecodeError) as fault:
-        raise ResultError(f"{where}: {fault}") from None
+    except (msgspec.DecodeError, UnicodeDecodeError) as error:
+        raise ResultError(f"{where}: {error}") from None
     check(result)
     return result
 
@@ -326,6 +326,6 @@
 def _git(folder: Path, *arguments: str) -> str:
     try:
         done = subprocess.run(["git", *arguments], cwd=folder, capture_output=True, text=True, check=True)
-    except (OSError, subprocess.CalledProcessError) as fault:
-        raise ResultError(f"commit: git {arguments[0]}: {fault}") from None
+    except (OSError, subprocess.CalledProcessError) as error:
+        raise ResultError(f"commit: git {arguments[0]}: {error}") from None
     return done.stdout.strip()
