--- a/benchmarks/operating/calls.py
+++ b/benchmarks/operating/calls.py
@@ -21,7 +21,7 @@
 from pathlib import Path
 
 ROOT = Path(__file__).parent.parent.parent
-CLIENTS, SILENT = 24, 8
+CLIENTS, SILENT_CALLERS = 24, 8
 
 
 def free_port():
@@ -84,7 +84,7 @@
     wait_until_healthy(operator)
     seen, lock, end = {"UP": 0, "BUSY": 0, "other": 0}, threading.Lock(), time.monotonic() + seconds
 
-    def client():
+    def connect_repeatedly():
         while time.monotonic() < end:
             with socket.create_connection(listen, timeout=10) as sock, sock.makefile("rb") as file:
                 sock.sendall(b"OPEN %s %s c=chat,d=2000,g=0a\r\n" % ((secrets.token_hex(8).encode(),) * 2))
@@ -92,21 +92,24 @@
                 with lock:
                     seen[word if word in seen else "other"] += 1
 
-    def silent():
+    def hold_connection():
         while time.monotonic() < end:
             with socket.create_connection(operator, timeout=10) as sock:
                 sock.sendall(b"coun")
                 sock.recv(100)
 
-    threads = [threading.Thread(target=what) for what in [client] * CLIENTS + [silent] * SILENT]
+    threads = [
+        threading.Thread(target=run)
+        for run in [connect_repeatedly] * CLIENTS + [hold_connection] * SILENT_CALLERS
+    ]
     for thread in threads:
         thread.start()
-    durations, bad = [], 0
+    durations, wrong_answers = [], 0
     while time.monotonic() < end:
         for word in (b"health", b"counters"):
             elapsed, answer = call(operator, word)
             durations.append(elapsed * 1000)
-            bad += not answer.startswith(b"200")
+            wrong_answers += not answer.startswith(b"200")
         time.sleep(0.02)
     for thread in threads:
         thread.join()
@@ -120,9 +123,9 @@
     return {
         "seconds": seconds,
         "clients": CLIENTS,
-        "silent_callers": SILENT,
+        "silent_callers": SILENT_CALLERS,
         "calls": len(durations),
-        "wrong": bad,
+        "wrong": wrong_answers,
         "ms": {
             "p50": round(durations[len(durations) // 2], 2),
             "p99": round(durations[len(durations) * 99 // 100], 2),
--- a/benchmarks/scale/processes.py
+++ b/benchmarks/scale/processes.py
@@ -165,17 +165,17 @@
 
 def open_clients(address: tuple[str, int], count: int) -> tuple[list[socket.socket], int]:
     """Connects so many clients, one after the other; also returns how often BUSY was answered."""
-    clients, turned_away = [], 0
+    clients, busy_count = [], 0
     while len(clients) < count:
         sock = open_client(address, len(clients))
         if sock is not None:
             clients.append(sock)
             continue
-        turned_away += 1
-        if turned_away > count:
-            raise RuntimeError(f"got BUSY {turned_away} times with {len(clients)} connections established")
+        busy_count += 1
+        if busy_count > count:
+            raise RuntimeError(f"got BUSY {busy_count} times with {len(clients)} connections established")
         time.sleep(RETRY_DELAY)
-    return clients, turned_away
+    return clients, busy_count
 
 
 def measure_connections(count: int) -> Figures:
@@ -183,14 +183,14 @@
     with start_stubs() as (listing, _), node(listing, 3 * count + 256) as (process, address, _):
         pid = process.pid
         base, used = memory_mb(pid), processor_ms(pid)
-        clients, turned_away = open_clients(address, count)
+        clients, busy_count = open_clients(address, count)
         used = processor_ms(pid) - used
         time.sleep(1.0)
         figures = {
             "idle_processor": Figure(rate_ms(pid), "ms/s", True),
             "connect_processor": Figure(used / count, "ms a connection", False),
             "memory": Figure(memory_mb(pid) - base, "MB", False),
-            "turned_away": Figure(turned_away, "answers of BUSY", False),
+            "turned_away": Figure(busy_count, "answers of BUSY", False),
             "threads": Figure(threads(pid), "threads", False),
             "descriptors": Figure(descriptors(pid), "descriptors", False),
         }
@@ -209,30 +209,30 @@
         node(listing, 3 * LISTENERS + 256) as (process, address, _),
     ):
         clients, _ = open_clients(address, LISTENERS)
-        loop = selectors.DefaultSelector()
+        selector = selectors.DefaultSelector()
         for sock in clients:
             sock.setblocking(False)
-            loop.register(sock, selectors.EVENT_READ)
-        took: list[float] = []
+            selector.register(sock, selectors.EVENT_READ)
+        latencies: list[float] = []
         set_push_interval(1 / rate)
 
-        def listen(span: float) -> None:
+        def read_lines(span: float) -> None:
             end = time.monotonic() + span
             while (left := end - time.monotonic()) > 0:
-                for key, _ in loop.select(left):
+                for key, _ in selector.select(left):
                     lines, now = key.fileobj.recv(65536).split(), time.monotonic() * 1e6
-                    took.extend((now - int(line)) / 1000 for line in lines)
+                    latencies.extend((now - int(line)) / 1000 for line in lines)
 
-        listen(1.0)
-        took.clear()
-        used = rate_ms(process.pid, MEASURE_S, listen)
+        read_lines(1.0)
+        latencies.clear()
+        used = rate_ms(process.pid, MEASURE_S, read_lines)
         set_push_interval(0.0)
-        took.sort()
+        latencies.sort()
         figures = {
             "processor": Figure(used, "ms/s", False),
-            "delivered": Figure(len(took) / MEASURE_S, "lines/s", False),
-            "p50": Figure(statistics.median(took), "ms", False),
-            "p99": Figure(took[len(took) * 99 // 100], "ms", False),
+            "delivered": Figure(len(latencies) / MEASURE_S, "lines/s", False),
+            "p50": Figure(statistics.median(latencies), "ms", False),
+            "p99": Figure(latencies[len(latencies) * 99 // 100], "ms", False),
         }
         for sock in clients:
             sock.close()
--- a/benchmarks/scale/stubs.py
+++ b/benchmarks/scale/stubs.py
@@ -28,7 +28,7 @@
 
     control_pipe: Connection
     listeners: dict = field(default_factory=dict)
-    loop: selectors.BaseSelector = field(default_factory=selectors.DefaultSelector)
+    selector: selectors.BaseSelector = field(default_factory=selectors.DefaultSelector)
     established: list = field(default_factory=list)
     watches: list = field(default_factory=list)
     push_interval: float = 0.0
@@ -38,21 +38,21 @@
 
     def run(self, servers: int) -> None:
         """Serves until the control pipe is closed."""
-        hosts, listing = self.listener(self.accept_host), self.listener(self.accept_watch)
+        hosts, listing = self.start_listener(self.accept_host), self.start_listener(self.accept_list_client)
         self.entries_json = json.dumps(entries(servers, hosts)).encode()
         self.control_pipe.send(listing)
-        self.loop.register(self.control_pipe, selectors.EVENT_READ, self.read_command)
+        self.selector.register(self.control_pipe, selectors.EVENT_READ, self.read_command)
         while True:
             timeout = max(0.0, self.next_push - time.monotonic()) if self.push_interval else 0.5
-            for key, _ in self.loop.select(min(timeout, 0.5)):
+            for key, _ in self.selector.select(min(timeout, 0.5)):
                 key.data(key.fileobj)
             self.push()
             self.answer_expired_watches()
 
-    def listener(self, accept: Callable) -> str:
+    def start_listener(self, accept: Callable) -> str:
         """The address of a new listening socket."""
         sock = socket.create_server(("127.0.0.1", 0), backlog=1024)
-        self.loop.register(sock, selectors.EVENT_READ, accept)
+        self.selector.register(sock, selectors.EVENT_READ, accept)
         return address_of(sock)
 
     def read_command(self, control_pipe: Connection) -> None:
@@ -67,27 +67,27 @@
         """Accepts a connection to a server."""
         sock, _ = listener.accept()
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        self.loop.register(sock, selectors.EVENT_READ, self.first_line)
+        self.selector.register(sock, selectors.EVENT_READ, self.answer_first_line)
 
-    def first_line(self, sock: socket.socket) -> None:
+    def answer_first_line(self, sock: socket.socket) -> None:
         """Answers a first line with UP."""
         data = sock.recv(4096)
         if not data:
-            self.drop(sock)
+            self.close_connection(sock)
             return
         sock.sendall(b"UP %s\r\n" % secrets.token_hex(4).encode())
         self.established.append(sock)
-        self.loop.modify(sock, selectors.EVENT_READ, self.host_readable)
+        self.selector.modify(sock, selectors.EVENT_READ, self.discard_input)
 
-    def host_readable(self, sock: socket.socket) -> None:
+    def discard_input(self, sock: socket.socket) -> None:
         """Discards what arrives on a server's connection; closes it when the peer has."""
         if not sock.recv(4096):
             self.established.remove(sock)
-            self.drop(sock)
+            self.close_connection(sock)
 
-    def drop(self, sock: socket.socket) -> None:
+    def close_connection(self, sock: socket.socket) -> None:
         """Closes a connection."""
-        self.loop.unregister(sock)
+        self.selector.unregister(sock)
         sock.close()
 
     def push(self) -> None:
@@ -98,17 +98,17 @@
             self.established[self.next_index].send(b"%d\r\n" % round(self.next_push * 1e6))
             self.next_push += self.push_interval
 
-    def accept_watch(self, listener: socket.socket) -> None:
+    def accept_list_client(self, listener: socket.socket) -> None:
         """Accepts a connection to the list."""
         sock, _ = listener.accept()
-        self.loop.register(sock, selectors.EVENT_READ, self.watch)
+        self.selector.register(sock, selectors.EVENT_READ, self.handle_list_request)
 
-    def watch(self, sock: socket.socket) -> None:
+    def handle_list_request(self, sock: socket.socket) -> None:
         """Answers a request for the full list at once; keeps a watch until its time is over."""
         data = sock.recv(4096)
         if not data:
             self.watches = [one for one in self.watches if one[1] is not sock]
-            self.drop(sock)
+            self.close_connection(sock)
         elif b"since=" in data:
             self.watches.append((time.monotonic() + 2.0, sock))
         else:
--- a/benchmarks/sizes/instances.py
+++ b/benchmarks/sizes/instances.py
@@ -46,7 +46,7 @@
         file.write_text(text)
 
         def run(command):
-            at = time.perf_counter()
+            started_at = time.perf_counter()
             done = subprocess.run(
                 [*COTTONSPREAD, command, "--operator", str(file)],
                 cwd=ROOT,
@@ -58,9 +58,9 @@
                 raise RuntimeError(
                     f"{command} exited with {done.returncode}: {done.stdout[-500:]} {done.stderr[-500:]}"
                 )
-            return time.perf_counter() - at
+            return time.perf_counter() - started_at
 
-        at = time.perf_counter()
+        started_at = time.perf_counter()
         supervisor = subprocess.Popen(
             [*COTTONSPREAD, "run", "--operator", str(file)], cwd=ROOT, stderr=subprocess.DEVNULL
         )
@@ -74,7 +74,7 @@
                     break
                 except RuntimeError:  # not listening yet, or not all ready
                     pass
-            figures = {"instances": instances, "all_ready_s": round(time.perf_counter() - at, 1)}
+            figures = {"instances": instances, "all_ready_s": round(time.perf_counter() - started_at, 1)}
             figures["status_s"] = round(run("status"), 2)
             file.write_text(text + '[log]\nlevel = "warning"\n')
             figures["reload_s"] = round(run("reload"), 1)
--- a/benchmarks/sizes/lists.py
+++ b/benchmarks/sizes/lists.py
@@ -38,7 +38,7 @@
     threading.Thread(target=accept, daemon=True).start()
 
 
-def host(sock):
+def serve_host(sock):
     """Answers a first line with UP and each further line with an echo."""
     with sock, sock.makefile("rb") as file:
         if file.readline():
@@ -133,7 +133,7 @@
         socket.create_server(("127.0.0.1", 0)),
     )
     listing = Listing(servers, "{}:{}".format(*hosts.getsockname()), form)
-    accept_in_threads(hosts, host)
+    accept_in_threads(hosts, serve_host)
     accept_in_threads(discovery, listing.handle_connection)
     with tempfile.TemporaryDirectory() as folder:
         file, log = Path(folder) / "node.json", Path(folder) / "log"
@@ -157,29 +157,29 @@
             first_pong_s = first_pong(listen, started_at)
             update_times, before = [], processor_seconds(node.pid)
             for _ in range(10):
-                updates_before, at = log.read_text().count("event=list"), time.perf_counter()
+                updates_before, began_at = log.read_text().count("event=list"), time.perf_counter()
                 listing.change()
                 while log.read_text().count("event=list") == updates_before:
                     time.sleep(0.001)
-                update_times.append(time.perf_counter() - at)
-            update_cpu = (processor_seconds(node.pid) - before) / len(update_times)
+                update_times.append(time.perf_counter() - began_at)
+            update_cpu_s = (processor_seconds(node.pid) - before) / len(update_times)
             calls, before = [], processor_seconds(node.pid)
             for n in range(CALLS):
-                at = time.perf_counter()
+                began_at = time.perf_counter()
                 answer = exchange(
                     listen, b"OPEN %s k%d c=chat,d=2000,g=g%d" % (secrets.token_hex(8).encode(), n, n)
                 )
-                calls.append(time.perf_counter() - at)
+                calls.append(time.perf_counter() - began_at)
                 if not answer.startswith(b"UP "):
                     raise RuntimeError(f"{servers} {form}: call {n}: expected UP, got {answer!r}")
-            cpu = (processor_seconds(node.pid) - before) / CALLS
+            call_cpu_s = (processor_seconds(node.pid) - before) / CALLS
             peak_mb = peak_memory_mb(node.pid)
-            at = time.perf_counter()
+            began_at = time.perf_counter()
             node.send_signal(signal.SIGTERM)
             code = node.wait(20)
             if code:
                 raise RuntimeError(f"{servers} {form}: exited with {code}")
-            ended = time.perf_counter() - at
+            stop_s = time.perf_counter() - began_at
         finally:
             if node.poll() is None:
                 node.kill()
@@ -191,12 +191,12 @@
         "form": form,
         "first_pong_ms": round(first_pong_s * 1000),
         "change_ms": round(update_times[len(update_times) // 2] * 1000, 1),
-        "change_cpu_ms": round(update_cpu * 1000, 1),
+        "change_cpu_ms": round(update_cpu_s * 1000, 1),
         "call_p50_ms": round(calls[CALLS // 2] * 1000, 2),
         "call_p99_ms": round(calls[CALLS * 99 // 100] * 1000, 2),
-        "call_cpu_ms": round(cpu * 1000, 2),
+        "call_cpu_ms": round(call_cpu_s * 1000, 2),
         "memory_mb": round(peak_mb, 1),
-        "end_ms": round(ended * 1000),
+        "end_ms": round(stop_s * 1000),
     }
 
 
