--- a/tests/scale/test_capacity.py
+++ b/tests/scale/test_capacity.py
@@ -83,7 +83,7 @@
     return Sweep(name=name, what="x", kind="module", **fields, **HEADER)
 
 
-def zone(**figures):
+def zone_run(**figures):
     row = FaultRow(event="zone", figures=figures, seconds_until_whole=None, rules_broken=0, notes="")
     return FaultRun(name="fault-zone", what="x", kind="hollow", nodes=420, seed=1, rows=[row], **HEADER)
 
@@ -105,16 +105,16 @@
 
 
 def capacity_of(definitions, tmp_path, *runs):
-    runs = runs or (sweep(), zone(lost=52.0))
+    runs = runs or (sweep(), zone_run(lost=52.0))
     return Capacity(definitions, {run.name: run for run in runs}, tmp_path)
 
 
-def first(capacity_, control=True, role="node"):
-    return capacity_.rows(role, control)[0]
+def first_row(model, control=True, role="node"):
+    return model.rows(role, control)[0]
 
 
 def test_a_row_has_value_range_budget_and_verdict(definitions, tmp_path):
-    row = first(capacity_of(definitions(), tmp_path))
+    row = first_row(capacity_of(definitions(), tmp_path))
     assert row.value == pytest.approx(10.1)
     assert (row.low, row.high) == (pytest.approx(4.1), pytest.approx(30.1))
     assert row.budget == 17
@@ -135,7 +135,7 @@
     ],
 )
 def test_the_verdict_follows_the_budget(definitions, tmp_path, budget, verdict):
-    row = first(capacity_of(definitions(('budget = "17"', f'budget = "{budget}"')), tmp_path))
+    row = first_row(capacity_of(definitions(('budget = "17"', f'budget = "{budget}"')), tmp_path))
     assert row.verdict == verdict
 
 
@@ -146,25 +146,25 @@
 
 
 def test_a_row_that_was_not_run_has_no_value(definitions, tmp_path):
-    row = first(capacity_of(definitions(), tmp_path), False, "server")
+    row = first_row(capacity_of(definitions(), tmp_path), False, "server")
     assert row.value is None and row.verdict == "not run"
 
 
 def test_a_slope_is_the_cost_per_unit_and_an_error_if_growth_is_not_linear(definitions, tmp_path):
     change = 'size = "servers" }', 'size = "servers", slope = true }'
-    row = first(capacity_of(definitions(change), tmp_path))
+    row = first_row(capacity_of(definitions(change), tmp_path))
     assert row.value == pytest.approx(0.01)
     with pytest.raises(RowError, match="grows by quadratic"):
-        first(capacity_of(definitions(change), tmp_path, sweep(lambda n: n * n)))
+        first_row(capacity_of(definitions(change), tmp_path, sweep(lambda n: n * n)))
 
 
 def test_a_cost_that_is_not_linear_is_evaluated_by_its_own_term(definitions, tmp_path):
-    row = first(capacity_of(definitions(), tmp_path, sweep(lambda n: n * n / 100)))
+    row = first_row(capacity_of(definitions(), tmp_path, sweep(lambda n: n * n / 100)))
     assert row.value == pytest.approx(10)
     assert row.fitted_costs[0].fit.term == "quadratic"
 
 
-FAULTS = [
+FAULTY_ROWS = [
     (('"change_us / 1000"', '"change_us / thousand"'), "no variable or row is named 'thousand'"),
     (('"change_us / 1000"', '"change_us / (servers - servers)"'), "division by zero"),
     (('"change_us / 1000"', '"list_time + 1"'), "depends on itself"),
@@ -175,30 +175,30 @@
 ]
 
 
-@pytest.mark.parametrize("change, why", FAULTS)
+@pytest.mark.parametrize("change, why", FAULTY_ROWS)
 def test_a_faulty_row_is_an_error(definitions, tmp_path, change, why):
     model = capacity_of(definitions(change), tmp_path)
     with pytest.raises(RowError, match=why or "depends on itself"):
-        first(model) if why else model.evaluator().value("servers_a_node")
+        first_row(model) if why else model.evaluator().value("servers_a_node")
 
 
 def test_a_missing_result_is_an_error(definitions, tmp_path):
     with pytest.raises(RowError, match="node: one change of the list: module-servers.json: no such result"):
-        first(capacity_of(definitions(), tmp_path, zone(lost=1.0)))
+        first_row(capacity_of(definitions(), tmp_path, zone_run(lost=1.0)))
 
 
 def test_a_row_cannot_depend_on_one_that_was_not_run(definitions, tmp_path):
-    model = capacity_of(definitions(('budget = "17"', 'not_run = "later"')), tmp_path, zone(lost=1.0))
+    model = capacity_of(definitions(('budget = "17"', 'not_run = "later"')), tmp_path, zone_run(lost=1.0))
     with pytest.raises(RowError, match="was not run, and another row depends on it"):
         model.rows("node", True)
 
 
 def test_a_row_whose_results_exist_may_not_be_marked_as_not_run(definitions, tmp_path):
     with pytest.raises(RowError, match="marked as not run, but its results exist"):
-        first(capacity_of(definitions(('budget = "17"', 'not_run = "later"')), tmp_path))
+        first_row(capacity_of(definitions(('budget = "17"', 'not_run = "later"')), tmp_path))
 
 
-DEFINITION_FAULTS = [
+FAULTY_DEFINITIONS = [
     (("value = 1000", "value = 9000"), "outside its range"),
     (('id = "list_time"', 'id = "servers"'), "duplicate names"),
     (('cells = ["a rack", ', "cells = ["), "cell count differs from columns"),
@@ -209,7 +209,7 @@
 ]
 
 
-@pytest.mark.parametrize("change, why", DEFINITION_FAULTS)
+@pytest.mark.parametrize("change, why", FAULTY_DEFINITIONS)
 def test_faulty_definitions_are_an_error(definitions, change, why):
     with pytest.raises(RowError, match=why):
         definitions(change)
@@ -220,7 +220,7 @@
     assert model.line(model.definitions.line[0]) == {"lost": 52, "nodes_told": 420}
     assert model.line(model.definitions.line[1]) is None
     with pytest.raises(RowError, match="no figure 'lost'"):
-        capacity_of(definitions(), tmp_path, sweep(), zone(gone=1.0)).line(model.definitions.line[0])
+        capacity_of(definitions(), tmp_path, sweep(), zone_run(gone=1.0)).line(model.definitions.line[0])
     with pytest.raises(RowError, match="a zone: fault-zone.json: no such result"):
         capacity_of(definitions(), tmp_path, sweep()).line(model.definitions.line[0])
 
@@ -244,7 +244,7 @@
         'costs = [{ name = "change_us", result = "module-servers", measure = "change_us", size = "servers" }]'
     )
     figure = f'figures = [{{ name = "change_us", result = "fault-zone", event = "zone", {whole} }}]'
-    row = first(capacity_of(definitions((cost, figure)), tmp_path))
+    row = first_row(capacity_of(definitions((cost, figure)), tmp_path))
     assert row.verdict.startswith("**does not hold**")
 
 
@@ -292,7 +292,7 @@
     """Makes the page's generator from the definitions and runs, and the text that it generates."""
 
     def make(*runs, text=None):
-        runs = runs or (sweep(), zone(lost=52.0))
+        runs = runs or (sweep(), zone_run(lost=52.0))
         folder = tmp_path / "results"
         for run in runs:
             results.write(run, folder)
@@ -327,7 +327,7 @@
     _, before = page()
     changed = sweep()
     changed.measures[0].points[0].value += 1e-9
-    _, after = page(changed, zone(lost=52.0))
+    _, after = page(changed, zone_run(lost=52.0))
     assert after != before
 
 
@@ -348,7 +348,7 @@
         assert tables.unverified_numbers(text + addition, generator.capacity) != []
 
 
-WRITTEN = [
+FORMATTED_NUMBERS = [
     (0, "0"),
     (76190.476, "76,190"),
     (32e6, "32,000,000"),
@@ -363,6 +363,6 @@
 ]
 
 
-@pytest.mark.parametrize("value, text", WRITTEN)
+@pytest.mark.parametrize("value, text", FORMATTED_NUMBERS)
 def test_numbers_are_rounded_for_display(value, text):
     assert tables.format_number(value) == text
--- a/tests/scale/test_fit.py
+++ b/tests/scale/test_fit.py
@@ -12,8 +12,8 @@
 
 
 def points(cost, sizes=SIZES, noise=0.0, seed=1):
-    chance = random.Random(seed)
-    return [Point(size, cost(size) * (1 + chance.uniform(-noise, noise))) for size in sizes]
+    rng = random.Random(seed)
+    return [Point(size, cost(size) * (1 + rng.uniform(-noise, noise))) for size in sizes]
 
 
 def test_the_fit_of_a_line_has_its_slope_and_intercept():
@@ -59,8 +59,8 @@
     measured = points(lambda n: 2 * n)
     measured[2] = Point(measured[2].size, measured[2].value * 1.3)
     found = fit(measured)
-    strays = [abs(p.value - found.at(p.size)) / p.value for p in measured]
-    assert found.residual == pytest.approx(max(strays)) and found.residual > 0.1
+    relative_residuals = [abs(p.value - found.at(p.size)) / p.value for p in measured]
+    assert found.residual == pytest.approx(max(relative_residuals)) and found.residual > 0.1
 
 
 def test_all_sizes_have_the_same_weight():
--- a/tests/scale/test_hollow_faults.py
+++ b/tests/scale/test_hollow_faults.py
@@ -13,7 +13,7 @@
 BY_NAME = {event.name: event for event in EVENTS}
 
 
-def small(name, seed=1):
+def small_size(name, seed=1):
     return event_size(BY_NAME[name], True, None, None, seed)
 
 
@@ -24,7 +24,7 @@
 
     def run(name):
         if name not in results:
-            results[name] = run_named_event(name, small(name))
+            results[name] = run_named_event(name, small_size(name))
         return results[name]
 
     return run
@@ -32,23 +32,23 @@
 
 @pytest.mark.parametrize("name", BY_NAME)
 def test_no_rule_is_broken_and_the_fleet_recovers(result_of, name):
-    one = result_of(name)
-    assert one.violations == [] and one.rules_broken == 0
-    assert one.figures["standing_before"] == one.figures["clients"]
-    assert one.seconds_until_whole is not None
-    assert one.figures["not_back_at_the_end"] == 0
-    assert one.figures["nodes_without_a_change"] == 0
+    result = result_of(name)
+    assert result.violations == [] and result.rules_broken == 0
+    assert result.figures["standing_before"] == result.figures["clients"]
+    assert result.seconds_until_whole is not None
+    assert result.figures["not_back_at_the_end"] == 0
+    assert result.figures["nodes_without_a_change"] == 0
 
 
 def test_the_same_seed_gives_the_same_trace_and_another_a_different_one(result_of):
-    again = run_named_event("zone-lost", small("zone-lost"))
+    again = run_named_event("zone-lost", small_size("zone-lost"))
     first = result_of("zone-lost")
     measured = {"real_s", "peak_mib"}
     assert again.trace == first.trace
     assert {k: v for k, v in again.figures.items() if k not in measured} == {
         k: v for k, v in first.figures.items() if k not in measured
     }
-    assert run_named_event("zone-lost", small("zone-lost", seed=2)).trace != first.trace
+    assert run_named_event("zone-lost", small_size("zone-lost", seed=2)).trace != first.trace
 
 
 def test_a_lost_zone_loses_its_clients_and_they_reconnect_elsewhere(result_of):
@@ -75,17 +75,17 @@
 
 
 def test_a_region_without_the_list_catches_up_afterwards(result_of):
-    one = result_of("region-cut-off")
+    result = result_of("region-cut-off")
     cut = hollow_faults.REGION_CUT_S
-    assert one.figures["changes_in_force_over_3_s"] == 2 * 6
-    assert cut < one.seconds_until_whole <= cut + 4.5
+    assert result.figures["changes_in_force_over_3_s"] == 2 * 6
+    assert cut < result.seconds_until_whole <= cut + 4.5
     # Three servers changed, two of them drained and removed; then an idle watch or two.
-    assert 500 < one.figures["catching_up_bytes_in_an_instance"] < 2000
+    assert 500 < result.figures["catching_up_bytes_in_an_instance"] < 2000
 
 
 def test_a_fault_run_can_be_written_and_read(tmp_path):
     event = BY_NAME["node-restarted"]
-    result = fault_run(event, small(event.name), "the test", False, run_inline)
+    result = fault_run(event, small_size(event.name), "the test", False, run_inline)
     loaded = read_fault_run(write(result, tmp_path))
     assert loaded.name == "fault-node-restarted" and loaded.nodes == 8
     assert "Trace " in loaded.rows[0].notes and loaded.rows[0].rules_broken == 0
@@ -94,22 +94,22 @@
 def test_a_client_that_is_never_served_again_is_reported(monkeypatch):
     """A fleet that has not recovered is reported as such: here no client reconnects."""
     monkeypatch.setattr(hollow_faults.CountedClients, "schedule_call", lambda *_: None)
-    one = run_named_event("node-lost", small("node-lost"))
-    assert one.seconds_until_whole is None and one.figures["not_back_at_the_end"] > 0
+    result = run_named_event("node-lost", small_size("node-lost"))
+    assert result.seconds_until_whole is None and result.figures["not_back_at_the_end"] > 0
 
 
 def test_a_node_that_resets_its_clients_violates_a_rule(monkeypatch):
     """The node resets its connections on SIGTERM instead of asking the clients to move."""
     monkeypatch.setattr(Process, "stop", lambda self: self.exit("stopped"))
-    one = run_named_event("node-restarted", small("node-restarted"))
-    assert one.rules_broken >= 1 and one.violations
+    result = run_named_event("node-restarted", small_size("node-restarted"))
+    assert result.rules_broken >= 1 and result.violations
 
 
 def test_a_node_that_never_gets_the_list_is_reported(monkeypatch):
     monkeypatch.setattr(ListMachine, "is_unreachable", lambda self, process: process.node.name == "n5")
-    one = run_named_event("list-machine-lost", small("list-machine-lost"))
-    assert one.seconds_until_whole is None
-    assert one.figures["nodes_without_a_change"] == 1
+    result = run_named_event("list-machine-lost", small_size("list-machine-lost"))
+    assert result.seconds_until_whole is None
+    assert result.figures["nodes_without_a_change"] == 1
 
 
 def test_the_runs_last_longer_than_what_they_wait_for():
