--- a/cottonspread/lab/scale/balancer_node.py
+++ b/cottonspread/lab/scale/balancer_node.py
@@ -44,7 +44,7 @@
 
     def __init__(self, connections, servers, groups, seed=1, probed=False, large_group=0):
         """`probed`: hosts report their load to probes. `large_group`: connections of the group `large`."""
-        self.now, self.calls, self.version, self.seed = SECOND, 0, 0, seed
+        self.now, self.last_call_id, self.version, self.seed = SECOND, 0, 0, seed
         self.servers, self.groups = servers, groups
         self.balancer = Balancer(self.now, node_config(seed, probed))
         self.established = {}  # call: its server's number
@@ -75,8 +75,8 @@
 
     def new_call_id(self):
         """An id that no call had before."""
-        self.calls += 1
-        return self.calls
+        self.last_call_id += 1
+        return self.last_call_id
 
     def arrive(self, group=None, key=None):
         """A call arrives and its probes are answered; returns (its id, whether it was sent to a host)."""
--- a/cottonspread/lab/scale/capacity.py
+++ b/cottonspread/lab/scale/capacity.py
@@ -315,8 +315,8 @@
 def _event_value(run: FaultRun, figure: Figure) -> float:
     """One figure of an event."""
     row = run.row(figure.event)
-    whole = math.inf if row.seconds_until_whole is None else row.seconds_until_whole
-    known = {**row.figures, "seconds_until_whole": whole, "rules_broken": row.rules_broken}
+    recovery_s = math.inf if row.seconds_until_whole is None else row.seconds_until_whole
+    known = {**row.figures, "seconds_until_whole": recovery_s, "rules_broken": row.rules_broken}
     if figure.figure not in known:
         raise RowError(f"{run.name}: {figure.event}: no figure {figure.figure!r}")
     return known[figure.figure]
--- a/cottonspread/lab/scale/configuration.py
+++ b/cottonspread/lab/scale/configuration.py
@@ -219,19 +219,19 @@
     args = parser.parse_args(arguments)
     parameters = SMALL if args.small else FleetParameters()
     commit = results.current_commit()  # before the run, which may outlast commits to the checkout
-    written, random_rows, rows = [], [], run_scenarios(parameters, args.seed, args.small, args.only)
+    new_results, random_rows, rows = [], [], run_scenarios(parameters, args.seed, args.small, args.only)
     if _is_selected(args, "random"):
         random_rows = _random_rows(args.seed, RANDOM_SEEDS_SMALL if args.small else RANDOM_SEEDS)
-        written.append(_fault_run("config-random", RandomScenario.parameters, args.seed, random_rows))
+        new_results.append(_fault_run("config-random", RandomScenario.parameters, args.seed, random_rows))
     if rows:
-        written.append(_fault_run("config-faults", parameters, args.seed, rows))
+        new_results.append(_fault_run("config-faults", parameters, args.seed, rows))
     if _is_selected(args, "idle"):
-        written.append(idle_sweep(args.seed, (6, 12, 18, 24) if args.small else IDLE_SIZES))
+        new_results.append(idle_sweep(args.seed, (6, 12, 18, 24) if args.small else IDLE_SIZES))
     if _is_selected(args, "replica"):
-        written.append(replica_sweep((6, 12, 18, 24) if args.small else REPLICA_SIZES))
+        new_results.append(replica_sweep((6, 12, 18, 24) if args.small else REPLICA_SIZES))
     if _is_selected(args, "body"):
-        written.append(body_sweep(BODY_SIZES))
-    for result in written:
+        new_results.append(body_sweep(BODY_SIZES))
+    for result in new_results:
         result.commit = commit
         print(results.write(result, args.out))
     return 1 if any(row.rules_broken for row in rows + random_rows) else 0
--- a/cottonspread/lab/scale/configuration_fleet.py
+++ b/cottonspread/lab/scale/configuration_fleet.py
@@ -139,13 +139,13 @@
         """Queues the request for the processor."""
         self._enqueue_work(self._handle_request, call)
 
-    def _enqueue_work(self, what, *args):
+    def _enqueue_work(self, function, *args):
         self._busy_until = max(self._busy_until, self.world.now) + self.fleet.parameters.replica_message
-        self.world.at(self._busy_until, self._run_work, self.epoch, what, args)
+        self.world.at(self._busy_until, self._run_work, self.epoch, function, args)
 
-    def _run_work(self, epoch, what, args):
+    def _run_work(self, epoch, function, args):
         if epoch == self.epoch and self.is_running:
-            what(*args)
+            function(*args)
 
     def _handle_request(self, call):
         try:
@@ -252,8 +252,8 @@
             case fo.Apply(record=record):
                 duration = parameters.apply + int(parameters.apply * self.uniform())
                 self.world.after(duration, self._applied, self.epoch, record)
-            case fo.Notice(kind=what, version=version):
-                self.world.add_trace_line("notice", self.name, what, version)
+            case fo.Notice(kind=kind, version=version):
+                self.world.add_trace_line("notice", self.name, kind, version)
 
     def _send_watch(self, effect):
         def on_reply(reply, why):
@@ -357,7 +357,7 @@
             self.nodes[name] = NodeHost(self, name, location)
         for host in [*self.replicas.values(), *self.nodes.values()]:
             host.start()
-        self._had_quorum = dict.fromkeys(self.replica_names, 0)
+        self._quorum_seen_at = dict.fromkeys(self.replica_names, 0)
         self.world.after(SECOND, self._check_reachability)
 
     # Actual reachability
@@ -387,16 +387,16 @@
         now, reachable = self.world.now, set(self.reachable())
         for replica in self.replicas.values():
             if self.has_quorum(replica):
-                self._had_quorum[replica.name] = now
+                self._quorum_seen_at[replica.name] = now
         for name, node in self.nodes.items():
             if node.is_running:
-                quorum_seen_at = [
-                    self._had_quorum[replica.name]
+                seen_at = [
+                    self._quorum_seen_at[replica.name]
                     for replica in self.replicas.values()
                     if replica.is_running and self.network.reaches(node, replica)
                 ]
                 self.invariants.on_reachability(
-                    name, name in reachable, max(quorum_seen_at, default=0), not self.network.loss
+                    name, name in reachable, max(seen_at, default=0), not self.network.loss
                 )
                 self.invariants.on_cut_off_report(name, node.core.is_cut_off(self.world.now))
         self.world.after(SECOND, self._check_reachability)
@@ -441,7 +441,7 @@
     """A function for `ReplicaHost.corrupt_reply` that at times gives a damaged, older or different reply."""
     rng, sent = fleet.world.random_stream("lies", name), []
 
-    def change(reply: m.WatchReply) -> bytes:
+    def corrupt(reply: m.WatchReply) -> bytes:
         if reply.record is not None:
             sent.append(reply)
         choice = rng.randbelow(5)
@@ -455,7 +455,7 @@
             return to_response(_with_other_digest(sent[-1]))
         return to_response(reply)
 
-    return change
+    return corrupt
 
 
 def _flip_bit(data: bytes, rng) -> bytes:
--- a/cottonspread/lab/scale/configuration_invariants.py
+++ b/cottonspread/lab/scale/configuration_invariants.py
@@ -25,8 +25,8 @@
 
 def is_canary(node: str, version: int, below: int) -> bool:
     """Whether the node is a canary for this version, among the first to get it."""
-    random_rows = hashlib.sha256(f"{version}:{node}".encode()).digest()
-    return random_rows[0] << 24 | random_rows[1] << 16 | random_rows[2] << 8 | random_rows[3] < below
+    hashed = hashlib.sha256(f"{version}:{node}".encode()).digest()
+    return hashed[0] << 24 | hashed[1] << 16 | hashed[2] << 8 | hashed[3] < below
 
 
 @dataclass
--- a/cottonspread/lab/scale/configuration_scenarios.py
+++ b/cottonspread/lab/scale/configuration_scenarios.py
@@ -54,15 +54,15 @@
     def __init__(self, seed, parameters: FleetParameters, small: bool):
         self.fleet, self.small, self.times = Fleet(seed, parameters), small, PropagationTimes()
         self.rng = self.fleet.world.random_stream("play")
-        self._number = 0
+        self._body_count = 0
         self.fleet.run_for(12)
         self.publish(self.body(), timed=False)
         self.fleet.run_until_converged()
 
     def body(self, kind="fine") -> str:
         """A new body of the size in the parameters; its first word decides how nodes' steps end."""
-        self._number += 1
-        return f"{kind} {self._number}\n".ljust(self.fleet.parameters.body_bytes, "x")
+        self._body_count += 1
+        return f"{kind} {self._body_count}\n".ljust(self.fleet.parameters.body_bytes, "x")
 
     def publish(self, body, timed=True, region=0, **options) -> pu.Done | None:
         """Publishes a change and advances until the publisher ends; if timed, at least 3 s from its start."""
@@ -486,7 +486,7 @@
     def __init__(self, seed):
         self.fleet = Fleet(f"random:{seed}", self.parameters)
         self.rng = self.fleet.world.random_stream("faults")
-        self._bodies = 0
+        self._body_count = 0
         self.convergence_s: float | None = None
         """Seconds from the end of the last change until no node lagged; None: not within 20 s."""
 
@@ -530,8 +530,8 @@
 
     def _publish(self, order=None) -> None:
         kinds = "fine", "fine", "refused", "unfit", "hangs"  # no "ill": with losses its report may be late
-        self._bodies += 1
-        body = f"{self.rng.choice(kinds)} {self._bodies}"
+        self._body_count += 1
+        body = f"{self.rng.choice(kinds)} {self._body_count}"
         crash_steps = [None, None, None, *pu.Step]
         self.fleet.publish(
             order or pu.Publish(body), region=self.rng.randbelow(3), crash_at=self.rng.choice(crash_steps)
--- a/cottonspread/lab/scale/hollow_calibration.py
+++ b/cottonspread/lab/scale/hollow_calibration.py
@@ -24,19 +24,19 @@
 def compare_with_hollow(size: Size) -> dict[str, Figure]:
     """Control of a real node, idle and with `size.changes_a_minute`, and of hollow nodes at the same size."""
     real = measure_real_node(size)
-    hollow = measure_control(replace(size, changes_a_minute=0))
-    changed = measure_control(size)
+    hollow_idle = measure_control(replace(size, changes_a_minute=0))
+    hollow_changing = measure_control(size)
     per_second = size.changes_a_minute / 60
-    idle = hollow["list_processor"].value + hollow["tick_processor"].value
-    change = (changed["list_processor"].value - hollow["list_processor"].value) / per_second
+    idle = hollow_idle["list_processor"].value + hollow_idle["tick_processor"].value
+    change = (hollow_changing["list_processor"].value - hollow_idle["list_processor"].value) / per_second
     return real | {
         "hollow_idle_processor": Figure(idle, "ms/s an instance"),
         "hollow_change_processor": Figure(change, "ms a change"),
-        "hollow_idle_bytes_in": hollow["control_bytes_in"],
-        "hollow_idle_bytes_out": hollow["control_bytes_out"],
-        "hollow_changes_bytes_in": changed["control_bytes_in"],
-        "hollow_changes_bytes_out": changed["control_bytes_out"],
-        "hollow_memory": hollow["memory"],
+        "hollow_idle_bytes_in": hollow_idle["control_bytes_in"],
+        "hollow_idle_bytes_out": hollow_idle["control_bytes_out"],
+        "hollow_changes_bytes_in": hollow_changing["control_bytes_in"],
+        "hollow_changes_bytes_out": hollow_changing["control_bytes_out"],
+        "hollow_memory": hollow_idle["memory"],
     }
 
 
@@ -46,14 +46,14 @@
     changes_start = IDLE_START_S + size.seconds
     changes = [changes_start + size.seconds * (n + 0.5) / count for n in range(count)]
     with tempfile.TemporaryDirectory(prefix="cottonspread-scale-") as name:
-        folder, running = Path(name), []
+        folder, resources = Path(name), []
         try:
             listing = ListStub(folder, 0, size.servers, changes)
-            running.append(listing)
+            resources.append(listing)
             relay = Relay(listing.address)
-            running.append(relay)
+            resources.append(relay)
             node = RealNode(folder, listing.plan, relay.address)
-            running.append(node)
+            resources.append(node)
             start = time.monotonic()
             listing.begin(start)
             samples = []
@@ -62,7 +62,7 @@
                 samples.append((node.processor_ns(), relay.bytes_in, relay.bytes_out))
             memory = node.resident()
         finally:
-            for one in reversed(running):
+            for one in reversed(resources):
                 one.end()
     idle, loaded = (
         [b - a for a, b in zip(*pair, strict=True)] for pair in zip(samples, samples[1:], strict=False)
--- a/cottonspread/lab/scale/hollow_faults.py
+++ b/cottonspread/lab/scale/hollow_faults.py
@@ -323,7 +323,7 @@
     fleet.world.at(round(FAULT_AT_S * SECOND), event.on_fault, fleet)
     changed_at = {}
     for after in event.changes:
-        fleet.world.at(round((FAULT_AT_S + after) * SECOND), change, fleet, changed_at)
+        fleet.world.at(round((FAULT_AT_S + after) * SECOND), change_weight, fleet, changed_at)
     before, established = Meter(), 0
     try:
         fleet.world.run(round(FAULT_AT_S * SECOND) - 1)
@@ -360,10 +360,14 @@
         [violation] if violation else []
     )
     rules = sum(rule["broken"] for rule in audit["rules"].values()) + bool(violation)
-    whole = None if lost or propagated.missing else max(recovered_at, propagated.at) / SECOND - FAULT_AT_S
+    recovery_s = (
+        None
+        if lost or propagated.missing
+        else max(recovered_at, propagated.caught_up_at) / SECOND - FAULT_AT_S
+    )
     return EventResult(
         {k: round(float(v), 4) for k, v in figures.items()},
-        whole,
+        recovery_s,
         rules,
         fleet.world.trace_digest(),
         violations,
@@ -376,7 +380,7 @@
         host.model.traits = msgspec.structs.replace(host.model.traits, cores=cores)
 
 
-def change(fleet: HollowFleet, changed_at: dict[int, int]) -> None:
+def change_weight(fleet: HollowFleet, changed_at: dict[int, int]) -> None:
     """Changes a server's weight in the list and records when."""
     changed_at[fleet.change_weight()] = fleet.world.now
 
@@ -385,12 +389,13 @@
 class PropagationResult:
     """Which list changes have arrived.
 
-    `missing`: nodes alive that lack a change. `at`: when the last late change arrived, 0 if none was late.
+    `missing`: nodes alive that lack a change. `caught_up_at`: when the last late change arrived, 0 if none
+    was late.
     """
 
     figures: dict[str, float]
     missing: int
-    at: int
+    caught_up_at: int
 
 
 def propagation(fleet: HollowFleet, changed_at: dict[int, int]) -> PropagationResult:
@@ -499,6 +504,8 @@
     figures = {
         name: Figure(value, name.rsplit("_", 1)[-1], False) for name, value in fault_row.figures.items()
     }
-    whole = fault_row.seconds_until_whole
-    figures["seconds_until_whole"] = Figure(-1 if whole is None else whole, "s; -1: not whole", False)
+    recovery_s = fault_row.seconds_until_whole
+    figures["seconds_until_whole"] = Figure(
+        -1 if recovery_s is None else recovery_s, "s; -1: not whole", False
+    )
     return figures | {"rules_broken": Figure(fault_row.rules_broken, "", False)}
--- a/cottonspread/lab/scale/hollow_sockets.py
+++ b/cottonspread/lab/scale/hollow_sockets.py
@@ -228,13 +228,13 @@
     """
     version_times = [one.version_times() for one in lists]
     at = {version: min(times[version] for times in version_times) for version in version_times[0]}
-    out = []
+    delays = []
     for part in results:
         for received in part.versions_received:
             changes = [(version, when) for version, when in received if version in at]
             assert [version for version, _ in changes] == sorted(at), "a client did not receive every version"
-            out += [(when - at[version]) / SECOND for version, when in changes]
-    return out
+            delays += [(when - at[version]) / SECOND for version, when in changes]
+    return delays
 
 
 def figures(size: Size, results: list[ProcessResult], list_ns: int) -> dict[str, Figure]:
--- a/cottonspread/lab/scale/measuring.py
+++ b/cottonspread/lab/scale/measuring.py
@@ -25,7 +25,7 @@
 
     The garbage collector is off meanwhile: its callbacks and finalizers are Python code too.
     """
-    count, collects = 0, gc.isenabled()
+    count, was_enabled = 0, gc.isenabled()
 
     def on_event(frame, event, argument):
         nonlocal count
@@ -39,7 +39,7 @@
         work()
     finally:
         sys.settrace(before)
-        if collects:
+        if was_enabled:
             gc.enable()
     return count
 
--- a/cottonspread/lab/scale/module_sweeps.py
+++ b/cottonspread/lab/scale/module_sweeps.py
@@ -173,8 +173,8 @@
         measures = {}
         for size in self.sizes[sweep]:
             print(f"{sweep} {size}", file=sys.stderr, flush=True)
-            for head, value in self.measure(sweep, size, self.fixed[sweep]).items():
-                measures.setdefault(head, []).append(results.Point(size, value))
+            for key, value in self.measure(sweep, size, self.fixed[sweep]).items():
+                measures.setdefault(key, []).append(results.Point(size, value))
         flags = " --small" * self.small + f" --suffix={suffix}" * bool(suffix)
         return results.Sweep(
             name=f"{self.kind}-{sweep}{suffix}",
--- a/cottonspread/lab/scale/reducer_sweeps.py
+++ b/cottonspread/lab/scale/reducer_sweeps.py
@@ -40,9 +40,9 @@
         node = self.node
         for state, busy in (("idle", []), ("lines_out", self.clients[::UNECHOED_DIVISOR])):
             for kind in ("sweep", "listen"):
-                timed = TimerRun(node, kind, busy)
-                self.record(f"{kind}_{state}", Cost.measure([timed] * REPEATS), True)
-                timed.echo()
+                timer_run = TimerRun(node, kind, busy)
+                self.record(f"{kind}_{state}", Cost.measure([timer_run] * REPEATS), True)
+                timer_run.echo()
             sweeps, listens = (self.figures[f"{kind}_{state}_us", "us", True] for kind in ("sweep", "listen"))
             second = round(sweeps * (SECOND // SWEEP_INTERVAL) + listens * (SECOND // ECHO_CHECK_INTERVAL))
             self.figures[f"timers_a_second_{state}_us", "us a second", True] = second
--- a/cottonspread/lab/scale/results.py
+++ b/cottonspread/lab/scale/results.py
@@ -300,9 +300,12 @@
             all(math.isfinite(value) for value in row.figures.values()),
             "figures: values must be finite",
         )
-        whole = row.seconds_until_whole
+        recovery_s = row.seconds_until_whole
         _require(
-            run, where, whole is None or _is_non_negative(whole), "seconds_until_whole: must not be under 0"
+            run,
+            where,
+            recovery_s is None or _is_non_negative(recovery_s),
+            "seconds_until_whole: must not be under 0",
         )
         _require(run, where, row.rules_broken >= 0, "rules_broken: must not be under 0")
 
--- a/tests/scale/test_balancer_work.py
+++ b/tests/scale/test_balancer_work.py
@@ -120,7 +120,7 @@
     def work(groups):
         node = BalancerNode(0, 4, 1)
         add_connections(node, groups)
-        call = node.calls
+        call = node.last_call_id
         return lines_run(lambda: node.handle(io.LegEnded(call, 0, io.Ending.OK, True)))
 
     few, many = work(5), work(500)
