--- a/cottonspread/lab/scale/capacity.py
+++ b/cottonspread/lab/scale/capacity.py
@@ -206,6 +206,7 @@
     def __init__(
         self, definitions: Definitions, results: dict[str, Result], root: Path, assumptions: dict[str, float]
     ):
+        """`root`: folder that the figures' `file` is relative to. `assumptions`: see `Capacity.evaluator`."""
         self.definitions, self.results, self.root, self.assumptions = definitions, results, root, assumptions
         self.rows = {row.id: row for row in definitions.row if row.id}
         self.used_assumptions: set[str] = set()
@@ -326,6 +327,7 @@
     """The definitions evaluated over the results."""
 
     def __init__(self, definitions: Definitions, results: dict[str, Result], root: Path):
+        """`results`: results by name. `root`: folder that the figures' `file` is relative to."""
         self.definitions, self.results, self.root = definitions, results, root
 
     def evaluator(self, assumptions: dict[str, float] | None = None) -> Evaluator:
--- a/cottonspread/lab/scale/configuration_fleet.py
+++ b/cottonspread/lab/scale/configuration_fleet.py
@@ -35,6 +35,7 @@
     tick = None
 
     def __init__(self, fleet: "Fleet", name: str, location: Location):
+        """Creates the machine; the subclass creates its core."""
         super().__init__(name, location)
         self.fleet, self.world = fleet, fleet.world
         self.uniform = self.world.random_stream(name).random
@@ -110,6 +111,7 @@
     tick = re.Tick()
 
     def __init__(self, fleet, name, location):
+        """The disk holds the state of a replica that has accepted nothing; `start` starts the process."""
         super().__init__(fleet, name, location)
         self.disk = m.encode(m.ReplicaState())
         self.calls: dict[int, Call] = {}
@@ -214,6 +216,7 @@
     tick = fo.Tick()
 
     def __init__(self, fleet, name, location):
+        """The disk holds no record; `start` starts the process."""
         super().__init__(fleet, name, location)
         self.disk: bytes | None = None
         self.rejects_all = False
@@ -298,6 +301,7 @@
     tick = pu.Tick()
 
     def __init__(self, fleet, name, location, order):
+        """`order`: what the command was called with, `pu.Publish`, `pu.Resume` or `pu.Withdraw`."""
         super().__init__(fleet, name, location)
         self.began, self.done, self.ended = self.world.now, None, None
         self.on_done = None
@@ -342,6 +346,7 @@
     """Replicas, nodes and publishers in one simulated world; every replica and node runs at first."""
 
     def __init__(self, seed, parameters: FleetParameters | None = None, traced=False):
+        """Starts all replicas and nodes. `traced`: the world keeps its trace lines, not only their digest."""
         self.parameters, self.world = parameters or FleetParameters(), World(seed, traced)
         self.network = Network(self.world, self.parameters)
         zones = locations(self.parameters)
--- a/cottonspread/lab/scale/configuration_invariants.py
+++ b/cottonspread/lab/scale/configuration_invariants.py
@@ -46,6 +46,7 @@
     """Records the store's events and checks the invariants against them."""
 
     def __init__(self, world, replicas: int):
+        """`world`: the simulation whose clock is used. `replicas`: number of replicas in the fleet."""
         self._world, self._majority = world, replicas // 2 + 1
         self.violations: list[str] = []
         self._acceptors: dict[tuple, set] = {}
--- a/cottonspread/lab/scale/configuration_network.py
+++ b/cottonspread/lab/scale/configuration_network.py
@@ -77,6 +77,7 @@
     """A machine with one process. `epoch` changes whenever a process starts or ends."""
 
     def __init__(self, name: str, location: Location):
+        """The process runs and the machine is reachable at first."""
         self.name, self.location, self.epoch = name, location, 0
         self.is_running, self.is_silent = True, False
         self.bytes_in = self.bytes_out = self.messages = 0
@@ -92,6 +93,7 @@
     """One request and its reply, over the network."""
 
     def __init__(self, network, caller: Host, callee: Host, request: bytes, on_done):
+        """`on_done`: see `Network.call`, which also sends the request and sets the deadline."""
         self.network, self.caller, self.callee, self.request = network, caller, callee, request
         self.on_done, self.epoch, self.is_ended = on_done, caller.epoch, False
         self.callee_epoch = None
@@ -144,6 +146,7 @@
     """Carries messages between hosts."""
 
     def __init__(self, world, parameters: FleetParameters):
+        """`parameters`: latencies and the initial loss."""
         self.world, self.parameters, self.loss = world, parameters, parameters.loss
         self._rng = world.random_stream("network")
         self.partitions: set[frozenset[int]] = set()
--- a/cottonspread/lab/scale/configuration_scenarios.py
+++ b/cottonspread/lab/scale/configuration_scenarios.py
@@ -52,6 +52,7 @@
     """A fleet that has applied version 1, and the changes that a scenario makes to it."""
 
     def __init__(self, seed, parameters: FleetParameters, small: bool):
+        """Runs the fleet until version 1 is in force. `small`: scenarios make fewer changes."""
         self.fleet, self.small, self.times = Fleet(seed, parameters), small, PropagationTimes()
         self.rng = self.fleet.world.random_stream("play")
         self._body_count = 0
@@ -484,6 +485,7 @@
     parameters = FleetParameters(nodes=8, body_bytes=64)
 
     def __init__(self, seed):
+        """Builds the fleet; `seed` determines every fault and change."""
         self.fleet = Fleet(f"random:{seed}", self.parameters)
         self.rng = self.fleet.world.random_stream("faults")
         self._body_count = 0
--- a/cottonspread/lab/scale/tables.py
+++ b/cottonspread/lab/scale/tables.py
@@ -52,6 +52,7 @@
     """Generates the tables of the page by name."""
 
     def __init__(self, capacity: Capacity, folder: Path):
+        """`folder`: the folder of the result files, whose digests the page shows."""
         self.capacity, self.folder = capacity, folder
 
     def write(self, text: str) -> str:
