--- a/cottonspread/lab/scale/balancer_node.py
+++ b/cottonspread/lab/scale/balancer_node.py
@@ -12,7 +12,7 @@
 NODES = 420
 LOAD = 10_000.0  # microseconds of work a second that each connection is reported to cause
 GUARD = 3 * SECOND
-REVIEW_INTERVAL = SECOND // 4  # the balancer reviews its exceptional servers no more often
+REVIEW_INTERVAL = SECOND // 4  # the balancer reviews its exceptional servers at most this often
 
 
 def node_config(seed=1, probed=False):
@@ -40,10 +40,10 @@
 
 
 class BalancerNode:
-    """A balancer with `servers` listed and `connections` established, in turn of `groups` groups."""
+    """A balancer with `servers` listed and `connections` established, spread evenly over `groups` groups."""
 
     def __init__(self, connections, servers, groups, seed=1, probed=False, large_group=0):
-        """`probed`: hosts report their load to probes. `large_group`: connections of the group `large`."""
+        """`probed`: hosts report their load to probes. `large_group`: connections in the group `large`."""
         self.now, self.last_call_id, self.version, self.seed = SECOND, 0, 0, seed
         self.servers, self.groups = servers, groups
         self.balancer = Balancer(self.now, node_config(seed, probed))
@@ -65,7 +65,7 @@
         return self.handle(io.ListUpdate(kind, self.version, tuple(entries)))
 
     def add_connection(self, group, number):
-        """Adds an established connection; the servers take them in turn, as the balancer spreads them."""
+        """Adds an established connection, to the servers in turn, as the balancer would spread them."""
         server = number % self.servers
         call = self.new_call_id()
         held_by = f"server-{server}"
@@ -74,7 +74,7 @@
         self.established[call] = server
 
     def new_call_id(self):
-        """An id that no call had before."""
+        """Returns an id that no call had before."""
         self.last_call_id += 1
         return self.last_call_id
 
--- a/cottonspread/lab/scale/capacity.py
+++ b/cottonspread/lab/scale/capacity.py
@@ -2,7 +2,7 @@
 
 A row has a formula over names. A name is a variable (given by the operators, assumed with a range, or
 derived), the `id` of another row, or one of the row's own `costs` (a fit of a result's measure, evaluated at
-a size) and `figures` (a single value from a result or from an older file).
+a size) and `figures` (a single value from a result or from another file of the repository).
 """
 
 import itertools
@@ -22,7 +22,7 @@
 Aspect = Literal["state", "messages", "processor time", "memory", "descriptors", "bytes a second", "time"]
 
 BUDGET_MARGIN = 2.0
-"""A value below the budget by this factor holds; a value closer to the budget holds with its factor."""
+"""From this ratio of budget to value on, the verdict is a plain "holds"; below it, it states the ratio."""
 
 
 class RowError(ValueError):
@@ -171,6 +171,7 @@
 
 
 def _ratio_text(value: float, budget: float) -> str:
+    """How far a value exceeds its budget; a budget of 0 has no ratio."""
     return f"{value / budget:.3g} times" if budget else "with"
 
 
@@ -267,7 +268,7 @@
         return FittedCost(cost, fitted, measure.unit, size, fitted.slope if cost.slope else fitted.at(size))
 
     def figure(self, figure: Figure) -> float:
-        """A single value from a result or an older file."""
+        """A single value from a result or another file of the repository."""
         where = figure.result or figure.file
         if figure.file:
             value = self._page_value(figure) if figure.value else self._json_value(figure)
@@ -407,7 +408,7 @@
         return [found[key] for key in sorted(found)]
 
     def figures(self) -> list[tuple[Figure, float]]:
-        """Every figure of an older file that a row or line uses, once each."""
+        """Every figure from a file other than a result that a row or line uses, once each."""
         found = {}
         for entry in [*self.definitions.row, *self.definitions.line]:
             for figure in entry.figures if not entry.not_run else ():
--- a/cottonspread/lab/scale/configuration.py
+++ b/cottonspread/lab/scale/configuration.py
@@ -34,7 +34,7 @@
 BODY_SIZES = 1_024, 4_096, 16_384, 65_536
 RANDOM_SEEDS, RANDOM_SEEDS_SMALL = 400, 10
 CPU_TIME_REPEATS = 5
-"""Processor times are the minimum of this many measurements."""
+"""Measurements of each processor time; the smallest is reported."""
 
 
 def run_scenarios(parameters: FleetParameters, seed: int, small: bool, names) -> list[results.FaultRow]:
@@ -50,7 +50,7 @@
 
 
 def run_random_scenarios(event: str, scenario_class, first: int, count: int) -> results.FaultRow:
-    """Runs random scenarios of the class from `count` seeds, from `first` on; one row for all."""
+    """Runs `scenario_class` with `count` consecutive seeds from `first` on; returns one row for all."""
     scenarios = [scenario_class(seed) for seed in range(first, first + count)]
     failed = [str(first + number) for number, scenario in enumerate(scenarios) if scenario.run()]
     convergence_times = [scenario.convergence_s for scenario in scenarios]
--- a/cottonspread/lab/scale/configuration_fleet.py
+++ b/cottonspread/lab/scale/configuration_fleet.py
@@ -1,7 +1,7 @@
 """The configuration store's hosts in simulated time: production cores with simulated disks, checks, network.
 
-Each host is a thin shell around its core, as in production: it executes effects in their order. What is in
-progress when a process ends is lost; only the disk is kept.
+Each host is a thin shell around its core, as in production: it executes effects in their order. When a
+process ends, work in progress is lost and only the contents of the disk remain.
 """
 
 import msgspec
@@ -82,12 +82,12 @@
             self.handle(event)
 
     def begin_process(self) -> None:
-        """Begins a process; what the one before had in progress has no effect any more."""
+        """Begins a process; work in progress of the previous one has no effect any more."""
         self.epoch += 1
         self.is_running, self.is_silent, self._next_wake = True, False, NEVER
 
     def end_process(self, silently=False) -> None:
-        """Ends the process; `silently`: with its machine, so that no connection is closed."""
+        """Ends the process; with `silently` its whole machine fails, so that no connection is closed."""
         self.is_running = False
         self.is_silent = silently
         self.epoch += 1
@@ -117,7 +117,7 @@
         self.calls: dict[int, Call] = {}
         self._number, self._busy_until = 0, 0
         self.corrupt_reply = None
-        """A function that gives the bytes of a watch reply in a faulty replica's place, or None."""
+        """A function that returns the bytes that a faulty replica sends for a watch reply, or None."""
 
     def start(self) -> None:
         """Starts a process from the state on the disk."""
@@ -443,7 +443,7 @@
 
 
 def reply_corrupter(fleet: Fleet, name: str):
-    """A function for `ReplicaHost.corrupt_reply` that at times gives a damaged, older or different reply."""
+    """For `ReplicaHost.corrupt_reply`: damages, replaces or alters up to three of five replies."""
     rng, sent = fleet.world.random_stream("lies", name), []
 
     def corrupt(reply: m.WatchReply) -> bytes:
--- a/cottonspread/lab/scale/configuration_invariants.py
+++ b/cottonspread/lab/scale/configuration_invariants.py
@@ -11,11 +11,11 @@
 CANARY, EVERYWHERE = 1, 2
 SECOND = 1_000_000
 MAX_CUT_OFF_REPORT_DELAY = 24 * SECOND
-"""A node that cannot reach a majority reports it by then: 20 s, as its core states, plus the age that a
-replica without a majority may still have reported when it was cut off."""
+"""A node that cannot reach a majority reports it within this time: 20 s in its core, plus the age of the
+last majority that a replica may still have reported when it was cut off."""
 MAX_CUT_OFF_CLEAR_DELAY = 16 * SECOND
-"""A node reports that it is connected by then after it can reach a majority again: a watch that is never
-answered ends after 12 s, and a replica itself needs up to 4 s."""
+"""A node that can reach a majority again reports it within this time: a watch that is never answered ends
+after 12 s, and a replica itself needs up to 4 s."""
 
 
 def digest(body: str) -> str:
@@ -184,7 +184,9 @@
         ]
 
 
-# The first word of a simulated body decides how the simulated nodes' check and apply steps end.
+# The first word of a simulated body decides how the simulated nodes' steps end. "refused": the check fails;
+# "hangs": the check does not end; "unfit": the body cannot be applied; "ill": it is applied and then causes
+# errors. Any other body has no fault.
 
 
 def is_faulty(body: str) -> bool:
--- a/cottonspread/lab/scale/configuration_network.py
+++ b/cottonspread/lab/scale/configuration_network.py
@@ -74,7 +74,7 @@
 
 
 class Host:
-    """A machine with one process. `epoch` changes whenever a process starts or ends."""
+    """A machine with one process; unreachable if silent. `epoch` changes when a process starts or ends."""
 
     def __init__(self, name: str, location: Location):
         """The process runs and the machine is reachable at first."""
@@ -121,7 +121,7 @@
         self.network.send(self.callee, self.caller, 0, self.finish, None, why)
 
     def finish(self, response: bytes | None, why: str):
-        """Ends the call at the caller; has an effect once only."""
+        """Ends the call at the caller, unless it has ended already."""
         if self.is_ended or self.caller.epoch != self.epoch or not self.caller.is_running:
             return
         self.is_ended = True
--- a/cottonspread/lab/scale/configuration_scenarios.py
+++ b/cottonspread/lab/scale/configuration_scenarios.py
@@ -18,9 +18,9 @@
 MAX_WAIT_S = 60
 """The longest that a scenario waits for a condition."""
 TARGET_S = 3.0
-"""A change has to be applied within this time after its publish started,"""
+"""Seconds from the start of its publish within which `TARGET_SHARE` of the nodes must apply a change."""
 TARGET_SHARE = 0.99
-"""by at least this share of the nodes that can reach a majority."""
+"""Smallest share of the nodes that can reach a majority for which a change counts as applied in time."""
 
 
 @dataclass
@@ -311,7 +311,7 @@
 
 
 def publisher_in_the_cut_off_region(run: ScenarioRun):
-    """Operators publish from a region that is cut off: it is refused; from outside it succeeds."""
+    """A publish from inside a region that is cut off finds no quorum; one from outside succeeds."""
     fleet = run.fleet
     fleet.network.isolate_region(2)
     fleet.run_for(20)
@@ -324,7 +324,7 @@
 
 
 def region_cut_off_just_before(run: ScenarioRun):
-    """A change 2 s after a region was cut off: the region's canaries may not answer; then it is withdrawn."""
+    """A change 2 s after a region was cut off: withdrawn if over a third of the canaries are there."""
     fleet, outcomes = run.fleet, []
     for _ in range(4 if run.small else 20):
         fleet.network.isolate_region(run.rng.choice([1, 2]))
@@ -393,7 +393,7 @@
 
 
 def wrong_answers(run: ScenarioRun):
-    """One replica sends damaged, older or other replies to four of five watches, during changes."""
+    """One replica damages, replaces or alters up to three of five replies to watches, during changes."""
     fleet = run.fleet
     faulty_replica = fleet.replicas["r1"]
     faulty_replica.corrupt_reply = reply_corrupter(fleet, "r1")
@@ -446,6 +446,7 @@
     fleet.network.loss = 0
     fleet.run_for(20)
     good = sum(done is not None and done.outcome == pu.Outcome.IN_FORCE for done in outcomes)
+    # Without cases `row` does not require the target share, which the losses may prevent.
     share, run.times.cases = run.times.figures()["share_within_3_s"], 0
     return run.row(
         "one message in a hundred lost for good",
@@ -480,7 +481,7 @@
 
 
 class RandomScenario:
-    """Random faults and changes from a seed, in a small fleet; then all faults end and it has to converge."""
+    """Random faults and changes from a seed, in a small fleet, which has to converge after all faults end."""
 
     parameters = FleetParameters(nodes=8, body_bytes=64)
 
@@ -493,7 +494,7 @@
         """Seconds from the end of the last change until no node lagged; None: not within 20 s."""
 
     def run(self, actions=25) -> list[str]:
-        """Runs the scenario; the violations."""
+        """Runs the scenario; returns the violations."""
         fleet = self.fleet
         fleet.run_for(2)
         for _ in range(actions):
--- a/cottonspread/lab/scale/fit.py
+++ b/cottonspread/lab/scale/fit.py
@@ -51,10 +51,10 @@
     residual: float
     """The largest residual, relative to its value: 0.05 is 5%."""
     exponent: float
-    """Of a power fit, `value = c * size ** exponent`; 0 with fewer than two values over 0."""
+    """Exponent of a power-law fit, `value = c * size ** exponent`; 0 with fewer than two values over 0."""
     smallest: float
     largest: float
-    """The smallest and the largest measured size."""
+    """Largest measured size; `smallest` is the smallest one."""
 
     def at(self, size: float) -> float:
         """The cost at a size, measured or not."""
--- a/cottonspread/lab/scale/hollow.py
+++ b/cottonspread/lab/scale/hollow.py
@@ -134,7 +134,7 @@
         """Replaces the HTTP client of the process's `Discovery`."""
         super().__init__(agent, process)
         self.http, self.meter = MemoryHttp(process.parts[0].discovery, self), process.meter
-        self.in_flight = False  # a request is pending that an answer can reach
+        self.in_flight = False  # a request is pending whose answer can still arrive
 
     def send_request(self):
         """Sends the next request, or lets it fail where no connection can be opened."""
@@ -179,7 +179,7 @@
         return self.http.get(path, timeout)
 
     def open_socket(self):
-        """Returns a new connection, for `MemoryHttp`, or raises what the call met."""
+        """Returns a new connection, for `MemoryHttp`, or raises the error that the call met."""
         if self.answer is not None:
             raise self.answer
         self.agent.meter.connections += 1
@@ -369,7 +369,7 @@
         return self.track_version()
 
     def track_version(self):
-        """Starts to record when each node applies the present version, and returns it."""
+        """Starts to record when each node applies the current version, and returns that version."""
         version = self.list_machines[0].book.version
         self.applied_at[version] = {}
         return version
--- a/cottonspread/lab/scale/hollow_calibration.py
+++ b/cottonspread/lab/scale/hollow_calibration.py
@@ -22,7 +22,7 @@
 
 
 def compare_with_hollow(size: Size) -> dict[str, Figure]:
-    """Control of a real node, idle and with `size.changes_a_minute`, and of hollow nodes at the same size."""
+    """Control work of a real and of hollow nodes, idle and with `size.changes_a_minute`, at the same size."""
     real = measure_real_node(size)
     hollow_idle = measure_control(replace(size, changes_a_minute=0))
     hollow_changing = measure_control(size)
--- a/cottonspread/lab/scale/hollow_faults.py
+++ b/cottonspread/lab/scale/hollow_faults.py
@@ -136,7 +136,7 @@
 
 
 def rolling_replacement(size: Size) -> list[Fault]:
-    """Every node's process is replaced, one node after the other within twenty seconds."""
+    """Replaces every node's process, one node after the other within twenty seconds."""
     gap = 20.0 / size.nodes
     return [Fault(at=FAULT_AT_S + n * gap, kind="replace", on=[f"n{n}"]) for n in range(size.nodes)]
 
@@ -175,7 +175,7 @@
 
 
 def measure_catch_up(fleet: HollowFleet, cut: frozenset[str]) -> None:
-    """The region is reachable again: counts what its nodes receive from now on."""
+    """Counts the bytes that a region's nodes receive from now on, when it is reachable again."""
     before = bytes_received(fleet, cut)
 
     def record_catch_up():
@@ -206,7 +206,7 @@
 
 
 def lose_largest_server(fleet: HollowFleet) -> None:
-    """The server with most connections of the largest group stops answering for good."""
+    """Makes the server with most connections of the largest group stop answering for good."""
     established = [
         (conn.call.group, host.name)
         for host in fleet.hosts.values()
@@ -467,13 +467,13 @@
 
 @dataclass(frozen=True)
 class ZoneSize(Size):
-    """A zone is lost where a set-up costs so much work."""
+    """Size of a fleet that loses a zone, and the work of a set-up on its servers in microseconds."""
 
     setup_us: float = 2400.0
 
 
 def measure_zone_loss(size: ZoneSize) -> dict[str, Figure]:
-    """How the clients of a lost zone reconnect, by the cost of a set-up."""
+    """How the clients of a lost zone reconnect where a set-up costs `size.setup_us`."""
     event = next(event for event in EVENTS if event.name == "zone-lost")
     figures = run_event(replace(event, setup_us=size.setup_us), size).figures
     clients = figures["clients"]
--- a/cottonspread/lab/scale/hollow_plans.py
+++ b/cottonspread/lab/scale/hollow_plans.py
@@ -76,6 +76,6 @@
 
 
 def fleet_plan(size: Size, seconds: float, faults: list[plans.Fault] | tuple = ()) -> plans.Plan:
-    """The plan of a hollow fleet of this size that runs for so many seconds."""
+    """The plan of a hollow fleet of this size that runs for `seconds`."""
     planned = experiment(size, seconds, faults)
     return plans.make(planned, plans.Variant(name="only"), size.seed, ADDRESS_BLOCK)
--- a/cottonspread/lab/scale/hollow_propagation.py
+++ b/cottonspread/lab/scale/hollow_propagation.py
@@ -16,7 +16,7 @@
 """Changes in each run, at random times, one a second on average."""
 
 MAX_PROPAGATION_S = 6.0
-"""After an outage every node must have the change within this time; 4.5 s are computed for the worst case."""
+"""Time within which every node must have a change after an outage; the worst case is computed as 4.5 s."""
 
 
 @dataclass(frozen=True)
@@ -66,7 +66,7 @@
     """A fleet whose list machines fail.
 
     `away_s`: how long every list machine is unreachable. `refuses`: its process has stopped and the kernel
-    refuses connections; otherwise nothing answers. `back_s` over 0: the machines return for so long and are
+    refuses connections; otherwise nothing answers. `back_s` over 0: the machines return for that time and are
     unreachable once more, for `SECOND_OUTAGE_S`, before the change.
     """
 
--- a/cottonspread/lab/scale/hollow_sockets.py
+++ b/cottonspread/lab/scale/hollow_sockets.py
@@ -1,7 +1,8 @@
 """Control over real sockets: many real list clients read three list stubs on loopback.
 
 The clients are `net/discovery.py` with `net/http.py`, each in a thread as in a node, some hundred in a
-process. What a node does with a list is left out. Bytes are counted at the sockets, segments by the kernel.
+process. A node's own processing of the list is not included. Bytes are counted at the sockets, segments by
+the kernel.
 """
 
 import multiprocessing
@@ -46,7 +47,7 @@
 
 @dataclass
 class TrafficCounts:
-    """What clients have sent and received."""
+    """Traffic of one or more clients."""
 
     requests: int = 0
     answers: int = 0
--- a/cottonspread/lab/scale/module_sweeps.py
+++ b/cottonspread/lab/scale/module_sweeps.py
@@ -63,7 +63,7 @@
     """All measurements of one node, ordered so that none disturbs a later one."""
 
     def __init__(self, node, probed, seed=3):
-        """`probed`: a second node of the same size, which probes its hosts."""
+        """`probed`: a second node of the same size that probes its hosts; None to measure no probes."""
         self.node, self.probed, self.rng = node, probed, Random(seed)
         self.figures = {}  # (name, unit, whether it is control): value
 
--- a/cottonspread/lab/scale/plots.py
+++ b/cottonspread/lab/scale/plots.py
@@ -116,7 +116,7 @@
 
 
 def _scale_axes(axis: plt.Axes, sizes: list[float], logarithmic: bool) -> None:
-    """Sets sizes as ticks, and a logarithmic value axis unless a value is 0."""
+    """Sets the sizes as ticks; `logarithmic`: of the value axis too, which is impossible if a value is 0."""
     plain = ticker.FuncFormatter(lambda value, _: f"{value:,.4g}" if value < 1000 else f"{value:,.0f}")
     axis.set_xscale("log")
     axis.set_xticks(sizes)
--- a/cottonspread/lab/scale/processes.py
+++ b/cottonspread/lab/scale/processes.py
@@ -34,7 +34,7 @@
 
 
 def start_cottonspread(command: list[str], folder: Path, name: str, **options) -> subprocess.Popen:
-    """Starts `python -m cottonspread WORDS`; its standard error goes to a log in the folder."""
+    """Starts `python -m cottonspread COMMAND`; its standard error goes to a log in the folder."""
     with open(folder / f"{name}.log", "ab") as log:
         return subprocess.Popen(
             [sys.executable, "-m", "cottonspread", *command],
@@ -94,7 +94,7 @@
 
 
 class ListStub(LabProcess):
-    """One process of the lab's list.
+    """A process that serves the lab's server list.
 
     `changes`: seconds after the begin at which a server drains, each time another one.
     """
@@ -117,7 +117,7 @@
         return node.ip, node.list_port
 
     def version_times(self) -> dict[int, int]:
-        """After its end: when each version was made, in microseconds of the monotonic clock."""
+        """When each version was made, in microseconds of the monotonic clock; known after the end."""
         lines = record.read(str(self.folder), "list")
         return {line["version"]: line["t"] for line in lines if line["k"] == "change"}
 
--- a/cottonspread/lab/scale/reducer_node.py
+++ b/cottonspread/lab/scale/reducer_node.py
@@ -13,7 +13,7 @@
 MAX_SOCKETS = 1_000_000
 CONNECT_TIMEOUT = SECOND // 20
 TYPE = "listen"
-LINE_LEAD_US = 1000  # a busy client sends its line so long before the timer
+LINE_LEAD_US = 1000  # how long before the timer a busy client sends its line
 
 
 def address(number):
@@ -22,7 +22,7 @@
 
 
 class ReducerNode:
-    """A reducer with `servers` listed and `connections` established, in turn of `groups` groups."""
+    """A reducer with `servers` listed and `connections` established, spread evenly over `groups` groups."""
 
     def __init__(self, connections, servers, groups, seed=1):
         """Lists all servers and adopts the connections."""
@@ -38,7 +38,7 @@
             self.adopt(number, f"group-{number % groups}")
 
     def step(self, event):
-        """Runs one event; returns the effects that the reducer requests."""
+        """Passes one event to the reducer; returns the effects that it requests."""
         return self.reducer.step(self.now, event)
 
     def send_full_list(self):
@@ -51,7 +51,7 @@
         )
 
     def adopt(self, number, group, waiting=()):
-        """Adds an established connection; the servers take them in turn, as the balancer spreads them.
+        """Adds an established connection, to the servers in turn, as the balancer would spread them.
 
         `waiting`: when lines without an echo were sent.
         """
@@ -67,7 +67,7 @@
         self.hosts[client] = host
 
     def advance_to_timer(self, timer, busy=()):
-        """Advances to when timers of one kind alone ("sweep" or "listen") are due; returns that step.
+        """Advances to a moment when only timers of one kind ("sweep" or "listen") are due; returns that step.
 
         `busy`: clients that send a line just before.
         """
--- a/cottonspread/lab/scale/reducer_sweeps.py
+++ b/cottonspread/lab/scale/reducer_sweeps.py
@@ -13,7 +13,7 @@
 from cottonspread.lab.scale.reducer_node import ReducerNode
 from cottonspread.net.reducer import ECHO_CHECK_INTERVAL, SECOND, SWEEP_INTERVAL
 
-UNECHOED_DIVISOR = 10  # one connection in so many has a line that awaits its echo
+UNECHOED_DIVISOR = 10  # one connection in this many has a line that awaits its echo
 SIZES = {
     "connections": (1_000, 5_000, 10_000, 20_000, 40_000, 76_190),
     "servers": (50, 200, 400, 1_000, 3_000),
--- a/cottonspread/lab/scale/results.py
+++ b/cottonspread/lab/scale/results.py
@@ -74,7 +74,7 @@
     """True: control work (list, configuration, health, membership). False: clients' lines."""
     points: list[Point]
     plays: int
-    """Repetitions that each point was made from."""
+    """Number of repetitions that each point was computed from."""
 
 
 class ResultHeader(msgspec.Struct, kw_only=True, forbid_unknown_fields=True):
