--- a/cottonspread/lab/scale/configuration.py
+++ b/cottonspread/lab/scale/configuration.py
@@ -14,7 +14,7 @@
 
 from cottonspread.configstore import follower as fo
 from cottonspread.configstore import messages as m
-from cottonspread.configstore import replica as re
+from cottonspread.configstore import replica as rp
 from cottonspread.lab.scale import results
 from cottonspread.lab.scale.configuration_network import FleetParameters, to_response
 from cottonspread.lab.scale.configuration_scenarios import (
@@ -156,11 +156,11 @@
 def _change_at_replica(nodes: int) -> float:
     """Processor seconds from the durable commit until all replies are encoded."""
     replica = replica_with_watches(nodes)
-    effects = replica.step(0, re.RequestReceived(10**6, m.Commit(record=_record(2, 4_096))))
-    token = next(effect.token for effect in effects if isinstance(effect, re.Store))
+    effects = replica.step(0, rp.RequestReceived(10**6, m.Commit(record=_record(2, 4_096))))
+    token = next(effect.token for effect in effects if isinstance(effect, rp.Store))
     began = time.process_time()
     responses = [
-        to_response(e.message) for e in replica.step(1, re.Stored(token, True)) if isinstance(e, re.Reply)
+        to_response(e.message) for e in replica.step(1, rp.Stored(token, True)) if isinstance(e, rp.Reply)
     ]
     elapsed_s = time.process_time() - began
     assert len(responses) == 2 * nodes + 1
@@ -171,12 +171,12 @@
     """Processor seconds until all watches have ended without a change and been sent again."""
     replica, number = replica_with_watches(nodes), 10**6
     began = time.process_time()
-    for effect in replica.step(11 * SECOND, re.Tick()):
-        if isinstance(effect, re.Reply):
+    for effect in replica.step(11 * SECOND, rp.Tick()):
+        if isinstance(effect, rp.Reply):
             to_response(effect.message)
             number += 1
             query = f"since=1&timeout_ms=10000&node=z1-node-{number % nodes:03}&in_force=1"
-            replica.step(11 * SECOND, re.RequestReceived(number, m.from_query(query)))
+            replica.step(11 * SECOND, rp.RequestReceived(number, m.from_query(query)))
     return time.process_time() - began
 
 
--- a/cottonspread/lab/scale/configuration_fleet.py
+++ b/cottonspread/lab/scale/configuration_fleet.py
@@ -9,7 +9,7 @@
 from cottonspread.configstore import follower as fo
 from cottonspread.configstore import messages as m
 from cottonspread.configstore import publisher as pu
-from cottonspread.configstore import replica as re
+from cottonspread.configstore import replica as rp
 from cottonspread.lab.scale.configuration_invariants import Invariants
 from cottonspread.lab.scale.configuration_network import (
     Call,
@@ -108,7 +108,7 @@
 class ReplicaHost(CoreHost):
     """A control machine with a replica."""
 
-    tick = re.Tick()
+    tick = rp.Tick()
 
     def __init__(self, fleet, name, location):
         """The disk holds the state of a replica that has accepted nothing; `start` starts the process."""
@@ -123,10 +123,10 @@
         """Starts a process from the state on the disk."""
         self.begin_process()
         peers = tuple(name for name in self.fleet.replica_names if name != self.name)
-        self.core = re.Replica(self.name, peers, m.decode(self.disk, m.ReplicaState), self.uniform)
+        self.core = rp.Replica(self.name, peers, m.decode(self.disk, m.ReplicaState), self.uniform)
         self.calls, self._busy_until = {}, self.world.now
         self.world.add_trace_line("start", self.name)
-        self.handle(re.Tick())
+        self.handle(rp.Tick())
 
     def stop(self, silently=False) -> None:
         """Ends the process, or with `silently` the machine."""
@@ -157,25 +157,25 @@
             return
         self._number += 1
         self.calls[self._number] = call
-        self.handle(re.RequestReceived(self._number, message))
+        self.handle(rp.RequestReceived(self._number, message))
 
     def on_caller_gone(self, call):
         """Tells the core that a caller closed its connection."""
         for number, one in list(self.calls.items()):
             if one is call:
                 del self.calls[number]
-                self.handle(re.RequestAbandoned(number))
+                self.handle(rp.RequestAbandoned(number))
 
     def execute(self, effect):
         """Executes one effect of the core."""
         match effect:
-            case re.Store(token=token, state=state):
+            case rp.Store(token=token, state=state):
                 self.world.after(self._store_delay(), self._stored, self.epoch, token, m.encode(state))
-            case re.Reply(request=number, message=message):
+            case rp.Reply(request=number, message=message):
                 self._enqueue_work(self._reply, self.calls.pop(number, None), message)
-            case re.Reject(request=number):
+            case rp.Reject(request=number):
                 self._enqueue_work(self._reply, self.calls.pop(number, None), None)
-            case re.CallPeer():
+            case rp.CallPeer():
                 self._call_peer(effect)
 
     def _store_delay(self):
@@ -189,7 +189,7 @@
         state = m.decode(data, m.ReplicaState)
         self.world.add_trace_line("stored", self.name, state.accepted and state.accepted.checksum)
         self.fleet.invariants.on_stored(self.name, state)
-        self.handle(re.Stored(token, True))
+        self.handle(rp.Stored(token, True))
 
     def _reply(self, call, message):
         if call is None:
@@ -202,9 +202,9 @@
     def _call_peer(self, effect):
         def on_reply(reply, why):
             if reply is None:
-                self.handle(re.PeerFailed(effect.call, why))
+                self.handle(rp.PeerFailed(effect.call, why))
             else:
-                self.handle(re.PeerReplied(effect.call, reply))
+                self.handle(rp.PeerReplied(effect.call, reply))
 
         peer = self.fleet.replicas[effect.peer]
         self.call(peer, effect.message, effect.deadline, m.StateReply, on_reply)
--- a/cottonspread/lab/scale/configuration_scenarios.py
+++ b/cottonspread/lab/scale/configuration_scenarios.py
@@ -9,7 +9,7 @@
 
 from cottonspread.configstore import messages as m
 from cottonspread.configstore import publisher as pu
-from cottonspread.configstore import replica as re
+from cottonspread.configstore import replica as rp
 from cottonspread.lab.scale import results
 from cottonspread.lab.scale.configuration_fleet import Fleet, reply_corrupter
 from cottonspread.lab.scale.configuration_network import FleetParameters
@@ -591,15 +591,15 @@
     return {name: value / duration for name, value in _traffic_difference(before, _traffic(fleet)).items()}
 
 
-def replica_with_watches(nodes: int) -> re.Replica:
+def replica_with_watches(nodes: int) -> rp.Replica:
     """A replica core with the reports and both watches of `nodes` nodes."""
-    core = re.Replica("r1", ("r2", "r3"), m.ReplicaState(), lambda: 0.5)
+    core = rp.Replica("r1", ("r2", "r3"), m.ReplicaState(), lambda: 0.5)
     number = 0
     for name in (f"z1-node-{one:03}" for one in range(nodes)):
         for _ in range(2):
             number += 1
             report = m.NodeReport(node=name, in_force=1)
             core.step(
-                0, re.RequestReceived(number, m.WatchRequest(since=1, timeout_ms=10_000, report=report))
+                0, rp.RequestReceived(number, m.WatchRequest(since=1, timeout_ms=10_000, report=report))
             )
     return core
