--- a/benchmarks/operating/calls.py
+++ b/benchmarks/operating/calls.py
@@ -25,11 +25,13 @@
 
 
 def free_port():
+    """An address on loopback with a port on which nothing listens."""
     with socket.create_server(("127.0.0.1", 0)) as sock:
         return sock.getsockname()
 
 
 def call(address, word):
+    """Makes one operators' call; returns the seconds that it took and its answer."""
     started_at = time.perf_counter()
     with socket.create_connection(address, timeout=10) as sock:
         sock.sendall(word + b"\n")
@@ -39,6 +41,7 @@
 
 
 def main(seconds):
+    """Runs the example's servers and a node; returns the figures."""
     spec = importlib.util.spec_from_file_location("toy", ROOT / "examples" / "toy.py")
     module = importlib.util.module_from_spec(spec)
     spec.loader.exec_module(module)
@@ -81,6 +84,7 @@
 
 
 def measure(seconds, listen, operator):
+    """Loads the node for `seconds` and times operators' calls meanwhile; returns the figures."""
     wait_until_healthy(operator)
     seen, lock, end = {"UP": 0, "BUSY": 0, "other": 0}, threading.Lock(), time.monotonic() + seconds
 
@@ -95,7 +99,7 @@
     def hold_connection():
         while time.monotonic() < end:
             with socket.create_connection(operator, timeout=10) as sock:
-                sock.sendall(b"coun")
+                sock.sendall(b"coun")  # an incomplete line; then waits until the node closes
                 sock.recv(100)
 
     threads = [
--- a/benchmarks/scale/processes.py
+++ b/benchmarks/scale/processes.py
@@ -75,7 +75,7 @@
 
 
 def memory_mb(pid: int, key: str = "Pss") -> float:
-    """Its memory in MB; with `Pss` pages shared with other processes count in proportion."""
+    """Memory of a process in MB; with `Pss`, pages shared with other processes count in proportion."""
     text = Path(f"/proc/{pid}/smaps_rollup").read_text()
     return int(re.search(rf"^{key}:\s+(\d+)", text, re.MULTILINE)[1]) * 1024 / MB
 
@@ -164,7 +164,7 @@
 
 
 def open_clients(address: tuple[str, int], count: int) -> tuple[list[socket.socket], int]:
-    """Connects so many clients, one after the other; also returns how often BUSY was answered."""
+    """Connects `count` clients, one after the other; returns them and how often BUSY was answered."""
     clients, busy_count = [], 0
     while len(clients) < count:
         sock = open_client(address, len(clients))
@@ -179,7 +179,7 @@
 
 
 def measure_connections(count: int) -> Figures:
-    """A node with so many established connections that carry nothing."""
+    """Measures a node with `count` established connections that carry nothing."""
     with start_stubs() as (listing, _), node(listing, 3 * count + 256) as (process, address, _):
         pid = process.pid
         base, used = memory_mb(pid), processor_ms(pid)
@@ -203,7 +203,7 @@
 
 
 def measure_lines(rate: int) -> Figures:
-    """A node whose servers push so many lines a second, over a few hundred connections."""
+    """Measures a node whose servers push `rate` lines a second, over `LISTENERS` connections."""
     with (
         start_stubs() as (listing, set_push_interval),
         node(listing, 3 * LISTENERS + 256) as (process, address, _),
@@ -240,7 +240,7 @@
 
 
 def measure_pings(rate: int) -> Figures:
-    """A node that gets so many PINGs a second from a front."""
+    """Measures a node that gets `rate` PINGs a second from a front, each on a connection of its own."""
     with start_stubs() as (listing, _), node(listing) as (process, address, _):
 
         def send_pings(span: float) -> None:
@@ -258,7 +258,7 @@
 
 
 def padded(values: dict, size: int) -> str:
-    """The configuration, padded with traffic types to this size in bytes."""
+    """The configuration as JSON, padded with traffic types to at least this size in bytes."""
     types = values["settings"]["TrafficTypes"]
     while len(json.dumps(values)) < size:
         types.append(types[0] | {"Name": f"type-{len(types):04}-{'x' * 40}"})
@@ -267,7 +267,7 @@
 
 
 def measure_reloads(size: int) -> Figures:
-    """A node that reloads configuration files of this size, one after the other."""
+    """Measures a node that reloads `RELOADS` configuration files of this size, one after the other."""
     with start_stubs() as (listing, _), node(listing) as (process, address, file):
         log = file.with_name("log")
         values = settings(listing, "{}:{}".format(*address))
@@ -292,7 +292,7 @@
 
 
 def fleet_file(folder: Path, listing: str, instances: int, port: int) -> Path:
-    """An operator's file of so many instances."""
+    """Writes the operator's file of a fleet of `instances` instances, and returns its path."""
     values = settings(listing, f"127.0.0.1:{port}")
     (folder / "node.json").write_text(json.dumps(values))
     file = folder / "o.toml"
@@ -308,7 +308,7 @@
 
 
 def free_ports(count: int) -> int:
-    """The first of so many consecutive ports on which nothing listens."""
+    """The first of `count` consecutive ports on which nothing listens."""
     for first in range(21_000, 31_000, count):
         with contextlib.ExitStack() as stack, contextlib.suppress(OSError):
             for number in range(count):
@@ -328,7 +328,7 @@
 
 
 def measured_status(file: Path) -> Figures:
-    """The cost of one `fleet status` as operators run it."""
+    """The cost of one `fleet status` command, as operators run it."""
     command = [sys.executable, "-m", "cottonspread", "fleet", "status", "--json", "--operator", str(file)]
     with tempfile.TemporaryFile() as output:
         process = subprocess.Popen(command, cwd=ROOT, stdout=output)
@@ -344,7 +344,7 @@
 
 
 def measure_processes(count: int) -> Figures:
-    """A fleet of so many idle processes under one supervisor."""
+    """Measures a fleet of `count` idle processes under one supervisor."""
     with tempfile.TemporaryDirectory(prefix="sc-", dir="/tmp") as name, start_stubs() as (listing, _):
         folder = Path(name)
         file = fleet_file(folder, listing, count, free_ports(count + 1))
@@ -434,7 +434,7 @@
 
 
 def sweep(name: str, plan: Plan, small: bool, alone: bool, suffix: str) -> results.Sweep:
-    """Measures every size."""
+    """Measures every size of the plan; returns the result."""
     points: dict[int, Figures] = {}
     sizes = plan.small if small else plan.sizes
     for size in sizes:
--- a/benchmarks/scale/stubs.py
+++ b/benchmarks/scale/stubs.py
@@ -13,7 +13,7 @@
 from multiprocessing.connection import Connection
 
 STOP_TIMEOUT = 60.0
-"""Seconds within which the stubs' process has to end."""
+"""Longest wait for the stubs' process to end, in seconds."""
 
 
 def address_of(sock: socket.socket) -> str:
@@ -50,7 +50,7 @@
             self.answer_expired_watches()
 
     def start_listener(self, accept: Callable) -> str:
-        """The address of a new listening socket."""
+        """Starts to listen on a free port; returns the address."""
         sock = socket.create_server(("127.0.0.1", 0), backlog=1024)
         self.selector.register(sock, selectors.EVENT_READ, accept)
         return address_of(sock)
@@ -104,7 +104,7 @@
         self.selector.register(sock, selectors.EVENT_READ, self.handle_list_request)
 
     def handle_list_request(self, sock: socket.socket) -> None:
-        """Answers a request for the full list at once; keeps a watch until its time is over."""
+        """Answers a request for the full list at once; holds a watch open for two seconds."""
         data = sock.recv(4096)
         if not data:
             self.watches = [one for one in self.watches if one[1] is not sock]
@@ -115,7 +115,7 @@
             self.answer(sock, b'{"generation": 1, "reset": true, "instances": %s}' % self.entries_json)
 
     def answer_expired_watches(self) -> None:
-        """Answers the watches whose time is over: no change."""
+        """Answers, with no change, the watches that have been open for two seconds."""
         now = time.monotonic()
         for _, sock in [one for one in self.watches if one[0] <= now]:
             self.answer(sock, b'{"generation": 1, "reset": false, "instances": []}')
@@ -128,7 +128,7 @@
 
 
 def entries(servers: int, address: str) -> list[dict]:
-    """The list: one address under so many names."""
+    """The list's entries: `servers` names for one address."""
     common = {"hostPort": address, "zone": "here", "machineType": "toy", "cell": 0, "lifecycle": "Ready"}
     return [{"instanceId": f"s-{n:04}", "weight": 1.0, "startedAtMs": 0, **common} for n in range(servers)]
 
--- a/benchmarks/sizes/instances.py
+++ b/benchmarks/sizes/instances.py
@@ -24,7 +24,7 @@
 
 
 def main(instances):
-    """Runs a fleet of so many instances; returns the figures."""
+    """Runs a fleet of `instances` instances; returns the figures."""
     spec = importlib.util.spec_from_file_location("toy", ROOT / "examples" / "toy.py")
     module = importlib.util.module_from_spec(spec)
     spec.loader.exec_module(module)
@@ -89,7 +89,7 @@
 
 
 if __name__ == "__main__":
-    threading.excepthook = lambda args: None  # the list's connections break when the instances end
+    threading.excepthook = lambda args: None  # ignores errors of the list stub's connections as instances end
     print(
         json.dumps(
             main(int(sys.argv[1]) if len(sys.argv) > 1 else 240) | {"cores": len(os.sched_getaffinity(0))},
--- a/benchmarks/sizes/lists.py
+++ b/benchmarks/sizes/lists.py
@@ -5,8 +5,8 @@
 One node on one core for each length, with its own list; all servers in the list are one stub that answers UP.
 Measured from outside: the start until the first PONG, a change of one server until the node logs the update,
 calls one after the other (each of another group, so that the group's server order is computed), the end on
-SIGTERM. Memory is the kernel's peak value. The full list comes in one of three forms: `compact`, `indented`,
-or `pieces` (the body sent in parts of 1,400 bytes).
+SIGTERM. Memory is the kernel's peak value. The full list is sent in one of three forms: `compact`,
+`indented`, or `pieces` (the body in parts of 1,400 bytes).
 """
 
 import contextlib
@@ -125,7 +125,7 @@
 
 
 def measure(servers, form):
-    """Runs a node with a list of so many servers; returns the figures."""
+    """Runs a node with a list of `servers` servers; returns the figures."""
     with socket.create_server(("127.0.0.1", 0)) as placeholder:
         listen = placeholder.getsockname()
     hosts, discovery = (
