--- a/tests/scale/test_balancer_work.py
+++ b/tests/scale/test_balancer_work.py
@@ -12,11 +12,11 @@
 from cottonspread.policy.records import Records
 from cottonspread.state import SECOND
 
-SLACK = 1.1  # random draws may change the same work by so much
+SLACK = 1.1  # random draws may change the work by up to 10%
 
 
 def add_connections(node, count, host="server-0"):
-    """Adds so many connections, each of a group of its own, all on one server."""
+    """Adds `count` connections, each of a group of its own, all on one server."""
     for _ in range(count):
         call = node.new_call_id()
         node.handle(io.CallArrived(call, 0, GUARD, None, f"held-{call}", held_by=host))
@@ -32,7 +32,7 @@
 
 
 def test_removing_servers_visits_only_their_own_records():
-    """All records were iterated for each server: losing 125 of 1,000 took 2.4 s at 40,000 connections."""
+    """Iterating all records for each removed server took 2.4 s for 125 of 1,000 at 40,000 connections."""
 
     def work(others):
         node = BalancerNode(80, 40, 80)
@@ -45,7 +45,7 @@
 
 @pytest.mark.parametrize("group", (None, "a new group"))
 def test_a_call_visits_only_servers_that_it_may_go_to(group):
-    """The rotation was copied and iterated, all servers sorted for a group: 1,256 us at 3,000 servers."""
+    """Copying the rotation and sorting all servers for a group took 1,256 us a call at 3,000 servers."""
 
     def work(servers):
         node = warmed_up(BalancerNode(servers * 2, servers, 200))
@@ -66,7 +66,7 @@
 
 
 def test_a_call_in_a_zone_without_servers_does_not_search_all_others():
-    """With its zone lost each call compared every server's zone."""
+    """Guards against comparing every server's zone in each call when a zone has lost all its servers."""
 
     def work(servers):
         node = BalancerNode(0, servers, 1)
@@ -80,7 +80,7 @@
 
 
 def test_a_review_does_not_visit_unexceptional_servers():
-    """Four times a second all servers were checked thrice: slow, recently cut, ejected."""
+    """Guards against checking all servers for slow, recently cut and ejected ones, four times a second."""
 
     def work(servers):
         node = BalancerNode(20, servers, 20)
@@ -102,7 +102,7 @@
 
 
 def test_a_review_after_a_load_report_takes_three_lines_a_connection():
-    """A new mean load changes each connection's weight. It took eight lines and two calls each."""
+    """A new mean load changes each connection's weight, which once took eight lines and two calls each."""
 
     def work(connections):
         node = BalancerNode(connections, 40, 40)
@@ -115,7 +115,7 @@
 
 
 def test_the_end_of_a_leg_costs_the_same_however_many_groups_its_server_has():
-    """All groups of the server were searched for those that are gone."""
+    """Guards against searching all groups of the server for those that are gone."""
 
     def work(groups):
         node = BalancerNode(0, 4, 1)
@@ -128,7 +128,7 @@
 
 
 def test_a_call_does_not_sum_over_servers_that_are_excluded():
-    """Servers started in a rollout are excluded for 20 s: each call summed their legs, load and size."""
+    """Guards against summing, in each call, over the servers that a rollout excludes for 20 s."""
 
     def work(cold_count):
         node = BalancerNode(400, 200, 400)
@@ -145,7 +145,7 @@
 
 
 def test_no_record_of_an_established_connection_is_evicted(monkeypatch):
-    """At most 50,000 records were kept, and a node has up to 76,190 connections."""
+    """A fixed limit of 50,000 records is too small for a node, which has up to 76,190 connections."""
     monkeypatch.setattr(Records, "MAX_IDLE_KEYS", 20)
     node = BalancerNode(60, 4, 60)
     node.run_call("group-0")
--- a/tests/scale/test_fit.py
+++ b/tests/scale/test_fit.py
@@ -110,10 +110,10 @@
 
 
 def test_noise_in_a_value_close_to_zero_does_not_decide_the_fit():
-    """A value of 400 instead of 20, where the largest is 152,380.
+    """At size 10 the value is 400 instead of 20; the largest value is 152,380.
 
-    Its residual is relative to a hundredth of that, 1,524: the slope moves by 4% and no residual is over 10%.
-    Without that floor they would be 5% and 13%.
+    The residual is taken relative to a hundredth of the largest value, 1,524: the slope changes by 4% and no
+    residual is over 10%. Without that floor the slope would change by 5%, and a residual would be 13%.
     """
     found = fit([Point(10, 400.0), *points(lambda n: 2 * n)])
     assert found.term == "linear"
--- a/tests/scale/test_hollow_faults.py
+++ b/tests/scale/test_hollow_faults.py
@@ -92,7 +92,7 @@
 
 
 def test_a_client_that_is_never_served_again_is_reported(monkeypatch):
-    """A fleet that has not recovered is reported as such: here no client reconnects."""
+    """A fleet that does not recover is reported as such; here no client reconnects."""
     monkeypatch.setattr(hollow_faults.CountedClients, "schedule_call", lambda *_: None)
     result = run_named_event("node-lost", small_size("node-lost"))
     assert result.seconds_until_whole is None and result.figures["not_back_at_the_end"] > 0
--- a/tests/scale/test_measuring.py
+++ b/tests/scale/test_measuring.py
@@ -1,11 +1,12 @@
 """A count of executed lines contains only the lines of the measured work.
 
-The garbage collector may run during the work and calls Python code: the functions in `gc.callbacks` and the
-finalizers of what it frees. The trace hook counted their lines too. hypothesis registers such a callback, so
-that the order of the tests on a worker decided: the work of
-`test_a_review_after_a_load_report_takes_three_lines_a_connection` takes 1,800 lines for 360 connections, five
-each and as many as the test allows; with the callback of hypothesis one of 30 runs took 1,809, and that test
-failed once in two runs of the whole suite. A collector that runs at each allocation adds 117 lines.
+The garbage collector may run during the work and calls Python code: the functions in `gc.callbacks`, one of
+which hypothesis registers, and the finalizers of what it frees. If their lines are counted, tests with a
+tight bound fail at random, depending on the order of the tests on a worker. For example,
+`test_a_review_after_a_load_report_takes_three_lines_a_connection` allows 1,800 lines for 360 connections,
+which is what the work takes; with the callback of hypothesis one of 30 runs took 1,809, and the test failed
+once in two runs of the whole suite. The collector of these tests, which runs at each allocation, adds 117
+lines.
 """
 
 import gc
--- a/tests/scale/test_reducer_work.py
+++ b/tests/scale/test_reducer_work.py
@@ -21,7 +21,7 @@
 @pytest.mark.parametrize("busy", (0, BUSY))
 @pytest.mark.parametrize("kind", ("sweep", "listen"))
 def test_a_timer_checks_active_connections_and_not_idle_ones(kind, busy):
-    """All connections and legs were checked fourteen times a second: over 17 ms of a core a second."""
+    """Checking all connections and legs, fourteen times a second, took over 17 ms of a core a second."""
     few, many = work_of(kind, FEW, busy), work_of(kind, MANY, busy)
     assert many <= few * 1.05, (few, many)
 
@@ -34,7 +34,7 @@
 
 
 def test_a_load_report_checks_only_connections_that_await_an_echo():
-    """Every load line searched all legs of its host for the oldest line without an echo."""
+    """Guards against searching all legs of the host for the oldest line without an echo."""
 
     def work(connections):
         node = ReducerNode(connections, 1, GROUPS)
@@ -45,7 +45,7 @@
 
 
 def test_a_drain_creates_one_timer_for_all_connections():
-    """One was created for each: the node did not respond for 0.1 s or more at 76,190 connections."""
+    """With a timer for each connection a node did not respond for 0.1 s or more at 76,190 connections."""
 
     def work(connections):
         node = ReducerNode(connections, SERVERS, GROUPS)
--- a/tests/scale/test_structures_against_naive.py
+++ b/tests/scale/test_structures_against_naive.py
@@ -1,4 +1,4 @@
-"""The structures behind rotation, group orders and records behave as the naive versions that they replaced.
+"""The structures behind rotation, group orders and records behave like naive versions of themselves.
 
 The naive versions iterate or sort everything; both run the same random operations, for many seeds.
 """
@@ -40,7 +40,7 @@
 
 
 def sorted_order(key, servers):
-    """The order as it was computed before: all servers sorted."""
+    """A naive order: all servers sorted by their rank for the key."""
     start = crc32(str(key).encode())
 
     def place(one):
@@ -91,7 +91,7 @@
 
 
 class NaiveRotation:
-    """The rotation as it was before: the whole order copied and filtered at each call."""
+    """A naive rotation: the whole order is copied and filtered at each call."""
 
     def __init__(self):
         self.order, self.at, self.largest = [], 0, 1
@@ -190,7 +190,7 @@
 
 
 class NaiveRecords:
-    """The map as it was before: all entries iterated for each value that is dropped."""
+    """A naive map: all entries are iterated for each value that is dropped."""
 
     def __init__(self):
         self.entries = OrderedDict()
