--- a/benchmarks/operating/calls.py
+++ b/benchmarks/operating/calls.py
@@ -24,7 +24,7 @@
 CLIENTS, SILENT_CALLERS = 24, 8
 
 
-def free_port():
+def free_address():
     """An address on loopback with a port on which nothing listens."""
     with socket.create_server(("127.0.0.1", 0)) as sock:
         return sock.getsockname()
@@ -47,7 +47,7 @@
     spec.loader.exec_module(module)
     toy, discovery = module.Toy(3), socket.create_server(("127.0.0.1", 0))
     threading.Thread(target=toy.accept, args=(discovery, toy.discover), daemon=True).start()
-    listen, operator = free_port(), free_port()
+    listen, operator = free_address(), free_address()
     with tempfile.TemporaryDirectory() as folder:
         file = Path(folder) / "node.json"
         file.write_text(
