--- a/benchmarks/scale/page.py
+++ b/benchmarks/scale/page.py
@@ -26,7 +26,7 @@
     text = page.read_text(encoding="utf-8")
     try:
         model = capacity.Capacity(capacity.read_definitions(rows), results.read_all(folder), ROOT)
-        wanted = tables.Page(model, folder).write(text)
+        wanted = tables.Page(model, folder).generate(text)
         unverified = tables.unverified_numbers(text, model)
     except (capacity.RowError, results.ResultError, formula.FormulaError) as error:
         return [str(error)], text
--- a/cottonspread/lab/scale/tables.py
+++ b/cottonspread/lab/scale/tables.py
@@ -55,7 +55,7 @@
         """`folder`: the folder of the result files, whose digests the page shows."""
         self.capacity, self.folder = capacity, folder
 
-    def write(self, text: str) -> str:
+    def generate(self, text: str) -> str:
         """The page's text with all tables generated. RowError if a table is unknown, missing or duplicate."""
         seen = [match["name"] for match in TABLE_PATTERN.finditer(text)]
         duplicates = {name for name in seen if seen.count(name) > 1}
--- a/tests/scale/test_capacity.py
+++ b/tests/scale/test_capacity.py
@@ -300,7 +300,7 @@
         text = text or PROSE + "".join(
             f"<!-- table {name} -->\n<!-- end -->\n" for name in generator.required_tables()
         )
-        return generator, generator.write(text)
+        return generator, generator.generate(text)
 
     return make
 
@@ -308,7 +308,7 @@
 def test_every_table_is_generated_and_generating_again_changes_nothing(page):
     generator, text = page()
     assert text.startswith(PROSE)
-    assert generator.write(text) == text
+    assert generator.generate(text) == text
     assert "| a zone | 52 of 420 | tests/x.py |" in text
     assert "| a rack | not run | not run: no time |" in text
     assert (
@@ -334,11 +334,11 @@
 def test_a_missing_an_unknown_and_a_duplicate_table_are_errors(page):
     generator, text = page()
     with pytest.raises(RowError, match="missing from the page: .*events"):
-        generator.write(text.replace("<!-- table events -->", ""))
+        generator.generate(text.replace("<!-- table events -->", ""))
     with pytest.raises(RowError, match="no table is named 'moods'"):
-        generator.write(text + "<!-- table moods -->\n<!-- end -->\n")
+        generator.generate(text + "<!-- table moods -->\n<!-- end -->\n")
     with pytest.raises(RowError, match="duplicate tables.*events"):
-        generator.write(text + "<!-- table events -->\n<!-- end -->\n")
+        generator.generate(text + "<!-- table events -->\n<!-- end -->\n")
 
 
 def test_a_number_in_the_prose_is_reported_unless_it_is_a_variable(page):
