--- a/tests/scale/test_balancer_work.py
+++ b/tests/scale/test_balancer_work.py
@@ -128,7 +128,10 @@
 
 
 def test_a_call_does_not_sum_over_servers_that_are_excluded():
-    """Guards against summing, in each call, over the servers that a rollout excludes for 20 s."""
+    """Servers started in a rollout are excluded for 20 s.
+
+    Guards against summing the legs, load and size of all of them in each call.
+    """
 
     def work(cold_count):
         node = BalancerNode(400, 200, 400)
