--- a/cottonspread/lab/scale/capacity.py
+++ b/cottonspread/lab/scale/capacity.py
@@ -2,7 +2,7 @@
 
 A row has a formula over names. A name is a variable (given by the operators, assumed with a range, or
 derived), the `id` of another row, or one of the row's own `costs` (a fit of a result's measure, evaluated at
-a size) and `figures` (a single value from a result or from an older file).
+a size) and `figures` (a single value from a result or from another file of the repository).
 """
 
 import itertools
@@ -22,7 +22,7 @@
 Aspect = Literal["state", "messages", "processor time", "memory", "descriptors", "bytes a second", "time"]
 
 BUDGET_MARGIN = 2.0
-"""A value below the budget by this factor holds; a value closer to the budget holds with its factor."""
+"""From this ratio of budget to value on, the verdict is a plain "holds"; below it, it states the ratio."""
 
 
 class RowError(ValueError):
@@ -171,6 +171,7 @@
 
 
 def _ratio_text(value: float, budget: float) -> str:
+    """How far a value exceeds its budget; a budget of 0 has no ratio."""
     return f"{value / budget:.3g} times" if budget else "with"
 
 
@@ -178,8 +179,8 @@
     """The definitions in the TOML file; RowError names what is wrong with it."""
     try:
         definitions = msgspec.toml.decode(path.read_bytes(), type=Definitions)
-    except (OSError, msgspec.DecodeError, UnicodeDecodeError) as fault:
-        raise RowError(f"{path.name}: {fault}") from None
+    except (OSError, msgspec.DecodeError, UnicodeDecodeError) as error:
+        raise RowError(f"{path.name}: {error}") from None
     variables = [
         *definitions.told,
         *definitions.assumed,
@@ -206,6 +207,7 @@
     def __init__(
         self, definitions: Definitions, results: dict[str, Result], root: Path, assumptions: dict[str, float]
     ):
+        """`root`: folder that the figures' `file` is relative to. `assumptions`: see `Capacity.evaluator`."""
         self.definitions, self.results, self.root, self.assumptions = definitions, results, root, assumptions
         self.rows = {row.id: row for row in definitions.row if row.id}
         self.used_assumptions: set[str] = set()
@@ -266,7 +268,7 @@
         return FittedCost(cost, fitted, measure.unit, size, fitted.slope if cost.slope else fitted.at(size))
 
     def figure(self, figure: Figure) -> float:
-        """A single value from a result or an older file."""
+        """A single value from a result or another file of the repository."""
         where = figure.result or figure.file
         if figure.file:
             value = self._page_value(figure) if figure.value else self._json_value(figure)
@@ -284,15 +286,15 @@
             value = json.loads((self.root / figure.file).read_text())
             for key in figure.at.split("/"):
                 value = value[int(key)] if isinstance(value, list) else value[key]
-        except (OSError, ValueError, LookupError, TypeError) as fault:
-            raise RowError(f"{figure.file}: {figure.at}: {type(fault).__name__}: {fault}") from None
+        except (OSError, ValueError, LookupError, TypeError) as error:
+            raise RowError(f"{figure.file}: {figure.at}: {type(error).__name__}: {error}") from None
         return value
 
     def _page_value(self, figure: Figure) -> float:
         try:
             text = (self.root / figure.file).read_text(encoding="utf-8")
-        except OSError as fault:
-            raise RowError(f"{figure.file}: {fault.strerror}") from None
+        except OSError as error:
+            raise RowError(f"{figure.file}: {error.strerror}") from None
         if figure.at not in text or figure.value not in figure.at.split():
             raise RowError(f"{figure.file}: {figure.value!r} in {figure.at!r} not found")
         return float(figure.value.replace(",", ""))
@@ -315,8 +317,8 @@
 def _event_value(run: FaultRun, figure: Figure) -> float:
     """One figure of an event."""
     row = run.row(figure.event)
-    whole = math.inf if row.seconds_until_whole is None else row.seconds_until_whole
-    known = {**row.figures, "seconds_until_whole": whole, "rules_broken": row.rules_broken}
+    recovery_s = math.inf if row.seconds_until_whole is None else row.seconds_until_whole
+    known = {**row.figures, "seconds_until_whole": recovery_s, "rules_broken": row.rules_broken}
     if figure.figure not in known:
         raise RowError(f"{run.name}: {figure.event}: no figure {figure.figure!r}")
     return known[figure.figure]
@@ -326,6 +328,7 @@
     """The definitions evaluated over the results."""
 
     def __init__(self, definitions: Definitions, results: dict[str, Result], root: Path):
+        """`results`: results by name. `root`: folder that the figures' `file` is relative to."""
         self.definitions, self.results, self.root = definitions, results, root
 
     def evaluator(self, assumptions: dict[str, float] | None = None) -> Evaluator:
@@ -354,8 +357,8 @@
                 for assumptions in self.corners(evaluator.used_assumptions)
             ]
             budget = self.evaluator().budget(row)
-        except (RowError, ResultError, formula.FormulaError) as fault:
-            raise RowError(f"{row.role}: {row.what}: {fault}") from None
+        except (RowError, ResultError, formula.FormulaError) as error:
+            raise RowError(f"{row.role}: {row.what}: {error}") from None
         return EvaluatedRow(row, value, min(corners), max(corners), budget, fitted_costs)
 
     def max_cost(self, row: Row, cost: Cost) -> float | None:
@@ -382,8 +385,8 @@
             own = evaluator.own_values(line.costs, line.figures)
             for name, text in line.values.items():
                 own[name] = evaluator.evaluate(text, own)
-        except (RowError, ResultError, formula.FormulaError) as fault:
-            raise RowError(f"{line.table}: {line.cells[0]}: {fault}") from None
+        except (RowError, ResultError, formula.FormulaError) as error:
+            raise RowError(f"{line.table}: {line.cells[0]}: {error}") from None
         return own
 
     def corners(self, names: set[str]) -> Iterator[dict[str, float]]:
@@ -405,7 +408,7 @@
         return [found[key] for key in sorted(found)]
 
     def figures(self) -> list[tuple[Figure, float]]:
-        """Every figure of an older file that a row or line uses, once each."""
+        """Every figure from a file other than a result that a row or line uses, once each."""
         found = {}
         for entry in [*self.definitions.row, *self.definitions.line]:
             for figure in entry.figures if not entry.not_run else ():
--- a/cottonspread/lab/scale/configuration.py
+++ b/cottonspread/lab/scale/configuration.py
@@ -14,7 +14,7 @@
 
 from cottonspread.configstore import follower as fo
 from cottonspread.configstore import messages as m
-from cottonspread.configstore import replica as re
+from cottonspread.configstore import replica as rp
 from cottonspread.lab.scale import results
 from cottonspread.lab.scale.configuration_network import FleetParameters, to_response
 from cottonspread.lab.scale.configuration_scenarios import (
@@ -34,7 +34,7 @@
 BODY_SIZES = 1_024, 4_096, 16_384, 65_536
 RANDOM_SEEDS, RANDOM_SEEDS_SMALL = 400, 10
 CPU_TIME_REPEATS = 5
-"""Processor times are the minimum of this many measurements."""
+"""Measurements of each processor time; the smallest is reported."""
 
 
 def run_scenarios(parameters: FleetParameters, seed: int, small: bool, names) -> list[results.FaultRow]:
@@ -50,7 +50,7 @@
 
 
 def run_random_scenarios(event: str, scenario_class, first: int, count: int) -> results.FaultRow:
-    """Runs random scenarios of the class from `count` seeds, from `first` on; one row for all."""
+    """Runs `scenario_class` with `count` consecutive seeds from `first` on; returns one row for all."""
     scenarios = [scenario_class(seed) for seed in range(first, first + count)]
     failed = [str(first + number) for number, scenario in enumerate(scenarios) if scenario.run()]
     convergence_times = [scenario.convergence_s for scenario in scenarios]
@@ -156,11 +156,11 @@
 def _change_at_replica(nodes: int) -> float:
     """Processor seconds from the durable commit until all replies are encoded."""
     replica = replica_with_watches(nodes)
-    effects = replica.step(0, re.RequestReceived(10**6, m.Commit(record=_record(2, 4_096))))
-    token = next(effect.token for effect in effects if isinstance(effect, re.Store))
+    effects = replica.step(0, rp.RequestReceived(10**6, m.Commit(record=_record(2, 4_096))))
+    token = next(effect.token for effect in effects if isinstance(effect, rp.Store))
     began = time.process_time()
     responses = [
-        to_response(e.message) for e in replica.step(1, re.Stored(token, True)) if isinstance(e, re.Reply)
+        to_response(e.message) for e in replica.step(1, rp.Stored(token, True)) if isinstance(e, rp.Reply)
     ]
     elapsed_s = time.process_time() - began
     assert len(responses) == 2 * nodes + 1
@@ -171,12 +171,12 @@
     """Processor seconds until all watches have ended without a change and been sent again."""
     replica, number = replica_with_watches(nodes), 10**6
     began = time.process_time()
-    for effect in replica.step(11 * SECOND, re.Tick()):
-        if isinstance(effect, re.Reply):
+    for effect in replica.step(11 * SECOND, rp.Tick()):
+        if isinstance(effect, rp.Reply):
             to_response(effect.message)
             number += 1
             query = f"since=1&timeout_ms=10000&node=z1-node-{number % nodes:03}&in_force=1"
-            replica.step(11 * SECOND, re.RequestReceived(number, m.from_query(query)))
+            replica.step(11 * SECOND, rp.RequestReceived(number, m.from_query(query)))
     return time.process_time() - began
 
 
@@ -219,19 +219,19 @@
     args = parser.parse_args(arguments)
     parameters = SMALL if args.small else FleetParameters()
     commit = results.current_commit()  # before the run, which may outlast commits to the checkout
-    written, random_rows, rows = [], [], run_scenarios(parameters, args.seed, args.small, args.only)
+    new_results, random_rows, rows = [], [], run_scenarios(parameters, args.seed, args.small, args.only)
     if _is_selected(args, "random"):
         random_rows = _random_rows(args.seed, RANDOM_SEEDS_SMALL if args.small else RANDOM_SEEDS)
-        written.append(_fault_run("config-random", RandomScenario.parameters, args.seed, random_rows))
+        new_results.append(_fault_run("config-random", RandomScenario.parameters, args.seed, random_rows))
     if rows:
-        written.append(_fault_run("config-faults", parameters, args.seed, rows))
+        new_results.append(_fault_run("config-faults", parameters, args.seed, rows))
     if _is_selected(args, "idle"):
-        written.append(idle_sweep(args.seed, (6, 12, 18, 24) if args.small else IDLE_SIZES))
+        new_results.append(idle_sweep(args.seed, (6, 12, 18, 24) if args.small else IDLE_SIZES))
     if _is_selected(args, "replica"):
-        written.append(replica_sweep((6, 12, 18, 24) if args.small else REPLICA_SIZES))
+        new_results.append(replica_sweep((6, 12, 18, 24) if args.small else REPLICA_SIZES))
     if _is_selected(args, "body"):
-        written.append(body_sweep(BODY_SIZES))
-    for result in written:
+        new_results.append(body_sweep(BODY_SIZES))
+    for result in new_results:
         result.commit = commit
         print(results.write(result, args.out))
     return 1 if any(row.rules_broken for row in rows + random_rows) else 0
--- a/cottonspread/lab/scale/configuration_fleet.py
+++ b/cottonspread/lab/scale/configuration_fleet.py
@@ -1,7 +1,7 @@
 """The configuration store's hosts in simulated time: production cores with simulated disks, checks, network.
 
-Each host is a thin shell around its core, as in production: it executes effects in their order. What is in
-progress when a process ends is lost; only the disk is kept.
+Each host is a thin shell around its core, as in production: it executes effects in their order. When a
+process ends, work in progress is lost and only the contents of the disk remain.
 """
 
 import msgspec
@@ -9,7 +9,7 @@
 from cottonspread.configstore import follower as fo
 from cottonspread.configstore import messages as m
 from cottonspread.configstore import publisher as pu
-from cottonspread.configstore import replica as re
+from cottonspread.configstore import replica as rp
 from cottonspread.lab.scale.configuration_invariants import Invariants
 from cottonspread.lab.scale.configuration_network import (
     Call,
@@ -35,6 +35,7 @@
     tick = None
 
     def __init__(self, fleet: "Fleet", name: str, location: Location):
+        """Creates the machine; the subclass creates its core."""
         super().__init__(name, location)
         self.fleet, self.world = fleet, fleet.world
         self.uniform = self.world.random_stream(name).random
@@ -81,12 +82,12 @@
             self.handle(event)
 
     def begin_process(self) -> None:
-        """Begins a process; what the one before had in progress has no effect any more."""
+        """Begins a process; work in progress of the previous one has no effect any more."""
         self.epoch += 1
         self.is_running, self.is_silent, self._next_wake = True, False, NEVER
 
     def end_process(self, silently=False) -> None:
-        """Ends the process; `silently`: with its machine, so that no connection is closed."""
+        """Ends the process; with `silently` its whole machine fails, so that no connection is closed."""
         self.is_running = False
         self.is_silent = silently
         self.epoch += 1
@@ -97,8 +98,8 @@
         def on_end(response, why):
             try:
                 reply = from_response(response, kind) if response is not None else None
-            except m.MessageError as fault:
-                reply, why = None, str(fault)
+            except m.MessageError as error:
+                reply, why = None, str(error)
             on_done(reply, why)
 
         self.fleet.network.call(self, to, to_request(to.name, message), deadline, on_end)
@@ -107,24 +108,25 @@
 class ReplicaHost(CoreHost):
     """A control machine with a replica."""
 
-    tick = re.Tick()
+    tick = rp.Tick()
 
     def __init__(self, fleet, name, location):
+        """The disk holds the state of a replica that has accepted nothing; `start` starts the process."""
         super().__init__(fleet, name, location)
         self.disk = m.encode(m.ReplicaState())
         self.calls: dict[int, Call] = {}
         self._number, self._busy_until = 0, 0
         self.corrupt_reply = None
-        """A function that gives the bytes of a watch reply in a faulty replica's place, or None."""
+        """A function that returns the bytes that a faulty replica sends for a watch reply, or None."""
 
     def start(self) -> None:
         """Starts a process from the state on the disk."""
         self.begin_process()
         peers = tuple(name for name in self.fleet.replica_names if name != self.name)
-        self.core = re.Replica(self.name, peers, m.decode(self.disk, m.ReplicaState), self.uniform)
+        self.core = rp.Replica(self.name, peers, m.decode(self.disk, m.ReplicaState), self.uniform)
         self.calls, self._busy_until = {}, self.world.now
         self.world.add_trace_line("start", self.name)
-        self.handle(re.Tick())
+        self.handle(rp.Tick())
 
     def stop(self, silently=False) -> None:
         """Ends the process, or with `silently` the machine."""
@@ -139,13 +141,13 @@
         """Queues the request for the processor."""
         self._enqueue_work(self._handle_request, call)
 
-    def _enqueue_work(self, what, *args):
+    def _enqueue_work(self, function, *args):
         self._busy_until = max(self._busy_until, self.world.now) + self.fleet.parameters.replica_message
-        self.world.at(self._busy_until, self._run_work, self.epoch, what, args)
+        self.world.at(self._busy_until, self._run_work, self.epoch, function, args)
 
-    def _run_work(self, epoch, what, args):
+    def _run_work(self, epoch, function, args):
         if epoch == self.epoch and self.is_running:
-            what(*args)
+            function(*args)
 
     def _handle_request(self, call):
         try:
@@ -155,25 +157,25 @@
             return
         self._number += 1
         self.calls[self._number] = call
-        self.handle(re.RequestReceived(self._number, message))
+        self.handle(rp.RequestReceived(self._number, message))
 
     def on_caller_gone(self, call):
         """Tells the core that a caller closed its connection."""
         for number, one in list(self.calls.items()):
             if one is call:
                 del self.calls[number]
-                self.handle(re.RequestAbandoned(number))
+                self.handle(rp.RequestAbandoned(number))
 
     def execute(self, effect):
         """Executes one effect of the core."""
         match effect:
-            case re.Store(token=token, state=state):
+            case rp.Store(token=token, state=state):
                 self.world.after(self._store_delay(), self._stored, self.epoch, token, m.encode(state))
-            case re.Reply(request=number, message=message):
+            case rp.Reply(request=number, message=message):
                 self._enqueue_work(self._reply, self.calls.pop(number, None), message)
-            case re.Reject(request=number):
+            case rp.Reject(request=number):
                 self._enqueue_work(self._reply, self.calls.pop(number, None), None)
-            case re.CallPeer():
+            case rp.CallPeer():
                 self._call_peer(effect)
 
     def _store_delay(self):
@@ -187,7 +189,7 @@
         state = m.decode(data, m.ReplicaState)
         self.world.add_trace_line("stored", self.name, state.accepted and state.accepted.checksum)
         self.fleet.invariants.on_stored(self.name, state)
-        self.handle(re.Stored(token, True))
+        self.handle(rp.Stored(token, True))
 
     def _reply(self, call, message):
         if call is None:
@@ -200,9 +202,9 @@
     def _call_peer(self, effect):
         def on_reply(reply, why):
             if reply is None:
-                self.handle(re.PeerFailed(effect.call, why))
+                self.handle(rp.PeerFailed(effect.call, why))
             else:
-                self.handle(re.PeerReplied(effect.call, reply))
+                self.handle(rp.PeerReplied(effect.call, reply))
 
         peer = self.fleet.replicas[effect.peer]
         self.call(peer, effect.message, effect.deadline, m.StateReply, on_reply)
@@ -214,6 +216,7 @@
     tick = fo.Tick()
 
     def __init__(self, fleet, name, location):
+        """The disk holds no record; `start` starts the process."""
         super().__init__(fleet, name, location)
         self.disk: bytes | None = None
         self.rejects_all = False
@@ -227,8 +230,8 @@
         if self.disk is not None:
             try:
                 saved = m.decode(self.disk, m.Record)
-            except m.MessageError as fault:
-                why = str(fault)
+            except m.MessageError as error:
+                why = str(error)
         if saved is None or not saved.is_valid():
             self.fleet.invariants.on_node_reset(self.name)
         self.handle(fo.Started(saved, why))
@@ -252,8 +255,8 @@
             case fo.Apply(record=record):
                 duration = parameters.apply + int(parameters.apply * self.uniform())
                 self.world.after(duration, self._applied, self.epoch, record)
-            case fo.Notice(kind=what, version=version):
-                self.world.add_trace_line("notice", self.name, what, version)
+            case fo.Notice(kind=kind, version=version):
+                self.world.add_trace_line("notice", self.name, kind, version)
 
     def _send_watch(self, effect):
         def on_reply(reply, why):
@@ -298,6 +301,7 @@
     tick = pu.Tick()
 
     def __init__(self, fleet, name, location, order):
+        """`order`: what the command was called with, `pu.Publish`, `pu.Resume` or `pu.Withdraw`."""
         super().__init__(fleet, name, location)
         self.began, self.done, self.ended = self.world.now, None, None
         self.on_done = None
@@ -342,6 +346,7 @@
     """Replicas, nodes and publishers in one simulated world; every replica and node runs at first."""
 
     def __init__(self, seed, parameters: FleetParameters | None = None, traced=False):
+        """Starts all replicas and nodes. `traced`: the world keeps its trace lines, not only their digest."""
         self.parameters, self.world = parameters or FleetParameters(), World(seed, traced)
         self.network = Network(self.world, self.parameters)
         zones = locations(self.parameters)
@@ -357,7 +362,7 @@
             self.nodes[name] = NodeHost(self, name, location)
         for host in [*self.replicas.values(), *self.nodes.values()]:
             host.start()
-        self._had_quorum = dict.fromkeys(self.replica_names, 0)
+        self._quorum_seen_at = dict.fromkeys(self.replica_names, 0)
         self.world.after(SECOND, self._check_reachability)
 
     # Actual reachability
@@ -387,16 +392,16 @@
         now, reachable = self.world.now, set(self.reachable())
         for replica in self.replicas.values():
             if self.has_quorum(replica):
-                self._had_quorum[replica.name] = now
+                self._quorum_seen_at[replica.name] = now
         for name, node in self.nodes.items():
             if node.is_running:
-                quorum_seen_at = [
-                    self._had_quorum[replica.name]
+                seen_at = [
+                    self._quorum_seen_at[replica.name]
                     for replica in self.replicas.values()
                     if replica.is_running and self.network.reaches(node, replica)
                 ]
                 self.invariants.on_reachability(
-                    name, name in reachable, max(quorum_seen_at, default=0), not self.network.loss
+                    name, name in reachable, max(seen_at, default=0), not self.network.loss
                 )
                 self.invariants.on_cut_off_report(name, node.core.is_cut_off(self.world.now))
         self.world.after(SECOND, self._check_reachability)
@@ -438,10 +443,10 @@
 
 
 def reply_corrupter(fleet: Fleet, name: str):
-    """A function for `ReplicaHost.corrupt_reply` that at times gives a damaged, older or different reply."""
+    """For `ReplicaHost.corrupt_reply`: damages, replaces or alters up to three of five replies."""
     rng, sent = fleet.world.random_stream("lies", name), []
 
-    def change(reply: m.WatchReply) -> bytes:
+    def corrupt(reply: m.WatchReply) -> bytes:
         if reply.record is not None:
             sent.append(reply)
         choice = rng.randbelow(5)
@@ -455,7 +460,7 @@
             return to_response(_with_other_digest(sent[-1]))
         return to_response(reply)
 
-    return change
+    return corrupt
 
 
 def _flip_bit(data: bytes, rng) -> bytes:
--- a/cottonspread/lab/scale/configuration_scenarios.py
+++ b/cottonspread/lab/scale/configuration_scenarios.py
@@ -9,7 +9,7 @@
 
 from cottonspread.configstore import messages as m
 from cottonspread.configstore import publisher as pu
-from cottonspread.configstore import replica as re
+from cottonspread.configstore import replica as rp
 from cottonspread.lab.scale import results
 from cottonspread.lab.scale.configuration_fleet import Fleet, reply_corrupter
 from cottonspread.lab.scale.configuration_network import FleetParameters
@@ -18,9 +18,9 @@
 MAX_WAIT_S = 60
 """The longest that a scenario waits for a condition."""
 TARGET_S = 3.0
-"""A change has to be applied within this time after its publish started,"""
+"""Seconds from the start of its publish within which `TARGET_SHARE` of the nodes must apply a change."""
 TARGET_SHARE = 0.99
-"""by at least this share of the nodes that can reach a majority."""
+"""Smallest share of the nodes that can reach a majority for which a change counts as applied in time."""
 
 
 @dataclass
@@ -52,17 +52,18 @@
     """A fleet that has applied version 1, and the changes that a scenario makes to it."""
 
     def __init__(self, seed, parameters: FleetParameters, small: bool):
+        """Runs the fleet until version 1 is in force. `small`: scenarios make fewer changes."""
         self.fleet, self.small, self.times = Fleet(seed, parameters), small, PropagationTimes()
         self.rng = self.fleet.world.random_stream("play")
-        self._number = 0
+        self._body_count = 0
         self.fleet.run_for(12)
         self.publish(self.body(), timed=False)
         self.fleet.run_until_converged()
 
     def body(self, kind="fine") -> str:
         """A new body of the size in the parameters; its first word decides how nodes' steps end."""
-        self._number += 1
-        return f"{kind} {self._number}\n".ljust(self.fleet.parameters.body_bytes, "x")
+        self._body_count += 1
+        return f"{kind} {self._body_count}\n".ljust(self.fleet.parameters.body_bytes, "x")
 
     def publish(self, body, timed=True, region=0, **options) -> pu.Done | None:
         """Publishes a change and advances until the publisher ends; if timed, at least 3 s from its start."""
@@ -310,7 +311,7 @@
 
 
 def publisher_in_the_cut_off_region(run: ScenarioRun):
-    """Operators publish from a region that is cut off: it is refused; from outside it succeeds."""
+    """A publish from inside a region that is cut off finds no quorum; one from outside succeeds."""
     fleet = run.fleet
     fleet.network.isolate_region(2)
     fleet.run_for(20)
@@ -323,7 +324,7 @@
 
 
 def region_cut_off_just_before(run: ScenarioRun):
-    """A change 2 s after a region was cut off: the region's canaries may not answer; then it is withdrawn."""
+    """A change 2 s after a region was cut off: withdrawn if over a third of the canaries are there."""
     fleet, outcomes = run.fleet, []
     for _ in range(4 if run.small else 20):
         fleet.network.isolate_region(run.rng.choice([1, 2]))
@@ -392,7 +393,7 @@
 
 
 def wrong_answers(run: ScenarioRun):
-    """One replica sends damaged, older or other replies to four of five watches, during changes."""
+    """One replica damages, replaces or alters up to three of five replies to watches, during changes."""
     fleet = run.fleet
     faulty_replica = fleet.replicas["r1"]
     faulty_replica.corrupt_reply = reply_corrupter(fleet, "r1")
@@ -445,6 +446,7 @@
     fleet.network.loss = 0
     fleet.run_for(20)
     good = sum(done is not None and done.outcome == pu.Outcome.IN_FORCE for done in outcomes)
+    # Without cases `row` does not require the target share, which the losses may prevent.
     share, run.times.cases = run.times.figures()["share_within_3_s"], 0
     return run.row(
         "one message in a hundred lost for good",
@@ -479,19 +481,20 @@
 
 
 class RandomScenario:
-    """Random faults and changes from a seed, in a small fleet; then all faults end and it has to converge."""
+    """Random faults and changes from a seed, in a small fleet, which has to converge after all faults end."""
 
     parameters = FleetParameters(nodes=8, body_bytes=64)
 
     def __init__(self, seed):
+        """Builds the fleet; `seed` determines every fault and change."""
         self.fleet = Fleet(f"random:{seed}", self.parameters)
         self.rng = self.fleet.world.random_stream("faults")
-        self._bodies = 0
+        self._body_count = 0
         self.convergence_s: float | None = None
         """Seconds from the end of the last change until no node lagged; None: not within 20 s."""
 
     def run(self, actions=25) -> list[str]:
-        """Runs the scenario; the violations."""
+        """Runs the scenario; returns the violations."""
         fleet = self.fleet
         fleet.run_for(2)
         for _ in range(actions):
@@ -530,8 +533,8 @@
 
     def _publish(self, order=None) -> None:
         kinds = "fine", "fine", "refused", "unfit", "hangs"  # no "ill": with losses its report may be late
-        self._bodies += 1
-        body = f"{self.rng.choice(kinds)} {self._bodies}"
+        self._body_count += 1
+        body = f"{self.rng.choice(kinds)} {self._body_count}"
         crash_steps = [None, None, None, *pu.Step]
         self.fleet.publish(
             order or pu.Publish(body), region=self.rng.randbelow(3), crash_at=self.rng.choice(crash_steps)
@@ -588,15 +591,15 @@
     return {name: value / duration for name, value in _traffic_difference(before, _traffic(fleet)).items()}
 
 
-def replica_with_watches(nodes: int) -> re.Replica:
+def replica_with_watches(nodes: int) -> rp.Replica:
     """A replica core with the reports and both watches of `nodes` nodes."""
-    core = re.Replica("r1", ("r2", "r3"), m.ReplicaState(), lambda: 0.5)
+    core = rp.Replica("r1", ("r2", "r3"), m.ReplicaState(), lambda: 0.5)
     number = 0
     for name in (f"z1-node-{one:03}" for one in range(nodes)):
         for _ in range(2):
             number += 1
             report = m.NodeReport(node=name, in_force=1)
             core.step(
-                0, re.RequestReceived(number, m.WatchRequest(since=1, timeout_ms=10_000, report=report))
+                0, rp.RequestReceived(number, m.WatchRequest(since=1, timeout_ms=10_000, report=report))
             )
     return core
--- a/cottonspread/lab/scale/hollow_faults.py
+++ b/cottonspread/lab/scale/hollow_faults.py
@@ -136,7 +136,7 @@
 
 
 def rolling_replacement(size: Size) -> list[Fault]:
-    """Every node's process is replaced, one node after the other within twenty seconds."""
+    """Replaces every node's process, one node after the other within twenty seconds."""
     gap = 20.0 / size.nodes
     return [Fault(at=FAULT_AT_S + n * gap, kind="replace", on=[f"n{n}"]) for n in range(size.nodes)]
 
@@ -175,7 +175,7 @@
 
 
 def measure_catch_up(fleet: HollowFleet, cut: frozenset[str]) -> None:
-    """The region is reachable again: counts what its nodes receive from now on."""
+    """Counts the bytes that a region's nodes receive from now on, when it is reachable again."""
     before = bytes_received(fleet, cut)
 
     def record_catch_up():
@@ -206,7 +206,7 @@
 
 
 def lose_largest_server(fleet: HollowFleet) -> None:
-    """The server with most connections of the largest group stops answering for good."""
+    """Makes the server with most connections of the largest group stop answering for good."""
     established = [
         (conn.call.group, host.name)
         for host in fleet.hosts.values()
@@ -317,21 +317,21 @@
     logging.getLogger("cottonspread").addHandler(logging.NullHandler())  # failed calls are part of the runs
     started_at = time.monotonic()
     fleet = FaultFleet(fault_plan(event, size))
-    fleet.size, fleet.extra_figures, error = size, {}, ""
+    fleet.size, fleet.extra_figures, violation = size, {}, ""
     set_cores(fleet, WARMUP_CORES)
     fleet.world.at(round(WARMUP_S * SECOND), set_cores, fleet, TRAITS["cores"])
     fleet.world.at(round(FAULT_AT_S * SECOND), event.on_fault, fleet)
     changed_at = {}
     for after in event.changes:
-        fleet.world.at(round((FAULT_AT_S + after) * SECOND), change, fleet, changed_at)
+        fleet.world.at(round((FAULT_AT_S + after) * SECOND), change_weight, fleet, changed_at)
     before, established = Meter(), 0
     try:
         fleet.world.run(round(FAULT_AT_S * SECOND) - 1)
         before, established = fleet.total_work(), len(fleet.clients.established)
         fleet.world.run(round((FAULT_AT_S + event.seconds) * SECOND))
         fleet.invariants.check_at_end()
-    except (InvariantError, ContractError, NodeError) as broken:
-        error = str(broken)
+    except (InvariantError, ContractError, NodeError) as error:
+        violation = str(error)
     lost, recovered_at = len(fleet.clients.lost_at), fleet.clients.recovered_at
     work = meter_difference(fleet.total_work(), before)
     fleet.clients.finish()
@@ -356,12 +356,18 @@
         "peak_mib": resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024,
         "real_s": time.monotonic() - started_at,
     }
-    violations = [f"{one['what']} ({one['count']})" for one in audit["offences"]] + ([error] if error else [])
-    rules = sum(rule["broken"] for rule in audit["rules"].values()) + bool(error)
-    whole = None if lost or propagated.missing else max(recovered_at, propagated.at) / SECOND - FAULT_AT_S
+    violations = [f"{one['what']} ({one['count']})" for one in audit["offences"]] + (
+        [violation] if violation else []
+    )
+    rules = sum(rule["broken"] for rule in audit["rules"].values()) + bool(violation)
+    recovery_s = (
+        None
+        if lost or propagated.missing
+        else max(recovered_at, propagated.caught_up_at) / SECOND - FAULT_AT_S
+    )
     return EventResult(
         {k: round(float(v), 4) for k, v in figures.items()},
-        whole,
+        recovery_s,
         rules,
         fleet.world.trace_digest(),
         violations,
@@ -374,7 +380,7 @@
         host.model.traits = msgspec.structs.replace(host.model.traits, cores=cores)
 
 
-def change(fleet: HollowFleet, changed_at: dict[int, int]) -> None:
+def change_weight(fleet: HollowFleet, changed_at: dict[int, int]) -> None:
     """Changes a server's weight in the list and records when."""
     changed_at[fleet.change_weight()] = fleet.world.now
 
@@ -383,12 +389,13 @@
 class PropagationResult:
     """Which list changes have arrived.
 
-    `missing`: nodes alive that lack a change. `at`: when the last late change arrived, 0 if none was late.
+    `missing`: nodes alive that lack a change. `caught_up_at`: when the last late change arrived, 0 if none
+    was late.
     """
 
     figures: dict[str, float]
     missing: int
-    at: int
+    caught_up_at: int
 
 
 def propagation(fleet: HollowFleet, changed_at: dict[int, int]) -> PropagationResult:
@@ -460,13 +467,13 @@
 
 @dataclass(frozen=True)
 class ZoneSize(Size):
-    """A zone is lost where a set-up costs so much work."""
+    """Size of a fleet that loses a zone, and the work of a set-up on its servers in microseconds."""
 
     setup_us: float = 2400.0
 
 
 def measure_zone_loss(size: ZoneSize) -> dict[str, Figure]:
-    """How the clients of a lost zone reconnect, by the cost of a set-up."""
+    """How the clients of a lost zone reconnect where a set-up costs `size.setup_us`."""
     event = next(event for event in EVENTS if event.name == "zone-lost")
     figures = run_event(replace(event, setup_us=size.setup_us), size).figures
     clients = figures["clients"]
@@ -497,6 +504,8 @@
     figures = {
         name: Figure(value, name.rsplit("_", 1)[-1], False) for name, value in fault_row.figures.items()
     }
-    whole = fault_row.seconds_until_whole
-    figures["seconds_until_whole"] = Figure(-1 if whole is None else whole, "s; -1: not whole", False)
+    recovery_s = fault_row.seconds_until_whole
+    figures["seconds_until_whole"] = Figure(
+        -1 if recovery_s is None else recovery_s, "s; -1: not whole", False
+    )
     return figures | {"rules_broken": Figure(fault_row.rules_broken, "", False)}
--- a/cottonspread/lab/scale/hollow_sockets.py
+++ b/cottonspread/lab/scale/hollow_sockets.py
@@ -1,7 +1,8 @@
 """Control over real sockets: many real list clients read three list stubs on loopback.
 
 The clients are `net/discovery.py` with `net/http.py`, each in a thread as in a node, some hundred in a
-process. What a node does with a list is left out. Bytes are counted at the sockets, segments by the kernel.
+process. A node's own processing of the list is not included. Bytes are counted at the sockets, segments by
+the kernel.
 """
 
 import multiprocessing
@@ -46,7 +47,7 @@
 
 @dataclass
 class TrafficCounts:
-    """What clients have sent and received."""
+    """Traffic of one or more clients."""
 
     requests: int = 0
     answers: int = 0
@@ -228,13 +229,13 @@
     """
     version_times = [one.version_times() for one in lists]
     at = {version: min(times[version] for times in version_times) for version in version_times[0]}
-    out = []
+    delays = []
     for part in results:
         for received in part.versions_received:
             changes = [(version, when) for version, when in received if version in at]
             assert [version for version, _ in changes] == sorted(at), "a client did not receive every version"
-            out += [(when - at[version]) / SECOND for version, when in changes]
-    return out
+            delays += [(when - at[version]) / SECOND for version, when in changes]
+    return delays
 
 
 def figures(size: Size, results: list[ProcessResult], list_ns: int) -> dict[str, Figure]:
--- a/cottonspread/lab/scale/module_sweeps.py
+++ b/cottonspread/lab/scale/module_sweeps.py
@@ -63,7 +63,7 @@
     """All measurements of one node, ordered so that none disturbs a later one."""
 
     def __init__(self, node, probed, seed=3):
-        """`probed`: a second node of the same size, which probes its hosts."""
+        """`probed`: a second node of the same size that probes its hosts; None to measure no probes."""
         self.node, self.probed, self.rng = node, probed, Random(seed)
         self.figures = {}  # (name, unit, whether it is control): value
 
@@ -173,8 +173,8 @@
         measures = {}
         for size in self.sizes[sweep]:
             print(f"{sweep} {size}", file=sys.stderr, flush=True)
-            for head, value in self.measure(sweep, size, self.fixed[sweep]).items():
-                measures.setdefault(head, []).append(results.Point(size, value))
+            for key, value in self.measure(sweep, size, self.fixed[sweep]).items():
+                measures.setdefault(key, []).append(results.Point(size, value))
         flags = " --small" * self.small + f" --suffix={suffix}" * bool(suffix)
         return results.Sweep(
             name=f"{self.kind}-{sweep}{suffix}",
--- a/cottonspread/lab/scale/reducer_sweeps.py
+++ b/cottonspread/lab/scale/reducer_sweeps.py
@@ -13,7 +13,7 @@
 from cottonspread.lab.scale.reducer_node import ReducerNode
 from cottonspread.net.reducer import ECHO_CHECK_INTERVAL, SECOND, SWEEP_INTERVAL
 
-UNECHOED_DIVISOR = 10  # one connection in so many has a line that awaits its echo
+UNECHOED_DIVISOR = 10  # one connection in this many has a line that awaits its echo
 SIZES = {
     "connections": (1_000, 5_000, 10_000, 20_000, 40_000, 76_190),
     "servers": (50, 200, 400, 1_000, 3_000),
@@ -40,9 +40,9 @@
         node = self.node
         for state, busy in (("idle", []), ("lines_out", self.clients[::UNECHOED_DIVISOR])):
             for kind in ("sweep", "listen"):
-                timed = TimerRun(node, kind, busy)
-                self.record(f"{kind}_{state}", Cost.measure([timed] * REPEATS), True)
-                timed.echo()
+                timer_run = TimerRun(node, kind, busy)
+                self.record(f"{kind}_{state}", Cost.measure([timer_run] * REPEATS), True)
+                timer_run.echo()
             sweeps, listens = (self.figures[f"{kind}_{state}_us", "us", True] for kind in ("sweep", "listen"))
             second = round(sweeps * (SECOND // SWEEP_INTERVAL) + listens * (SECOND // ECHO_CHECK_INTERVAL))
             self.figures[f"timers_a_second_{state}_us", "us a second", True] = second
--- a/cottonspread/lab/scale/results.py
+++ b/cottonspread/lab/scale/results.py
@@ -74,7 +74,7 @@
     """True: control work (list, configuration, health, membership). False: clients' lines."""
     points: list[Point]
     plays: int
-    """Repetitions that each point was made from."""
+    """Number of repetitions that each point was computed from."""
 
 
 class ResultHeader(msgspec.Struct, kw_only=True, forbid_unknown_fields=True):
@@ -186,8 +186,8 @@
     path = Path(path)
     try:
         text = path.read_bytes()
-    except OSError as fault:
-        raise ResultError(f"{path.name}: {fault.strerror}") from None
+    except OSError as error:
+        raise ResultError(f"{path.name}: {error.strerror}") from None
     result = _decode(text, path.name)
     if result.name != path.stem:
         raise ResultError(f"{path.name}: name: {result.name!r} differs from the file's")
@@ -227,8 +227,8 @@
 def _decode(text: bytes, where: str) -> Result:
     try:
         result = msgspec.json.decode(text, type=Result)
-    except (msgspec.DecodeError, UnicodeDecodeError) as fault:
-        raise ResultError(f"{where}: {fault}") from None
+    except (msgspec.DecodeError, UnicodeDecodeError) as error:
+        raise ResultError(f"{where}: {error}") from None
     check(result)
     return result
 
@@ -300,9 +300,12 @@
             all(math.isfinite(value) for value in row.figures.values()),
             "figures: values must be finite",
         )
-        whole = row.seconds_until_whole
+        recovery_s = row.seconds_until_whole
         _require(
-            run, where, whole is None or _is_non_negative(whole), "seconds_until_whole: must not be under 0"
+            run,
+            where,
+            recovery_s is None or _is_non_negative(recovery_s),
+            "seconds_until_whole: must not be under 0",
         )
         _require(run, where, row.rules_broken >= 0, "rules_broken: must not be under 0")
 
@@ -326,6 +329,6 @@
 def _git(folder: Path, *arguments: str) -> str:
     try:
         done = subprocess.run(["git", *arguments], cwd=folder, capture_output=True, text=True, check=True)
-    except (OSError, subprocess.CalledProcessError) as fault:
-        raise ResultError(f"commit: git {arguments[0]}: {fault}") from None
+    except (OSError, subprocess.CalledProcessError) as error:
+        raise ResultError(f"commit: git {arguments[0]}: {error}") from None
     return done.stdout.strip()
