--- a/cottonspread/lab/host_server.py
+++ b/cottonspread/lab/host_server.py
@@ -55,9 +55,9 @@
             return
         try:
             request = conn.call = wire.parse_open(line)
-        except (ValueError, UnicodeDecodeError) as fault:
+        except (ValueError, UnicodeDecodeError) as error:
             self.put(
-                {"k": "syntax", "t": at, "host": self.name, "line": line.decode("latin-1"), "why": str(fault)}
+                {"k": "syntax", "t": at, "host": self.name, "line": line.decode("latin-1"), "why": str(error)}
             )
             self.send_line(conn, b"SYNTAX")
             self.end(conn, "end")
--- a/cottonspread/lab/hosts.py
+++ b/cottonspread/lab/hosts.py
@@ -80,9 +80,9 @@
                 sock, _ = self.listener.accept()
             except (BlockingIOError, ConnectionError):
                 return
-            except OSError as fault:
+            except OSError as error:
                 self.process.record.put(
-                    {"k": "fault", "t": now(), "host": self.machine.name, "why": str(fault)}
+                    {"k": "fault", "t": now(), "host": self.machine.name, "why": str(error)}
                 )
                 return
             sock.setblocking(False)
--- a/cottonspread/lab/load.py
+++ b/cottonspread/lab/load.py
@@ -223,8 +223,8 @@
                 sock.setsockopt(socket.IPPROTO_IP, BIND_NO_PORT, 1)
                 sock.bind((source, 0))
             code = sock.connect_ex(self.addresses[call.node])
-        except OSError as fault:
-            code = fault.errno
+        except OSError as error:
+            code = error.errno
         call.begun = now()
         lateness = max(1, call.begun - call.intended)
         self.max_lateness = max(self.max_lateness, lateness)
@@ -250,8 +250,8 @@
             sent = call.sock.send(call.out)
         except (BlockingIOError, InterruptedError):
             sent = 0
-        except OSError as fault:
-            if fault.errno != errno.ENOTCONN:
+        except OSError as error:
+            if error.errno != errno.ENOTCONN:
                 self.on_end(call, "reset" if call.sent else "refused")
                 return
             sent = 0
--- a/cottonspread/lab/loop.py
+++ b/cottonspread/lab/loop.py
@@ -106,9 +106,9 @@
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     try:
         sock.bind(address)
-    except OSError as fault:
+    except OSError as error:
         sock.close()
-        raise OSError("{}: {}:{}: {}".format(owner, *address, fault.strerror)) from None
+        raise OSError("{}: {}:{}: {}".format(owner, *address, error.strerror)) from None
     sock.listen(backlog)
     sock.setblocking(False)
     return sock
--- a/cottonspread/lab/plan.py
+++ b/cottonspread/lab/plan.py
@@ -238,10 +238,10 @@
                 os.path.dirname(os.path.abspath(path)),
                 simulated,
             )
-    except OSError as fault:
-        raise PlanError(f"{path}: {fault.strerror}") from None
-    except (msgspec.DecodeError, msgspec.ValidationError) as fault:
-        raise PlanError(f"{path}: {fault}") from None
+    except OSError as error:
+        raise PlanError(f"{path}: {error.strerror}") from None
+    except (msgspec.DecodeError, msgspec.ValidationError) as error:
+        raise PlanError(f"{path}: {error}") from None
 
 
 def check(x, folder=".", simulated=False):
--- a/cottonspread/lab/process.py
+++ b/cottonspread/lab/process.py
@@ -37,8 +37,8 @@
         """Runs the process and returns its exit code."""
         try:
             self.prepare()
-        except OSError as fault:
-            send_to_parent(f"fault {fault}")
+        except OSError as error:
+            send_to_parent(f"fault {error}")
             return 1
         self.loop.read_parent_commands(self.on_parent_command)
         disable_gc()
--- a/cottonspread/lab/results.py
+++ b/cottonspread/lab/results.py
@@ -82,8 +82,8 @@
             plan = msgspec.json.decode(file.read(), type=plans.Plan)
         with open(os.path.join(folder, "start.json"), "rb") as file:
             start = json.load(file)["start"]
-    except (OSError, ValueError, msgspec.ValidationError) as fault:
-        raise plans.PlanError(f"{folder}: {fault}") from None
+    except (OSError, ValueError, msgspec.ValidationError) as error:
+        raise plans.PlanError(f"{folder}: {error}") from None
     load = list(record.read(folder, "load"))
     audit = audits.Audit(plan, start, lambda kind: load if kind == "load" else record.read(folder, kind))
     audit_result = audit.run() if plan.experiment.audited else audit.result()
@@ -189,10 +189,10 @@
     try:
         with open(path, "rb") as file:
             result = msgspec.json.decode(file.read(), type=Results)
-    except OSError as fault:
-        raise plans.PlanError(f"{path}: {fault.strerror}") from None
-    except (msgspec.DecodeError, msgspec.ValidationError) as fault:
-        raise plans.PlanError(f"{path}: {fault}") from None
+    except OSError as error:
+        raise plans.PlanError(f"{path}: {error.strerror}") from None
+    except (msgspec.DecodeError, msgspec.ValidationError) as error:
+        raise plans.PlanError(f"{path}: {error}") from None
     if result.schema != SCHEMA:
         raise plans.PlanError(f"{path}: schema: {SCHEMA} expected")
     return result
@@ -204,8 +204,8 @@
         return [read(folder)]
     try:
         inside = sorted(os.listdir(folder))
-    except OSError as fault:
-        raise plans.PlanError(f"{folder}: {fault.strerror}") from None
+    except OSError as error:
+        raise plans.PlanError(f"{folder}: {error.strerror}") from None
     found = [
         read(os.path.join(folder, name))
         for name in inside
--- a/cottonspread/lab/sim/agent.py
+++ b/cottonspread/lab/sim/agent.py
@@ -118,10 +118,10 @@
         ):
             self.world.after(ROUND_TRIP, self.process.run_if_alive, self.handle_answer, self.call)
 
-    def fail(self, call, fault):
-        """Lets request number `call` fail with `fault`, unless it has been answered."""
+    def fail(self, call, error):
+        """Lets request number `call` fail with `error`, unless it has been answered."""
         if call == self.call:
-            self.answer = fault
+            self.answer = error
             self.process.run_if_alive(self.handle_answer, call)
 
     def handle_answer(self, call):
--- a/cottonspread/lab/sim/node.py
+++ b/cottonspread/lab/sim/node.py
@@ -416,10 +416,10 @@
         self.steps += 1
         try:
             effects = self.step_reducer(event, at)
-        except Exception as fault:
+        except Exception as error:
             raise NodeError(
-                f"{self.node.name}: {type(event).__name__}: {fault!r}\n{traceback.format_exc(limit=-6)}"
-            ) from fault
+                f"{self.node.name}: {type(event).__name__}: {error!r}\n{traceback.format_exc(limit=-6)}"
+            ) from error
         self.world.add_trace_line(self.node.name, self.label(event), *map(self.label, effects))
         for effect in effects:
             self.contract.on_effect(effect)
--- a/cottonspread/lab/sim/scenario.py
+++ b/cottonspread/lab/sim/scenario.py
@@ -58,8 +58,8 @@
         nested["faults"] = [msgspec.structs.asdict(fault) for fault in self.faults]
         try:
             return plans.check(msgspec.convert(nested, plans.Experiment, strict=False), simulated=True)
-        except msgspec.ValidationError as fault:
-            raise plans.PlanError(str(fault)) from None
+        except msgspec.ValidationError as error:
+            raise plans.PlanError(str(error)) from None
 
     def plan(self):
         """Returns the plan of the scenario's experiment."""
@@ -107,8 +107,8 @@
                         strict=False,
                     )
                 )
-        except (ValueError, IndexError, msgspec.ValidationError) as fault:
-            raise plans.PlanError(f"line {line_number}: {fault}") from None
+        except (ValueError, IndexError, msgspec.ValidationError) as error:
+            raise plans.PlanError(f"line {line_number}: {error}") from None
     return scenario
 
 
@@ -176,14 +176,14 @@
     try:
         fleet.run()
         fleet.stop_all()
-    except InvariantError as fault:
-        return Outcome(f"{fault.invariant}: {fault.what}", str(fault), fleet)
-    except ContractError as fault:
-        return Outcome(f"contract: {fault}", f"contract: {fault}, at {fleet.world.now / 1e6:.6f} s", fleet)
-    except NodeError as fault:
+    except InvariantError as error:
+        return Outcome(f"{error.invariant}: {error.what}", str(error), fleet)
+    except ContractError as error:
+        return Outcome(f"contract: {error}", f"contract: {error}, at {fleet.world.now / 1e6:.6f} s", fleet)
+    except NodeError as error:
         return Outcome(
-            "fault: " + str(fault).split("\n")[0].split(": ", 1)[1],
-            f"{fault}, at {fleet.world.now / 1e6:.6f} s",
+            "fault: " + str(error).split("\n")[0].split(": ", 1)[1],
+            f"{error}, at {fleet.world.now / 1e6:.6f} s",
             fleet,
         )
     return Outcome("", "", fleet)
--- a/cottonspread/lab/trace.py
+++ b/cottonspread/lab/trace.py
@@ -35,13 +35,13 @@
             for number, line in enumerate(io.BufferedReader(plain), 1):
                 try:
                     entry = decoder.decode(line)
-                except (msgspec.DecodeError, msgspec.ValidationError) as fault:
-                    raise TraceError(f"{path}: line {number}: {fault}") from None
+                except (msgspec.DecodeError, msgspec.ValidationError) as error:
+                    raise TraceError(f"{path}: line {number}: {error}") from None
                 if entry.at_us < 0 or entry.life_us < 0 or not 0 <= entry.tenant < 32768:
                     raise TraceError(f"{path}: line {number}: at_us, life_us or tenant out of range")
                 entries.append(entry)
-    except zstandard.ZstdError as fault:
-        raise TraceError(f"{path}: after line {len(entries)}: {fault}") from None
+    except zstandard.ZstdError as error:
+        raise TraceError(f"{path}: after line {len(entries)}: {error}") from None
     if not entries:
         raise TraceError(f"{path}: the trace is empty")
     return sorted(entries, key=lambda e: e.at_us)
