--- a/cottonspread/lab/scale/hollow.py
+++ b/cottonspread/lab/scale/hollow.py
@@ -363,14 +363,14 @@
     def change_weight(self):
         """Raises the last server's weight by 0.1% on every list machine; returns the version."""
         for machine in self.list_machines:
-            name, entry = next(reversed(machine.book.entries.items()))
-            machine.book.change(name, "Ready", None, entry | {"weight": entry["weight"] * 1.001})
+            name, entry = next(reversed(machine.host_list.entries.items()))
+            machine.host_list.change(name, "Ready", None, entry | {"weight": entry["weight"] * 1.001})
             machine.answer_waiting_calls()
         return self.track_version()
 
     def track_version(self):
         """Starts to record when each node applies the present version, and returns it."""
-        version = self.list_machines[0].book.version
+        version = self.list_machines[0].host_list.version
         self.applied_at[version] = {}
         return version
 
--- a/cottonspread/lab/scale/hollow_propagation.py
+++ b/cottonspread/lab/scale/hollow_propagation.py
@@ -49,7 +49,7 @@
 
     def change(number):
         fleet_run.change(number)
-        changed_at[fleet.list_machines[0].book.version] = fleet.world.now
+        changed_at[fleet.list_machines[0].host_list.version] = fleet.world.now
 
     for number in range(CHANGE_COUNT):
         fleet.world.at(round((WARMUP_S + number) * SECOND) + rng.randbelow(SECOND), change, number)
@@ -102,7 +102,7 @@
             at = fail_list_machines(fleet_run, at + size.back_s, SECOND_OUTAGE_S, size.refuses)
         returned_at = fleet.world.now
         fleet_run.change(phase)
-        version = fleet.list_machines[0].book.version
+        version = fleet.list_machines[0].host_list.version
         at += MAX_PROPAGATION_S
         fleet_run.run_until(at)
         applied = fleet.applied_at[version]
--- a/cottonspread/lab/sim/agent.py
+++ b/cottonspread/lab/sim/agent.py
@@ -21,7 +21,7 @@
     def __init__(self, fleet, name, entries, lag):
         """`lag`: microseconds that a change takes to arrive here."""
         self.fleet, self.world, self.name, self.lag, self.extra_lag = fleet, fleet.world, name, lag, 0
-        self.book, self.silent_until, self.garbage_left, self.last_change_at, self.callers = (
+        self.host_list, self.silent_until, self.garbage_left, self.last_change_at, self.callers = (
             HostList(entries),
             0,
             0,
@@ -38,7 +38,7 @@
 
     def apply_change(self, name, lifecycle, started_ms, entry):
         """Applies a change to the agent's list and answers waiting calls."""
-        self.book.change(name, lifecycle, started_ms, self.book.entries.get(name) or entry)
+        self.host_list.change(name, lifecycle, started_ms, self.host_list.entries.get(name) or entry)
         self.answer_waiting_calls()
 
     def update_weights(self, usage):
@@ -46,7 +46,7 @@
 
         `usage`: (size, connections a core) by host.
         """
-        self.book.set_weights(usage)
+        self.host_list.set_weights(usage)
         self.answer_waiting_calls()
 
     def go_silent(self, span):
@@ -56,7 +56,7 @@
 
     def restart(self):
         """Restarts the list with the same hosts at a lower version; waiting calls fail."""
-        self.book.restart()
+        self.host_list.restart()
         for caller in list(self.callers):
             caller.fail(caller.call, ConnectionResetError("list restarted"))
 
@@ -113,7 +113,7 @@
         agent = self.agent
         if (
             self.world.now >= self.due
-            or self.process.discovery.version != agent.book.version
+            or self.process.discovery.version != agent.host_list.version
             or agent.garbage_left
         ):
             self.world.after(ROUND_TRIP, self.process.run_if_alive, self.handle_answer, self.call)
@@ -151,14 +151,18 @@
 
     def body(self, path):
         """Returns the list's answer to this request."""
-        agent, book = self.agent, self.agent.book
+        agent, host_list = self.agent, self.agent.host_list
         if agent.garbage_left:
             agent.garbage_left -= 1
             return GARBAGE_BODIES[agent.garbage_left % len(GARBAGE_BODIES)]
         query = urllib.parse.parse_qs(urllib.parse.urlsplit(path).query)
         since = int(query["since"][0]) if "since" in query else -1
-        answer = book.full_list() if since < 0 or since > book.version else book.changes_since(since)
-        answer = answer or {"generation": book.version, "reset": False, "instances": []}
+        answer = (
+            host_list.full_list()
+            if since < 0 or since > host_list.version
+            else host_list.changes_since(since)
+        )
+        answer = answer or {"generation": host_list.version, "reset": False, "instances": []}
         hosts = [[e["instanceId"], e["lifecycle"], e["startedAtMs"]] for e in answer["instances"]]
         agent.fleet.add_record(
             "list",
