--- a/cottonspread/lab/host_server.py
+++ b/cottonspread/lab/host_server.py
@@ -3,7 +3,7 @@
 The transport is a subclass, on sockets (`hosts`) or on the simulated network (`sim`). It has `now()`,
 `at(when, callback, *args)`, `put(line)` for the record, `open()`, `refuse()` and `vanish()` for the address,
 `write(conn, line)`, and `drop(conn, how)`, which closes the transport's connection. Its connections have
-`lines` (a LineSplitter), `call` (the OpenRequest, None before it) and `over` (whether it has ended).
+`lines` (a LineSplitter), `call` (the OpenRequest, None before it) and `ended`.
 """
 
 import zlib
@@ -45,7 +45,7 @@
                 self.on_first_line(conn, line, at)
             else:
                 self.apply(self.model.on_line(at, conn, line))
-            if conn.over:
+            if conn.ended:
                 return
 
     def on_first_line(self, conn, line, at):
@@ -88,7 +88,7 @@
     def apply(self, effects):
         """Executes the model's effects, each at its time."""
         for effect in effects:
-            if isinstance(effect, (model.SendLine, model.Close)) and effect.conn.over:
+            if isinstance(effect, (model.SendLine, model.Close)) and effect.conn.ended:
                 continue
             if isinstance(effect, model.AddressChange):
                 {"open": self.open, "refused": self.refuse, "vanished": self.vanish}[effect.state]()
@@ -102,7 +102,7 @@
     def execute(self, effect):
         """Sends a line or closes a connection, unless the host has become unresponsive meanwhile."""
         conn = effect.conn
-        if conn.over or self.model.unresponsive:
+        if conn.ended or self.model.unresponsive:
             return
         if isinstance(effect, model.SendLine):
             self.send_line(conn, effect.line)
@@ -126,7 +126,7 @@
             if effect.value is not None:
                 line["v"] = effect.value
             if effect.kind == "ran":
-                line["gone"] = conn.over  # the leg had been given up before the set-up was done
+                line["gone"] = conn.ended  # the leg had been given up before the set-up was done
             self.put(line)
 
     def resume(self, conn, what):
@@ -135,7 +135,7 @@
 
     def send_line(self, conn, line):
         """Sends a line, and records an UP."""
-        if conn.over:
+        if conn.ended:
             return
         if conn.call is not None and line.startswith(b"UP "):
             self.put(
@@ -151,9 +151,9 @@
 
     def end(self, conn, how):
         """Ends a connection. how: "theirs" (the peer has ended it), "end" or "reset" (this host does)."""
-        if conn.over:
+        if conn.ended:
             return
-        conn.over = True
+        conn.ended = True
         self.drop(conn, how)
         self.conns.pop(conn, None)
         if conn.call is not None:
--- a/cottonspread/lab/hosts.py
+++ b/cottonspread/lab/hosts.py
@@ -20,12 +20,12 @@
 class Conn:
     """A connection at a host."""
 
-    __slots__ = ("sock", "host", "lines", "call", "out", "over")
+    __slots__ = ("sock", "host", "lines", "call", "out", "ended")
 
     def __init__(self, sock, host):
         """`host`: the Server that accepted the connection."""
         self.sock, self.host, self.lines, self.call = sock, host, wire.LineSplitter(), None
-        self.out, self.over = deque(), False
+        self.out, self.ended = deque(), False
 
 
 class Server(HostServer):
--- a/cottonspread/lab/sim/hosts.py
+++ b/cottonspread/lab/sim/hosts.py
@@ -10,11 +10,11 @@
 class Conn:
     """A connection at a host."""
 
-    __slots__ = ("side", "lines", "call", "over", "server")
+    __slots__ = ("side", "lines", "call", "ended", "server")
 
     def __init__(self, side, server):
         """`side`: the host's side of the connection."""
-        self.side, self.lines, self.call, self.over, self.server = (
+        self.side, self.lines, self.call, self.ended, self.server = (
             side,
             wire.LineSplitter(),
             None,
@@ -24,13 +24,13 @@
 
     def on_readable(self, side):
         """Reads what has arrived; a machine that has vanished reads nothing."""
-        if self.over or self.server.gone:
+        if self.ended or self.server.gone:
             return
         if side.received:
             data = side.recv()
             self.server.fleet.invariants.on_host_data(self, data)
             self.server.on_data(self, data)
-        if not self.over and (side.eof or side.was_reset):
+        if not self.ended and (side.eof or side.was_reset):
             self.server.end(self, "theirs")
 
     def on_writable(self, side):
