--- a/cottonspread/lab/host_server.py
+++ b/cottonspread/lab/host_server.py
@@ -3,7 +3,7 @@
 The transport is a subclass, on sockets (`hosts`) or on the simulated network (`sim`). It has `now()`,
 `at(when, callback, *args)`, `put(line)` for the record, `open()`, `refuse()` and `vanish()` for the address,
 `write(conn, line)`, and `drop(conn, how)`, which closes the transport's connection. Its connections have
-`lines` (a LineSplitter), `call` (the OpenRequest, None before it) and `ended`.
+`splitter` (a LineSplitter), `call` (the OpenRequest, None before it) and `ended`.
 """
 
 import zlib
@@ -36,7 +36,7 @@
         """Handles bytes that were received on a connection."""
         at = self.now()
         try:
-            lines = conn.lines.feed(data)
+            lines = conn.splitter.feed(data)
         except ValueError:
             self.end(conn, "reset")
             return
--- a/cottonspread/lab/hosts.py
+++ b/cottonspread/lab/hosts.py
@@ -20,11 +20,11 @@
 class Conn:
     """A connection at a host."""
 
-    __slots__ = ("sock", "host", "lines", "call", "out", "ended")
+    __slots__ = ("sock", "host", "splitter", "call", "out", "ended")
 
     def __init__(self, sock, host):
         """`host`: the Server that accepted the connection."""
-        self.sock, self.host, self.lines, self.call = sock, host, wire.LineSplitter(), None
+        self.sock, self.host, self.splitter, self.call = sock, host, wire.LineSplitter(), None
         self.out, self.ended = deque(), False
 
 
--- a/cottonspread/lab/load.py
+++ b/cottonspread/lab/load.py
@@ -69,13 +69,13 @@
         "begun",
         "answers",
         "up",
-        "lines",
+        "splitter",
         "out",
         "echo_count",
         "unanswered_lines",
         "max_echo_delay",
         "how",
-        "line",
+        "lines_sent",
     )
 
     def __init__(self, schedule_index, kind, key, group, intended, again, retry, tries):
@@ -83,7 +83,7 @@
         self.schedule_index, self.kind, self.key, self.group = schedule_index, kind, key, group
         self.intended, self.again, self.retry, self.tries = intended, again, retry, tries
         self.id, self.node, self.sock, self.sent, self.begun = "", None, None, 0, 0
-        self.answers, self.up, self.lines, self.out, self.echo_count, self.unanswered_lines = (
+        self.answers, self.up, self.splitter, self.out, self.echo_count, self.unanswered_lines = (
             [],
             0,
             wire.LineSplitter(),
@@ -91,7 +91,7 @@
             0,
             [],
         )
-        self.max_echo_delay, self.how, self.line = 0, "", 0
+        self.max_echo_delay, self.how, self.lines_sent = 0, "", 0
 
 
 class Clients(LabProcess):
@@ -277,7 +277,7 @@
             self.on_end(call, "end")
             return
         at = received_at(control_messages)
-        for line in call.lines.feed(data):
+        for line in call.splitter.feed(data):
             self.on_line(call, line, at)
 
     def on_line(self, call, line, at):
@@ -316,9 +316,9 @@
         """Sends a line that the host echoes, and schedules the next one."""
         if call.sock is None:
             return
-        call.line += 1
+        call.lines_sent += 1
         call.unanswered_lines.append(intended)
-        call.out += b"e%d\r\n" % call.line
+        call.out += b"e%d\r\n" % call.lines_sent
         self.loop.at(intended + interval, self.send_line, call, intended + interval, interval)
         self.send(call)
 
@@ -385,7 +385,7 @@
                 "answers": [[t - start, w, v] for t, w, v in call.answers],
                 "end": now() - start,
                 "how": how,
-                "lines": call.line,
+                "lines": call.lines_sent,
                 "echoes": call.echo_count,
                 "slowest": call.max_echo_delay,
                 "unanswered": now() - call.unanswered_lines[0]
--- a/cottonspread/lab/sim/clients.py
+++ b/cottonspread/lab/sim/clients.py
@@ -47,8 +47,8 @@
         "side",
         "answers",
         "up",
-        "lines",
-        "line",
+        "splitter",
+        "lines_sent",
         "unanswered_lines",
         "echo_count",
         "max_echo_delay",
@@ -71,7 +71,7 @@
         )
         self.intended, self.again, self.retry, self.tries = intended, again, retry, tries
         self.id, self.node, self.begun, self.sent, self.side = "", None, 0, 0, None
-        self.answers, self.up, self.lines, self.line, self.unanswered_lines = (
+        self.answers, self.up, self.splitter, self.lines_sent, self.unanswered_lines = (
             [],
             0,
             wire.LineSplitter(),
@@ -124,7 +124,7 @@
         if self.done or world.now < self.slow_until:
             return
         if side.received:
-            for line in self.lines.feed(side.recv()):
+            for line in self.splitter.feed(side.recv()):
                 self.on_line(line)
                 if self.done:
                     return
@@ -161,10 +161,10 @@
         world.after(every, self.send_echo_line, every)
         if world.now < self.slow_until:
             return
-        self.line += 1
+        self.lines_sent += 1
         self.unanswered_lines.append(world.now)
         with contextlib.suppress(BrokenPipeError):  # on_readable will report the end
-            self.side.send(b"e%d\r\n" % self.line)
+            self.side.send(b"e%d\r\n" % self.lines_sent)
 
     def leave(self):
         """Ends the call at the end of its lifetime."""
@@ -333,7 +333,7 @@
                 "answers": call.answers,
                 "end": now,
                 "how": how,
-                "lines": call.line,
+                "lines": call.lines_sent,
                 "echoes": call.echo_count,
                 "slowest": call.max_echo_delay,
                 "unanswered": now - call.unanswered_lines[0]
--- a/cottonspread/lab/sim/hosts.py
+++ b/cottonspread/lab/sim/hosts.py
@@ -10,11 +10,11 @@
 class Conn:
     """A connection at a host."""
 
-    __slots__ = ("side", "lines", "call", "ended", "server")
+    __slots__ = ("side", "splitter", "call", "ended", "server")
 
     def __init__(self, side, server):
         """`side`: the host's side of the connection."""
-        self.side, self.lines, self.call, self.ended, self.server = (
+        self.side, self.splitter, self.call, self.ended, self.server = (
             side,
             wire.LineSplitter(),
             None,
