--- a/cottonspread/lab/hosts.py
+++ b/cottonspread/lab/hosts.py
@@ -23,12 +23,12 @@
     __slots__ = ("sock", "host", "splitter", "call", "out", "ended")
 
     def __init__(self, sock, host):
-        """`host`: the Server that accepted the connection."""
+        """`host`: the Host that accepted the connection."""
         self.sock, self.host, self.splitter, self.call = sock, host, wire.LineSplitter(), None
         self.out, self.ended = deque(), False
 
 
-class Server(HostServer):
+class Host(HostServer):
     """One host: its address and its model."""
 
     def __init__(self, process, machine):
@@ -148,7 +148,7 @@
 
     def prepare(self):
         """Opens the hosts' addresses."""
-        self.servers = {m.name: Server(self, m) for m in self.plan.machines if m.process == self.number}
+        self.hosts = {m.name: Host(self, m) for m in self.plan.machines if m.process == self.number}
 
     def begin(self):
         """Schedules the faults of this process's hosts."""
@@ -156,17 +156,17 @@
             if fault.kind not in HOST_FAULTS:
                 continue
             for name in fault.on:
-                server = self.servers.get(name)
-                if server is None:
+                host = self.hosts.get(name)
+                if host is None:
                     continue
                 at = self.start + round(fault.at * SECOND)
                 if fault.kind == "join":
-                    self.loop.at(at, server.end_fault, fault)
+                    self.loop.at(at, host.end_fault, fault)
                     continue
-                self.loop.at(at, server.start_fault, fault)
+                self.loop.at(at, host.start_fault, fault)
                 if fault.kind not in INSTANT_FAULTS and fault.kind != "hang" and fault.seconds:
-                    self.loop.at(at + round(fault.seconds * SECOND), server.end_fault, fault)
+                    self.loop.at(at + round(fault.seconds * SECOND), host.end_fault, fault)
 
     def counts(self):
         """Returns the number of connections by host."""
-        return {"standing": {name: len(s.model.conns) for name, s in self.servers.items()}}
+        return {"standing": {name: len(host.model.conns) for name, host in self.hosts.items()}}
--- a/cottonspread/lab/sim/fault_injection.py
+++ b/cottonspread/lab/sim/fault_injection.py
@@ -250,7 +250,7 @@
 
 def contradict(fleet, fault, span):
     """Lets the agents report a healthy host as draining or gone, and take that back after `span`."""
-    up = [name for name, host in fleet.hosts.items() if host.model.state == "up" and not host.gone]
+    up = [name for name, host in fleet.hosts.items() if host.model.state == "up" and not host.vanished]
     if not up:
         return
     random = fleet.world.random_stream("contradict", fault.at)
--- a/cottonspread/lab/sim/hosts.py
+++ b/cottonspread/lab/sim/hosts.py
@@ -10,28 +10,28 @@
 class Conn:
     """A connection at a host."""
 
-    __slots__ = ("side", "splitter", "call", "ended", "server")
+    __slots__ = ("side", "splitter", "call", "ended", "host")
 
-    def __init__(self, side, server):
+    def __init__(self, side, host):
         """`side`: the host's side of the connection."""
-        self.side, self.splitter, self.call, self.ended, self.server = (
+        self.side, self.splitter, self.call, self.ended, self.host = (
             side,
             wire.LineSplitter(),
             None,
             False,
-            server,
+            host,
         )
 
     def on_readable(self, side):
         """Reads what has arrived; a machine that has vanished reads nothing."""
-        if self.ended or self.server.gone:
+        if self.ended or self.host.vanished:
             return
         if side.received:
             data = side.recv()
-            self.server.fleet.invariants.on_host_data(self, data)
-            self.server.on_data(self, data)
+            self.host.fleet.invariants.on_host_data(self, data)
+            self.host.on_data(self, data)
         if not self.ended and (side.eof or side.was_reset):
-            self.server.end(self, "theirs")
+            self.host.end(self, "theirs")
 
     def on_writable(self, side):
         """Does nothing: a host never waits to write."""
@@ -46,7 +46,7 @@
         super().__init__(
             machine.name, host_model(fleet.plan, machine, 0), fleet.plan.experiment.hosts.reports
         )
-        self.fleet, self.machine, self.endpoint, self.gone = (
+        self.fleet, self.machine, self.endpoint, self.vanished = (
             fleet,
             machine,
             Endpoint(machine.name, machine.zone),
@@ -69,15 +69,15 @@
 
     def open(self):
         """Accepts connections."""
-        self.endpoint.on_connect, self.gone = self.accept, False
+        self.endpoint.on_connect, self.vanished = self.accept, False
 
     def refuse(self):
         """Refuses connections."""
-        self.endpoint.on_connect, self.gone = None, False
+        self.endpoint.on_connect, self.vanished = None, False
 
     def vanish(self):
         """Leaves connection requests and established connections without any reply."""
-        self.endpoint.on_connect, self.gone = Endpoint.SILENT, True
+        self.endpoint.on_connect, self.vanished = Endpoint.SILENT, True
 
     def accept(self, side):
         """Accepts a connection."""
@@ -105,5 +105,5 @@
     def end_fault(self, fault):
         """Ends a fault."""
         if fault.kind == "vanish":
-            self.gone = False
+            self.vanished = False
         super().end_fault(fault)
--- a/cottonspread/lab/sim/invariants.py
+++ b/cottonspread/lab/sim/invariants.py
@@ -363,7 +363,7 @@
             or leg.side.eof
             or leg.side.was_reset
             or leg.side.link in self.dead_links
-            or host.gone
+            or host.vanished
             or host.model.unresponsive,
             ANSWER,
             "cut off without MOVE while its host answered",
@@ -727,9 +727,9 @@
         if not self.checked:
             return
         calm_since, latest_calls = self.last_fault_end + CALM_PERIOD, {}
-        if 2 * sum(host.model.state == "up" and not host.gone for host in self.fleet.hosts.values()) < len(
-            self.fleet.hosts
-        ):
+        if 2 * sum(
+            host.model.state == "up" and not host.vanished for host in self.fleet.hosts.values()
+        ) < len(self.fleet.hosts):
             calm_since = self.world.now  # too few hosts are left for the load
         for observed in self.calls.values():
             call = observed.call
