--- a/cottonspread/lab/scale/hollow.py
+++ b/cottonspread/lab/scale/hollow.py
@@ -161,11 +161,11 @@
         if self.in_flight:
             self.world.after(ROUND_TRIP, self.fail, self.call, ConnectionResetError("list machine stopped"))
 
-    def run_turn(self):
+    def poll_list(self):
         """Runs one turn of the list client and meters it, without the list machine's own work."""
         self.in_flight = False
         machine_before, started_at = self.agent.meter.answer_ns, time.thread_time_ns()
-        pause = super().run_turn()
+        pause = super().poll_list()
         elapsed = time.thread_time_ns() - started_at
         self.meter.client_ns += elapsed - (self.agent.meter.answer_ns - machine_before)
         if pause:
--- a/cottonspread/lab/sim/agent.py
+++ b/cottonspread/lab/sim/agent.py
@@ -135,11 +135,11 @@
         ):
             return
         self.call += 1
-        pause = self.run_turn()
+        pause = self.poll_list()
         if discovery.enabled.is_set():
             self.world.after(round(pause * SECOND) + 1, self.process.run_if_alive, self.send_request)
 
-    def run_turn(self):
+    def poll_list(self):
         """Runs one turn of the list client; returns the seconds that it then pauses."""
         return self.process.discovery.poll()
 
--- a/cottonspread/lab/sim/fault_injection.py
+++ b/cottonspread/lab/sim/fault_injection.py
@@ -180,7 +180,7 @@
     fleet.world.after(span, network.heal, names)
 
 
-def slow_way(fleet, fault, span):
+def add_network_delay(fleet, fault, span):
     """Adds `factor` times 10 ms to each direction for `span`."""
     slowdown, network = (frozenset(fault.on), round(fault.factor * 10_000)), fleet.world.network
     network.slowdowns.append(slowdown)
@@ -207,7 +207,7 @@
     fleet.world.network.reset_links(links)
 
 
-def dead(fleet, fault, span):
+def blackhole_links(fleet, fault, span):
     """From now on the affected connections deliver nothing, and neither side is notified."""
     for link in affected_links(fleet, fault, "dead"):
         link.dead = True
@@ -303,10 +303,10 @@
 
 OTHER_ACTIONS = {
     "partition": partition,
-    "slow-way": slow_way,
+    "slow-way": add_network_delay,
     "stall": stall,
     "snap": reset_connections,
-    "dead": dead,
+    "dead": blackhole_links,
     "list-cut": list_cut,
     "list-garbage": list_garbage,
     "list-restart": list_restart,
--- a/cottonspread/lab/sim/invariants.py
+++ b/cottonspread/lab/sim/invariants.py
@@ -686,7 +686,7 @@
             len(process.reducer.conns),
         )
 
-    def on_connection_transferred(self, process, order, new):
+    def on_connection_transferred(self, process, effect, new):
         """Handles an established connection that was passed on to another process."""
         client, _ = new
         observed = self.call_of(client.side)
--- a/cottonspread/lab/sim/node.py
+++ b/cottonspread/lab/sim/node.py
@@ -495,7 +495,7 @@
         invariants = self.node.fleet.invariants
         match effect:
             case ev.Write(end=end, data=data):
-                if effect.first_line and (why := self.must_not_begin(effect)):
+                if effect.first_line and (why := self.reason_not_to_start(effect)):
                     self.post(ev.WriteDone(end, False, skip_reason=why))
                     return
                 invariants.on_node_write(self, end, data)
@@ -511,8 +511,8 @@
                 end.worker = None
                 worker.free()
 
-    def must_not_begin(self, effect):
-        """Returns why a first line must not be sent any more; see `Workers.must_not_begin`."""
+    def reason_not_to_start(self, effect):
+        """Returns why a first line must not be sent any more; see `Workers.reason_not_to_start`."""
         client = effect.end.conn.client.worker
         if client is None or client.side.eof or client.side.was_reset:
             return "client-gone"
@@ -644,18 +644,18 @@
             max_sockets or self.own_max_sockets, self.own_max_sockets
         )
 
-    def transfer(self, order):
+    def transfer(self, effect):
         """Transfers an established connection to the successor if both readers are idle.
 
         The successor replies through `on_transferred`.
         """
-        workers, successor = (order.client.worker, order.host.worker), self.successor
+        workers, successor = (effect.client.worker, effect.host.worker), self.successor
         if successor is None or successor.dead or not all(worker.is_idle() for worker in workers):
-            self.post(ev.TransferDone(order.conn, False, successor is not None and not successor.dead))
+            self.post(ev.TransferDone(effect.conn, False, successor is not None and not successor.dead))
             return
         for worker in workers:
             worker.transferred = True
-        connection = handover.unpack_connection(handover.pack_connection(order.connection))
+        connection = handover.unpack_connection(handover.pack_connection(effect.connection))
         ends, new = (ev.ConnectionEnd(True), ev.ConnectionEnd(False)), []
         for end, worker in zip(ends, workers, strict=True):
             new.append(Worker(successor, end, worker.side))
@@ -668,7 +668,7 @@
                 lambda accepted: successor.world.after(
                     successor.random.randbelow(MAX_THREAD_DELAY),
                     self.on_transferred,
-                    order,
+                    effect,
                     accepted,
                     new,
                     successor,
@@ -676,9 +676,9 @@
             )
         )
 
-    def on_transferred(self, order, accepted, new, successor):
+    def on_transferred(self, effect, accepted, new, successor):
         """Handles the successor's reply to a transfer."""
-        workers = order.client.worker, order.host.worker
+        workers = effect.client.worker, effect.host.worker
         for worker, new_worker in zip(workers, new, strict=True):
             new_worker.shares_side = False
             if not accepted:
@@ -687,8 +687,8 @@
                 new_worker.side.close()
         if accepted:
             successor.limit_sockets(successor.max_sockets + 2)
-            self.node.fleet.invariants.on_connection_transferred(self, order, new)
-        self.post(ev.TransferDone(order.conn, accepted))
+            self.node.fleet.invariants.on_connection_transferred(self, effect, new)
+        self.post(ev.TransferDone(effect.conn, accepted))
         if not accepted and not self.dead:
             for worker in workers:
                 worker.poll()
--- a/cottonspread/lab/wire.py
+++ b/cottonspread/lab/wire.py
@@ -46,7 +46,7 @@
     wait_ms: int
     group: str
     again: bool
-    held: str
+    held_by: str
 
 
 def parse_open(line):
