--- a/benchmarks/lab/engines.py
+++ b/benchmarks/lab/engines.py
@@ -22,7 +22,7 @@
 LINE = b"OPEN 1 k c=farm-view,d=4800,g=g1\r\n"
 
 
-def epoll(address, at):
+def run_epoll(address, at):
     loop, late, left = Loop(), [], [len(at)]
     loop.spin = 400
 
@@ -50,7 +50,7 @@
     return late
 
 
-def on_asyncio(address, at, runner):
+def run_asyncio(address, at, runner):
     late = []
 
     class Client(asyncio.Protocol):
@@ -96,13 +96,13 @@
         .tolist()
     )
     if name == "epoll":
-        late = epoll(address, at)
+        late = run_epoll(address, at)
     elif name == "asyncio":
-        late = on_asyncio(address, at, asyncio.run)
+        late = run_asyncio(address, at, asyncio.run)
     else:
         import uvloop
 
-        late = on_asyncio(address, at, uvloop.run)
+        late = run_asyncio(address, at, uvloop.run)
     used = resource.getrusage(resource.RUSAGE_SELF)
     out.put(
         (
@@ -114,7 +114,7 @@
     )
 
 
-def accept(address, core):
+def run_acceptor(address, core):
     from cottonspread.lab import acceptor
 
     os.sched_setaffinity(0, {core})
@@ -123,7 +123,7 @@
 
 def main(rate=2000.0, seconds=5.0):
     address, cores = ("127.99.0.1", 9900), sorted(os.sched_getaffinity(0))
-    server = multiprocessing.Process(target=accept, args=(address, cores[0]), daemon=True)
+    server = multiprocessing.Process(target=run_acceptor, args=(address, cores[0]), daemon=True)
     server.start()
     time.sleep(1)
     names = ["epoll", "asyncio"]
@@ -137,12 +137,12 @@
     for _ in range(3):
         for name in names:
             out = multiprocessing.Queue()
-            one = multiprocessing.Process(
+            process = multiprocessing.Process(
                 target=run_engine, args=(name, address, rate, seconds, cores[-1], out)
             )
-            one.start()
+            process.start()
             print(*out.get(timeout=60), flush=True)
-            one.join()
+            process.join()
     server.terminate()
 
 
--- a/cottonspread/lab/audit.py
+++ b/cottonspread/lab/audit.py
@@ -278,7 +278,7 @@
             if any(self.is_active(earlier, leg["t"]) for earlier in legs[:n]):
                 self.add_violation(2, "two legs at once", self.with_legs(call))
                 return
-            open_before = [one for one in legs[:n] if one["never"] is None]
+            open_before = [earlier for earlier in legs[:n] if earlier["never"] is None]
             if not open_before or kind.effect == "repeatable":
                 continue
             if kind.effect == "once-only":
@@ -389,9 +389,9 @@
             while recent[0] < at - window:
                 recent.popleft()
             connection_work = sum(
-                one["load"] * (min(at, one["end"] or at) - max(one["ran"], at - window)) / SECOND
-                for one in legs
-                if one["ran"] is not None and one["ran"] < at and (one["end"] or at) > at - window
+                other["load"] * (min(at, other["end"] or at) - max(other["ran"], at - window)) / SECOND
+                for other in legs
+                if other["ran"] is not None and other["ran"] < at and (other["end"] or at) > at - window
             )
             share = t.cold_share + (1 - t.cold_share) * (at - start) / warm
             used = (len(recent) * t.setup_us + connection_work) / (
@@ -413,8 +413,11 @@
         f"excused with killed or frozen nodes {result['excused']}, "
         f"cold budget used at most {result['cold_budget_used']:.0%}"
     ]
-    for rule, one in result["rules"].items():
-        out.append(f"rule {rule} ({one['meaning']}): {one['broken']} broken of {one['checked']} checked")
-    for one in result["offences"]:
-        out.append(f"  rule {one['rule']}: {one['what']}: {one['count']} times, first: {one['first'][0]}")
+    for number, rule in result["rules"].items():
+        out.append(f"rule {number} ({rule['meaning']}): {rule['broken']} broken of {rule['checked']} checked")
+    for violation in result["offences"]:
+        out.append(
+            f"  rule {violation['rule']}: {violation['what']}: {violation['count']} times, "
+            f"first: {violation['first'][0]}"
+        )
     return out
--- a/cottonspread/lab/children.py
+++ b/cottonspread/lab/children.py
@@ -72,7 +72,7 @@
     def __init__(self, run, number):
         """`run`: the LabRun; `number`: the node's index in the plan."""
         self.run, self.number, self.node = run, number, run.plan.nodes[number]
-        self.process, self.probe, self.up, self.should_run, self.cpu = None, None, False, True, 0.0
+        self.process, self.psutil_process, self.up, self.should_run, self.cpu = None, None, False, True, 0.0
         self.max_rss = self.max_threads = self.max_fds = 0
         self.starts, self.settings_version, self.old_process, self.listener = 0, 0, None, None
 
@@ -126,7 +126,7 @@
     def start(self):
         """Starts the node's process."""
         plan, x = self.run.plan, self.run.plan.experiment
-        path, (environment, kept) = self.write_config(), self.inheritance()
+        path, (environment, inherited_fds) = self.write_config(), self.inheritance()
         self.starts += 1
         command = plan.variant.command or x.nodes.command or [sys.executable, "-m", "cottonspread", "serve"]
         checkout = plan.variant.checkout or x.nodes.checkout or ROOT
@@ -137,7 +137,7 @@
                 stdin=subprocess.DEVNULL,
                 stdout=log,
                 stderr=log,
-                pass_fds=kept,
+                pass_fds=inherited_fds,
                 env={
                     **os.environ,
                     **environment,
@@ -147,7 +147,7 @@
                 },
                 preexec_fn=lambda: prepare_child(self.run.node_cores(self.number)),
             )
-        self.probe, self.up = psutil.Process(self.process.pid), False
+        self.psutil_process, self.up = psutil.Process(self.process.pid), False
         self.run.record_event("started", self)
 
     def answers_ping(self):
@@ -167,9 +167,9 @@
     def sample(self):
         """Returns CPU seconds since the last sample, resident megabytes, threads and descriptors."""
         try:
-            with self.probe.oneshot():
-                times, memory = self.probe.cpu_times(), self.probe.memory_info().rss
-                threads, fds = self.probe.num_threads(), self.probe.num_fds()
+            with self.psutil_process.oneshot():
+                times, memory = self.psutil_process.cpu_times(), self.psutil_process.memory_info().rss
+                threads, fds = self.psutil_process.num_threads(), self.psutil_process.num_fds()
         except (psutil.Error, OSError):
             return {"cpu": 0, "rss_mb": 0, "threads": 0, "fds": 0}
         total = times.user + times.system
--- a/cottonspread/lab/experiment.py
+++ b/cottonspread/lab/experiment.py
@@ -54,10 +54,10 @@
     if pairs:
         print_comparison(pairs, variants[0].name, variants[1].name)
     print(report.write(out))
-    everything = [r for rs in results_by_variant.values() for r in rs]
-    if any(r.audit["offences"] for r in everything):
+    all_results = [r for rs in results_by_variant.values() for r in rs]
+    if any(r.audit["offences"] for r in all_results):
         return 1
-    return 0 if all(r.usable for r in everything) else 3
+    return 0 if all(r.usable for r in all_results) else 3
 
 
 def run_with_progress(lab_run, console):
@@ -96,13 +96,13 @@
 def compare(a, b):
     """Compares two runs or folders of runs; returns the exit code: 0, or 3 if a run is not usable."""
     pairs = list(zip(results.read_all(a), results.read_all(b), strict=False))
-    for one, other in pairs:
-        if one.schedule_sha256 != other.schedule_sha256:
-            print(f"seeds {one.seed} and {other.seed}: schedules differ: not comparable", file=sys.stderr)
-        if not (one.usable and other.usable):
-            print(f"seed {one.seed}: not usable: {one.reasons + other.reasons}", file=sys.stderr)
+    for first, second in pairs:
+        if first.schedule_sha256 != second.schedule_sha256:
+            print(f"seeds {first.seed} and {second.seed}: schedules differ: not comparable", file=sys.stderr)
+        if not (first.usable and second.usable):
+            print(f"seed {first.seed}: not usable: {first.reasons + second.reasons}", file=sys.stderr)
     print_comparison(pairs, a, b)
-    return 0 if all(one.usable and other.usable for one, other in pairs) else 3
+    return 0 if all(first.usable and second.usable for first, second in pairs) else 3
 
 
 def print_comparison(pairs, a, b):
--- a/cottonspread/lab/fleet.py
+++ b/cottonspread/lab/fleet.py
@@ -95,10 +95,10 @@
 
     def poll_commands(self):
         """Records the commands that have ended."""
-        for one in list(self.commands):
-            kind, started_at, process = one
+        for command in list(self.commands):
+            kind, started_at, process = command
             if process.poll() is not None:
-                self.commands.remove(one)
+                self.commands.remove(command)
                 output = process.communicate()[0].strip()
                 self.record_event(
                     kind + "-done",
@@ -118,8 +118,8 @@
                 sock.connect(os.path.join(self.state, "fleet.sock"))
                 sock.sendall(b'{"do": "status"}\n')
                 return {
-                    one["instance"].replace("-", ""): one
-                    for one in json.loads(sock.makefile().readline())["status"]["instances"]
+                    instance["instance"].replace("-", ""): instance
+                    for instance in json.loads(sock.makefile().readline())["status"]["instances"]
                 }
         except (OSError, ValueError, KeyError):
             return {}
@@ -189,7 +189,7 @@
                 self.process.wait(STOP_TIMEOUT)
             except subprocess.TimeoutExpired:
                 self.run.reasons.append(f"the fleet did not stop in {STOP_TIMEOUT} s")
-                pids = [one["pid"] for one in self.status().values() if one["pid"]]
+                pids = [instance["pid"] for instance in self.status().values() if instance["pid"]]
                 self.process.kill()
                 self.process.wait()
                 for pid in pids:
@@ -206,7 +206,7 @@
     def start(self):
         """Starts the supervisor, which starts the instance."""
         self.run.fleet.start()
-        self.up, self.probe = False, None
+        self.up, self.psutil_process = False, None
 
     @property
     def process(self):
@@ -236,9 +236,9 @@
         if time.monotonic() - fleet.last_status[0] > 0.5:  # one status for all nodes
             fleet.last_status = time.monotonic(), fleet.status()
         pid = fleet.last_status[1].get(self.node.name, {}).get("pid")
-        if pid and (self.probe is None or self.probe.pid != pid):
+        if pid and (self.psutil_process is None or self.psutil_process.pid != pid):
             try:
-                self.probe, self.cpu = psutil.Process(pid), 0.0
+                self.psutil_process, self.cpu = psutil.Process(pid), 0.0
             except psutil.Error:
-                self.probe = None
-        return super().sample() if self.probe else {"cpu": 0, "rss_mb": 0, "threads": 0, "fds": 0}
+                self.psutil_process = None
+        return super().sample() if self.psutil_process else {"cpu": 0, "rss_mb": 0, "threads": 0, "fds": 0}
--- a/cottonspread/lab/load.py
+++ b/cottonspread/lab/load.py
@@ -181,7 +181,7 @@
         if n < len(self.at):
             self.loop.at(self.start + self.at[n], self.arrive)
 
-    def schedule_again(self, call, wait, again):
+    def schedule_call(self, call, wait, again):
         """Makes the client of `call` open another connection after `wait` microseconds."""
         when = now() + wait
         if when - self.start > self.end_of_arrivals + SECOND:
@@ -310,16 +310,16 @@
         self.loop.at(at + life, self.leave, call)
         interval = round(self.load.line_s * SECOND)
         if interval and life > interval:
-            self.loop.at(at + interval, self.send_line, call, at + interval, interval)
+            self.loop.at(at + interval, self.send_echo_line, call, at + interval, interval)
 
-    def send_line(self, call, intended, interval):
+    def send_echo_line(self, call, intended, interval):
         """Sends a line that the host echoes, and schedules the next one."""
         if call.sock is None:
             return
         call.lines_sent += 1
         call.unanswered_lines.append(intended)
         call.out += b"e%d\r\n" % call.lines_sent
-        self.loop.at(intended + interval, self.send_line, call, intended + interval, interval)
+        self.loop.at(intended + interval, self.send_echo_line, call, intended + interval, interval)
         self.send(call)
 
     # Ends
@@ -345,7 +345,7 @@
                 call.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
                 self.close(call)
                 self.finish_call(call, "broke-off")
-                self.schedule_again(call, round(draw / shape.share * shape.seconds * SECOND), True)
+                self.schedule_call(call, round(draw / shape.share * shape.seconds * SECOND), True)
 
     def on_end(self, call, how):
         """Handles a connection that the node has ended."""
@@ -405,7 +405,7 @@
             self.reconnect_draws[call.schedule_index],
         )
         if after:
-            self.schedule_again(call, *after)
+            self.schedule_call(call, *after)
 
     # Reports to the runner
 
--- a/cottonspread/lab/results.py
+++ b/cottonspread/lab/results.py
@@ -93,13 +93,13 @@
 def histograms(totals):
     """Returns the histograms (latency by type and "all", lateness, echo), merged over all load processes."""
     latency, lateness, echo = {"all": histogram()}, histogram(), histogram()
-    for one in totals:
-        for name, text in one["latency"].items():
+    for process_totals in totals:
+        for name, text in process_totals["latency"].items():
             h = decode_histogram(text)
             latency.setdefault(name, histogram()).add(h)
             latency["all"].add(h)
-        lateness.add(decode_histogram(one["lateness"]))
-        echo.add(decode_histogram(one["echo"]))
+        lateness.add(decode_histogram(process_totals["lateness"]))
+        echo.add(decode_histogram(process_totals["echo"]))
     return latency, lateness, echo
 
 
@@ -129,7 +129,7 @@
     first = [c for c in audit.calls.values() if not c["retry"] and not c["again"]]
     answers, possible, earned, came_up = tally(audit.calls.values(), kinds)
     reasons, late = list(run.reasons), distribution(lateness)
-    faults = {name: n for one in totals for name, n in one["faults"].items()}
+    faults = {name: n for process_totals in totals for name, n in process_totals["faults"].items()}
     if late.p999 > MAX_LATENESS:
         reasons.append(
             f"the load generator was late: {late.p999} us at p99.9, limit {MAX_LATENESS}: results invalid"
--- a/cottonspread/lab/run.py
+++ b/cottonspread/lab/run.py
@@ -52,8 +52,8 @@
         cores = sorted(os.sched_getaffinity(0))
         if not self.plan.experiment.nodes.pin or len(cores) < 2:
             return None
-        most = max(1, min(len(self.plan.nodes), len(cores) // 2))
-        return {cores[len(cores) - 1 - number % most]}
+        node_core_count = max(1, min(len(self.plan.nodes), len(cores) // 2))
+        return {cores[len(cores) - 1 - number % node_core_count]}
 
     def child_cores(self, kind, number):
         """Returns the CPU set of one of the lab's processes, or None.
@@ -170,16 +170,16 @@
     def supervise(self):
         """Runs timers, takes a sample every second and watches the processes until the run's end."""
         x = self.plan.experiment
-        ending = self.start + round((x.seconds + x.settle_s) * SECOND)
+        end_time = self.start + round((x.seconds + x.settle_s) * SECOND)
         steal_before = psutil.cpu_times().steal
         self.schedule_faults()
         sampled = self.start
         with open(os.path.join(self.folder, "live.jsonl"), "w", encoding="utf-8") as live:
-            while now() < ending and not self.interrupted_by:
+            while now() < end_time and not self.interrupted_by:
                 while self.timers and self.timers[0][0] <= now():
                     _, _, callback, args = heapq.heappop(self.timers)
                     callback(*args)
-                wait = min([ending, sampled + SECOND] + [one[0] for one in self.timers[:1]]) - now()
+                wait = min([end_time, sampled + SECOND] + [timer[0] for timer in self.timers[:1]]) - now()
                 self.read_children(max(0.0, min(wait / 1e6, 0.2)))
                 if now() >= sampled + SECOND:
                     sampled += SECOND
--- a/cottonspread/lab/selfcheck.py
+++ b/cottonspread/lab/selfcheck.py
@@ -122,8 +122,8 @@
                 time.sleep(0.01)
             start = now() + 200_000
             child.send(f"begin {start}")
-            ending = start + round((seconds + delay_ms / 1000 + 1) * 1e6)
-            while now() < ending:
+            end_time = start + round((seconds + delay_ms / 1000 + 1) * 1e6)
+            while now() < end_time:
                 child.read()
                 time.sleep(0.05)
             child.send("end")
