--- a/tests/lab/test_lab_parts.py
+++ b/tests/lab/test_lab_parts.py
@@ -93,10 +93,10 @@
 
     def until(self, at):
         while self.due and min(self.due)[0] <= at:
-            one = min(self.due)
-            self.due.remove(one)
-            self.now = one[0]
-            self.apply(getattr(self.host, one[1])(one[0], one[2]))
+            timer = min(self.due)
+            self.due.remove(timer)
+            self.now = timer[0]
+            self.apply(getattr(self.host, timer[1])(timer[0], timer[2]))
         self.now = at
         return self
 
@@ -115,56 +115,56 @@
 
 
 def test_an_idle_host_accepts_a_call_at_once_and_reports_its_load():
-    one = ModelDriver().open("a").until(SECOND + 10_000)
-    assert one.events_of("a") == [b"UP", b"LOAD"] and one.host.load == 10_000
-    assert next(at for at, c, _ in one.sent if c == "a") < SECOND + 2000
+    driver = ModelDriver().open("a").until(SECOND + 10_000)
+    assert driver.events_of("a") == [b"UP", b"LOAD"] and driver.host.load == 10_000
+    assert next(at for at, c, _ in driver.sent if c == "a") < SECOND + 2000
 
 
 def test_work_beyond_the_capacity_queues_and_delays_lines():
-    one = ModelDriver(cores=0.02, group_us=0, setup_us=0, change_s=1e6)  # 20,000 us a second
+    driver = ModelDriver(cores=0.02, group_us=0, setup_us=0, change_s=1e6)  # 20,000 us a second
     for n in range(4):  # load of 40,000 us a second
-        one.open(f"c{n}")
-    one.until(2 * SECOND)
-    one.apply(one.host.on_line(3 * SECOND, "c0", b"e1"))
-    at = [at for at, c, what in one.sent if what == b"e1"][0]
+        driver.open(f"c{n}")
+    driver.until(2 * SECOND)
+    driver.apply(driver.host.on_line(3 * SECOND, "c0", b"e1"))
+    at = [at for at, c, what in driver.sent if what == b"e1"][0]
     # 2 s with an excess of 20,000 us a second leave a backlog that takes 2 s at 20,000 us a second
     assert at - 3 * SECOND == pytest.approx(2 * SECOND, rel=0.01)
 
 
 def test_a_group_costs_a_host_once_for_any_number_of_connections():
-    one = ModelDriver()
+    driver = ModelDriver()
     for n in range(3):
-        one.open(f"c{n}", group="g")
-    one.until(2 * SECOND)
-    assert one.host.demand() * SECOND == pytest.approx(3 * 10_000 + one.host.traits.group_us)
+        driver.open(f"c{n}", group="g")
+    driver.until(2 * SECOND)
+    assert driver.host.demand() * SECOND == pytest.approx(3 * 10_000 + driver.host.traits.group_us)
     for n in range(3):
-        one.apply(one.host.on_end(2 * SECOND, f"c{n}"))
-    assert one.host.demand() == 0 and not one.host.groups
+        driver.apply(driver.host.on_end(2 * SECOND, f"c{n}"))
+    assert driver.host.demand() == 0 and not driver.host.groups
 
 
 def test_after_a_hang_waiting_set_ups_are_done_in_order():
-    one = ModelDriver()
-    one.apply(one.host.start_fault(SECOND, "hang", 3 * SECOND))
-    one.open("a").until(2 * SECOND).open("b").until(5 * SECOND)
-    ups = [(at, c) for at, c, what in one.sent if isinstance(what, bytes) and what.startswith(b"UP")]
+    driver = ModelDriver()
+    driver.apply(driver.host.start_fault(SECOND, "hang", 3 * SECOND))
+    driver.open("a").until(2 * SECOND).open("b").until(5 * SECOND)
+    ups = [(at, c) for at, c, what in driver.sent if isinstance(what, bytes) and what.startswith(b"UP")]
     assert [c for _, c in ups] == ["a", "b"] and all(4 * SECOND <= at < 4.1 * SECOND for at, _ in ups)
 
 
 def test_a_set_up_that_would_be_too_late_is_rejected_and_never_runs():
-    one = ModelDriver(cores=0.001, message_us=300).open("a").open("b", wait=50).until(9 * SECOND)
-    assert one.events_of("b") == [b"BUSY", "end"] and one.events_of("a")[0] == b"UP"
-    assert [at for at, c, _ in one.sent if c == "b"][0] == SECOND + 50_000
+    driver = ModelDriver(cores=0.001, message_us=300).open("a").open("b", wait=50).until(9 * SECOND)
+    assert driver.events_of("b") == [b"BUSY", "end"] and driver.events_of("a")[0] == b"UP"
+    assert [at for at, c, _ in driver.sent if c == "b"][0] == SECOND + 50_000
 
 
 def test_an_overloaded_cold_host_fails_for_good_and_one_with_little_load_warms_up():
-    one = ModelDriver(
+    driver = ModelDriver(
         started=SECOND, cores=0.1, cold_share=0.2, warm_s=10, tip_multiple=2, tip_s=1, setup_us=20_000
     )
     for n in range(4):
-        one.open(f"c{n}")
-    assert "tipped" in one.events_of(None) and one.host.state == "tipped"
-    one.apply(one.host.end_fault(5 * SECOND, "cold"))
-    assert one.host.state == "tipped" and one.open("x").events_of("x") == ["reset"]
+        driver.open(f"c{n}")
+    assert "tipped" in driver.events_of(None) and driver.host.state == "tipped"
+    driver.apply(driver.host.end_fault(5 * SECOND, "cold"))
+    assert driver.host.state == "tipped" and driver.open("x").events_of("x") == ["reset"]
     careful = ModelDriver(
         started=SECOND, cores=0.1, cold_share=0.2, warm_s=10, tip_multiple=2, tip_s=1, setup_us=10_000
     )
@@ -175,26 +175,26 @@
 
 @pytest.mark.parametrize("how, last", [("paced", 2), ("at-once", 0), ("none", None)])
 def test_a_drain_moves_clients_off_in_three_ways(how, last):
-    one = ModelDriver(drain=how, drain_s=3)
+    driver = ModelDriver(drain=how, drain_s=3)
     for n in range(3):
-        one.open(f"c{n}")
-    one.until(2 * SECOND)
-    one.apply(one.host.start_fault(2 * SECOND, "drain", 5 * SECOND))
-    moves = sorted(at - 2 * SECOND for at, _, what in one.sent if what == b"MOVE")
+        driver.open(f"c{n}")
+    driver.until(2 * SECOND)
+    driver.apply(driver.host.start_fault(2 * SECOND, "drain", 5 * SECOND))
+    moves = sorted(at - 2 * SECOND for at, _, what in driver.sent if what == b"MOVE")
     assert moves[-1] == pytest.approx(last * SECOND, abs=SECOND // 10) if moves else last is None
     assert len(moves) == (0 if how == "none" else 3)
-    assert one.until(3 * SECOND).open("late").events_of("late") == [b"BUSY", "end"]
-    one.apply(one.host.end_fault(7 * SECOND, "drain"))
-    assert one.host.state == "down" and not one.host.conns
+    assert driver.until(3 * SECOND).open("late").events_of("late") == [b"BUSY", "end"]
+    driver.apply(driver.host.end_fault(7 * SECOND, "drain"))
+    assert driver.host.state == "down" and not driver.host.conns
 
 
 def test_a_half_dead_host_reads_everything_and_answers_nothing():
-    one = ModelDriver().open("a").until(2 * SECOND)
-    before = len(one.sent)
-    one.apply(one.host.start_fault(2 * SECOND, "half-dead", SECOND))
-    one.apply(one.host.on_line(2 * SECOND, "a", b"e1"))
-    one.open("b").until(3 * SECOND)
-    assert [what for _, c, what in one.sent[before:]] == ["swallowed"]
+    driver = ModelDriver().open("a").until(2 * SECOND)
+    before = len(driver.sent)
+    driver.apply(driver.host.start_fault(2 * SECOND, "half-dead", SECOND))
+    driver.apply(driver.host.on_line(2 * SECOND, "a", b"e1"))
+    driver.open("b").until(3 * SECOND)
+    assert [what for _, c, what in driver.sent[before:]] == ["swallowed"]
 
 
 # List
@@ -313,19 +313,19 @@
     x = experiment(
         load={"types": [{"name": "a", "life_s": 1000}], "shapes": [{"kind": "constant", "rate": 500}]}
     )
-    one = plan.make(x, plan.Variant(name="v"), 1, (70, 1))
-    schedule = plan.schedule(one)
+    run_plan = plan.make(x, plan.Variant(name="v"), 1, (70, 1))
+    schedule = plan.schedule(run_plan)
     assert limits.max_established(schedule) == pytest.approx(5000, rel=0.02)
-    limits.check(one, schedule, hard=10_000, local_ports=28_000, cores=64)
+    limits.check(run_plan, schedule, hard=10_000, local_ports=28_000, cores=64)
     with pytest.raises(
         limits.LimitExceededError, match=r"descriptors: .* load processes.*is 1024: raise load.processes to"
     ):
-        limits.check(one, schedule, hard=1024, local_ports=28_000, cores=64)
+        limits.check(run_plan, schedule, hard=1024, local_ports=28_000, cores=64)
     with pytest.raises(
         limits.LimitExceededError, match="local ports: 5000 .* gives 500 .* raise load.sources to"
     ):
-        limits.check(one, schedule, hard=10_000, local_ports=500, cores=64)
-    assert "share 1 cores" in limits.check(one, schedule, hard=10_000, local_ports=28_000, cores=1)[0]
+        limits.check(run_plan, schedule, hard=10_000, local_ports=500, cores=64)
+    assert "share 1 cores" in limits.check(run_plan, schedule, hard=10_000, local_ports=28_000, cores=1)[0]
 
 
 # Audit
--- a/tests/lab/test_layers.py
+++ b/tests/lab/test_layers.py
@@ -75,7 +75,7 @@
                 for alias in node.names:
                     whole = f"{node.module}.{alias.name}"
                     wanted.add(whole if whole in texts else node.module)
-        edges[name] = {one for one in wanted if one in texts and one != name}
+        edges[name] = {module for module in wanted if module in texts and module != name}
     return edges
 
 
@@ -176,4 +176,4 @@
     """One more line in one module, as a change could add it."""
     texts = sources()
     texts[f"cottonspread.{module}"] += f"\n{line}\n"
-    assert any(one.endswith(found) for one in violations(texts)), violations(texts)
+    assert any(violation.endswith(found) for violation in violations(texts)), violations(texts)
