--- a/cottonspread/lab/sim/agent.py
+++ b/cottonspread/lab/sim/agent.py
@@ -61,7 +61,7 @@
             caller.fail(caller.call, ConnectionResetError("list restarted"))
 
     def answer_waiting_calls(self):
-        """Answers the calls that have an answer by now, and forgets dead processes."""
+        """Answers the waiting calls for which there is an answer, and drops those of dead processes."""
         self.callers = [caller for caller in self.callers if not caller.process.dead]
         for caller in self.callers:
             caller.answer_if_due()
@@ -119,13 +119,13 @@
             self.world.after(ROUND_TRIP, self.process.run_if_alive, self.handle_answer, self.call)
 
     def fail(self, call, error):
-        """Lets request number `call` fail with `error`, unless it has been answered."""
+        """Fails request number `call` with `error`, unless it has been answered."""
         if call == self.call:
             self.answer = error
             self.process.run_if_alive(self.handle_answer, call)
 
     def handle_answer(self, call):
-        """Lets the list client handle an answer; it reads the answer through `get`."""
+        """Passes an answer to the list client, which reads it through `get`."""
         discovery = self.process.discovery
         if (
             call != self.call
@@ -140,7 +140,7 @@
             self.world.after(round(pause * SECOND) + 1, self.process.run_if_alive, self.send_request)
 
     def poll_list(self):
-        """Runs one turn of the list client; returns the seconds that it then pauses."""
+        """Runs one poll of the list client; returns the seconds that it waits before the next one."""
         return self.process.discovery.poll()
 
     def get(self, path, wait):
--- a/cottonspread/lab/sim/clients.py
+++ b/cottonspread/lab/sim/clients.py
@@ -9,7 +9,7 @@
 from cottonspread.lab.sim.network import Endpoint
 from cottonspread.lab.sim.world import SECOND
 
-ANSWER_TOLERANCE = 50_000  # how long a client without an answer waits after its guard time
+ANSWER_TOLERANCE = 50_000  # microseconds that a client waits for an answer beyond its guard time
 CONNECT_TIMEOUT = 3 * SECOND
 BAD_KINDS = (
     "garbage",
@@ -286,7 +286,7 @@
                 self.schedule_call(call, round(position / share * span), True)
 
     def slow_readers(self, share, span):
-        """Lets a share (0 to 1) of the connected clients read nothing for `span`."""
+        """Makes a share (0 to 1) of the connected clients read nothing for `span`."""
         for call in list(self.established):
             if self.reconnect_draws[call.schedule_index] < share:
                 call.slow_until = self.world.now + span
@@ -382,6 +382,8 @@
 class BadClient:
     """A misbehaving client. It must get an error or a close, and must not affect other clients."""
 
+    # What a client of each kind sends first. "silent" and "crowd" send nothing, and "same-id" uses the ID of
+    # an open call; "hangs-up" closes the connection soon afterwards, and "shuts" its sending direction.
     LINES = {
         "garbage": b"\x00\xff GET / HTTP/1.1\r\n",
         "endless": b"x" * 9000,
--- a/cottonspread/lab/sim/fault_injection.py
+++ b/cottonspread/lab/sim/fault_injection.py
@@ -1,6 +1,6 @@
 """Injects the faults of a plan into a simulated fleet, each from its start and for its duration.
 
-Spans are in microseconds.
+`span` is a duration in microseconds.
 """
 
 from cottonspread.lab import node_config
@@ -229,7 +229,7 @@
 
 
 def list_garbage(fleet, fault, span):
-    """Lets the agents send garbage for their next five answers."""
+    """Makes the agents send garbage as their next five answers."""
     for agent in agents(fleet, fault):
         agent.garbage_left = 5
         agent.answer_waiting_calls()
@@ -249,7 +249,7 @@
 
 
 def contradict(fleet, fault, span):
-    """Lets the agents report a healthy host as draining or gone, and take that back after `span`."""
+    """Makes the agents report a healthy host as draining or gone, and as ready again after `span`."""
     up = [name for name, host in fleet.hosts.items() if host.model.state == "up" and not host.vanished]
     if not up:
         return
@@ -261,7 +261,7 @@
 
 
 def retract_change(fleet, agent, name):
-    """Lets an agent report the host as ready again, if it is up."""
+    """Makes an agent report the host as ready again, if it is up."""
     host = fleet.hosts[name]
     if host.model.state == "up":
         agent.schedule_change(name, "Ready", None, fleet.entry(host.machine))
@@ -283,12 +283,12 @@
 
 
 def slow_readers(fleet, fault, span):
-    """Lets a share (`factor` tenths) of the clients read nothing for `span`."""
+    """Makes a share (`factor` tenths) of the clients read nothing for `span`."""
     fleet.clients.slow_readers(min(1.0, fault.factor / 10), span)
 
 
 def send_all_to_one_node(fleet, fault, span):
-    """Lets the front send all new clients to one node for `span`."""
+    """Makes the front send all new clients to one node for `span`."""
     fleet.clients.sole_target = fleet.world.now + span, fleet.by_name[fault.on[0]]
 
 
--- a/cottonspread/lab/sim/fleet.py
+++ b/cottonspread/lab/sim/fleet.py
@@ -71,7 +71,7 @@
         return self.processes[-1] if self.processes else None
 
     def wait_until_ready(self, process):
-        """Lets a starting process accept connections once it has received a list from discovery."""
+        """Makes a starting process accept connections once it has received a list from discovery."""
         if process.dead:
             return
         list_received = (
@@ -260,13 +260,13 @@
     # The front
 
     def start_health_checks(self, node):
-        """Lets the front send clients to a node again once it has answered PING."""
+        """Makes the front send clients to a node again once it has answered PING."""
         process = node.process
         if process is not None and not process.dead:
             Pinger(self, node)
 
     def schedule_removal(self, node, after):
-        """Lets the front notice after `after` microseconds that a node is down."""
+        """Takes a node that is down out of rotation after `after` microseconds, when the front notices."""
         node.down_at = self.world.now
         self.world.after(after, self.remove_if_down, node, node.down_at)
 
--- a/cottonspread/lab/sim/generator.py
+++ b/cottonspread/lab/sim/generator.py
@@ -95,7 +95,7 @@
 
 
 def with_fitted_length(scenario):
-    """Returns the scenario with a length that its faults need."""
+    """Returns the scenario with a length that covers its faults and the time to recover from them."""
     return Scenario(
         {**scenario.fleet, "seconds": round(last_fault_end(scenario.faults) + SETTLING_SECONDS, 1)},
         scenario.types,
@@ -110,8 +110,8 @@
 def sustainable_rate(fleet, types, rate):
     """Returns `rate`, limited to what the fleet can serve.
 
-    The limit is a third of what the hosts can do without faults, and of the nodes' descriptors, so that a
-    client that is not served then was rejected without good reason.
+    The limit is a third of the hosts' capacity without faults, and of the nodes' descriptors, so that there
+    is no reason to reject a client unless a fault is active.
     """
     life = sum(kind["life_s"] for kind in types) / len(types)
     work = sum(kind["life_s"] * kind["load_us"] for kind in types) / len(types) / 1e6 + 0.0024
--- a/cottonspread/lab/sim/invariants.py
+++ b/cottonspread/lab/sim/invariants.py
@@ -19,7 +19,7 @@
 )
 CALM_PERIOD = 20 * SECOND  # after the last fault; from then on every well-behaved client must be served
 COUNTER_CHECK_INTERVAL = 40  # steps of a process between two recounts of its counters
-# How many timers a call may leave at the node, and for how long
+# How many timers a call may leave at the node, and for how long, in microseconds
 TIMERS_PER_CALL, TIMER_LIFETIME = 8, 50 * SECOND
 
 ANSWER, EFFECTS, DRAINS, COLD, COUNTERS, BOUND, PROGRESS, ORDER = (
@@ -214,7 +214,7 @@
         )
 
     def on_rejected(self, process, side, line):
-        """Handles a connection that was answered and closed at once on being accepted."""
+        """Handles a connection that was rejected: answered and closed as soon as it was accepted."""
         observed = self.call_of(side)
         if observed is not None:
             observed.process, observed.node, observed.accepted_at = process, process.node, self.world.now
@@ -307,12 +307,12 @@
         observed.legs.append(leg)
 
     def on_worker_event(self, process, event):
-        """Handles an event from the workers to the reducer, from which on the node knows of it."""
+        """Handles an event that the workers pass to the reducer; from then on the node knows of it."""
         end = getattr(event, "end", None)
         if end is None or end.is_client or end.worker is None:
             return
         leg = self.legs_by_side.get(end.worker.side)
-        if leg is None or not leg.active:  # the node drops what a leg sends that it has given up
+        if leg is None or not leg.active:  # the node ignores what a leg sends after the node has given it up
             return
         if isinstance(event, ev.LinesRead) and not leg.up:
             word = event.data.split(None, 1)[0] if event.data.strip() else b""
--- a/cottonspread/lab/sim/node.py
+++ b/cottonspread/lab/sim/node.py
@@ -45,7 +45,7 @@
         self.process, self.end, self.side, self.number = process, end, side, process.next_number()
         self.reading, self.is_shut_down, self.reset_when_freed, self.discarding = False, False, False, False
         self.connect_done = side is not None  # the connect has succeeded or failed
-        # the socket is another process's now; or another process still has it too
+        # `transferred`: another process has taken the socket over; `shares_side`: another one still holds it
         self.transferred = self.shares_side = False
         # `unsent`: the rest of a write that waits for the peer to read
         self.buffer, self.line_started_at, self.unsent = bytearray(), 0, b""
@@ -66,7 +66,7 @@
         self.read()
 
     def on_readable(self, side):
-        """Lets the reader thread see what has arrived, a little later."""
+        """Wakes the reader thread, after a thread's random delay."""
         self.process.world.after(self.process.random.randbelow(MAX_THREAD_DELAY), self.poll)
 
     def poll(self):
@@ -462,7 +462,7 @@
                 self.caller.follow_list()
             case ev.Transfer():
                 world.after(self.random.randbelow(MAX_THREAD_DELAY), self.run_if_alive, self.transfer, effect)
-            case ev.Exit():  # the process must not end before the last answers are written
+            case ev.Exit():  # not before the last answers have been written
                 self.exiting = True
                 self.writer_free_at = max(self.writer_free_at, world.now) + MAX_THREAD_DELAY
                 world.at(self.writer_free_at, self.run_if_alive, self.exit, STOPPED)
@@ -527,7 +527,7 @@
     # Accepting connections
 
     def on_connect(self, side):
-        """Lets the process accept a connection, a little later."""
+        """Makes the process accept a connection, after a thread's random delay."""
         self.world.after(self.random.randbelow(MAX_THREAD_DELAY), self.run_if_alive, self.accept, side)
 
     def accept(self, side):
--- a/cottonspread/lab/sim/scenario.py
+++ b/cottonspread/lab/sim/scenario.py
@@ -68,7 +68,7 @@
 
 
 def read(text):
-    """Parses the text of a scenario; a PlanError names the faulty line."""
+    """Parses the text of a scenario; a PlanError names the invalid line."""
     scenario = Scenario({}, [], [], [], remarks=[])
     for line_number, line in enumerate(text.splitlines(), 1):
         if line.startswith("#"):
