--- a/cottonspread/lab/audit.py
+++ b/cottonspread/lab/audit.py
@@ -175,11 +175,11 @@
     # Rule 1
 
     def node_died(self, node, after, before):
-        """Tells whether the node was killed or died between two times."""
+        """Returns whether the node was killed or died between two times."""
         return any(after <= t <= before for t in self.deaths.get(node, ()))
 
     def node_frozen(self, node, after, before):
-        """Tells whether the node was frozen at any time between two times."""
+        """Returns whether the node was frozen at any time between two times."""
         return any(since <= before and until >= after for since, until in self.freezes.get(node, ()))
 
     def check_answers(self, call):
@@ -299,7 +299,7 @@
             self.add_violation(2, "rejected though it may have run", self.with_legs(call))
 
     def is_active(self, leg, at):
-        """Tells whether the leg was still active at that time."""
+        """Returns whether the leg was still active at that time."""
         if leg["never"] is not None:
             return False
         if leg["end"] is None:
@@ -307,13 +307,13 @@
         return leg["end"] > at + TOLERANCE
 
     def host_vanished(self, leg, before):
-        """Tells whether the leg's host vanished or went down before, and so recorded no end of the leg."""
+        """Returns whether the leg's host vanished or went down before, and so recorded no end of the leg."""
         return any(
             t <= before and what in ("vanish", "cold") for t, _, what in self.host_faults.get(leg["host"], ())
         )
 
     def in_one_scope(self, kind, legs):
-        """Tells whether all hosts of the legs are in one scope, within which repeats are recognised."""
+        """Returns whether all hosts of the legs are in one scope, within which repeats are recognised."""
         if kind.scope == "all":
             return True
         return (
--- a/cottonspread/lab/children.py
+++ b/cottonspread/lab/children.py
@@ -59,7 +59,7 @@
 
 
 def prepare_child(cores):
-    """Runs in a child before exec: ties its life to the runner's and pins it to `cores`."""
+    """Runs in a child before exec: the kernel kills it if the runner dies, and it is pinned to `cores`."""
     libc.prctl(PR_SET_PDEATHSIG, signal.SIGKILL)
     os.setpgrp()  # a terminal's Ctrl-C goes to the runner alone
     if cores:
@@ -82,13 +82,13 @@
         return self.node.ip, 20000 + 10 * self.number + self.starts % 10
 
     def admin_call(self, word):
-        """Sends an operators' call; tells whether it succeeded."""
+        """Sends an operators' call; returns whether it succeeded."""
         with socket.create_connection(self.admin_address, timeout=1) as sock:
             sock.sendall(word.encode() + b"\n")
             return sock.recv(16).startswith(b"200")
 
     def is_healthy(self):
-        """Tells whether the node reports that it is healthy."""
+        """Returns whether the node reports that it is healthy."""
         try:
             return self.admin_call("health")
         except OSError:
@@ -151,7 +151,7 @@
         self.run.record_event("started", self)
 
     def answers_ping(self):
-        """Tells whether the node answers a PING with PONG."""
+        """Returns whether the node answers a PING with PONG."""
         try:
             with socket.create_connection((self.node.ip, self.node.port), timeout=0.3) as sock:
                 sock.sendall(b"PING\r\n")
--- a/cottonspread/lab/client_policy.py
+++ b/cottonspread/lab/client_policy.py
@@ -2,11 +2,12 @@
 
 
 def next_attempt(load, kind, how, up, answer, tries, heeds_retry_after, jitter):
-    """Returns None, or (microseconds until the client connects again, whether it is a reconnect).
+    """Returns None, or (microseconds until the client connects again, whether that is a reconnect).
 
-    Otherwise it is a retry. `how`: how the connection ended; `up`: whether it was established; `answer`: its
-    final answer as ("BUSY", ms) or the like, or None; `tries`: retries before this one; `heeds_retry_after`:
-    whether the client does; `jitter`: the client's random number from 0 to 1.
+    If it is no reconnect, it is a retry. `how`: how the connection ended; `up`: whether it was established;
+    `answer`: its final answer, such as ("BUSY", ms), or None; `tries`: the retries so far;
+    `heeds_retry_after`: whether the client waits as long as BUSY asks it to; `jitter`: the client's random
+    number from 0 to 1.
     """
     if how in ("left", "bye", "cut"):
         return None
--- a/cottonspread/lab/fleet.py
+++ b/cottonspread/lab/fleet.py
@@ -33,7 +33,8 @@
         """Writes the operator's file and the template of the nodes' configuration."""
         plan, first = self.run.plan, self.run.nodes[0]
         config = node_config.build(self.run.plan, first.number)
-        config["settings"]["Limits"]["MaxRetryAfter"] -= self.changes % 2  # a change for a reload
+        # so that a reload has a change to apply
+        config["settings"]["Limits"]["MaxRetryAfter"] -= self.changes % 2
         with open(self.template, "w", encoding="utf-8") as file:
             json.dump(config, file, indent=1)
         keys = {
@@ -233,7 +234,7 @@
     def sample(self):
         """Returns the instance's usage, as NodeProcess.sample does."""
         fleet = self.run.fleet
-        if time.monotonic() - fleet.last_status[0] > 0.5:  # one status for all nodes
+        if time.monotonic() - fleet.last_status[0] > 0.5:  # one status request serves all nodes
             fleet.last_status = time.monotonic(), fleet.status()
         pid = fleet.last_status[1].get(self.node.name, {}).get("pid")
         if pid and (self.psutil_process is None or self.psutil_process.pid != pid):
--- a/cottonspread/lab/load.py
+++ b/cottonspread/lab/load.py
@@ -26,8 +26,8 @@
 MAX_RECORDED = 600 * SECOND
 SO_TIMESTAMPNS, TIMESPEC, CONTROL_SIZE = 35, struct.Struct("qq"), 64
 BIND_NO_PORT = 24  # IP_BIND_ADDRESS_NO_PORT: the port is chosen at connect, separately for each destination
-GUARD_TOLERANCE = 50_000  # microseconds that a client waits on after its guard time, as sockets deliver late
-SPIN_TIME = 400  # microseconds before an arrival from which on a busy-waiting generator does not sleep
+GUARD_TOLERANCE = 50_000  # microseconds that a client waits beyond its guard time, as sockets deliver late
+SPIN_TIME = 400  # microseconds before an arrival in which a busy-waiting generator does not sleep
 
 
 def received_at(control_messages):
@@ -112,9 +112,8 @@
         )
         self.tenants = self.schedule.tenant.tolist()
         rng = np.random.default_rng([self.plan.seed, 3, self.number])
-        self.reconnect_draws = rng.random(
-            max(1, len(self.at))
-        ).tolist()  # which clients reset their connections in a mass reconnect, and when they come back
+        # They determine which clients reset their connections in a mass reconnect, and when they come back.
+        self.reconnect_draws = rng.random(max(1, len(self.at))).tolist()
         self.types, self.load = load.types, load
         self.nodes, self.active_nodes = self.plan.nodes, list(range(len(self.plan.nodes)))
         self.sources = [s for n, s in enumerate(self.plan.sources) if n % load.processes == self.number] or [
--- a/cottonspread/lab/loop.py
+++ b/cottonspread/lab/loop.py
@@ -27,7 +27,7 @@
         if self.poll.fileno() >= 1024:
             raise RuntimeError("create the loop before its sockets: select takes only descriptors under 1024")
         self.handlers, self.timers, self.sequence, self.stopped = {}, [], 0, False
-        self.spin = 0  # microseconds before a timer from which on it busy-waits; a sleep ends 0.1 ms late
+        self.spin = 0  # busy-waits for this many microseconds before a timer, as a sleep ends 0.1 ms late
 
     def at(self, when, callback, *args):
         """Calls `callback(*args)` at the time `when`."""
--- a/cottonspread/lab/model.py
+++ b/cottonspread/lab/model.py
@@ -30,9 +30,8 @@
     load_sigma: float = 0.5  # standard deviation of the logarithm of loads around their type's mean
     cold_share: float = 0.2  # the share of its capacity that it has just after a start
     warm_s: float = 15.0  # time after a start until it has its full capacity
-    tip_multiple: float = (
-        3.0  # a cold host that is sent more than this multiple of its capacity over tip_s fails for good
-    )
+    # a cold host that is sent more than this multiple of its capacity over tip_s fails for good ("tipped")
+    tip_multiple: float = 3.0
     tip_s: float = 3.0
     drain: str = "paced"  # how it moves its clients off when it drains: paced, at-once or none
     drain_s: float = 2.0  # paced: the time over which it moves them off
@@ -102,8 +101,8 @@
     loads: dict  # traffic type: mean load
     rng: object
     now: int = 0
-    started: int = 0  # 0: it has been warm for long
-    state: str = "up"  # up, draining, down, tipped
+    started: int = 0  # 0: before the run, so that it is warm
+    state: str = "up"  # up, draining, down, or tipped: failed for good under overload while cold
     backlog: float = 0.0  # work that waits
     slow: float = 1.0  # factor by which a fault slows it down
     hung_until: int = 0
@@ -313,7 +312,7 @@
             self.state = "draining"
             return self.move_clients_off()
         else:
-            raise ValueError(f"no fault of a host: {kind}")
+            raise ValueError(f"not a host fault: {kind}")
         return []
 
     def move_clients_off(self):
--- a/cottonspread/lab/plan.py
+++ b/cottonspread/lab/plan.py
@@ -55,13 +55,13 @@
     share: float = 1.0
     effect: str = "repeatable"  # repeatable, referenced, once-only
     scope: str = "cell"  # of referenced: the set of hosts that recognise and drop a repeated call
-    remembered_ms: float = 0
+    remembered_ms: float = 0  # of referenced: how long hosts recognise a repeat; 0: the audit checks no limit
     target_ms: float = 800
     guard_ms: float = 4800
     revenue: float = 1.0
     life_s: float = 20.0  # mean time that a client stays connected
     load_us: float = 3000.0  # mean work of a connection, in microseconds per second
-    message_ms: float = 100
+    message_ms: float = 100  # target time for a message
 
 
 class Shape(msgspec.Struct, forbid_unknown_fields=True, kw_only=True):
@@ -159,7 +159,7 @@
     seconds: float = 0.0
     on: list[str] = []
     share: float = 0.0
-    factor: float = 3.0  # of slow
+    factor: float = 3.0  # of slow; for simulated faults, see sim/fault_injection
 
 
 class Variant(msgspec.Struct, forbid_unknown_fields=True, kw_only=True):
--- a/cottonspread/lab/results.py
+++ b/cottonspread/lab/results.py
@@ -43,9 +43,8 @@
     offered: int
     seconds: float
     served_share: float  # the share of first calls that came up in the end, retries included
-    revenue: (
-        float  # of calls that came up within their setup target, over the revenue of all calls but retries
-    )
+    # of calls that came up within their setup target, over the revenue of all calls but retries
+    revenue: float
     answers: dict[str, int]  # number of calls by final answer, or by how they ended without one
     latency: dict[str, Distribution]  # from the intended time to UP, by traffic type; "all"
     lateness: Distribution  # of the load generator itself
@@ -257,6 +256,6 @@
         f"revenue {result.revenue:.3f}, answers " + json.dumps(result.answers),
         f"set-up ms p50 {all_.p50 / 1000:.2f} p99 {all_.p99 / 1000:.2f} p99.9 {all_.p999 / 1000:.2f} "
         f"max {all_.max / 1000:.2f} (generator late us p50 {late.p50} p99 {late.p99} p99.9 {late.p999} "
-        f"max {late.max}; {result.stolen_s} core seconds taken from this machine)",
+        f"max {late.max}; steal time {result.stolen_s} core seconds)",
         *audits.summary_lines(result.audit),
     ]
--- a/cottonspread/lab/selfcheck.py
+++ b/cottonspread/lab/selfcheck.py
@@ -1,4 +1,4 @@
-"""Checks the load generator's measurements against a server of known delay that takes its own times.
+"""Checks the latencies that the load generator reports against those that a server of known delay measures.
 
 The server records when a call's first line arrived, waits the known delay, answers, and records when it did.
 The latency that the generator reports (from the intended time to UP) and the one that the server measured
--- a/cottonspread/lab/stub_node.py
+++ b/cottonspread/lab/stub_node.py
@@ -1,8 +1,8 @@
 """Stub nodes that test the lab itself: one that relays correctly, and ones that break a rule on purpose.
 
-They show that the audit finds violations: one that has never found any proves little. They use threads and
-blocking sockets and assign clients to the hosts in turn. `sabotage` names the rule that is broken, in most
-cases for every third call.
+They test that the audit finds violations, as an audit that has never found any proves little. They use
+threads and blocking sockets and assign clients to the hosts in turn. `sabotage` names the rule that is
+broken, in most cases for every third call.
 """
 
 import contextlib
@@ -15,17 +15,17 @@
 
 SABOTAGES = (
     "none",
-    "lost",
-    "late",
-    "twice",
-    "invented",
-    "after",
-    "again",
-    "rejected",
-    "two",
-    "drained",
-    "cold",
-    "cut",
+    "lost",  # closes a connection without an answer
+    "late",  # answers after the guard time
+    "twice",  # answers UP twice
+    "invented",  # answers UP without a host
+    "after",  # opens a leg after its answer
+    "again",  # sends a call again after it has run
+    "rejected",  # answers BUSY to a call that has run
+    "two",  # opens two legs at once
+    "drained",  # sends calls to draining hosts
+    "cold",  # sends all calls to a cold host
+    "cut",  # closes an established connection without MOVE
 )
 
 
@@ -127,7 +127,7 @@
         return first
 
     def sabotaged_before_leg(self, sock, first, sabotage):
-        """Carries out the sabotages that need no host; tells whether it was one of them."""
+        """Carries out the sabotages that need no host; returns whether it was one of them."""
         if sabotage == "invented":
             sock.sendall(b"UP 123\r\n")
         elif sabotage == "late":
