--- a/benchmarks/crossings/mutants.py
+++ b/benchmarks/crossings/mutants.py
@@ -1,9 +1,10 @@
-"""Breaks, one by one, lines that get concurrent events right, and runs the tests that must fail then:
+"""Mutation test of the code that handles concurrent events: changes one line at a time and runs the tests
+that must then fail:
 
     python benchmarks/crossings/mutants.py OUT.json
 
 Works in a copy of the tree, which is removed afterwards. Exits with 1 if a mutant is not noticed, or if its
-line is not found.
+line is not found exactly once.
 """
 
 import json
--- a/benchmarks/lab/make_trace.py
+++ b/benchmarks/lab/make_trace.py
@@ -25,4 +25,4 @@
         for a, n, v, g in zip(at, names, life, rng.integers(0, 5000, count), strict=True)
     ],
 )
-print(f"{count} connections in {seconds} s, the second with most: {np.bincount(at // 1_000_000).max()}")
+print(f"{count} connections in {seconds} s, busiest second: {np.bincount(at // 1_000_000).max()}")
--- a/tests/lab/test_lab_runs.py
+++ b/tests/lab/test_lab_runs.py
@@ -90,7 +90,7 @@
     return ["python", "-m", "cottonspread", "lab", "standin", "--sabotage", sabotage]
 
 
-MAX_PARALLEL = 3  # runs
+MAX_PARALLEL = 3  # runs at a time
 
 
 def batched(names, size):
@@ -131,8 +131,9 @@
 @pytest.mark.alone  # a load generator that is late makes a run unusable
 @pytest.mark.parametrize("names", list(batched(SABOTAGES, MAX_PARALLEL)), ids="-".join)
 def test_the_audit_finds_each_broken_rule_and_nothing_in_a_correct_node(tmp_path, names):
-    """Few runs in parallel, as each has several processes: with all twelve, load generators were late by
-    9 to 19 ms (`NOT USABLE`), where 1 ms is allowed, and a late generator makes calls with no time left.
+    """Only MAX_PARALLEL runs at a time, as each has several processes: with all twelve at once, load
+    generators were 9 to 19 ms late, and a late generator makes calls that have no time left. Over 1 ms, a run
+    is `NOT USABLE`.
     """
     running = {
         name: start_run(tmp_path / name, command=stub_node(name), **SABOTAGES[name][1]) for name in names
@@ -171,7 +172,7 @@
     assert result.latency["all"].max >= thaw - freeze - 50_000
     # How many of the 300 simultaneous calls come up depends on the number of cores (44 to 300 seen) and is
     # measured in benchmarks/lab/faults.py. That a freeze is not mistaken for overload or slow hosts is tested
-    # in test_lateness.py and reducer/node_stood_still*.txt.
+    # in test_lateness.py and reducer/node_stalled*.txt.
     assert not result.audit["offences"], output
 
 
--- a/tests/lab/test_layers.py
+++ b/tests/lab/test_layers.py
@@ -30,10 +30,8 @@
 }
 # Single imports beyond this table, each with its reason.
 EXCEPTIONS = {
-    (
-        "cottonspread.configstore.callers",
-        "cottonspread.net.http",
-    ),  # the package's only HTTP client; it imports nothing
+    # the package's only HTTP client; it imports nothing
+    ("cottonspread.configstore.callers", "cottonspread.net.http"),
 }
 SERVING_MODULES = ("cottonspread.cli.node", "cottonspread.cli.instance")
 
