--- a/cottonspread/lab/audit.py
+++ b/cottonspread/lab/audit.py
@@ -39,7 +39,7 @@
         monotonic clock that all processes share.
         """
         self.plan, self.start = plan, start
-        self.kinds = {k.name: k for k in plan.experiment.load.types}
+        self.traffic_types = {t.name: t for t in plan.experiment.load.types}
         self.machines = {m.name: m for m in plan.machines}
         self.grace = round(plan.experiment.nodes.grace_ms * 1000)
         self.violations, self.examples, self.checked = Counter(), defaultdict(list), Counter()
@@ -267,10 +267,14 @@
         """Checks rule 2 for a call."""
         legs = self.legs.get(call["id"], ())
         self.checked[2] += len(legs)
-        kind = self.kinds[call["type"]]
+        traffic_type = self.traffic_types[call["type"]]
         ran = [leg for leg in legs if leg["ran"] is not None]
         if len(ran) > 1:
-            if kind.effect == "once-only" or kind.effect == "referenced" and not self.in_one_scope(kind, ran):
+            if (
+                traffic_type.effect == "once-only"
+                or traffic_type.effect == "referenced"
+                and not self.in_one_scope(traffic_type, ran)
+            ):
                 self.add_violation(2, "ran twice", self.with_legs(call))
             else:
                 self.harmless_repeats += 1
@@ -279,22 +283,29 @@
                 self.add_violation(2, "two legs at once", self.with_legs(call))
                 return
             open_before = [earlier for earlier in legs[:n] if earlier["never"] is None]
-            if not open_before or kind.effect == "repeatable":
+            if not open_before or traffic_type.effect == "repeatable":
                 continue
-            if kind.effect == "once-only":
+            if traffic_type.effect == "once-only":
                 self.add_violation(2, "once-only sent again though it may have run", self.with_legs(call))
                 return
-            if not self.in_one_scope(kind, [open_before[0], leg]):
+            if not self.in_one_scope(traffic_type, [open_before[0], leg]):
                 self.add_violation(2, "referenced sent where its repeats are not known", self.with_legs(call))
                 return
-            if kind.remembered_ms and leg["t"] > open_before[0]["t"] + kind.remembered_ms * 1000 + TOLERANCE:
+            if (
+                traffic_type.remembered_ms
+                and leg["t"] > open_before[0]["t"] + traffic_type.remembered_ms * 1000 + TOLERANCE
+            ):
                 self.add_violation(2, "referenced sent again after its time", self.with_legs(call))
                 return
         rejected = call["answers"] and call["answers"][0][1] == "BUSY"
         if (
             rejected
             and any(leg["never"] is None for leg in legs)
-            and (kind.effect == "once-only" or kind.effect == "referenced" and kind.scope != "all")
+            and (
+                traffic_type.effect == "once-only"
+                or traffic_type.effect == "referenced"
+                and traffic_type.scope != "all"
+            )
         ):
             self.add_violation(2, "rejected though it may have run", self.with_legs(call))
 
@@ -312,14 +323,14 @@
             t <= before and what in ("vanish", "cold") for t, _, what in self.host_faults.get(leg["host"], ())
         )
 
-    def in_one_scope(self, kind, legs):
+    def in_one_scope(self, traffic_type, legs):
         """Returns whether all hosts of the legs are in one scope, within which repeats are recognised."""
-        if kind.scope == "all":
+        if traffic_type.scope == "all":
             return True
         return (
             len(
                 {
-                    getattr(self.machines[leg["host"]], "zone" if kind.scope == "zone" else "cell")
+                    getattr(self.machines[leg["host"]], "zone" if traffic_type.scope == "zone" else "cell")
                     for leg in legs
                 }
             )
--- a/cottonspread/lab/load.py
+++ b/cottonspread/lab/load.py
@@ -56,7 +56,7 @@
     __slots__ = (
         "schedule_index",
         "id",
-        "kind",
+        "type_index",
         "key",
         "group",
         "again",
@@ -78,9 +78,9 @@
         "lines_sent",
     )
 
-    def __init__(self, schedule_index, kind, key, group, intended, again, retry, tries):
+    def __init__(self, schedule_index, type_index, key, group, intended, again, retry, tries):
         """`intended`: when the call was due; `again`: it is a reconnect; `tries`: retries before this one."""
-        self.schedule_index, self.kind, self.key, self.group = schedule_index, kind, key, group
+        self.schedule_index, self.type_index, self.key, self.group = schedule_index, type_index, key, group
         self.intended, self.again, self.retry, self.tries = intended, again, retry, tries
         self.id, self.node, self.sock, self.sent, self.begun = "", None, None, 0, 0
         self.answers, self.up, self.splitter, self.out, self.echo_count, self.unanswered_lines = (
@@ -106,7 +106,7 @@
         self.digest = whole.digest()
         at = slice(self.number, None, load.processes)
         self.schedule = plans.Schedule(**{f: getattr(whole, f)[at] for f in whole.__struct_fields__})
-        self.at, self.kinds = self.schedule.at.tolist(), self.schedule.kind.tolist()
+        self.at, self.type_indices = self.schedule.at.tolist(), self.schedule.kind.tolist()
         self.lives, self.draws, self.groups = (
             getattr(self.schedule, n).tolist() for n in ("life", "draw", "group")
         )
@@ -167,7 +167,7 @@
             self.start_call(
                 Call(
                     n,
-                    self.kinds[n],
+                    self.type_indices[n],
                     f"k{self.number}-{n}",
                     f"g{self.groups[n]}",
                     self.start + self.at[n],
@@ -190,7 +190,7 @@
             self.start_call,
             Call(
                 call.schedule_index,
-                call.kind,
+                call.type_index,
                 call.key,
                 call.group,
                 when,
@@ -208,12 +208,14 @@
 
     def start_call(self, call):
         """Connects and sends the first line."""
-        kind = self.types[call.kind]
+        traffic_type = self.types[call.type_index]
         self.call_count += 1
         call.id, call.node = f"{self.number}x{self.call_count:x}", self.choose_node(call)
         self.counts_since_report["offered"] += 1
-        wait = int(kind.guard_ms)
-        call.out = wire.format_open(call.id, call.key, kind.name, wait, call.group, call.again, call.retry)
+        wait = int(traffic_type.guard_ms)
+        call.out = wire.format_open(
+            call.id, call.key, traffic_type.name, wait, call.group, call.again, call.retry
+        )
         sock = None
         try:
             sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM | socket.SOCK_NONBLOCK)
@@ -302,7 +304,7 @@
         """Counts the call as established and schedules its lines and its end."""
         call.up = at
         took = max(1, min(MAX_RECORDED, at - call.intended))
-        self.latency[self.types[call.kind].name].record_value(took)
+        self.latency[self.types[call.type_index].name].record_value(took)
         self.recent_latencies.append(took)
         self.established[call] = None
         life = self.lives[call.schedule_index]
@@ -370,14 +372,14 @@
             {
                 "k": "call",
                 "id": call.id,
-                "type": self.types[call.kind].name,
+                "type": self.types[call.type_index].name,
                 "key": call.key,
                 "group": call.group,
                 "tenant": self.tenants[call.schedule_index],
                 "node": self.nodes[call.node].name,
                 "again": call.again,
                 "retry": call.retry,
-                "d": self.types[call.kind].guard_ms,
+                "d": self.types[call.type_index].guard_ms,
                 "intended": call.intended - start,
                 "begun": call.begun - start,
                 "sent": call.sent - start if call.sent else 0,
@@ -395,7 +397,7 @@
         call.unanswered_lines = []
         after = next_attempt(
             self.load,
-            self.types[call.kind],
+            self.types[call.type_index],
             how,
             call.up,
             call.answers[0][1:] if call.answers else None,
--- a/cottonspread/lab/results.py
+++ b/cottonspread/lab/results.py
@@ -102,20 +102,20 @@
     return latency, lateness, echo
 
 
-def tally(calls, kinds):
+def tally(calls, traffic_types):
     """Returns ({answer: number of calls}, possible revenue, revenue earned, keys of calls that came up)."""
     answers, possible, earned, came_up = {}, 0.0, 0.0, set()
     for call in calls:
-        kind = kinds[call["type"]]
+        traffic_type = traffic_types[call["type"]]
         up = call["answers"][0][0] if call["answers"] and call["answers"][0][1] == "UP" else None
         reason = "up" if up is not None else call["answers"][0][1].lower() if call["answers"] else call["how"]
         answers[reason] = answers.get(reason, 0) + 1
         if up is not None:
             came_up.add(call["key"])
         if not call["retry"]:
-            possible += kind.revenue
-            if up is not None and up - call["intended"] <= kind.target_ms * 1000:
-                earned += kind.revenue
+            possible += traffic_type.revenue
+            if up is not None and up - call["intended"] <= traffic_type.target_ms * 1000:
+                earned += traffic_type.revenue
     return answers, possible, earned, came_up
 
 
@@ -123,10 +123,10 @@
     """Evaluates the records in the run's folder and writes `results.json` there atomically."""
     folder = run.folder
     plan, audit, audit_result, totals = audit_folder(folder)
-    kinds = {k.name: k for k in plan.experiment.load.types}
+    traffic_types = {t.name: t for t in plan.experiment.load.types}
     latency, lateness, echo = histograms(totals)
     first = [c for c in audit.calls.values() if not c["retry"] and not c["again"]]
-    answers, possible, earned, came_up = tally(audit.calls.values(), kinds)
+    answers, possible, earned, came_up = tally(audit.calls.values(), traffic_types)
     reasons, late = list(run.reasons), distribution(lateness)
     faults = {name: n for process_totals in totals for name, n in process_totals["faults"].items()}
     if late.p999 > MAX_LATENESS:
--- a/cottonspread/lab/sim/clients.py
+++ b/cottonspread/lab/sim/clients.py
@@ -34,7 +34,7 @@
         "clients",
         "schedule_index",
         "id",
-        "kind",
+        "traffic_type",
         "key",
         "group",
         "again",
@@ -59,13 +59,13 @@
     )
 
     def __init__(
-        self, clients, schedule_index, kind, key, group, intended, again=False, retry=False, tries=0
+        self, clients, schedule_index, traffic_type, key, group, intended, again=False, retry=False, tries=0
     ):
         """`intended`: when the call was due; `again`: it is a reconnect; `tries`: retries before this one."""
-        self.clients, self.schedule_index, self.kind, self.key, self.group = (
+        self.clients, self.schedule_index, self.traffic_type, self.key, self.group = (
             clients,
             schedule_index,
-            kind,
+            traffic_type,
             key,
             group,
         )
@@ -104,8 +104,8 @@
                 wire.format_open(
                     self.id,
                     self.key,
-                    self.kind.name,
-                    int(self.kind.guard_ms),
+                    self.traffic_type.name,
+                    int(self.traffic_type.guard_ms),
                     self.group,
                     self.again,
                     self.retry,
@@ -116,7 +116,7 @@
             return
         self.sent = world.now
         self.clients.fleet.invariants.on_call_sent(self)
-        world.after(int(self.kind.guard_ms) * 1000 + ANSWER_TOLERANCE, self.on_guard_expired)
+        world.after(int(self.traffic_type.guard_ms) * 1000 + ANSWER_TOLERANCE, self.on_guard_expired)
 
     def on_readable(self, side):
         """Reads what has arrived, unless this client is a slow reader at present."""
@@ -256,7 +256,7 @@
                 Call(
                     self,
                     call.schedule_index,
-                    call.kind,
+                    call.traffic_type,
                     call.key,
                     call.group,
                     when,
@@ -319,14 +319,14 @@
             {
                 "k": "call",
                 "id": call.id,
-                "type": call.kind.name,
+                "type": call.traffic_type.name,
                 "key": call.key,
                 "group": call.group,
                 "tenant": 0,
                 "node": call.node.name,
                 "again": call.again,
                 "retry": call.retry,
-                "d": call.kind.guard_ms,
+                "d": call.traffic_type.guard_ms,
                 "intended": call.intended,
                 "begun": call.begun,
                 "sent": call.sent,
@@ -343,7 +343,7 @@
         )
         next_call = next_attempt(
             self.load,
-            call.kind,
+            call.traffic_type,
             how,
             call.up,
             call.answers[0][1:] if call.answers else None,
--- a/cottonspread/lab/sim/invariants.py
+++ b/cottonspread/lab/sim/invariants.py
@@ -65,7 +65,7 @@
 
     __slots__ = (
         "id",
-        "kind",
+        "traffic_type",
         "call",
         "process",
         "node",
@@ -82,9 +82,9 @@
         "up_leg",
     )
 
-    def __init__(self, id, kind, call):
-        """`kind`: the call's traffic type; `call`: the client's call, None for a misbehaving client."""
-        self.id, self.kind, self.call, self.process, self.node = id, kind, call, None, None
+    def __init__(self, id, traffic_type, call):
+        """`traffic_type`: of the call; `call`: the client's call, None for a misbehaving client."""
+        self.id, self.traffic_type, self.call, self.process, self.node = id, traffic_type, call, None, None
         self.sent, self.deadline, self.answer, self.answered_at, self.legs = 0, 0, b"", 0, []
         self.moved, self.closed_at, self.excuse, self.side, self.accepted_at = False, 0, "", None, 0
         self.up_leg = None  # the leg whose UP was forwarded to the client
@@ -95,7 +95,8 @@
             (leg.host, round(leg.sent / SECOND, 6), leg.up, leg.never_ran, leg.active) for leg in self.legs
         ]
         return (
-            f"{self.id} {self.kind.name} at {self.node and self.node.name}: sent {self.sent / SECOND:.6f}, "
+            f"{self.id} {self.traffic_type.name} at {self.node and self.node.name}: "
+            f"sent {self.sent / SECOND:.6f}, "
             f"said {self.answer!r} {self.answered_at / SECOND:.6f}, legs {legs}"
         )
 
@@ -106,10 +107,14 @@
     def __init__(self, fleet, checked=True):
         """`checked`: if false, violations are ignored."""
         self.fleet, self.world, self.checked = fleet, fleet.world, checked
-        self.kinds = fleet.plan.experiment.load.types
+        self.traffic_types = fleet.plan.experiment.load.types
         self.grace = round(fleet.plan.experiment.nodes.grace_ms * 1000)
         self.calls, self.by_client, self.receipts, self.pauses = {}, {}, set(), defaultdict(list)
-        self.unfit_since, self.host_started_at, self.host_known_at = defaultdict(dict), {}, defaultdict(list)
+        self.host_drained_since, self.host_started_at, self.host_start_reported_at = (
+            defaultdict(dict),
+            {},
+            defaultdict(list),
+        )
         self.run_counts, self.legs_by_side, self.check_counts = Counter(), {}, Counter()
         # IDs that another connection uses too; echoes that hosts have sent and clients have not received
         self.reused_ids, self.host_echoes = set(), defaultdict(deque)
@@ -120,7 +125,7 @@
             set(),
             Counter(),
         )
-        self.drained_since, self.dead_links, self.accept_times = {}, set(), defaultdict(deque)
+        self.node_drained_since, self.dead_links, self.accept_times = {}, set(), defaultdict(deque)
 
     def fail(self, invariant, what, *context):
         """Raises InvariantError."""
@@ -158,7 +163,7 @@
 
     def on_call_made(self, call):
         """Starts to observe a client's call."""
-        self.calls[call.id] = self.by_client[call] = ObservedCall(call.id, call.kind, call)
+        self.calls[call.id] = self.by_client[call] = ObservedCall(call.id, call.traffic_type, call)
 
     def on_call_sent(self, call):
         """Handles a call whose first line is on its way to the node's machine."""
@@ -166,7 +171,7 @@
         observed.node, observed.side = call.node, call.side
         observed.sent, observed.deadline = (
             call.side.last_arrival,
-            call.side.last_arrival + round(call.kind.guard_ms * 1000),
+            call.side.last_arrival + round(call.traffic_type.guard_ms * 1000),
         )
         self.world.at(observed.deadline + TOLERANCE + 1, self.check_answered, observed)
 
@@ -242,9 +247,9 @@
         if observed.answer.startswith(b"UP"):
             observed.up_leg = next((leg for leg in reversed(observed.legs) if leg.up and leg.active), None)
         ran = [leg for leg in observed.legs if not leg.never_ran]
-        if data.startswith(b"BUSY") and ran and observed.kind.effect != "repeatable":
+        if data.startswith(b"BUSY") and ran and observed.traffic_type.effect != "repeatable":
             self.require(
-                observed.kind.effect == "referenced" and observed.kind.scope == "all",
+                observed.traffic_type.effect == "referenced" and observed.traffic_type.scope == "all",
                 EFFECTS,
                 "rejected though it may have run",
                 observed,
@@ -258,7 +263,7 @@
         client = end.conn.client.worker  # not by its ID, which may be another call's
         owner = client.side.peer.owner if client is not None else None
         observed = self.by_client.get(owner) or self.by_client.setdefault(
-            owner, ObservedCall(f"bad {owner and owner.id}", self.kinds[0], None)
+            owner, ObservedCall(f"bad {owner and owner.id}", self.traffic_types[0], None)
         )
         if observed.node is None:
             observed.process, observed.node = process, process.node
@@ -276,26 +281,28 @@
         self.require(
             not any(leg.active for leg in observed.legs), EFFECTS, "two legs at once", observed, host
         )
-        ran, kind = [leg for leg in observed.legs if not leg.never_ran], observed.kind
-        if ran and kind.effect == "once-only":
+        ran, traffic_type = [leg for leg in observed.legs if not leg.never_ran], observed.traffic_type
+        if ran and traffic_type.effect == "once-only":
             self.require(False, EFFECTS, "once-only sent again though it may have run", observed, host)
-        elif ran and kind.effect == "referenced":
+        elif ran and traffic_type.effect == "referenced":
             first, this = self.fleet.hosts[ran[0].host].machine, self.fleet.hosts[host].machine
             self.require(
-                kind.scope == "all" or getattr(first, kind.scope) == getattr(this, kind.scope),
+                traffic_type.scope == "all"
+                or getattr(first, traffic_type.scope) == getattr(this, traffic_type.scope),
                 EFFECTS,
                 "referenced sent where its repeats are not known",
                 observed,
                 host,
             )
             self.require(
-                not kind.remembered_ms or now <= ran[0].sent + kind.remembered_ms * 1000 + TOLERANCE,
+                not traffic_type.remembered_ms
+                or now <= ran[0].sent + traffic_type.remembered_ms * 1000 + TOLERANCE,
                 EFFECTS,
                 "referenced sent again after its time",
                 observed,
                 host,
             )
-        since = self.unfit_since[process].get(host)
+        since = self.host_drained_since[process].get(host)
         self.require(
             since is None or now <= since + self.grace + TOLERANCE,
             DRAINS,
@@ -425,7 +432,7 @@
             self.run_counts[line["id"]] += 1
             observed = self.calls.get(line["id"])
             if observed is not None and self.run_counts[line["id"]] > 1 and line["id"] not in self.reused_ids:
-                self.require(observed.kind.effect != "once-only", EFFECTS, "ran twice", observed)
+                self.require(observed.traffic_type.effect != "once-only", EFFECTS, "ran twice", observed)
         elif kind == "up":
             self.receipts.add((line["id"], line["receipt"]))
         elif kind == "started":
@@ -434,7 +441,7 @@
             self.require(False, ANSWER, "a host could not read its first line", line)
         elif kind == "tipped":
             host, started = line["host"], self.host_started_at.get(line["host"], 0)
-            known = [at for at in self.host_known_at[host] if at >= started]
+            known = [at for at in self.host_start_reported_at[host] if at >= started]
             # A node cannot spare a cold host before a list has reported its start.
             self.require(
                 not known or self.world.now < min(known) + TOLERANCE,
@@ -535,19 +542,19 @@
 
     def on_list_answer(self, process, is_full, hosts):
         """Handles an answer of the list; `hosts` holds (name, lifecycle, start time)."""
-        now, unfit_since, named = self.world.now, self.unfit_since[process], set()
+        now, drained_since, named = self.world.now, self.host_drained_since[process], set()
         for name, state, started in hosts:
             named.add(name)
             if state in ("Terminating", "Gone"):
-                unfit_since.setdefault(name, now)
+                drained_since.setdefault(name, now)
             else:
-                unfit_since.pop(name, None)
+                drained_since.pop(name, None)
                 if started:
-                    self.host_known_at[name].append(now)
+                    self.host_start_reported_at[name].append(now)
         if is_full:
             for name in self.fleet.hosts:
                 if name not in named:
-                    unfit_since.setdefault(name, now)
+                    drained_since.setdefault(name, now)
 
     # Processes
 
@@ -695,17 +702,17 @@
 
     def on_drain(self, process):
         """Schedules the check that a drained node moves its clients."""
-        since = self.drained_since[process] = self.world.now
+        since = self.node_drained_since[process] = self.world.now
         self.world.after(DRAIN_TIMEOUT + TOLERANCE, self.check_drained, process, since)
 
     def on_resume(self, process):
         """Records that a drained node serves again."""
-        self.drained_since.pop(process, None)
+        self.node_drained_since.pop(process, None)
 
     def check_drained(self, process, since):
         """Requires that a drained node has moved its established connections."""
         if (
-            self.drained_since.get(process) != since
+            self.node_drained_since.get(process) != since
             or process.dead
             or self.was_paused(process.node, since, self.world.now)
         ):
