--- a/cottonspread/lab/hosts.py
+++ b/cottonspread/lab/hosts.py
@@ -160,10 +160,11 @@
                 if host is None:
                     continue
                 at = self.start + round(fault.at * SECOND)
-                if fault.kind == "join":
+                if fault.kind == "join":  # the host is down until then
                     self.loop.at(at, host.end_fault, fault)
                     continue
                 self.loop.at(at, host.start_fault, fault)
+                # a hang ends by itself
                 if fault.kind not in INSTANT_FAULTS and fault.kind != "hang" and fault.seconds:
                     self.loop.at(at + round(fault.seconds * SECOND), host.end_fault, fault)
 
--- a/cottonspread/lab/load.py
+++ b/cottonspread/lab/load.py
@@ -201,7 +201,10 @@
         )
 
     def choose_node(self, call):
-        """Returns the number of the node that a call goes to: by the seed, among the active nodes."""
+        """Returns the number of the node that a call goes to: by the seed, among the active nodes.
+
+        A retry or reconnect uses another draw than the first call.
+        """
         draw = self.draws[call.schedule_index] + 2654435761 * (call.tries + call.again)
         candidates = self.active_nodes or range(len(self.nodes))
         return candidates[draw % len(candidates)]
--- a/cottonspread/lab/sim/clients.py
+++ b/cottonspread/lab/sim/clients.py
@@ -238,6 +238,7 @@
         candidates = self.in_rotation or self.fleet.nodes
         if self.sole_target is not None and self.world.now < self.sole_target[0]:
             candidates = [self.sole_target[1]]
+        # a retry or reconnect uses another draw than the first call
         draw = self.schedule_columns["draw"][call.schedule_index] + 2654435761 * (call.tries + call.again)
         call.node = candidates[draw % len(candidates)]
         self.counts["offered"] += 1
--- a/cottonspread/lab/sim/fault_injection.py
+++ b/cottonspread/lab/sim/fault_injection.py
@@ -27,11 +27,11 @@
 
 def inject_host_fault(fleet, host, fault, span):
     """Starts a fault of one host and schedules its end."""
-    if fault.kind == "join":
+    if fault.kind == "join":  # the host has been down until now
         host.end_fault(fault)
         return
     host.start_fault(fault)
-    if fault.kind not in INSTANT_FAULTS and fault.kind != "hang" and span:
+    if fault.kind not in INSTANT_FAULTS and fault.kind != "hang" and span:  # a hang ends by itself
         fleet.world.after(span, host.end_fault, fault)
 
 
--- a/cottonspread/lab/sim/hosts.py
+++ b/cottonspread/lab/sim/hosts.py
@@ -63,7 +63,7 @@
         return self.fleet.world.now
 
     def put(self, line):
-        """Adds a line to the hosts' record and shows it to the invariants."""
+        """Adds a line to the hosts' record and passes it to the invariants."""
         self.fleet.add_record("hosts", line)
         self.fleet.invariants.on_host_record(line)
 
--- a/cottonspread/lab/sim/node.py
+++ b/cottonspread/lab/sim/node.py
@@ -385,7 +385,7 @@
     def on_timer(self, due):
         """Runs the reducer for its timers, if this is still the next one."""
         if due == self.timer_at:
-            self.timer_at = 1 << 62
+            self.timer_at = 1 << 62  # none scheduled
             if not self.dead and not self.run_scheduled:
                 self.run_scheduled = True
                 self.run()
