--- a/cottonspread/lab/children.py
+++ b/cottonspread/lab/children.py
@@ -125,11 +125,15 @@
 
     def start(self):
         """Starts the node's process."""
-        plan, x = self.run.plan, self.run.plan.experiment
+        plan, experiment = self.run.plan, self.run.plan.experiment
         path, (environment, inherited_fds) = self.write_config(), self.inheritance()
         self.starts += 1
-        command = plan.variant.command or x.nodes.command or [sys.executable, "-m", "cottonspread", "serve"]
-        checkout = plan.variant.checkout or x.nodes.checkout or ROOT
+        command = (
+            plan.variant.command
+            or experiment.nodes.command
+            or [sys.executable, "-m", "cottonspread", "serve"]
+        )
+        checkout = plan.variant.checkout or experiment.nodes.checkout or ROOT
         with open(os.path.join(self.run.folder, f"{self.node.name}.log"), "ab") as log:
             self.process = subprocess.Popen(
                 [sys.executable if word == "python" else word for word in command],
--- a/cottonspread/lab/experiment.py
+++ b/cottonspread/lab/experiment.py
@@ -19,21 +19,21 @@
 
     A run whose load generator was late is repeated, `max_repeats` times at most; its folder is kept.
     """
-    x = plans.read(file)
+    experiment = plans.read(file)
     if seconds:
-        x = plans.check(msgspec.structs.replace(x, seconds=seconds))
-    variants = x.variants or [plans.Variant(name="only")]
+        experiment = plans.check(msgspec.structs.replace(experiment, seconds=seconds))
+    variants = experiment.variants or [plans.Variant(name="only")]
     if os.path.exists(os.path.join(out, "0-" + variants[0].name)):
         raise plans.PlanError(f"--out {out}: already holds runs")
     results_by_variant = {v.name: [] for v in variants}
     console, interrupted_by = Console(stderr=True), ""
-    for repeat in range(repeats or x.repeats):
+    for repeat in range(repeats or experiment.repeats):
         for variant in variants:
             if interrupted_by:
                 break
             for attempt in range(max_repeats + 1):
                 folder = os.path.join(out, f"{repeat}-{variant.name}")
-                lab_run = LabRun(x, variant, x.seed + repeat, folder)
+                lab_run = LabRun(experiment, variant, experiment.seed + repeat, folder)
                 run_with_progress(lab_run, None if quiet or not console.is_terminal else console)
                 result = results.evaluate(lab_run, repeat)
                 if lab_run.interrupted_by or result.lateness.p999 <= MAX_LATENESS or attempt == max_repeats:
--- a/cottonspread/lab/hosts.py
+++ b/cottonspread/lab/hosts.py
@@ -33,8 +33,8 @@
 
     def __init__(self, process, machine):
         """Creates the host of a plan's machine; one that the plan starts later is down until then."""
-        x = process.plan.experiment
-        super().__init__(machine.name, host_model(process.plan, machine, now()), x.hosts.reports)
+        experiment = process.plan.experiment
+        super().__init__(machine.name, host_model(process.plan, machine, now()), experiment.hosts.reports)
         self.process, self.machine, self.listener, self.backlog_fillers = process, machine, None, []
         self.now, self.at, self.put = now, process.loop.at, process.record.put
         if machine.started:
--- a/cottonspread/lab/limits.py
+++ b/cottonspread/lab/limits.py
@@ -47,21 +47,23 @@
 
 def check(plan, schedule, hard=None, local_ports=None, cores=None):
     """Returns warnings about cores; LimitExceededError if there are too few descriptors or local ports."""
-    x = plan.experiment
+    experiment = plan.experiment
     hard, local_ports = hard or raise_descriptor_limit(), local_ports or local_port_count()
     established = max_established(schedule)
-    reconnects = sum(established * s.share for s in x.load.shapes if s.kind == "reconnect")
-    need = established // x.load.processes + RESERVED_DESCRIPTORS
+    reconnects = sum(established * s.share for s in experiment.load.shapes if s.kind == "reconnect")
+    need = established // experiment.load.processes + RESERVED_DESCRIPTORS
     if need > hard:
         raise LimitExceededError(
-            f"descriptors: {need} simultaneous connections in each of {x.load.processes} load processes, "
+            f"descriptors: {need} simultaneous connections "
+            f"in each of {experiment.load.processes} load processes, "
             f"and the limit of open files (ulimit -Hn) is {hard}: "
             f"raise load.processes to {established // (hard - RESERVED_DESCRIPTORS) + 1}"
         )
-    need = established // x.hosts.processes + RESERVED_DESCRIPTORS
-    if need > hard and x.audited:
+    need = established // experiment.hosts.processes + RESERVED_DESCRIPTORS
+    if need > hard and experiment.audited:
         raise LimitExceededError(
-            f"descriptors: {need} simultaneous connections in each of {x.hosts.processes} host processes, "
+            f"descriptors: {need} simultaneous connections "
+            f"in each of {experiment.hosts.processes} host processes, "
             f"and the limit of open files (ulimit -Hn) is {hard}: "
             f"raise hosts.processes to {established // (hard - RESERVED_DESCRIPTORS) + 1}"
         )
@@ -78,10 +80,10 @@
             f"local ports: {ports_used} are in use within a minute from {len(plan.sources)} addresses "
             f"to {len(plan.nodes)} nodes, and ip_local_port_range gives {local_ports} for each pair: "
             "raise load.sources to "
-            f"{int(ports_used / (local_ports * 0.9) / len(plan.nodes) / x.load.processes) + 1}"
+            f"{int(ports_used / (local_ports * 0.9) / len(plan.nodes) / experiment.load.processes) + 1}"
         )
     cores = cores or os.cpu_count()
-    process_count = x.load.processes + x.hosts.processes + x.nodes.count
+    process_count = experiment.load.processes + experiment.hosts.processes + experiment.nodes.count
     return (
         [f"{process_count} processes share {cores} cores, which may distort the measurements of the nodes"]
         if process_count > cores
--- a/cottonspread/lab/node_config.py
+++ b/cottonspread/lab/node_config.py
@@ -3,13 +3,13 @@
 
 def settings(plan, number):
     """Returns a node's settings, by the platform's keys, derived from the experiment's hosts and load."""
-    x, t = plan.experiment, plan.experiment.hosts.traits
+    experiment, t = plan.experiment, plan.experiment.hosts.traits
     effects = {"repeatable": "safe", "referenced": "keyed", "once-only": "unsafe"}
     out = {
         "Balancers": len(plan.nodes),
         "Me": number,
-        "Zone": number % x.hosts.zones,
-        "Zones": [f"z{n}" for n in range(x.hosts.zones)],
+        "Zone": number % experiment.hosts.zones,
+        "Zones": [f"z{n}" for n in range(experiment.hosts.zones)],
         "Kinds": ["lab"],
         "MembershipMode": "push",
         "Step": 2,
@@ -23,13 +23,13 @@
                 "GuardTime": k.guard_ms,
                 "Revenue": k.revenue,
             }
-            for k in x.load.types
+            for k in experiment.load.types
         ],
         "FamilyInfo": {
             "Groups": True,
             "TellsLoad": t.tells_load,
             "TellsDelay": True,
-            "MessageAim": [k.message_ms for k in x.load.types],
+            "MessageAim": [k.message_ms for k in experiment.load.types],
         },
         "Limits": {
             "MostLegs": 5,
@@ -44,11 +44,11 @@
             "RampTime": t.warm_s * 1000,
             "TipMultiple": t.tip_multiple,
             "OverloadFor": t.tip_s * 1000,
-            "DrainGrace": x.nodes.grace_ms,
+            "DrainGrace": experiment.nodes.grace_ms,
         },
     }
-    shape = x.nodes.shapes[number % len(x.nodes.shapes)] if x.nodes.shapes else {}
-    return merged(merged(merged(out, x.nodes.settings), shape), plan.variant.settings)
+    shape = experiment.nodes.shapes[number % len(experiment.nodes.shapes)] if experiment.nodes.shapes else {}
+    return merged(merged(merged(out, experiment.nodes.settings), shape), plan.variant.settings)
 
 
 def merged(base, override):
@@ -68,7 +68,7 @@
     `settings_version`: how often the settings were changed; each change adds a traffic type and changes the
     limit on legs.
     """
-    x, node = plan.experiment, plan.nodes[number]
+    experiment, node = plan.experiment, plan.nodes[number]
     settings_values = settings(plan, number)
     first = settings_values["TrafficTypes"][0]
     settings_values["TrafficTypes"] += [first | {"Name": f"later-{n}"} for n in range(settings_version)]
@@ -79,8 +79,8 @@
         "discovery": f"{node.ip}:{node.list_port}",
         "seed": "%x" % (plan.seed * 1000 + number),
         "limits": {
-            "memory_mb": plan.variant.memory_mb or x.nodes.memory_mb,
-            "sockets": plan.variant.sockets or x.nodes.sockets,
+            "memory_mb": plan.variant.memory_mb or experiment.nodes.memory_mb,
+            "sockets": plan.variant.sockets or experiment.nodes.sockets,
         },
         "settings": settings_values,
         "load_lines": "loads",  # what the lab's hosts report by LOAD
--- a/cottonspread/lab/plan.py
+++ b/cottonspread/lab/plan.py
@@ -244,7 +244,7 @@
         raise PlanError(f"{path}: {error}") from None
 
 
-def check(x, folder=".", simulated=False):
+def check(experiment, folder=".", simulated=False):
     """Validates an experiment and returns it, with its trace files relative to `folder` made absolute.
 
     `simulated`: allows more nodes and hosts, and the faults that only a simulated fleet can have.
@@ -254,23 +254,27 @@
         if not condition:
             raise PlanError(f"{key}: {message}")
 
-    require(x.seconds > 0, "seconds", "must be over 0")
+    require(experiment.seconds > 0, "seconds", "must be over 0")
     max_nodes = 2000 if simulated else 200
-    require(1 <= x.nodes.count <= max_nodes, "nodes.count", f"1 to {max_nodes} expected")
+    require(1 <= experiment.nodes.count <= max_nodes, "nodes.count", f"1 to {max_nodes} expected")
     max_hosts = 3600 if simulated else 2000
-    require(1 <= x.hosts.count <= max_hosts, "hosts.count", f"1 to {max_hosts} expected")
-    require(x.load.types, "load.types", "at least one traffic type expected")
-    require(x.load.zipf > 1, "load.zipf", "must be over 1")
-    require(x.load.groups > 0, "load.groups", "at least 1 expected")
-    require(1 <= x.load.processes <= 64, "load.processes", "1 to 64 expected")
-    require(1 <= x.hosts.processes <= 64, "hosts.processes", "1 to 64 expected")
-    require(not x.listing.weights_ms or x.hosts.reports, "list.weights_ms", "needs hosts.reports")
+    require(1 <= experiment.hosts.count <= max_hosts, "hosts.count", f"1 to {max_hosts} expected")
+    require(experiment.load.types, "load.types", "at least one traffic type expected")
+    require(experiment.load.zipf > 1, "load.zipf", "must be over 1")
+    require(experiment.load.groups > 0, "load.groups", "at least 1 expected")
+    require(1 <= experiment.load.processes <= 64, "load.processes", "1 to 64 expected")
+    require(1 <= experiment.hosts.processes <= 64, "hosts.processes", "1 to 64 expected")
     require(
-        x.hosts.traits.drain in ("paced", "at-once", "none"),
+        not experiment.listing.weights_ms or experiment.hosts.reports,
+        "list.weights_ms",
+        "needs hosts.reports",
+    )
+    require(
+        experiment.hosts.traits.drain in ("paced", "at-once", "none"),
         "hosts.traits.drain",
         "paced, at-once or none expected",
     )
-    for n, kind in enumerate(x.load.types):
+    for n, kind in enumerate(experiment.load.types):
         require(
             kind.effect in ("repeatable", "referenced", "once-only"),
             f"load.types[{n}].effect",
@@ -281,8 +285,8 @@
             f"load.types[{n}]",
             "guard_ms, share and life_s over 0 expected",
         )
-    names = {f"h{n}" for n in range(x.hosts.count)}, {f"n{n}" for n in range(x.nodes.count)}
-    for n, shape in enumerate(x.load.shapes):
+    names = {f"h{n}" for n in range(experiment.hosts.count)}, {f"n{n}" for n in range(experiment.nodes.count)}
+    for n, shape in enumerate(experiment.load.shapes):
         key = f"load.shapes[{n}]"
         require(
             shape.kind in ("constant", "poisson", "ramp", "day", "burst", "reconnect", "trace"),
@@ -297,23 +301,23 @@
         )
         require(shape.kind != "burst" or shape.count > 0, key + ".count", "must be over 0")
         require(shape.kind != "reconnect" or 0 < shape.share <= 1, key + ".share", "over 0 to 1 expected")
-        require(0 <= shape.start < x.seconds, key + ".start", "must lie within the run")
+        require(0 <= shape.start < experiment.seconds, key + ".start", "must lie within the run")
         if shape.kind == "trace":
             shape.file = os.path.join(folder, shape.file)
             require(os.path.exists(shape.file), key + ".file", f"{shape.file} not found")
-    for n, fault in enumerate(x.faults):
+    for n, fault in enumerate(experiment.faults):
         key = f"faults[{n}]"
         allowed_kinds = HOST_FAULTS + LIST_FAULTS + NODE_FAULTS + (SIM_FAULTS if simulated else FLEET_FAULTS)
         require(fault.kind in allowed_kinds, key + ".kind", "one of " + ", ".join(allowed_kinds))
         if fault.kind in SIM_FAULTS:
             continue
-        require(fault.kind not in FLEET_FAULTS or x.nodes.fleet, key + ".kind", "needs nodes.fleet")
+        require(fault.kind not in FLEET_FAULTS or experiment.nodes.fleet, key + ".kind", "needs nodes.fleet")
         require(
-            fault.kind not in ("retune", "quiesce", "replace") or not x.nodes.fleet,
+            fault.kind not in ("retune", "quiesce", "replace") or not experiment.nodes.fleet,
             key + ".kind",
             "not allowed with nodes.fleet",
         )
-        require(0 <= fault.at <= x.seconds, key + ".at", "must lie within the run")
+        require(0 <= fault.at <= experiment.seconds, key + ".at", "must lie within the run")
         require(
             fault.kind
             in INSTANT_FAULTS
@@ -328,38 +332,40 @@
             require(fault.on or fault.share > 0, key, "on or share expected")
             for name in fault.on:
                 require(name in known, key + ".on", f"{name}: no such host or node among {len(known)}")
-    seen = [v.name for v in x.variants]
+    seen = [v.name for v in experiment.variants]
     require(len(set(seen)) == len(seen), "variants", "distinct names expected")
-    return x
+    return experiment
 
 
-def make(x, variant, seed, block=None):
+def make(experiment, variant, seed, block=None):
     """Returns the plan of one run. `block`: the two middle numbers of its addresses in 127.0.0.0/8."""
     rng = np.random.default_rng([seed, 0])
     a, b = block or (64 + os.getpid() % 128, os.getpid() // 128 % 256)
     machines = []
-    for n in range(x.hosts.count):
+    for n in range(experiment.hosts.count):
         traits = msgspec.structs.replace(
-            x.hosts.traits,
-            speed=round(float(x.hosts.traits.speed * rng.lognormal(0, x.hosts.speed_sigma)), 4),
+            experiment.hosts.traits,
+            speed=round(
+                float(experiment.hosts.traits.speed * rng.lognormal(0, experiment.hosts.speed_sigma)), 4
+            ),
         )
         machines.append(
             Machine(
                 name=f"h{n}",
                 ip=f"127.{a}.{b}.{1 + n // 400}",
                 port=FIRST_PORT + n,
-                zone=f"z{n % x.hosts.zones}",
+                zone=f"z{n % experiment.hosts.zones}",
                 cell=n // 4,
                 traits=traits,
-                process=n % x.hosts.processes,
+                process=n % experiment.hosts.processes,
             )
         )
     nodes = [
         Node(name=f"n{n}", ip=f"127.{a}.{b}.{10 + n // 100}", port=8000 + n, list_port=8400 + n)
-        for n in range(x.nodes.count)
+        for n in range(experiment.nodes.count)
     ]
     faults = []
-    for fault in sorted(x.faults, key=lambda f: f.at):
+    for fault in sorted(experiment.faults, key=lambda f: f.at):
         names = [m.name for m in machines] if fault.kind in HOST_FAULTS else [n.name for n in nodes]
         on = fault.on
         if not on and fault.share and fault.kind not in LIST_FAULTS + FLEET_FAULTS:
@@ -370,9 +376,11 @@
             for machine in machines:
                 if machine.name in fault.on:
                     machine.started = max(1, round(fault.at * SECOND))
-    sources = [f"127.{a}.{b}.{100 + n}" for n in range(min(100, x.load.sources * x.load.processes))]
+    sources = [
+        f"127.{a}.{b}.{100 + n}" for n in range(min(100, experiment.load.sources * experiment.load.processes))
+    ]
     return Plan(
-        experiment=x,
+        experiment=experiment,
         variant=variant,
         seed=seed,
         machines=machines,
@@ -421,9 +429,11 @@
 
 def schedule(plan):
     """Returns the intended arrivals, which depend on the plan's seed alone."""
-    x, load = plan.experiment, plan.experiment.load
+    experiment, load = plan.experiment, plan.experiment.load
     rng = np.random.default_rng([plan.seed, 1])
-    times = np.concatenate([arrivals(shape, x.seconds, rng) for shape in load.shapes] or [np.empty(0)])
+    times = np.concatenate(
+        [arrivals(shape, experiment.seconds, rng) for shape in load.shapes] or [np.empty(0)]
+    )
     n = len(times)
     shares = np.array([kind.share for kind in load.types])
     kinds = rng.choice(len(load.types), n, p=shares / shares.sum()).astype(np.int16)
--- a/cottonspread/lab/run.py
+++ b/cottonspread/lab/run.py
@@ -114,10 +114,14 @@
 
     def start_children(self, path, until):
         """Starts the processes of hosts, list and load and waits until each has reported ready."""
-        x = self.plan.experiment
+        experiment = self.plan.experiment
         self.children = [
             Child(f"{kind} {n}", [kind, "--plan", path, "--number", str(n)], self.child_cores(kind, n))
-            for kind, count in (("hosts", x.hosts.processes), ("list", 1), ("load", x.load.processes))
+            for kind, count in (
+                ("hosts", experiment.hosts.processes),
+                ("list", 1),
+                ("load", experiment.load.processes),
+            )
             for n in range(count)
         ]
         self.selector = selectors.DefaultSelector()
@@ -169,8 +173,8 @@
 
     def supervise(self):
         """Runs timers, takes a sample every second and watches the processes until the run's end."""
-        x = self.plan.experiment
-        end_time = self.start + round((x.seconds + x.settle_s) * SECOND)
+        experiment = self.plan.experiment
+        end_time = self.start + round((experiment.seconds + experiment.settle_s) * SECOND)
         steal_before = psutil.cpu_times().steal
         self.schedule_faults()
         sampled = self.start
--- a/cottonspread/lab/selfcheck.py
+++ b/cottonspread/lab/selfcheck.py
@@ -100,8 +100,8 @@
         spins=True,
         types=[plans.TrafficType(name="check", life_s=0.2, guard_ms=4000)],
     )
-    x = plans.Experiment(name="selfcheck", seconds=seconds, load=load, hosts=plans.Hosts(count=1))
-    plan = plans.make(x, plans.Variant(name="only"), int(time.time()))
+    experiment = plans.Experiment(name="selfcheck", seconds=seconds, load=load, hosts=plans.Hosts(count=1))
+    plan = plans.make(experiment, plans.Variant(name="only"), int(time.time()))
     node = plan.nodes[0]
     server = DelayedServer((node.ip, node.port), round(delay_ms * 1000))
     with tempfile.TemporaryDirectory() as folder:
--- a/cottonspread/lab/sim/clients.py
+++ b/cottonspread/lab/sim/clients.py
@@ -183,8 +183,8 @@
     def __init__(self, fleet, schedule, only=None):
         """`schedule`: the first calls; `only`: the numbers of those to make, None for all."""
         self.fleet, self.world, self.plan = fleet, fleet.world, fleet.plan
-        x = self.plan.experiment
-        self.load, self.types, self.calls = x.load, x.load.types, schedule
+        experiment = self.plan.experiment
+        self.load, self.types, self.calls = experiment.load, experiment.load.types, schedule
         self.schedule_columns = {
             name: getattr(schedule, name).tolist() for name in schedule.__struct_fields__
         }
@@ -193,7 +193,7 @@
             .random(max(1, len(self.schedule_columns["at"])))
             .tolist()
         )
-        self.traffic_end = round(x.seconds * SECOND)
+        self.traffic_end = round(experiment.seconds * SECOND)
         self.in_rotation, self.endpoint, self.connection_count, self.open_calls, self.established = (
             list(fleet.nodes),
             Endpoint("client"),
--- a/cottonspread/lab/sim/fleet.py
+++ b/cottonspread/lab/sim/fleet.py
@@ -28,9 +28,9 @@
     def __init__(self, fleet, number):
         """Creates node number `number` of the plan, without a process."""
         self.fleet, self.number, self.plan = fleet, number, fleet.plan.nodes[number]
-        x, random = fleet.plan.experiment, fleet.world.random_stream("node", number)
+        experiment, random = fleet.plan.experiment, fleet.world.random_stream("node", number)
         self.name = self.plan.name
-        self.endpoint = Endpoint(self.name, f"z{number % x.hosts.zones}")
+        self.endpoint = Endpoint(self.name, f"z{number % experiment.hosts.zones}")
         self.random, self.start_count, self.settings_version, self.processes, self.pending_sides = (
             random,
             0,
@@ -39,8 +39,8 @@
             [],
         )
         self.skew, self.drift = (
-            random.randint(-x.network.skew_us, x.network.skew_us),
-            random.randint(-x.network.drift_ppm, x.network.drift_ppm),
+            random.randint(-experiment.network.skew_us, experiment.network.skew_us),
+            random.randint(-experiment.network.drift_ppm, experiment.network.drift_ppm),
         )
         self.shares_listener = any(f.kind == "replace" and self.name in f.on for f in fleet.plan.faults)
         self.should_run, self.down_at, self.saved_instances, self.generation = True, None, {}, 0
@@ -143,9 +143,11 @@
 
         `checked`: whether invariants are checked and records kept.
         """
-        self.plan, x = expand_zone_faults(plan), plan.experiment
+        self.plan, experiment = expand_zone_faults(plan), plan.experiment
         self.world = World(plan.seed if seed is None else seed, traced)
-        self.world.network = Network(self.world, x.network.same_us, x.network.cross_us, x.network.jitter_us)
+        self.world.network = Network(
+            self.world, experiment.network.same_us, experiment.network.cross_us, experiment.network.jitter_us
+        )
         self.policy, self.addresses, self.reasons = policy, {}, {}
         self.entries = [self.entry(m) for m in plan.machines if not m.started]
         self.invariants = Invariants(self, checked)
@@ -159,12 +161,14 @@
             # Nodes start at about the same time, as a fleet's machines do, but not in the same microsecond.
             self.world.at(node.random.randbelow(self.start_window), node.start)
         for after, name, lifecycle, started in listing.planned_changes(self.plan):
-            self.schedule_change(after - round(x.listing.lag_ms * 1000), name, lifecycle, started)
+            self.schedule_change(after - round(experiment.listing.lag_ms * 1000), name, lifecycle, started)
         for fault in self.plan.faults:
             self.world.at(round(fault.at * SECOND), fault_injection.inject, self, fault)
-        if x.listing.weights_ms:
+        if experiment.listing.weights_ms:
             self.world.after(
-                round(x.listing.weights_ms * 1000), self.update_weights, round(x.listing.weights_ms * 1000)
+                round(experiment.listing.weights_ms * 1000),
+                self.update_weights,
+                round(experiment.listing.weights_ms * 1000),
             )
 
     def agent_for(self, node):
@@ -241,8 +245,8 @@
 
     def run(self):
         """Runs the plan to its end and checks the invariants of the end."""
-        x = self.plan.experiment
-        self.world.run(round((x.seconds + x.settle_s) * SECOND))
+        experiment = self.plan.experiment
+        self.world.run(round((experiment.seconds + experiment.settle_s) * SECOND))
         self.clients.finish()
         self.invariants.check_at_end()
         return self
--- a/cottonspread/lab/sim/scenario.py
+++ b/cottonspread/lab/sim/scenario.py
@@ -63,8 +63,8 @@
 
     def plan(self):
         """Returns the plan of the scenario's experiment."""
-        x = self.experiment()
-        return plans.make(x, plans.Variant(name="only"), x.seed, ADDRESS_BLOCK)
+        experiment = self.experiment()
+        return plans.make(experiment, plans.Variant(name="only"), experiment.seed, ADDRESS_BLOCK)
 
 
 def read(text):
--- a/tests/lab/test_lab_runs.py
+++ b/tests/lab/test_lab_runs.py
@@ -28,7 +28,7 @@
 
 def start_run(folder, rate=40, seconds=2.0, effect="repeatable", command=(), faults=(), **more):
     """Starts `lab run` of a small experiment as a process."""
-    x = {
+    experiment = {
         "name": "t",
         "seconds": seconds,
         "settle_s": 1.2,
@@ -58,7 +58,7 @@
         | more,
     }
     folder.mkdir(exist_ok=True)
-    (folder / "x.toml").write_text("\n".join(f"{k} = {toml(v)}" for k, v in x.items()))
+    (folder / "x.toml").write_text("\n".join(f"{k} = {toml(v)}" for k, v in experiment.items()))
     return subprocess.Popen(
         [
             sys.executable,
