--- a/cottonspread/lab/scale/hollow.py
+++ b/cottonspread/lab/scale/hollow.py
@@ -218,7 +218,7 @@
             set(),
         )
 
-    def caller(self, process):
+    def new_caller(self, process):
         """Creates the transport of a starting process's list client."""
         return HollowCaller(self, process)
 
--- a/cottonspread/lab/sim/agent.py
+++ b/cottonspread/lab/sim/agent.py
@@ -68,10 +68,10 @@
 
     def attach(self, process):
         """Connects a process's list client to this agent and returns its caller."""
-        self.callers.append(self.caller(process))
+        self.callers.append(self.new_caller(process))
         return self.callers[-1]
 
-    def caller(self, process):
+    def new_caller(self, process):
         """Creates the transport of a starting process's list client."""
         return Caller(self, process)
 
--- a/cottonspread/lab/sim/clients.py
+++ b/cottonspread/lab/sim/clients.py
@@ -229,9 +229,9 @@
     def arrive(self, n, at):
         """Starts the first call number `n` of the schedule."""
         c = self.schedule_columns
-        self.call(Call(self, n, self.types[c["kind"][n]], f"k0-{n}", f"g{c['group'][n]}", at))
+        self.start_call(Call(self, n, self.types[c["kind"][n]], f"k0-{n}", f"g{c['group'][n]}", at))
 
-    def call(self, call):
+    def start_call(self, call):
         """Connects a call to a node."""
         self.connection_count += 1
         call.id, call.begun = f"0x{self.connection_count:x}", self.world.now
@@ -253,7 +253,7 @@
         if when <= self.traffic_end + SECOND:
             self.world.at(
                 when,
-                self.call,
+                self.start_call,
                 Call(
                     self,
                     call.schedule_index,
--- a/cottonspread/lab/stub_node.py
+++ b/cottonspread/lab/stub_node.py
@@ -34,7 +34,13 @@
 
     def __init__(self, config, sabotage):
         """`config`: a node's configuration."""
-        self.sabotage, self.servers, self.state, self.count, self.lock = sabotage, {}, {}, 0, threading.Lock()
+        self.sabotage, self.host_addresses, self.lifecycles, self.count, self.lock = (
+            sabotage,
+            {},
+            {},
+            0,
+            threading.Lock(),
+        )
         self.discovery, self.cold_host = config["discovery"], None
         host, _, port = config["listen"].rpartition(":")
         self.listener = socket.create_server((host, int(port)), backlog=1024)
@@ -57,22 +63,26 @@
             for entry in reply["instances"]:
                 if entry["startedAtMs"]:
                     self.cold_host = entry["instanceId"]
-                self.state[entry["instanceId"]] = entry["lifecycle"]
+                self.lifecycles[entry["instanceId"]] = entry["lifecycle"]
                 host, _, port = entry["hostPort"].rpartition(":")
-                self.servers[entry["instanceId"]] = host, int(port)
+                self.host_addresses[entry["instanceId"]] = host, int(port)
 
     def choose(self, number, exclude=()):
         """Returns the name of the host for a call of this number, or None."""
         candidates = sorted(
             n
-            for n in self.servers
+            for n in self.host_addresses
             if n not in exclude
-            and (self.state[n] == "Ready" or self.sabotage == "drained" and self.state[n] == "Terminating")
+            and (
+                self.lifecycles[n] == "Ready"
+                or self.sabotage == "drained"
+                and self.lifecycles[n] == "Terminating"
+            )
         )
         if self.sabotage == "cold" and self.cold_host in candidates:
             return self.cold_host
         if self.sabotage == "drained":
-            candidates = [n for n in candidates if self.state[n] == "Terminating"] or candidates
+            candidates = [n for n in candidates if self.lifecycles[n] == "Terminating"] or candidates
         return candidates[number % len(candidates)] if candidates else None
 
     def run(self):
@@ -80,9 +90,9 @@
         threading.Thread(target=self.follow_list, daemon=True).start()
         while True:
             sock, _ = self.listener.accept()
-            threading.Thread(target=self.client, args=(sock,), daemon=True).start()
+            threading.Thread(target=self.serve_client, args=(sock,), daemon=True).start()
 
-    def client(self, sock):
+    def serve_client(self, sock):
         """Serves a client; runs in a thread of its own."""
         try:
             with sock:
@@ -97,7 +107,7 @@
         if not first:
             return
         if first.strip() == b"PING":
-            sock.sendall(b"PONG\r\n" if self.servers else b"ERR\r\n")
+            sock.sendall(b"PONG\r\n" if self.host_addresses else b"ERR\r\n")
             return
         with self.lock:
             self.count += 1
@@ -111,7 +121,7 @@
         elif sabotage == "after":
             sock.sendall(b"BUSY\r\n")
             time.sleep(0.2)
-            self.leg(name, first)[0].close()
+            self.open_leg(name, first)[0].close()
         else:
             self.set_up(sock, first, sabotage, number, name)
 
@@ -139,12 +149,12 @@
     def set_up(self, sock, first, sabotage, number, name):
         """Opens a leg and passes its answer on to the client."""
         try:
-            other, file = self.leg(name, first)
+            other, file = self.open_leg(name, first)
         except OSError:
             sock.sendall(b"ERR\r\n")
             return
         if sabotage == "two":
-            self.leg(self.choose(number, exclude=(name,)), first)[1].readline()
+            self.open_leg(self.choose(number, exclude=(name,)), first)[1].readline()
         try:
             answer = file.readline() or b"ERR\r\n"
         except OSError:
@@ -154,7 +164,7 @@
             if sabotage == "rejected":
                 sock.sendall(b"BUSY\r\n")
                 return
-            other, file = self.leg(self.choose(number, exclude=(name,)), first)
+            other, file = self.open_leg(self.choose(number, exclude=(name,)), first)
             answer = file.readline()
         with other:
             up = answer.startswith(b"UP")
@@ -172,9 +182,9 @@
             while data := file.read1(65536):
                 sock.sendall(data)
 
-    def leg(self, name, first):
+    def open_leg(self, name, first):
         """Connects to a host and sends the first line; returns the socket and a file to read from it."""
-        sock = socket.create_connection(self.servers[name], timeout=5)
+        sock = socket.create_connection(self.host_addresses[name], timeout=5)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         sock.settimeout(None)
         sock.sendall(first)
