--- a/cottonspread/lab/wire.py
+++ b/cottonspread/lab/wire.py
@@ -58,7 +58,7 @@
     for part in words[3].split(b","):
         name, equals, value = part.partition(b"=")
         if not equals or name in pairs:
-            raise ValueError(f"{part!r} is no name=value pair, or appears twice")
+            raise ValueError(f"{part!r} is not a name=value pair, or its name appears twice")
         pairs[name] = value.decode("ascii")
     if b"c" not in pairs or b"d" not in pairs and b"at" not in pairs:
         raise ValueError("pair c or d is missing")
