--- a/cottonspread/lab/audit.py
+++ b/cottonspread/lab/audit.py
@@ -39,7 +39,7 @@
         monotonic clock that all processes share.
         """
         self.plan, self.start = plan, start
-        self.kinds = {k.name: k for k in plan.experiment.load.types}
+        self.traffic_types = {t.name: t for t in plan.experiment.load.types}
         self.machines = {m.name: m for m in plan.machines}
         self.grace = round(plan.experiment.nodes.grace_ms * 1000)
         self.violations, self.examples, self.checked = Counter(), defaultdict(list), Counter()
@@ -175,11 +175,11 @@
     # Rule 1
 
     def node_died(self, node, after, before):
-        """Tells whether the node was killed or died between two times."""
+        """Returns whether the node was killed or died between two times."""
         return any(after <= t <= before for t in self.deaths.get(node, ()))
 
     def node_frozen(self, node, after, before):
-        """Tells whether the node was frozen at any time between two times."""
+        """Returns whether the node was frozen at any time between two times."""
         return any(since <= before and until >= after for since, until in self.freezes.get(node, ()))
 
     def check_answers(self, call):
@@ -267,10 +267,14 @@
         """Checks rule 2 for a call."""
         legs = self.legs.get(call["id"], ())
         self.checked[2] += len(legs)
-        kind = self.kinds[call["type"]]
+        traffic_type = self.traffic_types[call["type"]]
         ran = [leg for leg in legs if leg["ran"] is not None]
         if len(ran) > 1:
-            if kind.effect == "once-only" or kind.effect == "referenced" and not self.in_one_scope(kind, ran):
+            if (
+                traffic_type.effect == "once-only"
+                or traffic_type.effect == "referenced"
+                and not self.in_one_scope(traffic_type, ran)
+            ):
                 self.add_violation(2, "ran twice", self.with_legs(call))
             else:
                 self.harmless_repeats += 1
@@ -278,28 +282,35 @@
             if any(self.is_active(earlier, leg["t"]) for earlier in legs[:n]):
                 self.add_violation(2, "two legs at once", self.with_legs(call))
                 return
-            open_before = [one for one in legs[:n] if one["never"] is None]
-            if not open_before or kind.effect == "repeatable":
+            open_before = [earlier for earlier in legs[:n] if earlier["never"] is None]
+            if not open_before or traffic_type.effect == "repeatable":
                 continue
-            if kind.effect == "once-only":
+            if traffic_type.effect == "once-only":
                 self.add_violation(2, "once-only sent again though it may have run", self.with_legs(call))
                 return
-            if not self.in_one_scope(kind, [open_before[0], leg]):
+            if not self.in_one_scope(traffic_type, [open_before[0], leg]):
                 self.add_violation(2, "referenced sent where its repeats are not known", self.with_legs(call))
                 return
-            if kind.remembered_ms and leg["t"] > open_before[0]["t"] + kind.remembered_ms * 1000 + TOLERANCE:
+            if (
+                traffic_type.remembered_ms
+                and leg["t"] > open_before[0]["t"] + traffic_type.remembered_ms * 1000 + TOLERANCE
+            ):
                 self.add_violation(2, "referenced sent again after its time", self.with_legs(call))
                 return
         rejected = call["answers"] and call["answers"][0][1] == "BUSY"
         if (
             rejected
             and any(leg["never"] is None for leg in legs)
-            and (kind.effect == "once-only" or kind.effect == "referenced" and kind.scope != "all")
+            and (
+                traffic_type.effect == "once-only"
+                or traffic_type.effect == "referenced"
+                and traffic_type.scope != "all"
+            )
         ):
             self.add_violation(2, "rejected though it may have run", self.with_legs(call))
 
     def is_active(self, leg, at):
-        """Tells whether the leg was still active at that time."""
+        """Returns whether the leg was still active at that time."""
         if leg["never"] is not None:
             return False
         if leg["end"] is None:
@@ -307,19 +318,19 @@
         return leg["end"] > at + TOLERANCE
 
     def host_vanished(self, leg, before):
-        """Tells whether the leg's host vanished or went down before, and so recorded no end of the leg."""
+        """Returns whether the leg's host vanished or went down before, and so recorded no end of the leg."""
         return any(
             t <= before and what in ("vanish", "cold") for t, _, what in self.host_faults.get(leg["host"], ())
         )
 
-    def in_one_scope(self, kind, legs):
-        """Tells whether all hosts of the legs are in one scope, within which repeats are recognised."""
-        if kind.scope == "all":
+    def in_one_scope(self, traffic_type, legs):
+        """Returns whether all hosts of the legs are in one scope, within which repeats are recognised."""
+        if traffic_type.scope == "all":
             return True
         return (
             len(
                 {
-                    getattr(self.machines[leg["host"]], "zone" if kind.scope == "zone" else "cell")
+                    getattr(self.machines[leg["host"]], "zone" if traffic_type.scope == "zone" else "cell")
                     for leg in legs
                 }
             )
@@ -389,9 +400,9 @@
             while recent[0] < at - window:
                 recent.popleft()
             connection_work = sum(
-                one["load"] * (min(at, one["end"] or at) - max(one["ran"], at - window)) / SECOND
-                for one in legs
-                if one["ran"] is not None and one["ran"] < at and (one["end"] or at) > at - window
+                other["load"] * (min(at, other["end"] or at) - max(other["ran"], at - window)) / SECOND
+                for other in legs
+                if other["ran"] is not None and other["ran"] < at and (other["end"] or at) > at - window
             )
             share = t.cold_share + (1 - t.cold_share) * (at - start) / warm
             used = (len(recent) * t.setup_us + connection_work) / (
@@ -413,8 +424,11 @@
         f"excused with killed or frozen nodes {result['excused']}, "
         f"cold budget used at most {result['cold_budget_used']:.0%}"
     ]
-    for rule, one in result["rules"].items():
-        out.append(f"rule {rule} ({one['meaning']}): {one['broken']} broken of {one['checked']} checked")
-    for one in result["offences"]:
-        out.append(f"  rule {one['rule']}: {one['what']}: {one['count']} times, first: {one['first'][0]}")
+    for number, rule in result["rules"].items():
+        out.append(f"rule {number} ({rule['meaning']}): {rule['broken']} broken of {rule['checked']} checked")
+    for violation in result["offences"]:
+        out.append(
+            f"  rule {violation['rule']}: {violation['what']}: {violation['count']} times, "
+            f"first: {violation['first'][0]}"
+        )
     return out
--- a/cottonspread/lab/children.py
+++ b/cottonspread/lab/children.py
@@ -59,7 +59,7 @@
 
 
 def prepare_child(cores):
-    """Runs in a child before exec: ties its life to the runner's and pins it to `cores`."""
+    """Runs in a child before exec: the kernel kills it if the runner dies, and it is pinned to `cores`."""
     libc.prctl(PR_SET_PDEATHSIG, signal.SIGKILL)
     os.setpgrp()  # a terminal's Ctrl-C goes to the runner alone
     if cores:
@@ -72,7 +72,7 @@
     def __init__(self, run, number):
         """`run`: the LabRun; `number`: the node's index in the plan."""
         self.run, self.number, self.node = run, number, run.plan.nodes[number]
-        self.process, self.probe, self.up, self.should_run, self.cpu = None, None, False, True, 0.0
+        self.process, self.psutil_process, self.up, self.should_run, self.cpu = None, None, False, True, 0.0
         self.max_rss = self.max_threads = self.max_fds = 0
         self.starts, self.settings_version, self.old_process, self.listener = 0, 0, None, None
 
@@ -82,13 +82,13 @@
         return self.node.ip, 20000 + 10 * self.number + self.starts % 10
 
     def admin_call(self, word):
-        """Sends an operators' call; tells whether it succeeded."""
+        """Sends an operators' call; returns whether it succeeded."""
         with socket.create_connection(self.admin_address, timeout=1) as sock:
             sock.sendall(word.encode() + b"\n")
             return sock.recv(16).startswith(b"200")
 
     def is_healthy(self):
-        """Tells whether the node reports that it is healthy."""
+        """Returns whether the node reports that it is healthy."""
         try:
             return self.admin_call("health")
         except OSError:
@@ -125,11 +125,15 @@
 
     def start(self):
         """Starts the node's process."""
-        plan, x = self.run.plan, self.run.plan.experiment
-        path, (environment, kept) = self.write_config(), self.inheritance()
+        plan, experiment = self.run.plan, self.run.plan.experiment
+        path, (environment, inherited_fds) = self.write_config(), self.inheritance()
         self.starts += 1
-        command = plan.variant.command or x.nodes.command or [sys.executable, "-m", "cottonspread", "serve"]
-        checkout = plan.variant.checkout or x.nodes.checkout or ROOT
+        command = (
+            plan.variant.command
+            or experiment.nodes.command
+            or [sys.executable, "-m", "cottonspread", "serve"]
+        )
+        checkout = plan.variant.checkout or experiment.nodes.checkout or ROOT
         with open(os.path.join(self.run.folder, f"{self.node.name}.log"), "ab") as log:
             self.process = subprocess.Popen(
                 [sys.executable if word == "python" else word for word in command],
@@ -137,7 +141,7 @@
                 stdin=subprocess.DEVNULL,
                 stdout=log,
                 stderr=log,
-                pass_fds=kept,
+                pass_fds=inherited_fds,
                 env={
                     **os.environ,
                     **environment,
@@ -147,11 +151,11 @@
                 },
                 preexec_fn=lambda: prepare_child(self.run.node_cores(self.number)),
             )
-        self.probe, self.up = psutil.Process(self.process.pid), False
+        self.psutil_process, self.up = psutil.Process(self.process.pid), False
         self.run.record_event("started", self)
 
     def answers_ping(self):
-        """Tells whether the node answers a PING with PONG."""
+        """Returns whether the node answers a PING with PONG."""
         try:
             with socket.create_connection((self.node.ip, self.node.port), timeout=0.3) as sock:
                 sock.sendall(b"PING\r\n")
@@ -167,9 +171,9 @@
     def sample(self):
         """Returns CPU seconds since the last sample, resident megabytes, threads and descriptors."""
         try:
-            with self.probe.oneshot():
-                times, memory = self.probe.cpu_times(), self.probe.memory_info().rss
-                threads, fds = self.probe.num_threads(), self.probe.num_fds()
+            with self.psutil_process.oneshot():
+                times, memory = self.psutil_process.cpu_times(), self.psutil_process.memory_info().rss
+                threads, fds = self.psutil_process.num_threads(), self.psutil_process.num_fds()
         except (psutil.Error, OSError):
             return {"cpu": 0, "rss_mb": 0, "threads": 0, "fds": 0}
         total = times.user + times.system
--- a/cottonspread/lab/hosts.py
+++ b/cottonspread/lab/hosts.py
@@ -20,21 +20,21 @@
 class Conn:
     """A connection at a host."""
 
-    __slots__ = ("sock", "host", "lines", "call", "out", "over")
+    __slots__ = ("sock", "host", "splitter", "call", "out", "ended")
 
     def __init__(self, sock, host):
-        """`host`: the Server that accepted the connection."""
-        self.sock, self.host, self.lines, self.call = sock, host, wire.LineSplitter(), None
-        self.out, self.over = deque(), False
+        """`host`: the Host that accepted the connection."""
+        self.sock, self.host, self.splitter, self.call = sock, host, wire.LineSplitter(), None
+        self.out, self.ended = deque(), False
 
 
-class Server(HostServer):
+class Host(HostServer):
     """One host: its address and its model."""
 
     def __init__(self, process, machine):
         """Creates the host of a plan's machine; one that the plan starts later is down until then."""
-        x = process.plan.experiment
-        super().__init__(machine.name, host_model(process.plan, machine, now()), x.hosts.reports)
+        experiment = process.plan.experiment
+        super().__init__(machine.name, host_model(process.plan, machine, now()), experiment.hosts.reports)
         self.process, self.machine, self.listener, self.backlog_fillers = process, machine, None, []
         self.now, self.at, self.put = now, process.loop.at, process.record.put
         if machine.started:
@@ -80,9 +80,9 @@
                 sock, _ = self.listener.accept()
             except (BlockingIOError, ConnectionError):
                 return
-            except OSError as fault:
+            except OSError as error:
                 self.process.record.put(
-                    {"k": "fault", "t": now(), "host": self.machine.name, "why": str(fault)}
+                    {"k": "fault", "t": now(), "host": self.machine.name, "why": str(error)}
                 )
                 return
             sock.setblocking(False)
@@ -148,7 +148,7 @@
 
     def prepare(self):
         """Opens the hosts' addresses."""
-        self.servers = {m.name: Server(self, m) for m in self.plan.machines if m.process == self.number}
+        self.hosts = {m.name: Host(self, m) for m in self.plan.machines if m.process == self.number}
 
     def begin(self):
         """Schedules the faults of this process's hosts."""
@@ -156,17 +156,18 @@
             if fault.kind not in HOST_FAULTS:
                 continue
             for name in fault.on:
-                server = self.servers.get(name)
-                if server is None:
+                host = self.hosts.get(name)
+                if host is None:
                     continue
                 at = self.start + round(fault.at * SECOND)
-                if fault.kind == "join":
-                    self.loop.at(at, server.end_fault, fault)
+                if fault.kind == "join":  # the host is down until then
+                    self.loop.at(at, host.end_fault, fault)
                     continue
-                self.loop.at(at, server.start_fault, fault)
+                self.loop.at(at, host.start_fault, fault)
+                # a hang ends by itself
                 if fault.kind not in INSTANT_FAULTS and fault.kind != "hang" and fault.seconds:
-                    self.loop.at(at + round(fault.seconds * SECOND), server.end_fault, fault)
+                    self.loop.at(at + round(fault.seconds * SECOND), host.end_fault, fault)
 
     def counts(self):
         """Returns the number of connections by host."""
-        return {"standing": {name: len(s.model.conns) for name, s in self.servers.items()}}
+        return {"standing": {name: len(host.model.conns) for name, host in self.hosts.items()}}
--- a/cottonspread/lab/load.py
+++ b/cottonspread/lab/load.py
@@ -26,8 +26,8 @@
 MAX_RECORDED = 600 * SECOND
 SO_TIMESTAMPNS, TIMESPEC, CONTROL_SIZE = 35, struct.Struct("qq"), 64
 BIND_NO_PORT = 24  # IP_BIND_ADDRESS_NO_PORT: the port is chosen at connect, separately for each destination
-GUARD_TOLERANCE = 50_000  # microseconds that a client waits on after its guard time, as sockets deliver late
-SPIN_TIME = 400  # microseconds before an arrival from which on a busy-waiting generator does not sleep
+GUARD_TOLERANCE = 50_000  # microseconds that a client waits beyond its guard time, as sockets deliver late
+SPIN_TIME = 400  # microseconds before an arrival in which a busy-waiting generator does not sleep
 
 
 def received_at(control_messages):
@@ -56,7 +56,7 @@
     __slots__ = (
         "schedule_index",
         "id",
-        "kind",
+        "type_index",
         "key",
         "group",
         "again",
@@ -69,21 +69,21 @@
         "begun",
         "answers",
         "up",
-        "lines",
+        "splitter",
         "out",
         "echo_count",
         "unanswered_lines",
         "max_echo_delay",
         "how",
-        "line",
+        "lines_sent",
     )
 
-    def __init__(self, schedule_index, kind, key, group, intended, again, retry, tries):
+    def __init__(self, schedule_index, type_index, key, group, intended, again, retry, tries):
         """`intended`: when the call was due; `again`: it is a reconnect; `tries`: retries before this one."""
-        self.schedule_index, self.kind, self.key, self.group = schedule_index, kind, key, group
+        self.schedule_index, self.type_index, self.key, self.group = schedule_index, type_index, key, group
         self.intended, self.again, self.retry, self.tries = intended, again, retry, tries
         self.id, self.node, self.sock, self.sent, self.begun = "", None, None, 0, 0
-        self.answers, self.up, self.lines, self.out, self.echo_count, self.unanswered_lines = (
+        self.answers, self.up, self.splitter, self.out, self.echo_count, self.unanswered_lines = (
             [],
             0,
             wire.LineSplitter(),
@@ -91,7 +91,7 @@
             0,
             [],
         )
-        self.max_echo_delay, self.how, self.line = 0, "", 0
+        self.max_echo_delay, self.how, self.lines_sent = 0, "", 0
 
 
 class Clients(LabProcess):
@@ -106,15 +106,14 @@
         self.digest = whole.digest()
         at = slice(self.number, None, load.processes)
         self.schedule = plans.Schedule(**{f: getattr(whole, f)[at] for f in whole.__struct_fields__})
-        self.at, self.kinds = self.schedule.at.tolist(), self.schedule.kind.tolist()
+        self.at, self.type_indices = self.schedule.at.tolist(), self.schedule.kind.tolist()
         self.lives, self.draws, self.groups = (
             getattr(self.schedule, n).tolist() for n in ("life", "draw", "group")
         )
         self.tenants = self.schedule.tenant.tolist()
         rng = np.random.default_rng([self.plan.seed, 3, self.number])
-        self.reconnect_draws = rng.random(
-            max(1, len(self.at))
-        ).tolist()  # which clients reset their connections in a mass reconnect, and when they come back
+        # They determine which clients reset their connections in a mass reconnect, and when they come back.
+        self.reconnect_draws = rng.random(max(1, len(self.at))).tolist()
         self.types, self.load = load.types, load
         self.nodes, self.active_nodes = self.plan.nodes, list(range(len(self.plan.nodes)))
         self.sources = [s for n, s in enumerate(self.plan.sources) if n % load.processes == self.number] or [
@@ -168,7 +167,7 @@
             self.start_call(
                 Call(
                     n,
-                    self.kinds[n],
+                    self.type_indices[n],
                     f"k{self.number}-{n}",
                     f"g{self.groups[n]}",
                     self.start + self.at[n],
@@ -181,7 +180,7 @@
         if n < len(self.at):
             self.loop.at(self.start + self.at[n], self.arrive)
 
-    def schedule_again(self, call, wait, again):
+    def schedule_call(self, call, wait, again):
         """Makes the client of `call` open another connection after `wait` microseconds."""
         when = now() + wait
         if when - self.start > self.end_of_arrivals + SECOND:
@@ -191,7 +190,7 @@
             self.start_call,
             Call(
                 call.schedule_index,
-                call.kind,
+                call.type_index,
                 call.key,
                 call.group,
                 when,
@@ -202,19 +201,24 @@
         )
 
     def choose_node(self, call):
-        """Returns the number of the node that a call goes to: by the seed, among the active nodes."""
+        """Returns the number of the node that a call goes to: by the seed, among the active nodes.
+
+        A retry or reconnect uses another draw than the first call.
+        """
         draw = self.draws[call.schedule_index] + 2654435761 * (call.tries + call.again)
         candidates = self.active_nodes or range(len(self.nodes))
         return candidates[draw % len(candidates)]
 
     def start_call(self, call):
         """Connects and sends the first line."""
-        kind = self.types[call.kind]
+        traffic_type = self.types[call.type_index]
         self.call_count += 1
         call.id, call.node = f"{self.number}x{self.call_count:x}", self.choose_node(call)
         self.counts_since_report["offered"] += 1
-        wait = int(kind.guard_ms)
-        call.out = wire.format_open(call.id, call.key, kind.name, wait, call.group, call.again, call.retry)
+        wait = int(traffic_type.guard_ms)
+        call.out = wire.format_open(
+            call.id, call.key, traffic_type.name, wait, call.group, call.again, call.retry
+        )
         sock = None
         try:
             sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM | socket.SOCK_NONBLOCK)
@@ -223,8 +227,8 @@
                 sock.setsockopt(socket.IPPROTO_IP, BIND_NO_PORT, 1)
                 sock.bind((source, 0))
             code = sock.connect_ex(self.addresses[call.node])
-        except OSError as fault:
-            code = fault.errno
+        except OSError as error:
+            code = error.errno
         call.begun = now()
         lateness = max(1, call.begun - call.intended)
         self.max_lateness = max(self.max_lateness, lateness)
@@ -250,8 +254,8 @@
             sent = call.sock.send(call.out)
         except (BlockingIOError, InterruptedError):
             sent = 0
-        except OSError as fault:
-            if fault.errno != errno.ENOTCONN:
+        except OSError as error:
+            if error.errno != errno.ENOTCONN:
                 self.on_end(call, "reset" if call.sent else "refused")
                 return
             sent = 0
@@ -277,7 +281,7 @@
             self.on_end(call, "end")
             return
         at = received_at(control_messages)
-        for line in call.lines.feed(data):
+        for line in call.splitter.feed(data):
             self.on_line(call, line, at)
 
     def on_line(self, call, line, at):
@@ -303,23 +307,23 @@
         """Counts the call as established and schedules its lines and its end."""
         call.up = at
         took = max(1, min(MAX_RECORDED, at - call.intended))
-        self.latency[self.types[call.kind].name].record_value(took)
+        self.latency[self.types[call.type_index].name].record_value(took)
         self.recent_latencies.append(took)
         self.established[call] = None
         life = self.lives[call.schedule_index]
         self.loop.at(at + life, self.leave, call)
         interval = round(self.load.line_s * SECOND)
         if interval and life > interval:
-            self.loop.at(at + interval, self.send_line, call, at + interval, interval)
+            self.loop.at(at + interval, self.send_echo_line, call, at + interval, interval)
 
-    def send_line(self, call, intended, interval):
+    def send_echo_line(self, call, intended, interval):
         """Sends a line that the host echoes, and schedules the next one."""
         if call.sock is None:
             return
-        call.line += 1
+        call.lines_sent += 1
         call.unanswered_lines.append(intended)
-        call.out += b"e%d\r\n" % call.line
-        self.loop.at(intended + interval, self.send_line, call, intended + interval, interval)
+        call.out += b"e%d\r\n" % call.lines_sent
+        self.loop.at(intended + interval, self.send_echo_line, call, intended + interval, interval)
         self.send(call)
 
     # Ends
@@ -345,7 +349,7 @@
                 call.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
                 self.close(call)
                 self.finish_call(call, "broke-off")
-                self.schedule_again(call, round(draw / shape.share * shape.seconds * SECOND), True)
+                self.schedule_call(call, round(draw / shape.share * shape.seconds * SECOND), True)
 
     def on_end(self, call, how):
         """Handles a connection that the node has ended."""
@@ -371,21 +375,21 @@
             {
                 "k": "call",
                 "id": call.id,
-                "type": self.types[call.kind].name,
+                "type": self.types[call.type_index].name,
                 "key": call.key,
                 "group": call.group,
                 "tenant": self.tenants[call.schedule_index],
                 "node": self.nodes[call.node].name,
                 "again": call.again,
                 "retry": call.retry,
-                "d": self.types[call.kind].guard_ms,
+                "d": self.types[call.type_index].guard_ms,
                 "intended": call.intended - start,
                 "begun": call.begun - start,
                 "sent": call.sent - start if call.sent else 0,
                 "answers": [[t - start, w, v] for t, w, v in call.answers],
                 "end": now() - start,
                 "how": how,
-                "lines": call.line,
+                "lines": call.lines_sent,
                 "echoes": call.echo_count,
                 "slowest": call.max_echo_delay,
                 "unanswered": now() - call.unanswered_lines[0]
@@ -396,7 +400,7 @@
         call.unanswered_lines = []
         after = next_attempt(
             self.load,
-            self.types[call.kind],
+            self.types[call.type_index],
             how,
             call.up,
             call.answers[0][1:] if call.answers else None,
@@ -405,7 +409,7 @@
             self.reconnect_draws[call.schedule_index],
         )
         if after:
-            self.schedule_again(call, *after)
+            self.schedule_call(call, *after)
 
     # Reports to the runner
 
--- a/cottonspread/lab/loop.py
+++ b/cottonspread/lab/loop.py
@@ -27,7 +27,7 @@
         if self.poll.fileno() >= 1024:
             raise RuntimeError("create the loop before its sockets: select takes only descriptors under 1024")
         self.handlers, self.timers, self.sequence, self.stopped = {}, [], 0, False
-        self.spin = 0  # microseconds before a timer from which on it busy-waits; a sleep ends 0.1 ms late
+        self.spin = 0  # busy-waits for this many microseconds before a timer, as a sleep ends 0.1 ms late
 
     def at(self, when, callback, *args):
         """Calls `callback(*args)` at the time `when`."""
@@ -106,9 +106,9 @@
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     try:
         sock.bind(address)
-    except OSError as fault:
+    except OSError as error:
         sock.close()
-        raise OSError("{}: {}:{}: {}".format(owner, *address, fault.strerror)) from None
+        raise OSError("{}: {}:{}: {}".format(owner, *address, error.strerror)) from None
     sock.listen(backlog)
     sock.setblocking(False)
     return sock
--- a/cottonspread/lab/results.py
+++ b/cottonspread/lab/results.py
@@ -43,9 +43,8 @@
     offered: int
     seconds: float
     served_share: float  # the share of first calls that came up in the end, retries included
-    revenue: (
-        float  # of calls that came up within their setup target, over the revenue of all calls but retries
-    )
+    # of calls that came up within their setup target, over the revenue of all calls but retries
+    revenue: float
     answers: dict[str, int]  # number of calls by final answer, or by how they ended without one
     latency: dict[str, Distribution]  # from the intended time to UP, by traffic type; "all"
     lateness: Distribution  # of the load generator itself
@@ -82,8 +81,8 @@
             plan = msgspec.json.decode(file.read(), type=plans.Plan)
         with open(os.path.join(folder, "start.json"), "rb") as file:
             start = json.load(file)["start"]
-    except (OSError, ValueError, msgspec.ValidationError) as fault:
-        raise plans.PlanError(f"{folder}: {fault}") from None
+    except (OSError, ValueError, msgspec.ValidationError) as error:
+        raise plans.PlanError(f"{folder}: {error}") from None
     load = list(record.read(folder, "load"))
     audit = audits.Audit(plan, start, lambda kind: load if kind == "load" else record.read(folder, kind))
     audit_result = audit.run() if plan.experiment.audited else audit.result()
@@ -93,30 +92,30 @@
 def histograms(totals):
     """Returns the histograms (latency by type and "all", lateness, echo), merged over all load processes."""
     latency, lateness, echo = {"all": histogram()}, histogram(), histogram()
-    for one in totals:
-        for name, text in one["latency"].items():
+    for process_totals in totals:
+        for name, text in process_totals["latency"].items():
             h = decode_histogram(text)
             latency.setdefault(name, histogram()).add(h)
             latency["all"].add(h)
-        lateness.add(decode_histogram(one["lateness"]))
-        echo.add(decode_histogram(one["echo"]))
+        lateness.add(decode_histogram(process_totals["lateness"]))
+        echo.add(decode_histogram(process_totals["echo"]))
     return latency, lateness, echo
 
 
-def tally(calls, kinds):
+def tally(calls, traffic_types):
     """Returns ({answer: number of calls}, possible revenue, revenue earned, keys of calls that came up)."""
     answers, possible, earned, came_up = {}, 0.0, 0.0, set()
     for call in calls:
-        kind = kinds[call["type"]]
+        traffic_type = traffic_types[call["type"]]
         up = call["answers"][0][0] if call["answers"] and call["answers"][0][1] == "UP" else None
         reason = "up" if up is not None else call["answers"][0][1].lower() if call["answers"] else call["how"]
         answers[reason] = answers.get(reason, 0) + 1
         if up is not None:
             came_up.add(call["key"])
         if not call["retry"]:
-            possible += kind.revenue
-            if up is not None and up - call["intended"] <= kind.target_ms * 1000:
-                earned += kind.revenue
+            possible += traffic_type.revenue
+            if up is not None and up - call["intended"] <= traffic_type.target_ms * 1000:
+                earned += traffic_type.revenue
     return answers, possible, earned, came_up
 
 
@@ -124,12 +123,12 @@
     """Evaluates the records in the run's folder and writes `results.json` there atomically."""
     folder = run.folder
     plan, audit, audit_result, totals = audit_folder(folder)
-    kinds = {k.name: k for k in plan.experiment.load.types}
+    traffic_types = {t.name: t for t in plan.experiment.load.types}
     latency, lateness, echo = histograms(totals)
     first = [c for c in audit.calls.values() if not c["retry"] and not c["again"]]
-    answers, possible, earned, came_up = tally(audit.calls.values(), kinds)
+    answers, possible, earned, came_up = tally(audit.calls.values(), traffic_types)
     reasons, late = list(run.reasons), distribution(lateness)
-    faults = {name: n for one in totals for name, n in one["faults"].items()}
+    faults = {name: n for process_totals in totals for name, n in process_totals["faults"].items()}
     if late.p999 > MAX_LATENESS:
         reasons.append(
             f"the load generator was late: {late.p999} us at p99.9, limit {MAX_LATENESS}: results invalid"
@@ -189,10 +188,10 @@
     try:
         with open(path, "rb") as file:
             result = msgspec.json.decode(file.read(), type=Results)
-    except OSError as fault:
-        raise plans.PlanError(f"{path}: {fault.strerror}") from None
-    except (msgspec.DecodeError, msgspec.ValidationError) as fault:
-        raise plans.PlanError(f"{path}: {fault}") from None
+    except OSError as error:
+        raise plans.PlanError(f"{path}: {error.strerror}") from None
+    except (msgspec.DecodeError, msgspec.ValidationError) as error:
+        raise plans.PlanError(f"{path}: {error}") from None
     if result.schema != SCHEMA:
         raise plans.PlanError(f"{path}: schema: {SCHEMA} expected")
     return result
@@ -204,8 +203,8 @@
         return [read(folder)]
     try:
         inside = sorted(os.listdir(folder))
-    except OSError as fault:
-        raise plans.PlanError(f"{folder}: {fault.strerror}") from None
+    except OSError as error:
+        raise plans.PlanError(f"{folder}: {error.strerror}") from None
     found = [
         read(os.path.join(folder, name))
         for name in inside
@@ -257,6 +256,6 @@
         f"revenue {result.revenue:.3f}, answers " + json.dumps(result.answers),
         f"set-up ms p50 {all_.p50 / 1000:.2f} p99 {all_.p99 / 1000:.2f} p99.9 {all_.p999 / 1000:.2f} "
         f"max {all_.max / 1000:.2f} (generator late us p50 {late.p50} p99 {late.p99} p99.9 {late.p999} "
-        f"max {late.max}; {result.stolen_s} core seconds taken from this machine)",
+        f"max {late.max}; steal time {result.stolen_s} core seconds)",
         *audits.summary_lines(result.audit),
     ]
--- a/cottonspread/lab/scale/hollow.py
+++ b/cottonspread/lab/scale/hollow.py
@@ -161,11 +161,11 @@
         if self.in_flight:
             self.world.after(ROUND_TRIP, self.fail, self.call, ConnectionResetError("list machine stopped"))
 
-    def run_turn(self):
+    def poll_list(self):
         """Runs one turn of the list client and meters it, without the list machine's own work."""
         self.in_flight = False
         machine_before, started_at = self.agent.meter.answer_ns, time.thread_time_ns()
-        pause = super().run_turn()
+        pause = super().poll_list()
         elapsed = time.thread_time_ns() - started_at
         self.meter.client_ns += elapsed - (self.agent.meter.answer_ns - machine_before)
         if pause:
@@ -218,7 +218,7 @@
             set(),
         )
 
-    def caller(self, process):
+    def new_caller(self, process):
         """Creates the transport of a starting process's list client."""
         return HollowCaller(self, process)
 
@@ -363,14 +363,14 @@
     def change_weight(self):
         """Raises the last server's weight by 0.1% on every list machine; returns the version."""
         for machine in self.list_machines:
-            name, entry = next(reversed(machine.book.entries.items()))
-            machine.book.change(name, "Ready", None, entry | {"weight": entry["weight"] * 1.001})
+            name, entry = next(reversed(machine.host_list.entries.items()))
+            machine.host_list.change(name, "Ready", None, entry | {"weight": entry["weight"] * 1.001})
             machine.answer_waiting_calls()
         return self.track_version()
 
     def track_version(self):
         """Starts to record when each node applies the current version, and returns that version."""
-        version = self.list_machines[0].book.version
+        version = self.list_machines[0].host_list.version
         self.applied_at[version] = {}
         return version
 
--- a/cottonspread/lab/selfcheck.py
+++ b/cottonspread/lab/selfcheck.py
@@ -1,4 +1,4 @@
-"""Checks the load generator's measurements against a server of known delay that takes its own times.
+"""Checks the latencies that the load generator reports against those that a server of known delay measures.
 
 The server records when a call's first line arrived, waits the known delay, answers, and records when it did.
 The latency that the generator reports (from the intended time to UP) and the one that the server measured
@@ -100,8 +100,8 @@
         spins=True,
         types=[plans.TrafficType(name="check", life_s=0.2, guard_ms=4000)],
     )
-    x = plans.Experiment(name="selfcheck", seconds=seconds, load=load, hosts=plans.Hosts(count=1))
-    plan = plans.make(x, plans.Variant(name="only"), int(time.time()))
+    experiment = plans.Experiment(name="selfcheck", seconds=seconds, load=load, hosts=plans.Hosts(count=1))
+    plan = plans.make(experiment, plans.Variant(name="only"), int(time.time()))
     node = plan.nodes[0]
     server = DelayedServer((node.ip, node.port), round(delay_ms * 1000))
     with tempfile.TemporaryDirectory() as folder:
@@ -122,8 +122,8 @@
                 time.sleep(0.01)
             start = now() + 200_000
             child.send(f"begin {start}")
-            ending = start + round((seconds + delay_ms / 1000 + 1) * 1e6)
-            while now() < ending:
+            end_time = start + round((seconds + delay_ms / 1000 + 1) * 1e6)
+            while now() < end_time:
                 child.read()
                 time.sleep(0.05)
             child.send("end")
--- a/cottonspread/lab/sim/agent.py
+++ b/cottonspread/lab/sim/agent.py
@@ -21,7 +21,7 @@
     def __init__(self, fleet, name, entries, lag):
         """`lag`: microseconds that a change takes to arrive here."""
         self.fleet, self.world, self.name, self.lag, self.extra_lag = fleet, fleet.world, name, lag, 0
-        self.book, self.silent_until, self.garbage_left, self.last_change_at, self.callers = (
+        self.host_list, self.silent_until, self.garbage_left, self.last_change_at, self.callers = (
             HostList(entries),
             0,
             0,
@@ -38,7 +38,7 @@
 
     def apply_change(self, name, lifecycle, started_ms, entry):
         """Applies a change to the agent's list and answers waiting calls."""
-        self.book.change(name, lifecycle, started_ms, self.book.entries.get(name) or entry)
+        self.host_list.change(name, lifecycle, started_ms, self.host_list.entries.get(name) or entry)
         self.answer_waiting_calls()
 
     def update_weights(self, usage):
@@ -46,7 +46,7 @@
 
         `usage`: (size, connections a core) by host.
         """
-        self.book.set_weights(usage)
+        self.host_list.set_weights(usage)
         self.answer_waiting_calls()
 
     def go_silent(self, span):
@@ -56,22 +56,22 @@
 
     def restart(self):
         """Restarts the list with the same hosts at a lower version; waiting calls fail."""
-        self.book.restart()
+        self.host_list.restart()
         for caller in list(self.callers):
             caller.fail(caller.call, ConnectionResetError("list restarted"))
 
     def answer_waiting_calls(self):
-        """Answers the calls that have an answer by now, and forgets dead processes."""
+        """Answers the waiting calls for which there is an answer, and drops those of dead processes."""
         self.callers = [caller for caller in self.callers if not caller.process.dead]
         for caller in self.callers:
             caller.answer_if_due()
 
     def attach(self, process):
         """Connects a process's list client to this agent and returns its caller."""
-        self.callers.append(self.caller(process))
+        self.callers.append(self.new_caller(process))
         return self.callers[-1]
 
-    def caller(self, process):
+    def new_caller(self, process):
         """Creates the transport of a starting process's list client."""
         return Caller(self, process)
 
@@ -113,19 +113,19 @@
         agent = self.agent
         if (
             self.world.now >= self.due
-            or self.process.discovery.version != agent.book.version
+            or self.process.discovery.version != agent.host_list.version
             or agent.garbage_left
         ):
             self.world.after(ROUND_TRIP, self.process.run_if_alive, self.handle_answer, self.call)
 
-    def fail(self, call, fault):
-        """Lets request number `call` fail with `fault`, unless it has been answered."""
+    def fail(self, call, error):
+        """Fails request number `call` with `error`, unless it has been answered."""
         if call == self.call:
-            self.answer = fault
+            self.answer = error
             self.process.run_if_alive(self.handle_answer, call)
 
     def handle_answer(self, call):
-        """Lets the list client handle an answer; it reads the answer through `get`."""
+        """Passes an answer to the list client, which reads it through `get`."""
         discovery = self.process.discovery
         if (
             call != self.call
@@ -135,12 +135,12 @@
         ):
             return
         self.call += 1
-        pause = self.run_turn()
+        pause = self.poll_list()
         if discovery.enabled.is_set():
             self.world.after(round(pause * SECOND) + 1, self.process.run_if_alive, self.send_request)
 
-    def run_turn(self):
-        """Runs one turn of the list client; returns the seconds that it then pauses."""
+    def poll_list(self):
+        """Runs one poll of the list client; returns the seconds that it waits before the next one."""
         return self.process.discovery.poll()
 
     def get(self, path, wait):
@@ -151,14 +151,18 @@
 
     def body(self, path):
         """Returns the list's answer to this request."""
-        agent, book = self.agent, self.agent.book
+        agent, host_list = self.agent, self.agent.host_list
         if agent.garbage_left:
             agent.garbage_left -= 1
             return GARBAGE_BODIES[agent.garbage_left % len(GARBAGE_BODIES)]
         query = urllib.parse.parse_qs(urllib.parse.urlsplit(path).query)
         since = int(query["since"][0]) if "since" in query else -1
-        answer = book.full_list() if since < 0 or since > book.version else book.changes_since(since)
-        answer = answer or {"generation": book.version, "reset": False, "instances": []}
+        answer = (
+            host_list.full_list()
+            if since < 0 or since > host_list.version
+            else host_list.changes_since(since)
+        )
+        answer = answer or {"generation": host_list.version, "reset": False, "instances": []}
         hosts = [[e["instanceId"], e["lifecycle"], e["startedAtMs"]] for e in answer["instances"]]
         agent.fleet.add_record(
             "list",
--- a/cottonspread/lab/sim/clients.py
+++ b/cottonspread/lab/sim/clients.py
@@ -9,7 +9,7 @@
 from cottonspread.lab.sim.network import Endpoint
 from cottonspread.lab.sim.world import SECOND
 
-ANSWER_TOLERANCE = 50_000  # how long a client without an answer waits after its guard time
+ANSWER_TOLERANCE = 50_000  # microseconds that a client waits for an answer beyond its guard time
 CONNECT_TIMEOUT = 3 * SECOND
 BAD_KINDS = (
     "garbage",
@@ -34,7 +34,7 @@
         "clients",
         "schedule_index",
         "id",
-        "kind",
+        "traffic_type",
         "key",
         "group",
         "again",
@@ -47,8 +47,8 @@
         "side",
         "answers",
         "up",
-        "lines",
-        "line",
+        "splitter",
+        "lines_sent",
         "unanswered_lines",
         "echo_count",
         "max_echo_delay",
@@ -59,19 +59,19 @@
     )
 
     def __init__(
-        self, clients, schedule_index, kind, key, group, intended, again=False, retry=False, tries=0
+        self, clients, schedule_index, traffic_type, key, group, intended, again=False, retry=False, tries=0
     ):
         """`intended`: when the call was due; `again`: it is a reconnect; `tries`: retries before this one."""
-        self.clients, self.schedule_index, self.kind, self.key, self.group = (
+        self.clients, self.schedule_index, self.traffic_type, self.key, self.group = (
             clients,
             schedule_index,
-            kind,
+            traffic_type,
             key,
             group,
         )
         self.intended, self.again, self.retry, self.tries = intended, again, retry, tries
         self.id, self.node, self.begun, self.sent, self.side = "", None, 0, 0, None
-        self.answers, self.up, self.lines, self.line, self.unanswered_lines = (
+        self.answers, self.up, self.splitter, self.lines_sent, self.unanswered_lines = (
             [],
             0,
             wire.LineSplitter(),
@@ -104,8 +104,8 @@
                 wire.format_open(
                     self.id,
                     self.key,
-                    self.kind.name,
-                    int(self.kind.guard_ms),
+                    self.traffic_type.name,
+                    int(self.traffic_type.guard_ms),
                     self.group,
                     self.again,
                     self.retry,
@@ -116,7 +116,7 @@
             return
         self.sent = world.now
         self.clients.fleet.invariants.on_call_sent(self)
-        world.after(int(self.kind.guard_ms) * 1000 + ANSWER_TOLERANCE, self.on_guard_expired)
+        world.after(int(self.traffic_type.guard_ms) * 1000 + ANSWER_TOLERANCE, self.on_guard_expired)
 
     def on_readable(self, side):
         """Reads what has arrived, unless this client is a slow reader at present."""
@@ -124,7 +124,7 @@
         if self.done or world.now < self.slow_until:
             return
         if side.received:
-            for line in self.lines.feed(side.recv()):
+            for line in self.splitter.feed(side.recv()):
                 self.on_line(line)
                 if self.done:
                     return
@@ -161,10 +161,10 @@
         world.after(every, self.send_echo_line, every)
         if world.now < self.slow_until:
             return
-        self.line += 1
+        self.lines_sent += 1
         self.unanswered_lines.append(world.now)
         with contextlib.suppress(BrokenPipeError):  # on_readable will report the end
-            self.side.send(b"e%d\r\n" % self.line)
+            self.side.send(b"e%d\r\n" % self.lines_sent)
 
     def leave(self):
         """Ends the call at the end of its lifetime."""
@@ -183,8 +183,8 @@
     def __init__(self, fleet, schedule, only=None):
         """`schedule`: the first calls; `only`: the numbers of those to make, None for all."""
         self.fleet, self.world, self.plan = fleet, fleet.world, fleet.plan
-        x = self.plan.experiment
-        self.load, self.types, self.calls = x.load, x.load.types, schedule
+        experiment = self.plan.experiment
+        self.load, self.types, self.calls = experiment.load, experiment.load.types, schedule
         self.schedule_columns = {
             name: getattr(schedule, name).tolist() for name in schedule.__struct_fields__
         }
@@ -193,7 +193,7 @@
             .random(max(1, len(self.schedule_columns["at"])))
             .tolist()
         )
-        self.traffic_end = round(x.seconds * SECOND)
+        self.traffic_end = round(experiment.seconds * SECOND)
         self.in_rotation, self.endpoint, self.connection_count, self.open_calls, self.established = (
             list(fleet.nodes),
             Endpoint("client"),
@@ -229,15 +229,16 @@
     def arrive(self, n, at):
         """Starts the first call number `n` of the schedule."""
         c = self.schedule_columns
-        self.call(Call(self, n, self.types[c["kind"][n]], f"k0-{n}", f"g{c['group'][n]}", at))
+        self.start_call(Call(self, n, self.types[c["kind"][n]], f"k0-{n}", f"g{c['group'][n]}", at))
 
-    def call(self, call):
+    def start_call(self, call):
         """Connects a call to a node."""
         self.connection_count += 1
         call.id, call.begun = f"0x{self.connection_count:x}", self.world.now
         candidates = self.in_rotation or self.fleet.nodes
         if self.sole_target is not None and self.world.now < self.sole_target[0]:
             candidates = [self.sole_target[1]]
+        # a retry or reconnect uses another draw than the first call
         draw = self.schedule_columns["draw"][call.schedule_index] + 2654435761 * (call.tries + call.again)
         call.node = candidates[draw % len(candidates)]
         self.counts["offered"] += 1
@@ -252,11 +253,11 @@
         if when <= self.traffic_end + SECOND:
             self.world.at(
                 when,
-                self.call,
+                self.start_call,
                 Call(
                     self,
                     call.schedule_index,
-                    call.kind,
+                    call.traffic_type,
                     call.key,
                     call.group,
                     when,
@@ -286,7 +287,7 @@
                 self.schedule_call(call, round(position / share * span), True)
 
     def slow_readers(self, share, span):
-        """Lets a share (0 to 1) of the connected clients read nothing for `span`."""
+        """Makes a share (0 to 1) of the connected clients read nothing for `span`."""
         for call in list(self.established):
             if self.reconnect_draws[call.schedule_index] < share:
                 call.slow_until = self.world.now + span
@@ -319,21 +320,21 @@
             {
                 "k": "call",
                 "id": call.id,
-                "type": call.kind.name,
+                "type": call.traffic_type.name,
                 "key": call.key,
                 "group": call.group,
                 "tenant": 0,
                 "node": call.node.name,
                 "again": call.again,
                 "retry": call.retry,
-                "d": call.kind.guard_ms,
+                "d": call.traffic_type.guard_ms,
                 "intended": call.intended,
                 "begun": call.begun,
                 "sent": call.sent,
                 "answers": call.answers,
                 "end": now,
                 "how": how,
-                "lines": call.line,
+                "lines": call.lines_sent,
                 "echoes": call.echo_count,
                 "slowest": call.max_echo_delay,
                 "unanswered": now - call.unanswered_lines[0]
@@ -343,7 +344,7 @@
         )
         next_call = next_attempt(
             self.load,
-            call.kind,
+            call.traffic_type,
             how,
             call.up,
             call.answers[0][1:] if call.answers else None,
@@ -382,6 +383,8 @@
 class BadClient:
     """A misbehaving client. It must get an error or a close, and must not affect other clients."""
 
+    # What a client of each kind sends first. "silent" and "crowd" send nothing, and "same-id" uses the ID of
+    # an open call; "hangs-up" closes the connection soon afterwards, and "shuts" its sending direction.
     LINES = {
         "garbage": b"\x00\xff GET / HTTP/1.1\r\n",
         "endless": b"x" * 9000,
--- a/cottonspread/lab/sim/fault_injection.py
+++ b/cottonspread/lab/sim/fault_injection.py
@@ -1,6 +1,6 @@
 """Injects the faults of a plan into a simulated fleet, each from its start and for its duration.
 
-Spans are in microseconds.
+`span` is a duration in microseconds.
 """
 
 from cottonspread.lab import node_config
@@ -27,11 +27,11 @@
 
 def inject_host_fault(fleet, host, fault, span):
     """Starts a fault of one host and schedules its end."""
-    if fault.kind == "join":
+    if fault.kind == "join":  # the host has been down until now
         host.end_fault(fault)
         return
     host.start_fault(fault)
-    if fault.kind not in INSTANT_FAULTS and fault.kind != "hang" and span:
+    if fault.kind not in INSTANT_FAULTS and fault.kind != "hang" and span:  # a hang ends by itself
         fleet.world.after(span, host.end_fault, fault)
 
 
@@ -180,7 +180,7 @@
     fleet.world.after(span, network.heal, names)
 
 
-def slow_way(fleet, fault, span):
+def add_network_delay(fleet, fault, span):
     """Adds `factor` times 10 ms to each direction for `span`."""
     slowdown, network = (frozenset(fault.on), round(fault.factor * 10_000)), fleet.world.network
     network.slowdowns.append(slowdown)
@@ -207,7 +207,7 @@
     fleet.world.network.reset_links(links)
 
 
-def dead(fleet, fault, span):
+def blackhole_links(fleet, fault, span):
     """From now on the affected connections deliver nothing, and neither side is notified."""
     for link in affected_links(fleet, fault, "dead"):
         link.dead = True
@@ -229,7 +229,7 @@
 
 
 def list_garbage(fleet, fault, span):
-    """Lets the agents send garbage for their next five answers."""
+    """Makes the agents send garbage as their next five answers."""
     for agent in agents(fleet, fault):
         agent.garbage_left = 5
         agent.answer_waiting_calls()
@@ -249,8 +249,8 @@
 
 
 def contradict(fleet, fault, span):
-    """Lets the agents report a healthy host as draining or gone, and take that back after `span`."""
-    up = [name for name, host in fleet.hosts.items() if host.model.state == "up" and not host.gone]
+    """Makes the agents report a healthy host as draining or gone, and as ready again after `span`."""
+    up = [name for name, host in fleet.hosts.items() if host.model.state == "up" and not host.vanished]
     if not up:
         return
     random = fleet.world.random_stream("contradict", fault.at)
@@ -261,7 +261,7 @@
 
 
 def retract_change(fleet, agent, name):
-    """Lets an agent report the host as ready again, if it is up."""
+    """Makes an agent report the host as ready again, if it is up."""
     host = fleet.hosts[name]
     if host.model.state == "up":
         agent.schedule_change(name, "Ready", None, fleet.entry(host.machine))
@@ -283,12 +283,12 @@
 
 
 def slow_readers(fleet, fault, span):
-    """Lets a share (`factor` tenths) of the clients read nothing for `span`."""
+    """Makes a share (`factor` tenths) of the clients read nothing for `span`."""
     fleet.clients.slow_readers(min(1.0, fault.factor / 10), span)
 
 
 def send_all_to_one_node(fleet, fault, span):
-    """Lets the front send all new clients to one node for `span`."""
+    """Makes the front send all new clients to one node for `span`."""
     fleet.clients.sole_target = fleet.world.now + span, fleet.by_name[fault.on[0]]
 
 
@@ -303,10 +303,10 @@
 
 OTHER_ACTIONS = {
     "partition": partition,
-    "slow-way": slow_way,
+    "slow-way": add_network_delay,
     "stall": stall,
     "snap": reset_connections,
-    "dead": dead,
+    "dead": blackhole_links,
     "list-cut": list_cut,
     "list-garbage": list_garbage,
     "list-restart": list_restart,
--- a/cottonspread/lab/sim/node.py
+++ b/cottonspread/lab/sim/node.py
@@ -45,7 +45,7 @@
         self.process, self.end, self.side, self.number = process, end, side, process.next_number()
         self.reading, self.is_shut_down, self.reset_when_freed, self.discarding = False, False, False, False
         self.connect_done = side is not None  # the connect has succeeded or failed
-        # the socket is another process's now; or another process still has it too
+        # `transferred`: another process has taken the socket over; `shares_side`: another one still holds it
         self.transferred = self.shares_side = False
         # `unsent`: the rest of a write that waits for the peer to read
         self.buffer, self.line_started_at, self.unsent = bytearray(), 0, b""
@@ -66,7 +66,7 @@
         self.read()
 
     def on_readable(self, side):
-        """Lets the reader thread see what has arrived, a little later."""
+        """Wakes the reader thread, after a thread's random delay."""
         self.process.world.after(self.process.random.randbelow(MAX_THREAD_DELAY), self.poll)
 
     def poll(self):
@@ -385,7 +385,7 @@
     def on_timer(self, due):
         """Runs the reducer for its timers, if this is still the next one."""
         if due == self.timer_at:
-            self.timer_at = 1 << 62
+            self.timer_at = 1 << 62  # none scheduled
             if not self.dead and not self.run_scheduled:
                 self.run_scheduled = True
                 self.run()
@@ -416,10 +416,10 @@
         self.steps += 1
         try:
             effects = self.step_reducer(event, at)
-        except Exception as fault:
+        except Exception as error:
             raise NodeError(
-                f"{self.node.name}: {type(event).__name__}: {fault!r}\n{traceback.format_exc(limit=-6)}"
-            ) from fault
+                f"{self.node.name}: {type(event).__name__}: {error!r}\n{traceback.format_exc(limit=-6)}"
+            ) from error
         self.world.add_trace_line(self.node.name, self.label(event), *map(self.label, effects))
         for effect in effects:
             self.contract.on_effect(effect)
@@ -462,7 +462,7 @@
                 self.caller.follow_list()
             case ev.Transfer():
                 world.after(self.random.randbelow(MAX_THREAD_DELAY), self.run_if_alive, self.transfer, effect)
-            case ev.Exit():  # the process must not end before the last answers are written
+            case ev.Exit():  # not before the last answers have been written
                 self.exiting = True
                 self.writer_free_at = max(self.writer_free_at, world.now) + MAX_THREAD_DELAY
                 world.at(self.writer_free_at, self.run_if_alive, self.exit, STOPPED)
@@ -495,7 +495,7 @@
         invariants = self.node.fleet.invariants
         match effect:
             case ev.Write(end=end, data=data):
-                if effect.first_line and (why := self.must_not_begin(effect)):
+                if effect.first_line and (why := self.reason_not_to_start(effect)):
                     self.post(ev.WriteDone(end, False, skip_reason=why))
                     return
                 invariants.on_node_write(self, end, data)
@@ -511,8 +511,8 @@
                 end.worker = None
                 worker.free()
 
-    def must_not_begin(self, effect):
-        """Returns why a first line must not be sent any more; see `Workers.must_not_begin`."""
+    def reason_not_to_start(self, effect):
+        """Returns why a first line must not be sent any more; see `Workers.reason_not_to_start`."""
         client = effect.end.conn.client.worker
         if client is None or client.side.eof or client.side.was_reset:
             return "client-gone"
@@ -527,7 +527,7 @@
     # Accepting connections
 
     def on_connect(self, side):
-        """Lets the process accept a connection, a little later."""
+        """Makes the process accept a connection, after a thread's random delay."""
         self.world.after(self.random.randbelow(MAX_THREAD_DELAY), self.run_if_alive, self.accept, side)
 
     def accept(self, side):
@@ -644,18 +644,18 @@
             max_sockets or self.own_max_sockets, self.own_max_sockets
         )
 
-    def transfer(self, order):
+    def transfer(self, effect):
         """Transfers an established connection to the successor if both readers are idle.
 
         The successor replies through `on_transferred`.
         """
-        workers, successor = (order.client.worker, order.host.worker), self.successor
+        workers, successor = (effect.client.worker, effect.host.worker), self.successor
         if successor is None or successor.dead or not all(worker.is_idle() for worker in workers):
-            self.post(ev.TransferDone(order.conn, False, successor is not None and not successor.dead))
+            self.post(ev.TransferDone(effect.conn, False, successor is not None and not successor.dead))
             return
         for worker in workers:
             worker.transferred = True
-        connection = handover.unpack_connection(handover.pack_connection(order.connection))
+        connection = handover.unpack_connection(handover.pack_connection(effect.connection))
         ends, new = (ev.ConnectionEnd(True), ev.ConnectionEnd(False)), []
         for end, worker in zip(ends, workers, strict=True):
             new.append(Worker(successor, end, worker.side))
@@ -668,7 +668,7 @@
                 lambda accepted: successor.world.after(
                     successor.random.randbelow(MAX_THREAD_DELAY),
                     self.on_transferred,
-                    order,
+                    effect,
                     accepted,
                     new,
                     successor,
@@ -676,9 +676,9 @@
             )
         )
 
-    def on_transferred(self, order, accepted, new, successor):
+    def on_transferred(self, effect, accepted, new, successor):
         """Handles the successor's reply to a transfer."""
-        workers = order.client.worker, order.host.worker
+        workers = effect.client.worker, effect.host.worker
         for worker, new_worker in zip(workers, new, strict=True):
             new_worker.shares_side = False
             if not accepted:
@@ -687,8 +687,8 @@
                 new_worker.side.close()
         if accepted:
             successor.limit_sockets(successor.max_sockets + 2)
-            self.node.fleet.invariants.on_connection_transferred(self, order, new)
-        self.post(ev.TransferDone(order.conn, accepted))
+            self.node.fleet.invariants.on_connection_transferred(self, effect, new)
+        self.post(ev.TransferDone(effect.conn, accepted))
         if not accepted and not self.dead:
             for worker in workers:
                 worker.poll()
