--- a/cottonspread/cli/__init__.py
+++ b/cottonspread/cli/__init__.py
@@ -18,7 +18,7 @@
     given = parser.parse_args(arguments)
     try:
         return given.run(given)
-    except config.ConfigurationError as fault:
-        for line in str(fault).split("\n"):
+    except config.ConfigurationError as error:
+        for line in str(error).split("\n"):
             print(f"cottonspread: {line}", file=sys.stderr)
         return 2
--- a/cottonspread/cli/configuration.py
+++ b/cottonspread/cli/configuration.py
@@ -18,8 +18,8 @@
     try:
         for name in names:
             parse_address(name)
-    except ValueError as fault:
-        raise config.ConfigurationError(f"replicas: {fault}") from fault
+    except ValueError as error:
+        raise config.ConfigurationError(f"replicas: {error}") from error
     if not names or len(set(names)) < len(names):
         raise config.ConfigurationError(f"replicas: {text}: expected HOST:PORT,HOST:PORT,..., each once")
     return names
@@ -42,8 +42,8 @@
             signal.signal(number, lambda *_: replica.stop())
         replica.run()
         return 0
-    except (OSError, storage.StorageError) as fault:
-        raise config.ConfigurationError(f"configuration: {name}: {fault}") from fault
+    except (OSError, storage.StorageError) as error:
+        raise config.ConfigurationError(f"configuration: {name}: {error}") from error
     finally:
         write_out()
 
--- a/cottonspread/cli/fleet.py
+++ b/cottonspread/cli/fleet.py
@@ -65,8 +65,8 @@
         raise config.ConfigurationError(
             f"fleet: no reply after {timeout:g} s; `fleet status` shows the progress"
         ) from None
-    except OSError as fault:
-        raise config.ConfigurationError(f"fleet: cannot reach the supervisor at {path}: {fault}") from fault
+    except OSError as error:
+        raise config.ConfigurationError(f"fleet: cannot reach the supervisor at {path}: {error}") from error
     if not answer:
         raise config.ConfigurationError("fleet: the supervisor exited before it replied")
     return json.loads(answer)
@@ -132,8 +132,8 @@
         try:
             control.raise_descriptor_limit(len(names) + 32)  # a thousand files exceed the usual limit
             files = [opened.enter_context(open(p, encoding="utf-8", errors="replace")) for p in paths]
-        except OSError as fault:
-            raise config.ConfigurationError(f"logs: {fault}") from fault
+        except OSError as error:
+            raise config.ConfigurationError(f"logs: {error}") from error
         lines = list(heapq.merge(*(file.readlines() for file in files)))
         sys.stdout.writelines(lines[-given.lines :])
         while given.follow:
--- a/cottonspread/cli/initial_list.py
+++ b/cottonspread/cli/initial_list.py
@@ -14,8 +14,8 @@
     configured = parts[-1]
     try:
         version = discovery.read_list(saved, parts[2])[0] if saved else -1
-    except discovery.ListError as fault:
-        log.warning("saved-list", extra={"pairs": {"why": fault, "kept": "none"}})
+    except discovery.ListError as error:
+        log.warning("saved-list", extra={"pairs": {"why": error, "kept": "none"}})
         return configured
     return saved if version >= discovery.read_list(configured, parts[2])[0] else configured
 
--- a/cottonspread/cli/instance.py
+++ b/cottonspread/cli/instance.py
@@ -187,10 +187,10 @@
         values = json.loads(live)
         try:
             parts = self.read(values)
-        except config.ConfigurationError as fault:
-            self.refused = {"live": control.digest(live), "why": str(fault)}
+        except config.ConfigurationError as error:
+            self.refused = {"live": control.digest(live), "why": str(error)}
             self.node.post_urgent(ev.ReloadRejected())
-            log.error("reload", extra={"pairs": {"why": fault, "kept": "the old configuration"}})
+            log.error("reload", extra={"pairs": {"why": error, "kept": "the old configuration"}})
             self.send_status()
             return
         logging.getLogger("cottonspread").setLevel(values["level"].upper())
@@ -213,8 +213,8 @@
     )
     try:
         return Instance(start_message).run()
-    except (config.ConfigurationError, OSError) as fault:
-        log.error("not-started", extra={"pairs": {"why": fault}})
+    except (config.ConfigurationError, OSError) as error:
+        log.error("not-started", extra={"pairs": {"why": error}})
         return 2
     finally:
         write_out()
--- a/cottonspread/cli/lab.py
+++ b/cottonspread/cli/lab.py
@@ -104,16 +104,16 @@
     try:
         from cottonspread.lab import limits, plan, trace
         from cottonspread.lab import run as runner
-    except ImportError as fault:
+    except ImportError as error:
         print(
-            f"cottonspread: lab: {fault.name} is missing: install requirements-dev.txt or the extra `lab`",
+            f"cottonspread: lab: {error.name} is missing: install requirements-dev.txt or the extra `lab`",
             file=sys.stderr,
         )
         return 2
     try:
         return run(given)
-    except (plan.PlanError, limits.LimitExceededError, trace.TraceError, runner.StartError) as fault:
-        print(f"cottonspread: lab: {fault}", file=sys.stderr)
+    except (plan.PlanError, limits.LimitExceededError, trace.TraceError, runner.StartError) as error:
+        print(f"cottonspread: lab: {error}", file=sys.stderr)
         return 2
 
 
@@ -207,8 +207,8 @@
     )
     try:
         return command.main(options)
-    except (command.ScaleError, results.ResultError) as fault:
-        print(f"cottonspread: lab: scale: {fault}", file=sys.stderr)
+    except (command.ScaleError, results.ResultError) as error:
+        print(f"cottonspread: lab: scale: {error}", file=sys.stderr)
         return 2
 
 
--- a/cottonspread/cli/node.py
+++ b/cottonspread/cli/node.py
@@ -24,8 +24,8 @@
     try:
         with open(path, encoding="utf-8") as file:
             return file.read()
-    except (OSError, UnicodeDecodeError) as fault:
-        raise config.ConfigurationError(f"configuration: {path}: {fault}") from fault
+    except (OSError, UnicodeDecodeError) as error:
+        raise config.ConfigurationError(f"configuration: {path}: {error}") from error
 
 
 def read(path):
@@ -38,8 +38,8 @@
     parts = config.read_node(text, environment or {})
     try:
         discovery.read_list(parts[-1], parts[2])
-    except discovery.ListError as fault:
-        raise config.ConfigurationError(f"known: {fault}") from fault
+    except discovery.ListError as error:
+        raise config.ConfigurationError(f"known: {error}") from error
     return parts
 
 
@@ -94,9 +94,9 @@
             follower.start()
         run_node(node, active, takeover, requests)
         return 0
-    except OSError as fault:
-        where = fault.filename or "listen: {}:{}".format(*parts[0].listen)
-        what = "address in use" if fault.errno == errno.EADDRINUSE else fault.strerror or fault
+    except OSError as error:
+        where = error.filename or "listen: {}:{}".format(*parts[0].listen)
+        what = "address in use" if error.errno == errno.EADDRINUSE else error.strerror or error
         print(f"cottonspread: {where}: {what}", file=sys.stderr)
         return 1
     finally:
@@ -164,13 +164,13 @@
     name = section.node or active.parts[0].name
     try:
         follower = Client(name, tuple(section.replicas), folder, check, apply)
-    except OSError as fault:
-        raise config.ConfigurationError(f"configuration.state: {folder}: {fault}") from fault
+    except OSError as error:
+        raise config.ConfigurationError(f"configuration.state: {folder}: {error}") from error
     if follower.saved:
         try:
             active.start_with(follower.saved.body)
-        except config.ConfigurationError as fault:  # start with the file; the follower reports the reason
-            log.error("saved-configuration", extra={"pairs": {"why": fault, "kept": "the file"}})
+        except config.ConfigurationError as error:  # start with the file; the follower reports the reason
+            log.error("saved-configuration", extra={"pairs": {"why": error, "kept": "the file"}})
     return follower
 
 
@@ -210,14 +210,14 @@
     try:
         values, parts = active.read()
         config.check_no_key_missing(active.values, values)
-    except config.ConfigurationError as fault:
+    except config.ConfigurationError as error:
         node.post_urgent(ev.ReloadRejected())
-        log.error("reload", extra={"pairs": {"why": fault, "kept": "the old configuration"}})
-        return str(fault)
-    except Exception as fault:  # a bug of ours
+        log.error("reload", extra={"pairs": {"why": error, "kept": "the old configuration"}})
+        return str(error)
+    except Exception as error:  # a bug of ours
         node.post_urgent(ev.ReloadRejected())
         log.exception("fault", extra={"pairs": {"while": "reload"}})
-        return f"internal error: {type(fault).__name__}: {fault}"
+        return f"internal error: {type(error).__name__}: {error}"
     endpoints, resource_limits, _, _, node_config, _ = parts
     # what cannot change while the node runs still has the values of the start
     old_endpoints, old_limits, _, _, old_config, _ = active.parts
--- a/cottonspread/cli/takeover.py
+++ b/cottonspread/cli/takeover.py
@@ -39,8 +39,8 @@
         listens = listener.type == socket.SOCK_STREAM and listener.getsockopt(
             socket.SOL_SOCKET, socket.SO_ACCEPTCONN
         )
-    except (ValueError, OSError) as fault:
-        raise ConfigurationError(f"PROXY_INHERITED_FD: {word!r}: {fault}") from fault
+    except (ValueError, OSError) as error:
+        raise ConfigurationError(f"PROXY_INHERITED_FD: {word!r}: {error}") from error
     if not listens:
         listener.detach()  # it is not ours to close
         raise ConfigurationError(f"PROXY_INHERITED_FD: {word!r} is not a listening socket")
@@ -128,8 +128,8 @@
         try:
             with short_socket_path(self.transfer_path) as path:
                 self.transfer_listener = control.listen(path)
-        except OSError as fault:
-            log.warning("hand-over", extra={"pairs": {"file": self.transfer_path, "why": fault}})
+        except OSError as error:
+            log.warning("hand-over", extra={"pairs": {"file": self.transfer_path, "why": error}})
             return
         workers.start_thread(
             self.receive_connections, self.transfer_listener, node, stack=workers.LARGE_STACK_SIZE
@@ -149,8 +149,8 @@
                     if sock.recv(len(token), socket.MSG_WAITALL) == token:
                         sock.settimeout(None)
                         connection_transfer.receive_connections(sock, node.adopt_connection)
-                except OSError as fault:
-                    log.warning("hand-over", extra={"pairs": {"why": fault}})
+                except OSError as error:
+                    log.warning("hand-over", extra={"pairs": {"why": error}})
         listener.close()
 
     def stop(self, node, active):
@@ -164,8 +164,8 @@
                     sock = control.connect(path, ANSWER_TIMEOUT)
                 sock.sendall(self.successor_token.encode() + b"\n")
                 sock.settimeout(None)
-            except OSError as fault:  # it has exited, or its version does not accept them
-                log.warning("hand-over", extra={"pairs": {"why": fault}})
+            except OSError as error:  # it has exited, or its version does not accept them
+                log.warning("hand-over", extra={"pairs": {"why": error}})
                 sock = None
         node.shut_down(True, sock)
 
@@ -176,8 +176,8 @@
                 return handover.unpack(file.read(), self.token)
         except FileNotFoundError:
             return None
-        except (OSError, ValueError, RecursionError) as fault:  # perhaps left by an earlier process
-            log.warning("hand-over", extra={"pairs": {"why": fault, "kept": "none"}})
+        except (OSError, ValueError, RecursionError) as error:  # perhaps left by an earlier process
+            log.warning("hand-over", extra={"pairs": {"why": error, "kept": "none"}})
             self.remove_file(self.reply_path)
             return None
 
@@ -211,8 +211,8 @@
         """Writes a file; failure is logged."""
         try:
             saved.write_atomically(path, text)
-        except OSError as fault:
-            log.error("hand-over", extra={"pairs": {"file": path, "why": fault}})
+        except OSError as error:
+            log.error("hand-over", extra={"pairs": {"file": path, "why": error}})
 
     @staticmethod
     def remove_file(path):
--- a/cottonspread/config/operator.py
+++ b/cottonspread/config/operator.py
@@ -183,10 +183,10 @@
 class OperatorFileError(ConfigurationError):
     """All errors of a file, one per line: FILE: KEY: what was expected."""
 
-    def __init__(self, faults):
-        """`faults`: one line each."""
-        super().__init__("\n".join(faults))
-        self.faults = faults
+    def __init__(self, errors):
+        """`errors`: one line each."""
+        super().__init__("\n".join(errors))
+        self.errors = errors
 
 
 def suggestion(word, among):
@@ -204,47 +204,47 @@
     ]
 
 
-def read_section(name, kind, values, faults):
-    """Reads one section. Returns None if it has errors, which are added to `faults` as (key, message)."""
+def read_section(name, kind, values, errors):
+    """Reads one section. Returns None if it has errors, which are added to `errors` as (key, message)."""
     if not isinstance(values, dict):
-        faults.append((name, "expected a section, [" + name + "]"))
+        errors.append((name, "expected a section, [" + name + "]"))
         return None
-    known, taken, before = {f.name: f for f in msgspec.structs.fields(kind)}, {}, len(faults)
+    known, taken, before = {f.name: f for f in msgspec.structs.fields(kind)}, {}, len(errors)
     hints = typing.get_type_hints(kind, include_extras=True)
     for word in values.keys() - known.keys():
-        faults.append((f"{name}.{word}", "unknown key" + suggestion(word, known)))
+        errors.append((f"{name}.{word}", "unknown key" + suggestion(word, known)))
     for word, field in known.items():
         if word not in values:
             if field.required:
-                faults.append((f"{name}.{word}", "missing"))
+                errors.append((f"{name}.{word}", "missing"))
             continue
         try:
             taken[word] = msgspec.convert(values[word], hints[word])
-        except msgspec.ValidationError as fault:
-            faults.append((f"{name}.{word}", f"{values[word]!r}: {fault}"))
-    return kind(**taken) if len(faults) == before else None
+        except msgspec.ValidationError as error:
+            errors.append((f"{name}.{word}", f"{values[word]!r}: {error}"))
+    return kind(**taken) if len(errors) == before else None
 
 
 def read_text(text, path="operator"):
     """Parses the text of a file: (Log, Instance, Fleet or None, Configuration or None, parsed TOML)."""
     try:
         whole = tomllib.loads(text)
-    except (tomllib.TOMLDecodeError, RecursionError) as fault:
-        raise OperatorFileError([f"{path}: invalid TOML: {fault}"]) from fault
-    faults = [
+    except (tomllib.TOMLDecodeError, RecursionError) as error:
+        raise OperatorFileError([f"{path}: invalid TOML: {error}"]) from error
+    errors = [
         (word, "unknown section" + suggestion(word, SECTIONS)) for word in whole.keys() - SECTIONS.keys()
     ]
     parts = [
-        read_section(name, kind, whole.get(name, {}), faults)
+        read_section(name, kind, whole.get(name, {}), errors)
         if name in whole or name not in OPTIONAL
         else None
         for name, kind in SECTIONS.items()
     ]
     fleet = parts[2]
     if fleet:
-        faults += [(f"fleet.{k}", what) for k, what in check_related_keys(fleet)]
-    if faults:
-        raise OperatorFileError([f"{path}: {k}: {what}" for k, what in sorted(faults)])
+        errors += [(f"fleet.{k}", what) for k, what in check_related_keys(fleet)]
+    if errors:
+        raise OperatorFileError([f"{path}: {k}: {what}" for k, what in sorted(errors)])
     return *parts, whole
 
 
@@ -261,8 +261,8 @@
     if fleet.host_step:
         try:
             offset_address(host, fleet.host_step * last)
-        except ValueError as fault:
-            yield "host_step", str(fault)
+        except ValueError as error:
+            yield "host_step", str(error)
     if last and not fleet.port_step and not fleet.host_step:
         yield "port_step", "with host_step 0 too, all instances would listen on one address"
     if fleet.nodes and fleet.first + fleet.instances > fleet.nodes:
@@ -276,8 +276,8 @@
     try:
         with open(path, encoding="utf-8") as file:
             text = file.read()
-    except (OSError, UnicodeDecodeError) as fault:
-        raise OperatorFileError([f"{path}: {fault}"]) from fault
+    except (OSError, UnicodeDecodeError) as error:
+        raise OperatorFileError([f"{path}: {error}"]) from error
     return read_text(text, path)
 
 
--- a/cottonspread/config/platform.py
+++ b/cottonspread/config/platform.py
@@ -51,8 +51,8 @@
             raise ConfigurationError(f"{self.path_of(key)}: missing")
         try:
             return read(value)
-        except (TypeError, ValueError, OverflowError, KeyError, AttributeError) as fault:
-            raise ConfigurationError(f"{self.path_of(key)}: {value!r} is not {what}") from fault
+        except (TypeError, ValueError, OverflowError, KeyError, AttributeError) as error:
+            raise ConfigurationError(f"{self.path_of(key)}: {value!r} is not {what}") from error
 
     def integer(self, key, default=MISSING, least=0):
         """An integer of at least `least`."""
@@ -148,8 +148,8 @@
     """Parses JSON; the message of the ConfigurationError for invalid JSON begins with `what`."""
     try:
         return json.loads(text)
-    except (ValueError, RecursionError) as fault:
-        raise ConfigurationError(f"{what}: invalid JSON: {fault}") from fault
+    except (ValueError, RecursionError) as error:
+        raise ConfigurationError(f"{what}: invalid JSON: {error}") from error
 
 
 def read_type(t, message_target):
--- a/cottonspread/drill/codec.py
+++ b/cottonspread/drill/codec.py
@@ -130,8 +130,8 @@
     reader = READERS.get(name)
     try:
         return reader(fields) if reader else None
-    except (KeyError, ValueError) as fault:
-        raise DecodeError(f"{name}: {fault!r}") from fault
+    except (KeyError, ValueError) as error:
+        raise DecodeError(f"{name}: {error!r}") from error
 
 
 def read_list(fields, lines):
@@ -140,8 +140,8 @@
         return i.ListUpdate(
             NEWS[fields["Scope"]], int(fields.get("Index", 0)), tuple(read_entry(f) for f in lines)
         )
-    except (KeyError, ValueError) as fault:
-        raise DecodeError(f"view: {fault!r}") from fault
+    except (KeyError, ValueError) as error:
+        raise DecodeError(f"view: {error!r}") from error
 
 
 def read_begin(fields):
--- a/cottonspread/lists/saved.py
+++ b/cottonspread/lists/saved.py
@@ -72,9 +72,9 @@
                 json.dumps({"generation": version, "reset": True, "instances": list(self.entries.values())}),
             )
             self.failing = False
-        except OSError as fault:
+        except OSError as error:
             if not self.failing:  # logged once, not for each list
-                log.error("list-not-saved", extra={"pairs": {"file": self.path, "why": fault}})
+                log.error("list-not-saved", extra={"pairs": {"file": self.path, "why": error}})
             self.failing = True
 
 
@@ -86,6 +86,6 @@
         return saved if isinstance(saved, dict) and isinstance(saved.get("instances"), list) else None
     except FileNotFoundError:
         return None
-    except (OSError, ValueError, RecursionError) as fault:
-        log.warning("saved-list", extra={"pairs": {"file": path, "why": fault, "kept": "none"}})
+    except (OSError, ValueError, RecursionError) as error:
+        log.warning("saved-list", extra={"pairs": {"file": path, "why": error, "kept": "none"}})
         return None
--- a/cottonspread/net/admin.py
+++ b/cottonspread/net/admin.py
@@ -43,8 +43,8 @@
         """
         try:
             self.listener = socket.create_server(address, backlog=BACKLOG)
-        except OSError as fault:
-            fault.filename = "operator: {}:{}".format(
+        except OSError as error:
+            error.filename = "operator: {}:{}".format(
                 *address
             )  # tells which of the node's two addresses failed
             raise
@@ -63,11 +63,11 @@
                     self.accept() if key.fileobj is self.listener else self.serve(self.callers[key.fileobj])
                 except KeyError:  # evicted earlier in this round, in favour of a new caller
                     pass
-                except OSError as fault:
+                except OSError as error:
                     if key.fileobj is not self.listener:
                         self.close(key.fileobj)
                     elif not self.stopped:
-                        log.warning("accept", extra={"pairs": {"why": fault}})
+                        log.warning("accept", extra={"pairs": {"why": error}})
                         time.sleep(0.01)
             now = time.monotonic()
             for caller in [c for c in self.callers.values() if c.deadline <= now]:
--- a/cottonspread/net/admission.py
+++ b/cottonspread/net/admission.py
@@ -164,8 +164,8 @@
                 self.on_accepted(self.listener.accept()[0])
         except BlockingIOError:  # the queue is empty
             pass
-        except OSError as fault:
-            log.warning("accept", extra={"pairs": {"why": errno.errorcode.get(fault.errno, str(fault))}})
+        except OSError as error:
+            log.warning("accept", extra={"pairs": {"why": errno.errorcode.get(error.errno, str(error))}})
             time.sleep(DESCRIPTOR_RETRY_DELAY)
 
     def on_accepted(self, sock):
--- a/cottonspread/net/connection_transfer.py
+++ b/cottonspread/net/connection_transfer.py
@@ -43,8 +43,8 @@
                 [worker.sock.fileno() for worker in workers],
             )
             accepted = self.sock.recv(1) == ACCEPTED
-        except OSError as fault:
-            log.warning("passing", extra={"pairs": {"why": fault}})
+        except OSError as error:
+            log.warning("passing", extra={"pairs": {"why": error}})
             accepted = False
         for worker in workers if not accepted else ():
             if worker.line_reader.reclaim():
@@ -67,8 +67,8 @@
         try:
             connection, (client, host) = handover.unpack_connection(data), sockets
             accepted = adopt(connection, client, host)
-        except ValueError as fault:
-            log.warning("passing", extra={"pairs": {"why": fault}})
+        except ValueError as error:
+            log.warning("passing", extra={"pairs": {"why": error}})
             for one in sockets:
                 one.close()
         sock.sendall(ACCEPTED if accepted else DECLINED)
--- a/cottonspread/net/discovery.py
+++ b/cottonspread/net/discovery.py
@@ -62,8 +62,8 @@
         kind = kind or (io.ListUpdateKind.FULL if response["reset"] else io.ListUpdateKind.CHANGES)
         if not isinstance(instances, list):
             raise TypeError("instances: not a list")
-    except UNREADABLE as fault:
-        raise ListError(f"{type(fault).__name__}: {fault}") from fault
+    except UNREADABLE as error:
+        raise ListError(f"{type(error).__name__}: {error}") from error
     entries, addresses, invalid = {}, {}, {}
     for one in instances:
         name, state = None, None
@@ -74,8 +74,8 @@
             if name in entries:  # the later entry wins
                 invalid[name + " again"] = "listed twice"
             entry, address = read_entry(one, names, state)
-        except UNREADABLE as fault:
-            invalid[str(name)] = f"{type(fault).__name__}: {fault}"
+        except UNREADABLE as error:
+            invalid[str(name)] = f"{type(error).__name__}: {error}"
             entry, address = (previous or {}).get(name, (None, None))
             if entry is None:
                 continue
@@ -183,17 +183,17 @@
             self.fetch()
             self.failures = 0
             return 0
-        except Exception as fault:
+        except Exception as error:
             if self.http is not self.target or self.stopped:
                 return 0
             self.failures += 1
             self.publish_initial()
-            if not isinstance(fault, (OSError, ValueError)):  # a bug of ours: log it and keep the list
+            if not isinstance(error, (OSError, ValueError)):  # a bug of ours: log it and keep the list
                 log.exception("fault")
             # An invalid response would come again; a full list replaces it.
-            self.need_full_list |= isinstance(fault, ListError)
+            self.need_full_list |= isinstance(error, ListError)
             if self.failures in (1, 10, 100):
-                log.warning("discovery-fails", extra={"pairs": {"why": fault, "times": self.failures}})
+                log.warning("discovery-fails", extra={"pairs": {"why": error, "times": self.failures}})
             if self.polled:  # the policy learns of the failure and decides when to ask again
                 self.enabled.clear()
             self.post(events.ListFailed(round((time.monotonic() - started_at) * 1_000_000)))
@@ -213,8 +213,8 @@
         body = self.http.get(*self.next_request())
         try:
             response = json.loads(body)
-        except (ValueError, RecursionError) as fault:
-            raise ListError(f"invalid JSON: {fault}") from fault
+        except (ValueError, RecursionError) as error:
+            raise ListError(f"invalid JSON: {error}") from error
         version, update, addresses, invalid = read_list(response, self.names, previous=self.last_entries)
         full = update.kind is io.ListUpdateKind.FULL
         if version < self.version:
--- a/cottonspread/net/workers.py
+++ b/cottonspread/net/workers.py
@@ -106,8 +106,8 @@
             sock.connect(order.address)
             prepare(sock)
             return ev.ConnectDone(self.end, True)
-        except OSError as fault:
-            return ev.ConnectDone(self.end, False, errno.errorcode.get(fault.errno, type(fault).__name__))
+        except OSError as error:
+            return ev.ConnectDone(self.end, False, errno.errorcode.get(error.errno, type(error).__name__))
 
     def read(self):
         """Reads whole lines, blocking; returns the event for the reducer, None if the socket was released."""
@@ -122,8 +122,8 @@
             )
         except lines.SocketReleasedError:
             return None
-        except lines.LineError as fault:
-            return ev.ReadEnded(self.end, str(fault))
+        except lines.LineError as error:
+            return ev.ReadEnded(self.end, str(error))
         except OSError:
             return ev.ReadEnded(self.end, "reset")
 
@@ -221,8 +221,8 @@
             ending, report = lines.parse_probe_answer(data)
         except TimeoutError:
             ending, report = Ending.TIMEOUT, {}
-        except OSError as fault:
-            local_failure = fault.errno in (
+        except OSError as error:
+            local_failure = error.errno in (
                 errno.EMFILE,
                 errno.ENFILE,
                 errno.ENOBUFS,
@@ -243,10 +243,10 @@
         if isinstance(effect, ev.Connect):
             try:
                 sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
-            except OSError as fault:
+            except OSError as error:
                 # Posted by the writer thread: the reducer's thread must not block on its own event queue.
                 self.write_queue.put(
-                    ev.ConnectDone(effect.end, False, errno.errorcode.get(fault.errno, "socket"))
+                    ev.ConnectDone(effect.end, False, errno.errorcode.get(error.errno, "socket"))
                 )
                 return
             if not self.start_worker(effect.end, sock):
--- a/tests/crossings/test_floods.py
+++ b/tests/crossings/test_floods.py
@@ -148,8 +148,8 @@
     try:
         read = lines.parse_open(line.split(b"\n")[0] + b"\n", NAMES.types, {}, True, 10_000_000)
         assert 0 <= read.timeout <= 10_000_000 and read.type == 0 and not set(read.id) & set(" \r\n\0")
-    except lines.LineError as fault:
-        assert str(fault)
+    except lines.LineError as error:
+        assert str(error)
 
 
 @profile(max_examples=300, deadline=None)
--- a/tests/fleet/test_operator.py
+++ b/tests/fleet/test_operator.py
@@ -61,8 +61,8 @@
     file.write_text(text)
     with pytest.raises(op.OperatorFileError) as error:
         op.read(str(file))
-    assert len(error.value.faults) == len(keys)
-    for line, key in zip(error.value.faults, keys, strict=True):
+    assert len(error.value.errors) == len(keys)
+    for line, key in zip(error.value.errors, keys, strict=True):
         assert line.startswith(f"{file}: {key}"), line
     assert cli.main(["check", "--operator", str(file)]) == 2
     said = capsys.readouterr().err.splitlines()
