--- a/benchmarks/crossings/mutants.py
+++ b/benchmarks/crossings/mutants.py
@@ -32,8 +32,8 @@
     (
         "the look for the client before the first byte",
         "net/workers.py",
-        'why = self.reason_not_to_start(effect) if effect.first_line else ""',
-        'why = ""',
+        'skip_reason = self.reason_not_to_start(effect) if effect.first_line else ""',
+        'skip_reason = ""',
         [f"{ATTEMPTS}::test_nothing_is_sent_if_the_client_left_while_the_host_connection_was_opening"],
     ),
     (
@@ -284,14 +284,15 @@
     (
         "the bound on clients that wait for their first line",
         "net/admission.py",
-        "for one in self.pending.remove_excess(self.handler.max_pending()):",
-        "for one in ():",
+        "for oldest in self.pending.remove_excess(self.handler.max_pending()):",
+        "for oldest in ():",
         [f"{FLOODS}::test_idle_clients_that_use_up_the_descriptors_do_not_lock_others_out"],
     ),
     (
         "who waits for a first line is no connection of the reducer's",
         "net/admission.py",
-        "if first and not is_complete(first) and not ready & (select.EPOLLRDHUP | select.EPOLLHUP):",
+        "if first_input and not is_complete(first_input) and not ready & "
+        "(select.EPOLLRDHUP | select.EPOLLHUP):",
         "if False:",
         [f"{FLOODS}::test_silent_clients_cost_no_step_of_the_reducer"],
     ),
@@ -334,8 +335,8 @@
     (
         "a watch that is silent late",
         "net/http.py",
-        "        self.sock.settimeout(self.time_left())\n        got",
-        "        self.sock.settimeout(None if self.rest == b'' else self.left())\n        got",
+        "        self.sock.settimeout(self.time_left())\n        data",
+        "        self.sock.settimeout(None if self.rest == b'' else self.left())\n        data",
         [f"{LIST}::test_a_watch_that_hangs_after_answered_ones_times_out_and_is_repeated"],
     ),
     (
--- a/cottonspread/net/admin.py
+++ b/cottonspread/net/admin.py
@@ -107,12 +107,12 @@
                 self.close(caller.sock)
             return
         caller.received += data
-        line, ended, rest = caller.received.partition(b"\n")
-        if not ended and data and len(caller.received) <= MAX_LINE:
+        line, newline, rest = caller.received.partition(b"\n")
+        if not newline and data and len(caller.received) <= MAX_LINE:
             return
         if not caller.received:
             self.close(caller.sock)
-        elif not ended or rest or len(line) > MAX_LINE:
+        elif not newline or rest or len(line) > MAX_LINE:
             self.reply(caller, b"400 one whole line to a connection, of %d bytes at most\n" % MAX_LINE)
         else:
             try:
--- a/cottonspread/net/admission.py
+++ b/cottonspread/net/admission.py
@@ -47,13 +47,13 @@
         """How many are pending."""
         return len(self.clients)
 
-    def add(self, number, client):
-        """Adds a client; `number`: its descriptor."""
-        self.clients[number] = client
+    def add(self, fd, client):
+        """Adds a client; `fd`: its descriptor."""
+        self.clients[fd] = client
 
-    def remove(self, number):
+    def remove(self, fd):
         """Removes and returns the client with this descriptor, or None."""
-        return self.clients.pop(number, None)
+        return self.clients.pop(fd, None)
 
     def remove_oldest(self):
         """Removes and returns the oldest client."""
@@ -79,8 +79,8 @@
     def stopping(self):
         """Whether the node was asked to stop."""
 
-    def admit(self, client, first):
-        """Takes over a client that has sent `first`: a whole line, or input that cannot become one."""
+    def admit(self, client, first_input):
+        """Takes over a client that has sent `first_input`: a whole line, or input that cannot become one."""
 
     def refuse(self, sock, reason, retry_after=None):
         """Answers BUSY and closes the socket; `reason`: the code for the log."""
@@ -101,7 +101,7 @@
         self.listener, self.shared, self.clock, self.handler = listener, shared, clock, handler
         self.pending = PendingClients()
         self.poll = select.epoll()
-        self.wake, self.woken = socket.socketpair()
+        self.wake_sender, self.wake_receiver = socket.socketpair()
         self.stop_requested = self.end_requested = False
         self.accepting_stopped, self.ended = (
             threading.Event(),
@@ -128,12 +128,12 @@
     def wake_up(self):
         """Wakes the thread from its poll."""
         with contextlib.suppress(OSError):  # the thread has ended
-            self.wake.send(b"x", socket.MSG_DONTWAIT)
+            self.wake_sender.send(b"x", socket.MSG_DONTWAIT)
 
     def run(self):
         """The thread, until `end`."""
         self.poll.register(self.listener, select.EPOLLIN)
-        self.poll.register(self.woken, select.EPOLLIN)
+        self.poll.register(self.wake_receiver, select.EPOLLIN)
         try:
             while not self.end_requested:
                 self.poll_once()
@@ -142,18 +142,18 @@
 
     def poll_once(self):
         """Polls once and handles everything that is ready."""
-        accepts = False
-        for number, ready in self.poll.poll(CHECK_INTERVAL):
-            if number == self.woken.fileno():
-                self.woken.recv(64)
-            elif number == self.listener.fileno():
-                accepts = True
+        accept_ready = False
+        for fd, ready in self.poll.poll(CHECK_INTERVAL):
+            if fd == self.wake_receiver.fileno():
+                self.wake_receiver.recv(64)
+            elif fd == self.listener.fileno():
+                accept_ready = True
             else:
-                self.on_readable(number, ready)
+                self.on_readable(fd, ready)
         if self.stop_requested and not self.accepting_stopped.is_set():
             self.poll.unregister(self.listener)
             self.accepting_stopped.set()
-        elif accepts and not self.stop_requested:
+        elif accept_ready and not self.stop_requested:
             self.accept()
         self.refuse_overdue()
 
@@ -179,28 +179,28 @@
         if not self.handle_first_line(client, 0):
             self.pending.add(sock.fileno(), client)
             self.poll.register(sock, self.READY)
-            for one in self.pending.remove_excess(self.handler.max_pending()):
-                self.refuse(one, "no-first-line")
+            for oldest in self.pending.remove_excess(self.handler.max_pending()):
+                self.refuse(oldest, "no-first-line")
 
-    def on_readable(self, number, ready):
+    def on_readable(self, fd, ready):
         """Handles input from a pending client."""
-        client = self.pending.clients.get(number)
+        client = self.pending.clients.get(fd)
         if client is not None and self.handle_first_line(client, ready):
-            self.pending.remove(number)
+            self.pending.remove(fd)
 
     def handle_first_line(self, client, ready):
         """Admits the client if it has sent a whole line or can no longer send one; returns whether it did."""
         try:
-            first = client.sock.recv(pool.BUFFER_SIZE, socket.MSG_PEEK | socket.MSG_DONTWAIT)
+            first_input = client.sock.recv(pool.BUFFER_SIZE, socket.MSG_PEEK | socket.MSG_DONTWAIT)
         except BlockingIOError:
             return False
         except OSError:  # a connection error: its reader will get it
-            first = b""
-        if first and not is_complete(first) and not ready & (select.EPOLLRDHUP | select.EPOLLHUP):
+            first_input = b""
+        if first_input and not is_complete(first_input) and not ready & (select.EPOLLRDHUP | select.EPOLLHUP):
             return False
         if ready:
             self.poll.unregister(client.sock)
-        self.handler.admit(client, first)
+        self.handler.admit(client, first_input)
         return True
 
     def refuse_overdue(self):
@@ -226,8 +226,8 @@
                     self.handler.refuse(self.listener.accept()[0], "stopping")
         self.accepting_stopped.set()
         self.poll.close()
-        self.woken.close()
-        self.wake.close()
+        self.wake_receiver.close()
+        self.wake_sender.close()
         if not self.shared:
             self.listener.close()
         self.ended.set()
--- a/cottonspread/net/closing.py
+++ b/cottonspread/net/closing.py
@@ -57,8 +57,8 @@
         with contextlib.suppress(queue.Empty):
             sock = self.incoming.get(timeout=CHECK_INTERVAL) if self.open_sockets else self.incoming.get()
             if sock is None:
-                for one in list(self.open_sockets):
-                    self.close(one)
+                for open_socket in list(self.open_sockets):
+                    self.close(open_socket)
                 return False
             sock.setblocking(False)
             self.open_sockets[sock] = time.monotonic() + TIMEOUT
@@ -71,13 +71,13 @@
     def check(self):
         """Closes sockets whose other side has closed or whose deadline has passed."""
         self.next_check = time.monotonic() + CHECK_INTERVAL
-        poll, by_number = select.poll(), {}
+        poll, by_fd = select.poll(), {}
         for sock in self.open_sockets:
-            by_number[sock.fileno()] = sock
+            by_fd[sock.fileno()] = sock
             poll.register(sock, select.POLLIN)
-        for number, _ in poll.poll(0):
-            if self.discard_input(by_number[number]):
-                self.close(by_number[number])
+        for fd, _ in poll.poll(0):
+            if self.discard_input(by_fd[fd]):
+                self.close(by_fd[fd])
         now = time.monotonic()
         while self.open_sockets and next(iter(self.open_sockets.values())) <= now:
             self.close(next(iter(self.open_sockets)))
@@ -88,10 +88,10 @@
         discarded = 0
         try:
             while discarded < MAX_DISCARD_PER_CHECK:
-                got = len(sock.recv(8192, socket.MSG_DONTWAIT))
-                if not got:
+                received = len(sock.recv(8192, socket.MSG_DONTWAIT))
+                if not received:
                     return True
-                discarded += got
+                discarded += received
         except BlockingIOError:
             pass
         except OSError:
--- a/cottonspread/net/connection_transfer.py
+++ b/cottonspread/net/connection_transfer.py
@@ -69,6 +69,6 @@
             accepted = adopt(connection, client, host)
         except ValueError as error:
             log.warning("passing", extra={"pairs": {"why": error}})
-            for one in sockets:
-                one.close()
+            for received in sockets:
+                received.close()
         sock.sendall(ACCEPTED if accepted else DECLINED)
--- a/cottonspread/net/discovery.py
+++ b/cottonspread/net/discovery.py
@@ -22,30 +22,30 @@
     """A response that is not a valid list of servers."""
 
 
-def read_entry(one, names, state):
+def read_entry(instance, names, state):
     """One server of the list, as JSON: (entry, address as (host, port) or None if it is gone)."""
-    host, _, port = str(one.get("hostPort")).rpartition(":")
+    host, _, port = str(instance.get("hostPort")).rpartition(":")
     address = None
     if state is not io.HostState.GONE:  # a server that is gone needs no address
         if not host or not 0 < int(port) < 65536:
-            raise ValueError(f"hostPort: {one.get('hostPort')!r}")
+            raise ValueError(f"hostPort: {instance.get('hostPort')!r}")
         address = host, int(port)
-    weight = float(one.get("weight", 1))
+    weight = float(instance.get("weight", 1))
     if not 0 <= weight < 1e15:
         raise ValueError(f"weight: {weight}")
     # -1: a zone that the settings do not name, remote from every node.
     return io.Entry(
-        str(one["instanceId"]),
-        names.zones.get(one.get("zone"), -1),
-        names.kinds.get(one.get("machineType"), -1),
+        str(instance["instanceId"]),
+        names.zones.get(instance.get("zone"), -1),
+        names.kinds.get(instance.get("machineType"), -1),
         weight,
-        int(one.get("cell", 0)),
-        round(float(one.get("startedAtMs", 0)) * 1000),
+        int(instance.get("cell", 0)),
+        round(float(instance.get("startedAtMs", 0)) * 1000),
         state,
     ), address
 
 
-UNREADABLE = KeyError, TypeError, ValueError, AttributeError, OverflowError
+INVALID_VALUE_ERRORS = KeyError, TypeError, ValueError, AttributeError, OverflowError
 
 
 def read_list(response, names, kind=None, previous=None):
@@ -62,19 +62,19 @@
         kind = kind or (io.ListUpdateKind.FULL if response["reset"] else io.ListUpdateKind.CHANGES)
         if not isinstance(instances, list):
             raise TypeError("instances: not a list")
-    except UNREADABLE as error:
+    except INVALID_VALUE_ERRORS as error:
         raise ListError(f"{type(error).__name__}: {error}") from error
     entries, addresses, invalid = {}, {}, {}
-    for one in instances:
+    for instance in instances:
         name, state = None, None
         try:
-            name, state = str(one["instanceId"]), STATE_OF_LIFECYCLE.get(one.get("lifecycle"))
+            name, state = str(instance["instanceId"]), STATE_OF_LIFECYCLE.get(instance.get("lifecycle"))
             if state is None:
-                raise ValueError(f"lifecycle: {one.get('lifecycle')!r}")
+                raise ValueError(f"lifecycle: {instance.get('lifecycle')!r}")
             if name in entries:  # the later entry wins
                 invalid[name + " again"] = "listed twice"
-            entry, address = read_entry(one, names, state)
-        except UNREADABLE as error:
+            entry, address = read_entry(instance, names, state)
+        except INVALID_VALUE_ERRORS as error:
             invalid[str(name)] = f"{type(error).__name__}: {error}"
             entry, address = (previous or {}).get(name, (None, None))
             if entry is None:
@@ -105,17 +105,22 @@
     RETRY_DELAY, MAX_RETRY_DELAY = 0.05, 1.0  # seconds; the delay doubles with each failure
     MAX_LOWER_VERSIONS = 3  # full lists in a row with a lower version: discovery has restarted its count
 
-    def __init__(self, address, names, post, version, polled=False, on_list=None, known=False):
+    def __init__(self, address, names, post, version, polled=False, on_list=None, watch_initial=False):
         """`post(event)` passes events to the reducer; `version`: of the initial list.
 
         `polled`: the list is polled when the policy says so (MembershipMode "ask"), not watched all the time.
         `on_list(version, instances, full)` gets each valid list as JSON after it has been posted.
-        `known`: the initial list is watched from its version on.
+        `watch_initial`: the initial list is watched from its version on.
         """
         self.http, self.names, self.post = HttpClient(address, self.CONNECT_TIMEOUT), names, post
         # Where requests are limited, a known list is watched from its version on: fetching all of it first
         # would be a second request to a server that may have capacity for neither.
-        self.version, self.need_full_list, self.lower_versions, self.failures = version, not known, 0, 0
+        self.version, self.need_full_list, self.lower_versions, self.failures = (
+            version,
+            not watch_initial,
+            0,
+            0,
+        )
         self.polled, self.enabled, self.stopped, self.initial = polled, threading.Event(), False, None
         self.wake = threading.Event()  # ends the current retry delay, or the next one
         self.last_entries, self.invalid = {}, {}  # the last valid entry of each server; invalid entries
@@ -234,9 +239,9 @@
             self.on_list(
                 version,
                 [
-                    one
-                    for one in response["instances"]
-                    if isinstance(one, dict) and str(one.get("instanceId")) not in invalid
+                    instance
+                    for instance in response["instances"]
+                    if isinstance(instance, dict) and str(instance.get("instanceId")) not in invalid
                 ],
                 full,
             )
--- a/cottonspread/net/http.py
+++ b/cottonspread/net/http.py
@@ -33,21 +33,21 @@
             self.sock.close()
         self.sock, self.buffered = None, b""
 
-    def get(self, path, wait):
-        """Returns the response body. `wait`: seconds for the whole request.
+    def get(self, path, timeout):
+        """Returns the response body. `timeout`: seconds for the whole request.
 
         Raises OSError or ResponseError.
         """
-        return self.request(path, wait, None)
+        return self.request(path, timeout, None)
 
-    def post(self, path, wait, body):
+    def post(self, path, timeout, body):
         """As `get`, with JSON as bytes. May send the request twice, so it must be idempotent."""
-        return self.request(path, wait, body)
+        return self.request(path, timeout, body)
 
-    def request(self, path, wait, body):
+    def request(self, path, timeout, body):
         """Common part of `get` and `post`; `body`: None for GET."""
         reused = self.sock is not None
-        self.deadline = time.monotonic() + wait
+        self.deadline = time.monotonic() + timeout
         try:
             try:
                 return self.exchange(path, body)
@@ -67,26 +67,26 @@
         """Sends one request and returns the response body, connecting first if there is no connection."""
         self.response_started = bool(self.buffered)
         if self.sock is None:
-            wait = min(self.time_left(), self.connect_timeout)
-            self.sock = socket.create_connection(self.address, timeout=wait)
+            connect_timeout = min(self.time_left(), self.connect_timeout)
+            self.sock = socket.create_connection(self.address, timeout=connect_timeout)
             self.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         if self.aborted:  # `abort` was called while connecting
             raise ConnectionAbortedError("request aborted")
         host = "{}:{}".format(*self.address)
-        method, size = ("GET", "") if body is None else ("POST", f"Content-Length: {len(body)}\r\n")
-        head = f"{method} {path} HTTP/1.1\r\nHost: {host}\r\nAccept: application/json\r\n{size}\r\n"
+        method, length_header = ("GET", "") if body is None else ("POST", f"Content-Length: {len(body)}\r\n")
+        head = f"{method} {path} HTTP/1.1\r\nHost: {host}\r\nAccept: application/json\r\n{length_header}\r\n"
         self.sock.settimeout(self.time_left())
         self.sock.sendall(head.encode() + (body or b""))
         status, headers = self.read_head()
         while 100 <= status < 200:
             status, headers = self.read_head()
-        keep = headers.get("connection", "").lower() != "close"
-        answer, keep = self.read_body(headers, keep)
-        if not keep:
+        keep_alive = headers.get("connection", "").lower() != "close"
+        response_body, keep_alive = self.read_body(headers, keep_alive)
+        if not keep_alive:
             self.close()
         if status != 200:
             raise ResponseError(f"status {status}")
-        return answer
+        return response_body
 
     def time_left(self):
         """Seconds left until the deadline; raises TimeoutError if it has passed."""
@@ -98,10 +98,10 @@
     def receive(self):
         """Reads once from the socket into the buffer; returns False at the end of the stream."""
         self.sock.settimeout(self.time_left())
-        got = self.sock.recv(65536)
-        self.buffered += got
-        self.response_started = self.response_started or bool(got)
-        return bool(got)
+        data = self.sock.recv(65536)
+        self.buffered += data
+        self.response_started = self.response_started or bool(data)
+        return bool(data)
 
     def read_line(self, limit):
         """Reads one line, without its line end; ResponseError if it is longer than about `limit` bytes."""
@@ -134,17 +134,17 @@
         while len(self.buffered) < count:
             if not self.receive():
                 raise ResponseError("body cut off")
-        taken, self.buffered = self.buffered[:count], self.buffered[count:]
-        return taken
+        data, self.buffered = self.buffered[:count], self.buffered[count:]
+        return data
 
-    def read_body(self, headers, keep):
+    def read_body(self, headers, keep_alive):
         """Reads the body: (body, whether the connection can be reused)."""
         if headers.get("transfer-encoding", "").lower() == "chunked":
-            return self.read_chunks(), keep
+            return self.read_chunks(), keep_alive
         if "content-length" in headers:
             if not headers["content-length"].isdigit():
                 raise ResponseError("invalid Content-Length")
-            return self.read_exactly(int(headers["content-length"])), keep
+            return self.read_exactly(int(headers["content-length"])), keep_alive
         while self.receive():  # no length given: the body ends with the connection
             if len(self.buffered) > MAX_BODY:
                 raise ResponseError("body too large")
--- a/cottonspread/net/node.py
+++ b/cottonspread/net/node.py
@@ -129,7 +129,7 @@
             threading.Lock(),
             AdmissionLimiter(admission_target(node_config)),
         )
-        version, update, addresses, unread = discovery.read_list(initial_list, names, ListUpdateKind.SAVED)
+        version, update, addresses, invalid = discovery.read_list(initial_list, names, ListUpdateKind.SAVED)
         self.discovery = discovery.Discovery(
             endpoints.discovery,
             names,
@@ -141,7 +141,7 @@
         )
         self.reducer = Reducer(self.clock.now(), node_config, names, host_protocol, self.max_sockets)
         self.discovery.start_with(
-            update, addresses, unread, trusted=node_config.server_list.polled or on_list is not None
+            update, addresses, invalid, trusted=node_config.server_list.polled or on_list is not None
         )
         self.listener, self.shared, self.steps, self.end_reasons = None, False, 0, Counter()
         self.closer = Closer(self.max_closing)
@@ -270,8 +270,8 @@
         ends = ev.ConnectionEnd(True), ev.ConnectionEnd(False)
         for end, sock in zip(ends, (client, host), strict=True):
             if not self.workers.start_worker(end, sock):
-                for left in (client, host):
-                    left.close()
+                for received in (client, host):
+                    received.close()
                 return False
         reply = queue.SimpleQueue()
         self.post(ev.TransferOffered(*ends, connection, reply.put))
@@ -389,8 +389,8 @@
             self.admin.stop()
         if self.admission:
             self.admission.end()  # its thread may be blocked on the full event queue
-            until = time.monotonic() + FINAL_ACCEPT_TIME
-            while not self.admission.ended.wait(FINAL_ACCEPT_TIME / 20) and time.monotonic() < until:
+            deadline = time.monotonic() + FINAL_ACCEPT_TIME
+            while not self.admission.ended.wait(FINAL_ACCEPT_TIME / 20) and time.monotonic() < deadline:
                 self.refuse_unknown()
         self.refuse_unknown()
         self.unblock_posters()
@@ -432,9 +432,9 @@
         """Whether the node was asked to stop."""
         return bool(self.reducer.stopping)
 
-    def admit(self, client, first):
+    def admit(self, client, first_input):
         """Passes a client that has sent its first line to the reducer, or refuses it."""
-        if not self.may_admit(first):
+        if not self.may_admit(first_input):
             self.refuse(client.sock, "node-late")
             return
         end = ev.ConnectionEnd(True)
@@ -445,11 +445,11 @@
             return
         self.post(ev.ClientAccepted(end, client.accepted_at))
 
-    def may_admit(self, first):
+    def may_admit(self, first_input):
         """Whether the node is fast enough for another call. A PING is always admitted: a load balancer in
         front that asks whether the node serves gets its answer however late the node is.
         """
-        if first.startswith(lines.PING):
+        if first_input.startswith(lines.PING):
             return True
         with self.limiter_lock:
             admitted = self.admission_limiter.admits(self.clock.now())
--- a/cottonspread/net/workers.py
+++ b/cottonspread/net/workers.py
@@ -139,8 +139,8 @@
             self.line_reader.drop()
         try:
             burst, remaining = 0, MAX_DISCARDED
-            while remaining > 0 and (got := self.discard_some()):
-                burst, remaining = burst + got, remaining - got
+            while remaining > 0 and (discarded := self.discard_some()):
+                burst, remaining = burst + discarded, remaining - discarded
                 if burst >= DISCARD_BURST:
                     burst = 0
                     time.sleep(DISCARD_PAUSE)
@@ -214,10 +214,10 @@
                 sock.sendall(lines.STATS)
                 while not data.endswith(b"\n") and len(data) < lines.MAX_REPORT_BYTES:
                     sock.settimeout(max(0.001, order.timeout / 1e6 - (time.monotonic() - started_at)))
-                    got = sock.recv(lines.MAX_REPORT_BYTES)
-                    if not got:
+                    chunk = sock.recv(lines.MAX_REPORT_BYTES)
+                    if not chunk:
                         raise ConnectionResetError
-                    data += got
+                    data += chunk
             ending, report = lines.parse_probe_answer(data)
         except TimeoutError:
             ending, report = Ending.TIMEOUT, {}
@@ -286,9 +286,9 @@
     def execute_write(self, worker, effect):
         """Executes one write-side order of an end: data to send, or how to end the connection."""
         if isinstance(effect, ev.Write):
-            why = self.reason_not_to_start(effect) if effect.first_line else ""
-            if why:
-                self.post(ev.WriteDone(effect.end, False, skip_reason=why))
+            skip_reason = self.reason_not_to_start(effect) if effect.first_line else ""
+            if skip_reason:
+                self.post(ev.WriteDone(effect.end, False, skip_reason=skip_reason))
             else:
                 self.write(worker.sock, effect)
         elif isinstance(effect, ev.Free):  # after all others: no order may hit a reused descriptor
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -434,7 +434,12 @@
     heard, paths = queue.Queue(), []
     answers = Answers(listing(42, not known))
     one = discovery.Discovery(
-        answers.address, config.Names({}, {"here": 0}, {}, {}), heard.put, 41, polled=True, known=known
+        answers.address,
+        config.Names({}, {"here": 0}, {}, {}),
+        heard.put,
+        41,
+        polled=True,
+        watch_initial=known,
     )
     get = one.http.get
     monkeypatch.setattr(one.http, "get", lambda path, wait: paths.append(path) or get(path, wait))
