--- a/cottonspread/cli/__init__.py
+++ b/cottonspread/cli/__init__.py
@@ -15,9 +15,9 @@
     commands = parser.add_subparsers(dest="command", required=True)
     for group in (node, fleet, configuration, lab):
         group.add(commands)
-    given = parser.parse_args(arguments)
+    args = parser.parse_args(arguments)
     try:
-        return given.run(given)
+        return args.run(args)
     except config.ConfigurationError as error:
         for line in str(error).split("\n"):
             print(f"cottonspread: {line}", file=sys.stderr)
--- a/cottonspread/cli/fleet.py
+++ b/cottonspread/cli/fleet.py
@@ -13,7 +13,7 @@
 from cottonspread import config
 from cottonspread.cli import node
 
-HERE = os.path.dirname(os.path.dirname(os.path.dirname(os.path.abspath(__file__))))
+ROOT = os.path.dirname(os.path.dirname(os.path.dirname(os.path.abspath(__file__))))
 COLUMNS = (
     "instance",
     "address",
@@ -29,65 +29,65 @@
 )
 
 
-def folders(given):
+def folders(args):
     """(state folder, log folder) of the fleet in the operator's file."""
     from cottonspread.config import operator as op
     from cottonspread.fleet import plan
 
-    return plan.folders(given.operator, op.read_fleet(given.operator)[2])
+    return plan.folders(args.operator, op.read_fleet(args.operator)[2])
 
 
-def run(given):
+def run(args):
     """Runs the supervisor in the foreground."""
     from cottonspread.fleet.supervisor import Supervisor
     from cottonspread.net import logfmt
 
-    supervisor = Supervisor(given.operator, (sys.executable, HERE), node.read_text)
-    write_out = logfmt.configure("fleet", supervisor.logging.level.upper(), supervisor.logging.format)
+    supervisor = Supervisor(args.operator, (sys.executable, ROOT), node.read_text)
+    flush_log = logfmt.configure("fleet", supervisor.logging.level.upper(), supervisor.logging.format)
     try:
         supervisor.prepare()
         return supervisor.run()
     finally:
-        write_out()
+        flush_log()
 
 
-def request(given, message, timeout):
+def request(args, message, timeout):
     """Sends a request to the supervisor and returns its reply, which comes when the command has finished."""
     from cottonspread.fleet import control
 
-    path = os.path.join(folders(given)[0], "fleet.sock")
+    path = os.path.join(folders(args)[0], "fleet.sock")
     try:
         sock = control.connect(path)
         sock.settimeout(timeout)
         sock.sendall(json.dumps(message).encode() + b"\n")
-        answer = sock.makefile("rb").readline()
+        reply = sock.makefile("rb").readline()
     except TimeoutError:
         raise config.ConfigurationError(
             f"fleet: no reply after {timeout:g} s; `fleet status` shows the progress"
         ) from None
     except OSError as error:
         raise config.ConfigurationError(f"fleet: cannot reach the supervisor at {path}: {error}") from error
-    if not answer:
+    if not reply:
         raise config.ConfigurationError("fleet: the supervisor exited before it replied")
-    return json.loads(answer)
+    return json.loads(reply)
 
 
-def command(given):
+def command(args):
     """Has the supervisor execute a command and prints the outcome."""
-    message = {"do": given.what, "name": getattr(given, "name", None)}
-    if given.what == "upgrade" and (given.python or given.checkout):
+    message = {"do": args.what, "name": getattr(args, "name", None)}
+    if args.what == "upgrade" and (args.python or args.checkout):
         python, checkout = (
-            given.python or sys.executable,
-            os.path.abspath(given.checkout) if given.checkout else "",
+            args.python or sys.executable,
+            os.path.abspath(args.checkout) if args.checkout else "",
         )
         if not os.access(python, os.X_OK):
             raise config.ConfigurationError(f"--python: {python}: not an executable file")
         if checkout and not os.path.isdir(os.path.join(checkout, "cottonspread")):
             raise config.ConfigurationError(f"--checkout: {checkout}: has no folder cottonspread")
         message |= {"python": os.path.abspath(python), "checkout": checkout}
-    answer = request(given, message, given.wait)
-    print(f"{given.what}: {answer['why']}", file=sys.stdout if answer["ok"] else sys.stderr)
-    return 0 if answer["ok"] else 1
+    reply = request(args, message, args.wait)
+    print(f"{args.what}: {reply['why']}", file=sys.stdout if reply["ok"] else sys.stderr)
+    return 0 if reply["ok"] else 1
 
 
 def print_table(rows):
@@ -97,46 +97,46 @@
         print("  ".join(cell.ljust(width) for cell, width in zip(row, widths, strict=True)).rstrip())
 
 
-def status(given):
+def status(args):
     """Prints the state of all instances; exit code 3 unless all are ready."""
-    answer = request(given, {"do": "status"}, 5.0)["status"]
-    if given.json:
-        print(json.dumps(answer, indent=1))
+    reply = request(args, {"do": "status"}, 5.0)["status"]
+    if args.json:
+        print(json.dumps(reply, indent=1))
         return 0
     print_table(
-        [COLUMNS, *(["" if row[c] is None else str(row[c]) for c in COLUMNS] for row in answer["instances"])]
+        [COLUMNS, *(["" if row[c] is None else str(row[c]) for c in COLUMNS] for row in reply["instances"])]
     )
-    r = answer["rollout"]
+    rollout = reply["rollout"]
     print(
-        f"{answer['fleet']}: supervisor {answer['pid']}, {'ready' if answer['ready'] else 'not all ready'}"
+        f"{reply['fleet']}: supervisor {reply['pid']}, {'ready' if reply['ready'] else 'not all ready'}"
         + (
-            f"; {r['of']}: {r['to_do']} to do, {r['under_way']} in progress"
-            + (f", rolling back: {r['going_back']}" if r["going_back"] else "")
-            if r
+            f"; {rollout['of']}: {rollout['to_do']} to do, {rollout['under_way']} in progress"
+            + (f", rolling back: {rollout['going_back']}" if rollout["going_back"] else "")
+            if rollout
             else ""
         )
     )
-    return 0 if answer["ready"] else 3
+    return 0 if reply["ready"] else 3
 
 
-def logs(given):
+def logs(args):
     """Prints the last log lines of all instances, or of one, by time; with `--follow` also new ones."""
     from cottonspread.fleet import control
 
-    where = folders(given)[1]
+    log_folder = folders(args)[1]
     names = (
-        [f"{given.name}.log"] if given.name else sorted(f for f in os.listdir(where) if f.endswith(".log"))
+        [f"{args.name}.log"] if args.name else sorted(f for f in os.listdir(log_folder) if f.endswith(".log"))
     )
-    paths = [os.path.join(where, name) for name in names]
-    with contextlib.ExitStack() as opened:
+    paths = [os.path.join(log_folder, name) for name in names]
+    with contextlib.ExitStack() as stack:
         try:
             control.raise_descriptor_limit(len(names) + 32)  # a thousand files exceed the usual limit
-            files = [opened.enter_context(open(p, encoding="utf-8", errors="replace")) for p in paths]
+            files = [stack.enter_context(open(p, encoding="utf-8", errors="replace")) for p in paths]
         except OSError as error:
             raise config.ConfigurationError(f"logs: {error}") from error
         lines = list(heapq.merge(*(file.readlines() for file in files)))
-        sys.stdout.writelines(lines[-given.lines :])
-        while given.follow:
+        sys.stdout.writelines(lines[-args.lines :])
+        while args.follow:
             for file in files:
                 sys.stdout.writelines(file.readlines())
             sys.stdout.flush()
@@ -144,18 +144,18 @@
     return 0
 
 
-def show(given):
+def show(args):
     """Prints each key of the operator's file: its value, its source, what a reload does with it."""
     from cottonspread.config import operator as op
 
-    if given.operator:
-        *parts, whole = op.read(given.operator)
+    if args.operator:
+        *sections, document = op.read(args.operator)
     else:
-        *parts, whole = op.read_text("")
+        *sections, document = op.read_text("")
     print_table(
         [
-            (key, json.dumps(value), where, kind)
-            for key, value, where, kind in op.effective_values(parts, whole, given.operator)
+            (key, json.dumps(value), source, kind)
+            for key, value, source, kind in op.effective_values(sections, document, args.operator)
         ]
     )
     return 0
@@ -166,14 +166,14 @@
     fleet = commands.add_parser("fleet", help="run many instances on one machine")
     subcommands = fleet.add_subparsers(dest="what", required=True)
 
-    def subcommand(name, what, run, *more):
-        one = subcommands.add_parser(name, help=what)
-        one.add_argument(
+    def subcommand(name, help_text, run, *arguments):
+        parser = subcommands.add_parser(name, help=help_text)
+        parser.add_argument(
             "--operator", metavar="FILE", default="deploy/operator.toml", help="default: %(default)s"
         )
-        for flags, kinds in more:
-            one.add_argument(*flags, **kinds)
-        one.set_defaults(run=run)
+        for flags, options in arguments:
+            parser.add_argument(*flags, **options)
+        parser.set_defaults(run=run)
 
     wait = (
         ("--wait",),
@@ -208,7 +208,7 @@
         (("-n", "--lines"), {"type": int, "default": 40}),
         (("-f", "--follow"), {"action": "store_true"}),
     )
-    shown = (
+    show_parser = (
         commands.add_parser("config", help="the configuration in force")
         .add_subparsers(dest="what", required=True)
         .add_parser(
@@ -216,8 +216,8 @@
             help="each key of the operator's file: its value, its source, what a reload does with it",
         )
     )
-    shown.add_argument("--operator", metavar="FILE")
-    shown.set_defaults(run=show)
-    from cottonspread.cli import instance as one
+    show_parser.add_argument("--operator", metavar="FILE")
+    show_parser.set_defaults(run=show)
+    from cottonspread.cli import instance as instance_command
 
-    one.add(commands)
+    instance_command.add(commands)
--- a/cottonspread/cli/instance.py
+++ b/cottonspread/cli/instance.py
@@ -175,10 +175,10 @@
             log.error("held", extra={"pairs": {"by": self.lock.holder_pid()}})
             os._exit(1)
 
-    def leave(self, handed):
-        """Stops accepting connections and shuts down; `handed`: a successor has the listening socket."""
+    def leave(self, has_successor):
+        """Stops accepting connections and shuts down; `has_successor`: it has the listening socket."""
         self.accept_deadline = 0.0
-        self.node.shut_down(handed)
+        self.node.shut_down(has_successor)
         self.lock.release()
         self.set_state("leaving")
 
@@ -201,11 +201,11 @@
         self.send_status()
 
 
-def instance(given):
+def instance(args):
     """Runs an instance; returns its exit code."""
     start_message = json.loads(sys.stdin.readline())
     start = json.loads(start_message["start"])
-    write_out = logfmt.configure(
+    flush_log = logfmt.configure(
         start_message["name"],
         json.loads(start_message["live"])["level"].upper(),
         start["format"],
@@ -217,7 +217,7 @@
         log.error("not-started", extra={"pairs": {"why": error}})
         return 2
     finally:
-        write_out()
+        flush_log()
 
 
 def add(commands):
--- a/cottonspread/cli/lab.py
+++ b/cottonspread/cli/lab.py
@@ -12,28 +12,28 @@
         "lab", help="emulated hosts, server lists and clients; experiments"
     ).add_subparsers(dest="lab", required=True)
 
-    def command(name, what, run, *arguments):
-        one = lab.add_parser(name, help=what)
-        for words, options in arguments:
-            one.add_argument(*words, **options)
-        one.set_defaults(run=lambda given: report_errors(run, given))
+    def command(name, help_text, run, *arguments):
+        parser = lab.add_parser(name, help=help_text)
+        for flags, options in arguments:
+            parser.add_argument(*flags, **options)
+        parser.set_defaults(run=lambda args: report_errors(run, args))
 
-    def argument(*words, **options):
-        return words, options
+    def argument(*flags, **options):
+        return flags, options
 
     file = argument("file", help="the experiment, TOML")
     process_arguments = (
         argument("--plan", required=True, help="the plan that `lab run` or `lab plan` wrote"),
         argument("--number", type=int, default=0, help="which of the processes of this kind"),
     )
-    for name, what in (
+    for name, help_text in (
         ("hosts", "emulated servers of a plan"),
         ("list", "the list of servers of a plan"),
         ("load", "clients of a plan"),
     ):
         command(
             name,
-            what + ": prints `ready`, then waits for `begin T` on standard input",
+            help_text + ": prints `ready`, then waits for `begin T` on standard input",
             start_process(name),
             *process_arguments,
         )
@@ -99,7 +99,7 @@
     )
 
 
-def report_errors(run, given):
+def report_errors(run, args):
     """Runs a command; prints expected errors and missing libraries, with exit code 2."""
     try:
         from cottonspread.lab import limits, plan, trace
@@ -111,7 +111,7 @@
         )
         return 2
     try:
-        return run(given)
+        return run(args)
     except (plan.PlanError, limits.LimitExceededError, trace.TraceError, runner.StartError) as error:
         print(f"cottonspread: lab: {error}", file=sys.stderr)
         return 2
@@ -120,90 +120,92 @@
 def start_process(name):
     """The function that runs the process of this name."""
 
-    def start(given):
+    def start(args):
         from cottonspread.lab import hosts, limits, listing, load
 
         limits.raise_descriptor_limit()
         return {"hosts": hosts.Hosts, "list": listing.ListServer, "load": load.Clients}[name](
-            given.plan, given.number
+            args.plan, args.number
         ).main()
 
     return start
 
 
-def plan(given):
+def plan(args):
     """Writes the plan of an experiment and prints what it needs."""
     import msgspec
 
     from cottonspread.lab import limits
     from cottonspread.lab import plan as plans
 
-    x = plans.read(given.file)
-    one = plans.make(x, (x.variants or [plans.Variant(name="only")])[0], given.seed or x.seed)
-    schedule = plans.schedule(one)
-    with open(given.out, "wb") as file:
-        file.write(msgspec.json.encode(one))
+    experiment = plans.read(args.file)
+    made = plans.make(
+        experiment, (experiment.variants or [plans.Variant(name="only")])[0], args.seed or experiment.seed
+    )
+    schedule = plans.schedule(made)
+    with open(args.out, "wb") as file:
+        file.write(msgspec.json.encode(made))
     print(
         f"{len(schedule.at)} first calls, at most {limits.max_established(schedule)} established at a time, "
         f"schedule sha256 {schedule.digest()}"
     )
-    for line in limits.check(one, schedule):
+    for line in limits.check(made, schedule):
         print(line)
     return 0
 
 
-def run(given):
+def run(args):
     """Runs an experiment."""
     from cottonspread.lab import experiment
 
-    return experiment.run(given.file, given.out, given.seconds, given.repeats, given.quiet, given.again)
+    return experiment.run(args.file, args.out, args.seconds, args.repeats, args.quiet, args.again)
 
 
-def compare(given):
+def compare(args):
     """Compares two runs or folders of runs."""
     from cottonspread.lab import experiment
 
-    return experiment.compare(given.a, given.b)
+    return experiment.compare(args.a, args.b)
 
 
-def report(given):
+def report(args):
     """Writes report.html for a folder's runs."""
     from cottonspread.lab import report as reports
 
-    print(reports.write(given.folder))
+    print(reports.write(args.folder))
     return 0
 
 
-def audit(given):
+def audit(args):
     """Audits the records of one run again; exit code 1 if it finds violations."""
     from cottonspread.lab import audit as audits
     from cottonspread.lab import results
 
-    told = results.audit_folder(given.folder)[2]
-    print("\n".join(audits.summary_lines(told)))
-    return 1 if told["offences"] else 0
+    result = results.audit_folder(args.folder)[2]
+    print("\n".join(audits.summary_lines(result)))
+    return 1 if result["offences"] else 0
 
 
-def trace(given):
+def trace(args):
     """Exports a run's connections as a trace."""
     from cottonspread.lab import record
     from cottonspread.lab import trace as traces
 
-    entries = traces.from_calls([c for c in record.read(given.folder, "load") if c["k"] == "call"])
-    traces.write(given.file, entries)
+    entries = traces.from_calls([c for c in record.read(args.folder, "load") if c["k"] == "call"])
+    traces.write(args.file, entries)
     print(f"{len(entries)} connections")
     return 0
 
 
-def scale(given):
+def scale(args):
     """Runs the scale measurements."""
     from pathlib import Path
 
     from cottonspread.lab.scale import command, results
 
-    out = Path(given.out) if given.out else results.FOLDER
+    out = Path(args.out) if args.out else results.FOLDER
     options = command.Options(
-        given.small, given.nodes, given.servers, given.seed, tuple(given.only), out, given.alone
+        args.small, args.nodes, args.servers, args.seed, tuple(args.only), out, args.alone
     )
     try:
         return command.main(options)
@@ -212,30 +214,33 @@
         return 2
 
 
-def selfcheck(given):
+def selfcheck(args):
     """Checks the load generator against a server of known delay."""
     from cottonspread.lab import selfcheck as check
 
-    return check.main(given.rate, given.seconds, given.delay_ms)
+    return check.main(args.rate, args.seconds, args.delay_ms)
 
 
-def acceptor(given):
+def acceptor(args):
     """Runs the emulated node that answers every call itself."""
     import json
     import os
 
-    from cottonspread.lab import acceptor as one
+    from cottonspread.lab import acceptor as emulated_node
 
     with open(os.environ["PROXY_CONFIG"], encoding="utf-8") as file:
         host, _, port = json.load(file)["listen"].rpartition(":")
-    return one.run((host, int(port)))
+    return emulated_node.run((host, int(port)))
 
 
-def standin(given):
+def standin(args):
     """Runs the emulated node for the lab's own tests."""
-    from cottonspread.lab import stub_node as one
+    from cottonspread.lab import stub_node as emulated_node
 
-    if given.sabotage not in one.SABOTAGES:
-        print("cottonspread: lab: standin: --sabotage: one of " + ", ".join(one.SABOTAGES), file=sys.stderr)
+    if args.sabotage not in emulated_node.SABOTAGES:
+        print(
+            "cottonspread: lab: standin: --sabotage: one of " + ", ".join(emulated_node.SABOTAGES),
+            file=sys.stderr,
+        )
         return 2
-    return one.main(given.sabotage)
+    return emulated_node.main(args.sabotage)
--- a/cottonspread/cli/node.py
+++ b/cottonspread/cli/node.py
@@ -73,7 +73,7 @@
         listener = takeovers.inherited_listener(os.environ)
     takeover = follower = None
     name = active.parts[0].name
-    write_out = (
+    flush_log = (
         logfmt.configure(name, sections[0].level.upper(), sections[0].format)
         if sections
         else logfmt.configure(name)
@@ -102,7 +102,7 @@
     finally:
         if follower:
             follower.stop()
-        write_out()
+        flush_log()
 
 
 def run_node(node, active, takeover, requests):
@@ -189,17 +189,21 @@
 
     `manager_state`: what the last call returned.
     """
-    steps, ready, at = manager_state or (-1, False, 0.0)
+    steps, ready, notified_at = manager_state or (-1, False, 0.0)
     now, status = time.monotonic(), node.status()
     if not ready and status["listed"] and node.ping():
         ready = manager.notify_ready("serving")
     if node.reducer.stopping and ready != "stopping":
         manager.notify_stopping()
         ready = "stopping"
-    if manager.watchdog_interval and now - at >= manager.watchdog_interval and status["steps"] != steps:
+    if (
+        manager.watchdog_interval
+        and now - notified_at >= manager.watchdog_interval
+        and status["steps"] != steps
+    ):
         manager.notify_watchdog()
         return status["steps"], ready, now
-    return steps, ready, at
+    return steps, ready, notified_at
 
 
 def reload(node, active):
@@ -285,11 +289,11 @@
 
 def add(commands):
     """Adds the sub-commands to the parser."""
-    for name, what, run in (
+    for name, help_text, run in (
         ("serve", "run one node in the foreground", serve),
         ("check", "read the configuration and print what a node would do with it", check),
     ):
-        command = commands.add_parser(name, help=what)
+        command = commands.add_parser(name, help=help_text)
         command.add_argument(
             "--config",
             default=os.environ.get("PROXY_CONFIG"),
@@ -297,8 +301,8 @@
         )
         command.add_argument("--operator", metavar="FILE", help="the operator's TOML file")
         command.set_defaults(
-            run=lambda given, run=run: run(
-                given.config if run is check else require_path(given.config), given.operator
+            run=lambda args, run=run: run(
+                args.config if run is check else require_path(args.config), args.operator
             )
         )
     commands.add_parser("version", help="print the version").set_defaults(run=version)
@@ -311,7 +315,7 @@
     return path
 
 
-def version(given):
+def version(args):
     """Prints the version."""
     print(f"cottonspread {__version__}")
     return 0
--- a/cottonspread/cli/takeover.py
+++ b/cottonspread/cli/takeover.py
@@ -31,19 +31,19 @@
 
 def inherited_listener(environment):
     """The listening socket that PROXY_INHERITED_FD names, or None without it."""
-    word = environment.get("PROXY_INHERITED_FD")
-    if not word:
+    value = environment.get("PROXY_INHERITED_FD")
+    if not value:
         return None
     try:
-        listener = socket.socket(fileno=int(word))
+        listener = socket.socket(fileno=int(value))
         listens = listener.type == socket.SOCK_STREAM and listener.getsockopt(
             socket.SOL_SOCKET, socket.SO_ACCEPTCONN
         )
     except (ValueError, OSError) as error:
-        raise ConfigurationError(f"PROXY_INHERITED_FD: {word!r}: {error}") from error
+        raise ConfigurationError(f"PROXY_INHERITED_FD: {value!r}: {error}") from error
     if not listens:
         listener.detach()  # it is not ours to close
-        raise ConfigurationError(f"PROXY_INHERITED_FD: {word!r} is not a listening socket")
+        raise ConfigurationError(f"PROXY_INHERITED_FD: {value!r} is not a listening socket")
     return listener
 
 
--- a/cottonspread/config/operator.py
+++ b/cottonspread/config/operator.py
@@ -32,9 +32,9 @@
     return f"{front >> 16}.{front >> 8 & 255}.{front & 255}.{d + 1}"
 
 
-def key(kind, what, **bounds):
-    """The metadata of a key: its meaning, what a reload does with it (`kind`), and bounds of its value."""
-    return Meta(description=what, extra={"reload": kind}, **bounds)
+def key(reload, description, **bounds):
+    """The metadata of a key: its meaning, what a reload does with it (`reload`), and bounds of its value."""
+    return Meta(description=description, extra={"reload": reload}, **bounds)
 
 
 class Log(msgspec.Struct, frozen=True):
@@ -189,63 +189,63 @@
         self.errors = errors
 
 
-def suggestion(word, among):
+def suggestion(word, choices):
     """The end of a message about an unknown word: the most similar known one, or all of them."""
-    found = difflib.get_close_matches(word, among, 1, 0.5)
-    return f"; did you mean {found[0]}?" if found else f"; expected one of {', '.join(sorted(among))}"
+    found = difflib.get_close_matches(word, choices, 1, 0.5)
+    return f"; did you mean {found[0]}?" if found else f"; expected one of {', '.join(sorted(choices))}"
 
 
-def fields(kind):
+def fields(section_type):
     """(name, field, Meta) of each key of a section."""
-    hints = typing.get_type_hints(kind, include_extras=True)
+    hints = typing.get_type_hints(section_type, include_extras=True)
     return [
         (f.name, f, next(m for m in hints[f.name].__metadata__ if m.extra))
-        for f in msgspec.structs.fields(kind)
+        for f in msgspec.structs.fields(section_type)
     ]
 
 
-def read_section(name, kind, values, errors):
+def read_section(name, section_type, values, errors):
     """Reads one section. Returns None if it has errors, which are added to `errors` as (key, message)."""
     if not isinstance(values, dict):
         errors.append((name, "expected a section, [" + name + "]"))
         return None
-    known, taken, before = {f.name: f for f in msgspec.structs.fields(kind)}, {}, len(errors)
-    hints = typing.get_type_hints(kind, include_extras=True)
-    for word in values.keys() - known.keys():
-        errors.append((f"{name}.{word}", "unknown key" + suggestion(word, known)))
-    for word, field in known.items():
-        if word not in values:
+    known, converted, before = {f.name: f for f in msgspec.structs.fields(section_type)}, {}, len(errors)
+    hints = typing.get_type_hints(section_type, include_extras=True)
+    for key_name in values.keys() - known.keys():
+        errors.append((f"{name}.{key_name}", "unknown key" + suggestion(key_name, known)))
+    for key_name, field in known.items():
+        if key_name not in values:
             if field.required:
-                errors.append((f"{name}.{word}", "missing"))
+                errors.append((f"{name}.{key_name}", "missing"))
             continue
         try:
-            taken[word] = msgspec.convert(values[word], hints[word])
+            converted[key_name] = msgspec.convert(values[key_name], hints[key_name])
         except msgspec.ValidationError as error:
-            errors.append((f"{name}.{word}", f"{values[word]!r}: {error}"))
-    return kind(**taken) if len(errors) == before else None
+            errors.append((f"{name}.{key_name}", f"{values[key_name]!r}: {error}"))
+    return section_type(**converted) if len(errors) == before else None
 
 
 def read_text(text, path="operator"):
     """Parses the text of a file: (Log, Instance, Fleet or None, Configuration or None, parsed TOML)."""
     try:
-        whole = tomllib.loads(text)
+        document = tomllib.loads(text)
     except (tomllib.TOMLDecodeError, RecursionError) as error:
         raise OperatorFileError([f"{path}: invalid TOML: {error}"]) from error
     errors = [
-        (word, "unknown section" + suggestion(word, SECTIONS)) for word in whole.keys() - SECTIONS.keys()
+        (word, "unknown section" + suggestion(word, SECTIONS)) for word in document.keys() - SECTIONS.keys()
     ]
-    parts = [
-        read_section(name, kind, whole.get(name, {}), errors)
-        if name in whole or name not in OPTIONAL
+    sections = [
+        read_section(name, section_type, document.get(name, {}), errors)
+        if name in document or name not in OPTIONAL
         else None
-        for name, kind in SECTIONS.items()
+        for name, section_type in SECTIONS.items()
     ]
-    fleet = parts[2]
+    fleet = sections[2]
     if fleet:
-        errors += [(f"fleet.{k}", what) for k, what in check_related_keys(fleet)]
+        errors += [(f"fleet.{k}", message) for k, message in check_related_keys(fleet)]
     if errors:
-        raise OperatorFileError([f"{path}: {k}: {what}" for k, what in sorted(errors)])
-    return *parts, whole
+        raise OperatorFileError([f"{path}: {k}: {message}" for k, message in sorted(errors)])
+    return *sections, document
 
 
 def check_related_keys(fleet):
@@ -289,13 +289,13 @@
     return log, instance, fleet, configuration
 
 
-def effective_values(parts, whole, path):
+def effective_values(sections, document, path):
     """Yields (key, value, its source, what a reload does with it) for every key of every section present."""
-    for (name, kind), section in zip(SECTIONS.items(), parts, strict=True):
-        for word, _, meta in fields(kind) if section else ():
+    for (name, section_type), section in zip(SECTIONS.items(), sections, strict=True):
+        for key_name, _, meta in fields(section_type) if section else ():
             yield (
-                f"{name}.{word}",
-                getattr(section, word),
-                path if word in whole.get(name, {}) else "default",
+                f"{name}.{key_name}",
+                getattr(section, key_name),
+                path if key_name in document.get(name, {}) else "default",
                 meta.extra["reload"],
             )
--- a/cottonspread/config/platform.py
+++ b/cottonspread/config/platform.py
@@ -9,13 +9,13 @@
 import json
 from dataclasses import dataclass
 
-from cottonspread import interface as i
+from cottonspread import interface as io
 
-EFFECTS = {"safe": i.Effect.REPEATABLE, "keyed": i.Effect.REFERENCED, "unsafe": i.Effect.ONCE_ONLY}
+EFFECTS = {"safe": io.Effect.REPEATABLE, "keyed": io.Effect.REFERENCED, "unsafe": io.Effect.ONCE_ONLY}
 SCOPES = {scope: scope for scope in ("all", "zone", "cell")}
 POLLED = {"push": False, "ask": True}
 LOAD_REPORTING = {how: how for how in ("none", "probe", "answers")}  # `LoadReport.How`
-WEIGHTS_MOVE = {"none": False, "nominal": False, "rough": False, "live": True}
+DYNAMIC_WEIGHTS = {"none": False, "nominal": False, "rough": False, "live": True}
 MISSING = object()
 
 
@@ -44,25 +44,25 @@
         """The full path of a key, for messages."""
         return f"{self.path}.{key}" if self.path else key
 
-    def convert(self, key, default, what, read):
-        """The value converted by `read`; ConfigurationError with `what` was expected, if that fails."""
+    def convert(self, key, default, expected, read):
+        """The value converted by `read`; ConfigurationError with `expected` was expected, if that fails."""
         value = self.values.get(key, default)
         if value is MISSING:
             raise ConfigurationError(f"{self.path_of(key)}: missing")
         try:
             return read(value)
         except (TypeError, ValueError, OverflowError, KeyError, AttributeError) as error:
-            raise ConfigurationError(f"{self.path_of(key)}: {value!r} is not {what}") from error
+            raise ConfigurationError(f"{self.path_of(key)}: {value!r} is not {expected}") from error
 
-    def integer(self, key, default=MISSING, least=0):
-        """An integer of at least `least`."""
+    def integer(self, key, default=MISSING, minimum=0):
+        """An integer of at least `minimum`."""
 
         def read(value):
-            if isinstance(value, str) or int(value) < least:
+            if isinstance(value, str) or int(value) < minimum:
                 raise ValueError
             return int(value)
 
-        return self.convert(key, default, f"a whole number of at least {least}", read)
+        return self.convert(key, default, f"a whole number of at least {minimum}", read)
 
     def number(self, key, default=MISSING):
         """A number of at least 0."""
@@ -102,9 +102,9 @@
 
         return self.convert(key, default, "a non-empty string", read)
 
-    def choice(self, key, default, among):
-        """One of the keys of `among`; returns the value that it maps to."""
-        return self.convert(key, default, "one of " + ", ".join(among), among.__getitem__)
+    def choice(self, key, default, choices):
+        """One of the keys of `choices`; returns the value that it maps to."""
+        return self.convert(key, default, "one of " + ", ".join(choices), choices.__getitem__)
 
     def address(self, key, default=MISSING):
         """HOST:PORT, as (host, port)."""
@@ -144,17 +144,17 @@
         return value
 
 
-def parse(text, what):
-    """Parses JSON; the message of the ConfigurationError for invalid JSON begins with `what`."""
+def parse(text, source):
+    """Parses JSON; the message of the ConfigurationError for invalid JSON begins with `source`."""
     try:
         return json.loads(text)
     except (ValueError, RecursionError) as error:
-        raise ConfigurationError(f"{what}: invalid JSON: {error}") from error
+        raise ConfigurationError(f"{source}: invalid JSON: {error}") from error
 
 
 def read_type(t, message_target):
     """Reads one traffic type; `message_target`: the target time for a message, in microseconds."""
-    return i.TrafficType(
+    return io.TrafficType(
         t.text("Name", "any"),
         t.choice("Effect", "unsafe", EFFECTS),
         t.choice("KeyScope", "cell", SCOPES),
@@ -168,68 +168,68 @@
 
 def read_begin(settings, seed, path="settings"):
     """Reads the settings of a node from parsed JSON; raises ConfigurationError for invalid ones."""
-    c = ObjectReader(settings, path)
-    limits, rules, costs, kind, goal = (
-        c.object(k) for k in ("Limits", "Rules", "Costs", "FamilyInfo", "Goal")
+    root = ObjectReader(settings, path)
+    limits, rules, costs, family, goal = (
+        root.object(k) for k in ("Limits", "Rules", "Costs", "FamilyInfo", "Goal")
     )
-    targets = kind.values_of("MessageAim", float)
-    quotas = kind.values_of("TenantQuotaConnections", float)
+    targets = family.values_of("MessageAim", float)
+    quotas = family.values_of("TenantQuotaConnections", float)
     types = tuple(
         read_type(t, ms_to_us(targets[n]) if n < len(targets) else 0)
-        for n, t in enumerate(c.objects("TrafficTypes"))
+        for n, t in enumerate(root.objects("TrafficTypes"))
     )
-    report = c.object("LoadReport")
-    probes, how, reported_names = (
+    report = root.object("LoadReport")
+    probes, load_reporting, reported_names = (
         limits.flag("Probes"),
         report.choice("How", "none", LOAD_REPORTING),
         report.values_of("Names", str),
     )
     if not types:
-        raise ConfigurationError(f"{c.path_of('TrafficTypes')}: lists no traffic type")
+        raise ConfigurationError(f"{root.path_of('TrafficTypes')}: lists no traffic type")
     if len({t.name for t in types}) < len(types):
-        raise ConfigurationError(f"{c.path_of('TrafficTypes')}: two traffic types have the same name")
+        raise ConfigurationError(f"{root.path_of('TrafficTypes')}: two traffic types have the same name")
     tenants = tuple(
-        i.Tenant(
+        io.Tenant(
             t.text("Name", str(n)),
             t.number("Share", 0),
             t.number("AllowancePerS", 0),
             quotas[n] if n < len(quotas) else 0.0,
         )
-        for n, t in enumerate(c.objects("Orgs"))
+        for n, t in enumerate(root.objects("Orgs"))
     )
-    return i.NodeConfig(
+    return io.NodeConfig(
         seed,
-        c.integer("Me", 0),
-        c.integer("Balancers", least=1) if "Balancers" in c.values else 0,
-        c.integer("Zone", 0),
-        c.duration_us("Step", 1),
+        root.integer("Me", 0),
+        root.integer("Balancers", minimum=1) if "Balancers" in root.values else 0,
+        root.integer("Zone", 0),
+        root.duration_us("Step", 1),
         types,
         tenants,
-        i.LegLimits(
-            limits.integer("MostLegs", 1, least=1),
+        io.LegLimits(
+            limits.integer("MostLegs", 1, minimum=1),
             limits.flag("MayDuplicate"),
             limits.flag("Cancel"),
             limits.flag("RetryAfter"),
             limits.duration_us("MaxRetryAfter", 0),
         ),
-        i.ColdStart(
+        io.ColdStart(
             rules.number("ColdFrom", 1),
             rules.duration_us("RampTime", 0),
             rules.number("TipMultiple", 1),
             rules.duration_us("OverloadFor", 0),
         ),
-        i.ServerListRules(
-            c.choice("MembershipMode", "push", POLLED),
+        io.ServerListRules(
+            root.choice("MembershipMode", "push", POLLED),
             rules.duration_us("AskEvery", 0),
             rules.duration_us("DrainGrace", 0),
         ),
-        i.Prices(*(costs.number(k, 0) for k in ("CrossZone", "Moves", "Probe", "Peer"))),
+        io.Prices(*(costs.number(k, 0) for k in ("CrossZone", "Moves", "Probe", "Peer"))),
         probes,
         limits.flag("PeerMessages"),
-        kind.flag("Groups"),
-        probes and how == "probe" and "x0" in reported_names,
-        c.choice("Weights", "nominal", WEIGHTS_MOVE),
-        i.AvailabilityGoal(goal.number("NinesPart", 0), goal.positive_number("NinesFull", 3)),
+        family.flag("Groups"),
+        probes and load_reporting == "probe" and "x0" in reported_names,
+        root.choice("Weights", "nominal", DYNAMIC_WEIGHTS),
+        io.AvailabilityGoal(goal.number("NinesPart", 0), goal.positive_number("NinesFull", 3)),
     )
 
 
@@ -299,53 +299,53 @@
     )
     limits = root.object("limits")
     resource_limits = ResourceLimits(
-        limits.integer("memory_mb", 192, least=32), limits.integer("sockets", 1024, least=64)
+        limits.integer("memory_mb", 192, minimum=32), limits.integer("sockets", 1024, minimum=64)
     )
     seed = root.convert("seed", "0", "a number in hexadecimal", lambda v: int(v, 16))
     settings = root.object("settings")
-    begin = read_begin(settings.values, seed)
+    node_config = read_begin(settings.values, seed)
     names = Names(
-        numbered(t.name for t in begin.types),
+        numbered(t.name for t in node_config.types),
         numbered(settings.values_of("Zones", str)),
         numbered(settings.values_of("Kinds", str)),
-        numbered(t.name for t in begin.tenants),
+        numbered(t.name for t in node_config.tenants),
     )
-    kind = settings.object("FamilyInfo")
+    family = settings.object("FamilyInfo")
     host_protocol = HostProtocol(
         settings.object("Limits").duration_us("ConnectTimeout", 250),
-        kind.flag("TellsLoad"),
-        kind.flag("TellsDelay"),
+        family.flag("TellsLoad"),
+        family.flag("TellsDelay"),
         root.choice("load_lines", "both", {"both": True, "loads": False}),
     )
-    known = root.object("known", {"generation": 0, "reset": True, "instances": []}).values
-    return endpoints, resource_limits, names, host_protocol, begin, known
+    initial_list = root.object("known", {"generation": 0, "reset": True, "instances": []}).values
+    return endpoints, resource_limits, names, host_protocol, node_config, initial_list
 
 
 # A configuration published to all nodes
 
 
-def with_local_keys(carried, own, keys):
+def with_local_keys(published, local, keys):
     """Merges a configuration published to all nodes with a node's own file, both as parsed JSON.
 
     `keys` ("name", "settings.Me") are taken from the node's own file, and left out if it does not have them.
     """
-    if not isinstance(carried, dict):
+    if not isinstance(published, dict):
         raise ConfigurationError("configuration: not an object")
-    root = dict(carried)
+    root = dict(published)
     for key in keys:
-        section, _, word = key.rpartition(".")
+        section, _, name = key.rpartition(".")
         if section:
-            part, source = root.get(section), own.get(section)
+            part, source = root.get(section), local.get(section)
             if not isinstance(part, dict):
                 raise ConfigurationError(f"{section}: not an object")
             part = dict(part)
             root[section] = part
         else:
-            part, source = root, own
-        if isinstance(source, dict) and word in source:
-            part[word] = source[word]
+            part, source = root, local
+        if isinstance(source, dict) and name in source:
+            part[name] = source[name]
         else:
-            part.pop(word, None)
+            part.pop(name, None)
     return root
 
 
@@ -374,18 +374,18 @@
 def check_object(old, new, path):
     """`check_no_key_missing` for two objects."""
     for key, value in old.items():
-        at = f"{path}.{key}" if path else key
+        key_path = f"{path}.{key}" if path else key
         if value is not None and new.get(key) is None:
-            raise ConfigurationError(f"{at}: missing, but present in the configuration in force")
-        if value is not None and at != "known":
-            check_no_key_missing(value, new[key], at)
+            raise ConfigurationError(f"{key_path}: missing, but present in the configuration in force")
+        if value is not None and key_path != "known":
+            check_no_key_missing(value, new[key], key_path)
 
 
 def check_list(old, new, path):
     """`check_no_key_missing` for two lists of objects."""
 
-    def in_all(key, among):
-        return among and all(one.get(key) is not None for one in among)
+    def in_all(key, objects):
+        return objects and all(one.get(key) is not None for one in objects)
 
     common = [key for key in old[0] if key not in KEYED_ONLY and in_all(key, old)]
     keyed = [key for key in KEYED_ONLY if in_all(key, [one for one in old if one.get("Effect") == "keyed"])]
--- a/cottonspread/drill/codec.py
+++ b/cottonspread/drill/codec.py
@@ -6,30 +6,30 @@
 import base64
 
 from cottonspread import config
-from cottonspread import interface as i
+from cottonspread import interface as io
 from cottonspread.config import ms_to_us
 from cottonspread.front.reports import parse_load_report, probe_ended
 
 ENDINGS = {
-    0: i.Ending.OK,
-    5: i.Ending.ERROR,
-    11: i.Ending.FULL,
-    110: i.Ending.TIMEOUT,
-    111: i.Ending.CONNECT_FAILED,
-    104: i.Ending.RESET,
-    125: i.Ending.CANCELLED,
-    114: i.Ending.NOT_SENT,
+    0: io.Ending.OK,
+    5: io.Ending.ERROR,
+    11: io.Ending.FULL,
+    110: io.Ending.TIMEOUT,
+    111: io.Ending.CONNECT_FAILED,
+    104: io.Ending.RESET,
+    125: io.Ending.CANCELLED,
+    114: io.Ending.NOT_SENT,
 }
-STATES = {"up": i.HostState.UP, "draining": i.HostState.DRAINING, "removed": i.HostState.GONE}
-NEWS = {
-    "update": i.ListUpdateKind.CHANGES,
-    "replace": i.ListUpdateKind.FULL,
-    "restored": i.ListUpdateKind.SAVED,
-    "unavailable": i.ListUpdateKind.FAILED,
+HOST_STATES = {"up": io.HostState.UP, "draining": io.HostState.DRAINING, "removed": io.HostState.GONE}
+LIST_UPDATE_KINDS = {
+    "update": io.ListUpdateKind.CHANGES,
+    "replace": io.ListUpdateKind.FULL,
+    "restored": io.ListUpdateKind.SAVED,
+    "unavailable": io.ListUpdateKind.FAILED,
 }
 TEXT_FIELDS = {"begin": "Config"}
 LOAD_CHANGED, MESSAGES_SLOW = 1, 2
-RETURNED, HINTED = 16, 1
+OPTION_RETURNED, OPTION_EFFORT_GIVEN = 16, 1
 
 
 class DecodeError(ValueError):
@@ -54,74 +54,74 @@
         raise DecodeError(f"field without '=': {rest!r}") from None
 
 
-def read_entry(f):
+def read_entry(fields):
     """Reads one server of a list."""
-    get = f.get
-    return i.Entry(
-        f["Host"],
+    get = fields.get
+    return io.Entry(
+        fields["Host"],
         int(get("Site", 0)),
         int(get("Shape", 0)),
         float(get("Heft", 1)),
         int(get("UnitGroup", 0)),
-        ms_to_us(f["CameUp"]) if "CameUp" in f else 0,
-        STATES[get("Availability", "up")],
+        ms_to_us(fields["CameUp"]) if "CameUp" in fields else 0,
+        HOST_STATES[get("Availability", "up")],
     )
 
 
-def read_call(f):
+def read_call(fields):
     """Reads a call."""
-    options = int(f.get("Options", 0))
-    return i.CallArrived(
-        int(f["Call"]),
-        int(f["Service"]),
-        ms_to_us(f.get("ExpiresIn", 0)),
-        f.get("PathKey"),
-        f.get("TeamId"),
-        int(f.get("Team", 0)),
-        float(f.get("Effort", 0)) if options & HINTED else 0.0,
-        bool(options & RETURNED),
-        f.get("Host"),
+    options = int(fields.get("Options", 0))
+    return io.CallArrived(
+        int(fields["Call"]),
+        int(fields["Service"]),
+        ms_to_us(fields.get("ExpiresIn", 0)),
+        fields.get("PathKey"),
+        fields.get("TeamId"),
+        int(fields.get("Team", 0)),
+        float(fields.get("Effort", 0)) if options & OPTION_EFFORT_GIVEN else 0.0,
+        bool(options & OPTION_RETURNED),
+        fields.get("Host"),
     )
 
 
-def read_status_note(f):
+def read_status_note(fields):
     """Reads a status report of a call; None for an unknown kind."""
-    kind, call = int(f["Sort"]), int(f["Call"])
+    kind, call = int(fields["Sort"]), int(fields["Call"])
     if kind == LOAD_CHANGED:
-        return i.LoadReported(call, float(f["X"]))
+        return io.LoadReported(call, float(fields["X"]))
     if kind == MESSAGES_SLOW:
-        return i.DelayReported(call, ms_to_us(f["X"]))
+        return io.DelayReported(call, ms_to_us(fields["X"]))
     return None
 
 
-def decode_data(text):
+def decode_data(encoded):
     """Decodes the data of a message between nodes."""
-    return b"" if text == "-" else base64.b64decode(text, validate=True)
+    return b"" if encoded == "-" else base64.b64decode(encoded, validate=True)
 
 
 READERS = {
     "work_item": read_call,
     "inherited": read_call,
-    "accepted": lambda f: i.LegAccepted(
+    "accepted": lambda f: io.LegAccepted(
         int(f["Call"]), int(f.get("Trial", 0)), ms_to_us(f.get("WaitTime", 0))
     ),
-    "done": lambda f: i.LegEnded(
+    "done": lambda f: io.LegEnded(
         int(f["Call"]),
         int(f.get("Trial", 0)),
         ENDINGS[int(f["Disposition"])],
         f.get("Terminal", "0") == "1",
         ms_to_us(f.get("WaitTime", 0)),
     ),
-    "expired": lambda f: i.CallExpired(int(f["Call"])),
+    "expired": lambda f: io.CallExpired(int(f["Call"])),
     "status_note": read_status_note,
-    "fired": lambda f: i.TimerFired(f["Cookie"]),
+    "fired": lambda f: io.TimerFired(f["Cookie"]),
     "pong": lambda f: probe_ended(
         f["Host"],
         ENDINGS[int(f["Disposition"])],
         ms_to_us(f.get("WaitTime", 0)),
         parse_load_report(f.get("Feedback")),
     ),
-    "peer": lambda f: i.PeerMessageReceived(int(f["Neighbour"]), decode_data(f["Bytes"])),
+    "peer": lambda f: io.PeerMessageReceived(int(f["Neighbour"]), decode_data(f["Bytes"])),
 }
 
 
@@ -137,8 +137,10 @@
 def read_list(fields, lines):
     """Reads a list of servers; `lines`: the fields of its entries."""
     try:
-        return i.ListUpdate(
-            NEWS[fields["Scope"]], int(fields.get("Index", 0)), tuple(read_entry(f) for f in lines)
+        return io.ListUpdate(
+            LIST_UPDATE_KINDS[fields["Scope"]],
+            int(fields.get("Index", 0)),
+            tuple(read_entry(f) for f in lines),
         )
     except (KeyError, ValueError) as error:
         raise DecodeError(f"view: {error!r}") from error
@@ -163,16 +165,16 @@
 
 
 LINES = {
-    i.Send: lambda a: f"route\tCall={a.call}\tUntil={ms_text(a.deadline)}\tHost={a.host}",
-    i.Reject: reject_line,
-    i.Release: lambda a: f"end_failed\tCall={a.call}",
-    i.Cancel: lambda a: f"undo_send\tCall={a.call}\tTrial={a.leg}",
-    i.Move: lambda a: f"move\tCall={a.call}",
-    i.Timer: lambda a: f"set_timer\tFromNow={ms_text(a.after)}\tCookie={a.token}",
-    i.Probe: lambda a: f"sample\tHost={a.host}",
-    i.Subscribe: lambda a: "listen\tWant=1",
-    i.SendToPeer: peer_message_line,
-    i.Log: lambda a: "note_down\tMessage=" + " ".join(a.text.split()),
+    io.Send: lambda a: f"route\tCall={a.call}\tUntil={ms_text(a.deadline)}\tHost={a.host}",
+    io.Reject: reject_line,
+    io.Release: lambda a: f"end_failed\tCall={a.call}",
+    io.Cancel: lambda a: f"undo_send\tCall={a.call}\tTrial={a.leg}",
+    io.Move: lambda a: f"move\tCall={a.call}",
+    io.Timer: lambda a: f"set_timer\tFromNow={ms_text(a.after)}\tCookie={a.token}",
+    io.Probe: lambda a: f"sample\tHost={a.host}",
+    io.Subscribe: lambda a: "listen\tWant=1",
+    io.SendToPeer: peer_message_line,
+    io.Log: lambda a: "note_down\tMessage=" + " ".join(a.text.split()),
 }
 
 
--- a/cottonspread/lists/saved.py
+++ b/cottonspread/lists/saved.py
@@ -33,11 +33,11 @@
 
 def sync_folder(folder):
     """Makes renames and removals in the folder durable. Raises OSError."""
-    opened = os.open(folder, os.O_RDONLY | os.O_DIRECTORY)
+    fd = os.open(folder, os.O_RDONLY | os.O_DIRECTORY)
     try:
-        os.fsync(opened)
+        os.fsync(fd)
     finally:
-        os.close(opened)
+        os.close(fd)
 
 
 class SavedList:
@@ -55,17 +55,17 @@
             self.dynamic_weights
             and not full
             and all(
-                one | {"weight": 0} == self.entries.get(str(one["instanceId"]), {}) | {"weight": 0}
-                for one in instances
+                instance | {"weight": 0} == self.entries.get(str(instance["instanceId"]), {}) | {"weight": 0}
+                for instance in instances
             )
         ):
             return
         if full:
             self.entries = {}
-        for one in instances:
-            self.entries[str(one["instanceId"])] = one
-            if one["lifecycle"] == "Gone":
-                del self.entries[str(one["instanceId"])]
+        for instance in instances:
+            self.entries[str(instance["instanceId"])] = instance
+            if instance["lifecycle"] == "Gone":
+                del self.entries[str(instance["instanceId"])]
         try:
             write_atomically(
                 self.path,
