--- a/cottonspread/cli/instance.py
+++ b/cottonspread/cli/instance.py
@@ -82,7 +82,7 @@
         return 0
 
     def poll(self):
-        """Does what is due by time: state changes, the check for a supervisor, status messages."""
+        """Does the periodic work: state changes, the check for a supervisor, status messages."""
         now = time.monotonic()
         if self.state == "waiting" and self.initial_list.ready(self.node):
             self.set_state("prepared")
--- a/cottonspread/cli/node.py
+++ b/cottonspread/cli/node.py
@@ -47,7 +47,7 @@
     """The sections of the operator's file, as `op.read` returns them; None without a file."""
     if not path:
         return None
-    # imported here because it needs msgspec, which a node without such a file need not have
+    # Imported here because it needs msgspec, which a node without such a file need not have.
     from cottonspread.config import operator as op
 
     return op.read(path)
@@ -59,9 +59,10 @@
     def stop_node(node, active):
         takeover.stop(node, active) if takeover else node.stop()
 
-    requests = queue.SimpleQueue()  # functions that signal handlers, threads and the follower have run here
+    # Functions for this thread to run, queued by signal handlers, other threads and the follower.
+    requests = queue.SimpleQueue()
     signal.signal(signal.SIGHUP, lambda *_: requests.put(reload))
-    # installed before anything else: a signal during the start killed the process
+    # Installed before anything else: until then a signal kills the process.
     for number in (signal.SIGTERM, signal.SIGINT):
         signal.signal(number, lambda *_: requests.put(stop_node))
     sections = read_operator_file(operator_path)
@@ -106,7 +107,7 @@
 
 
 def run_node(node, active, takeover, requests):
-    """Until the node has ended: runs the requests, handles takeovers and notifies the service manager."""
+    """Runs the requests, handles takeovers and notifies the service manager until the node has ended."""
     manager, manager_state = notify.ServiceManager(), False
     while not node.join(0):
         if takeover:
@@ -175,7 +176,7 @@
 
 
 def apply_published(node, active, published):
-    """Puts a text from the configuration store into force, as SIGHUP does with a file: (ok, why not)."""
+    """Applies a text from the configuration store, as SIGHUP does with a file: (applied, why not)."""
     before, active.published = active.published, published
     why = reload(node, active)
     if why:
@@ -218,12 +219,12 @@
         node.post_urgent(ev.ReloadRejected())
         log.error("reload", extra={"pairs": {"why": error, "kept": "the old configuration"}})
         return str(error)
-    except Exception as error:  # a bug of ours
+    except Exception as error:  # an internal error
         node.post_urgent(ev.ReloadRejected())
         log.exception("fault", extra={"pairs": {"while": "reload"}})
         return f"internal error: {type(error).__name__}: {error}"
     endpoints, resource_limits, _, _, node_config, _ = parts
-    # what cannot change while the node runs still has the values of the start
+    # Settings that cannot change while the node runs still have the values in `active.parts`.
     old_endpoints, old_limits, _, _, old_config, _ = active.parts
     node.reload(*parts[:-1])
     kept = [
--- a/cottonspread/cli/takeover.py
+++ b/cottonspread/cli/takeover.py
@@ -42,7 +42,7 @@
     except (ValueError, OSError) as error:
         raise ConfigurationError(f"PROXY_INHERITED_FD: {value!r}: {error}") from error
     if not listens:
-        listener.detach()  # it is not ours to close
+        listener.detach()  # the descriptor is not this process's to close
         raise ConfigurationError(f"PROXY_INHERITED_FD: {value!r} is not a listening socket")
     return listener
 
--- a/cottonspread/config/operator.py
+++ b/cottonspread/config/operator.py
@@ -1,7 +1,7 @@
 """The operator's file: one TOML file with a section for each subsystem. msgspec checks types and ranges.
 
 `read(path)` returns the sections, or raises `OperatorFileError` with every error in the file. The metadata of
-a key tell what a reload does with it: "live" (applied at once), "restart" (the instances are replaced one
+a key tells what a reload does with it: "live" (applied at once), "restart" (the instances are replaced one
 after the other), or "new" (needs a new supervisor: a reload that changes it is rejected). This module is
 imported only if there is such a file, so a node without one does not need msgspec.
 """
@@ -16,7 +16,7 @@
 
 from cottonspread.config.platform import ConfigurationError
 
-MAX_INSTANCES = 4096  # per machine; a much larger number is a typing error and is rejected
+MAX_INSTANCES = 4096  # per machine; a larger number is probably a typing error and is rejected
 
 
 def offset_address(host, steps):
--- a/cottonspread/config/platform.py
+++ b/cottonspread/config/platform.py
@@ -45,7 +45,7 @@
         return f"{self.path}.{key}" if self.path else key
 
     def convert(self, key, default, expected, read):
-        """The value converted by `read`; ConfigurationError with `expected` was expected, if that fails."""
+        """The value converted by `read`; raises ConfigurationError, which names what was `expected`."""
         value = self.values.get(key, default)
         if value is MISSING:
             raise ConfigurationError(f"{self.path_of(key)}: missing")
--- a/cottonspread/lists/saved.py
+++ b/cottonspread/lists/saved.py
@@ -41,7 +41,7 @@
 
 
 class SavedList:
-    """Saves the list from discovery as JSON. A file that cannot be written costs one log line."""
+    """Saves the list from discovery as JSON. A failure to write the file is logged once."""
 
     def __init__(self, path, dynamic_weights=False):
         """`dynamic_weights`: changes of weights alone are not saved."""
--- a/cottonspread/net/admin.py
+++ b/cottonspread/net/admin.py
@@ -44,9 +44,8 @@
         try:
             self.listener = socket.create_server(address, backlog=BACKLOG)
         except OSError as error:
-            error.filename = "operator: {}:{}".format(
-                *address
-            )  # tells which of the node's two addresses failed
+            # Tells which of the node's two addresses failed.
+            error.filename = "operator: {}:{}".format(*address)
             raise
         self.listener.setblocking(False)
         self.answer_to, self.callers, self.stopped = answer, {}, False
@@ -102,7 +101,7 @@
             data = caller.sock.recv(4096)
         except BlockingIOError:
             return
-        if caller.answer is not None:  # answered: unread input would turn the close into a reset
+        if caller.answer is not None:  # discard further input: closing with unread input would send a reset
             if not data:
                 self.close(caller.sock)
             return
@@ -117,7 +116,7 @@
         else:
             try:
                 answer = self.answer_to(line.strip().decode("ascii", "replace"))
-            except Exception:  # a bug of ours: log it and go on serving the other callers
+            except Exception:  # an internal error: log it and go on serving the other callers
                 log.exception("fault", extra={"pairs": {"while": "operators' call"}})
                 answer = b"400 fault, see the log\n"
             self.reply(caller, answer)
--- a/cottonspread/net/admission.py
+++ b/cottonspread/net/admission.py
@@ -103,14 +103,12 @@
         self.poll = select.epoll()
         self.wake_sender, self.wake_receiver = socket.socketpair()
         self.stop_requested = self.end_requested = False
-        self.accepting_stopped, self.ended = (
-            threading.Event(),
-            threading.Event(),
-        )  # as asked by the two calls below
+        # Set once `stop_accepting` and `end` have taken effect.
+        self.accepting_stopped, self.ended = threading.Event(), threading.Event()
 
     def start(self):
         """Starts accepting connections."""
-        # Another process may accept the connection that woke this one up.
+        # Non-blocking: another process that shares the listener may accept the connection first.
         self.listener.setblocking(False)
         workers.start_thread(self.run, stack=workers.LARGE_STACK_SIZE)
 
@@ -121,7 +119,7 @@
         self.accepting_stopped.wait()
 
     def end(self):
-        """Has the thread refuse all pending clients, then set `ended`."""
+        """Makes the thread refuse all pending clients and then set `ended`."""
         self.end_requested = True
         self.wake_up()
 
@@ -194,7 +192,7 @@
             first_input = client.sock.recv(pool.BUFFER_SIZE, socket.MSG_PEEK | socket.MSG_DONTWAIT)
         except BlockingIOError:
             return False
-        except OSError:  # a connection error: its reader will get it
+        except OSError:  # a connection error: the worker that takes over the socket gets it too
             first_input = b""
         if first_input and not is_complete(first_input) and not ready & (select.EPOLLRDHUP | select.EPOLLHUP):
             return False
--- a/cottonspread/net/closing.py
+++ b/cottonspread/net/closing.py
@@ -23,7 +23,7 @@
 
     def __init__(self, limit):
         """`limit()`: how many sockets may be open here now; beyond it the oldest is closed at once."""
-        # `open_sockets`: socket: its deadline, oldest first
+        # `open_sockets` maps each socket to its deadline, oldest first
         self.limit, self.incoming, self.open_sockets = limit, queue.SimpleQueue(), OrderedDict()
         self.next_check = 0.0
 
--- a/cottonspread/net/discovery.py
+++ b/cottonspread/net/discovery.py
@@ -193,7 +193,7 @@
                 return 0
             self.failures += 1
             self.publish_initial()
-            if not isinstance(error, (OSError, ValueError)):  # a bug of ours: log it and keep the list
+            if not isinstance(error, (OSError, ValueError)):  # an internal error: log it and keep the list
                 log.exception("fault")
             # An invalid response would come again; a full list replaces it.
             self.need_full_list |= isinstance(error, ListError)
--- a/cottonspread/net/workers.py
+++ b/cottonspread/net/workers.py
@@ -22,14 +22,17 @@
 
 log = logging.getLogger("cottonspread.workers")
 
-STACK_SIZE = 128 * 1024  # of each end's thread
-# of the few others: parsing JSON nested a thousand levels deep needs over 128 KiB and would crash the process
+STACK_SIZE = 128 * 1024  # bytes, for the thread of each connection end
+# For the few other threads: parsing JSON nested a thousand levels deep needs over 128 KiB, and a stack
+# overflow would crash the process.
 LARGE_STACK_SIZE = 1024 * 1024
 PARTIAL_LINE_TIMEOUT = 5  # seconds; a blocking read checks at this interval whether a partial line is too old
 RCVTIMEO = struct.pack("ll", PARTIAL_LINE_TIMEOUT, 0)
-# bytes and seconds: how much input of a connection being closed is discarded without a pause
+# After discarding DISCARD_BURST bytes from a connection that is being closed, a thread pauses for
+# DISCARD_PAUSE seconds.
 DISCARD_BURST, DISCARD_PAUSE = 64 * 1024, 0.05
-# bytes discarded in total, then milliseconds to wait until the reducer shuts the connection down
+# Bytes discarded in total; then the thread waits this many milliseconds for the reducer to shut the
+# connection down.
 MAX_DISCARDED, CUT_TIMEOUT_MS = 1024 * 1024, 2000
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)
 
@@ -88,7 +91,7 @@
                     if isinstance(order, ev.DiscardInput)
                     else self.connect(order)
                 )
-            except Exception:  # a bug of ours: log it and end the connection
+            except Exception:  # an internal error: log it and end the connection
                 log.exception("fault", extra={"pairs": {"while": type(order).__name__}})
                 result = (
                     ev.ConnectDone(self.end, False)
