--- a/benchmarks/crossings/mutants.py
+++ b/benchmarks/crossings/mutants.py
@@ -192,21 +192,21 @@
     ),
     (
         "BUSY after SIGTERM",
-        "net/reducer.py",
+        "net/drain.py",
         '            return "stopping"\n',
         '            return ""\n',
         [f"{SHUTDOWN}::test_lines_read_after_the_stop_are_not_forwarded_and_earlier_calls_are_answered"],
     ),
     (
         "the last moment for answers",
-        "net/reducer.py",
-        "                self.end_leg(leg, Ending.TIMEOUT)  # and no other",
+        "net/drain.py",
+        "                self.reducer.end_leg(leg, Ending.TIMEOUT)  # and no other",
         "                pass  # and no other",
         [f"{SCENARIO}[stop_long_call]"],
     ),
     (
         "a stop is one stop",
-        "net/reducer.py",
+        "net/drain.py",
         "        if self.stopping:\n            return\n        # The platform",
         "        # The platform",
         [f"{SCENARIO}[stop_twice]"],
@@ -321,8 +321,9 @@
     (
         "one time for a call and its repeat",
         "net/http.py",
-        "# In what is left of the time: two silences, one behind the other, were waited out in full.\n",
-        "self.until = time.monotonic() + wait\n",
+        "                return self.exchange(path, body)\n        except",
+        "                self.deadline = time.monotonic() + timeout\n"
+        "                return self.exchange(path, body)\n        except",
         [f"{LIST}::test_a_retry_after_a_reset_does_not_extend_the_timeout"],
     ),
     (
@@ -336,7 +337,7 @@
         "a watch that is silent late",
         "net/http.py",
         "        self.sock.settimeout(self.time_left())\n        data",
-        "        self.sock.settimeout(None if self.rest == b'' else self.left())\n        data",
+        "        self.sock.settimeout(None if self.buffered == b'' else self.time_left())\n        data",
         [f"{LIST}::test_a_watch_that_hangs_after_answered_ones_times_out_and_is_repeated"],
     ),
     (
