--- a/tests/crossings/conftest.py
+++ b/tests/crossings/conftest.py
@@ -10,9 +10,9 @@
 
 @pytest.fixture
 def hosts():
-    made = [Host("s-1"), Host("s-2")]
-    yield made
-    for host in made:
+    created = [Host("s-1"), Host("s-2")]
+    yield created
+    for host in created:
         host.close()
 
 
--- a/tests/crossings/stubs.py
+++ b/tests/crossings/stubs.py
@@ -95,8 +95,8 @@
             pass
 
 
-def ok(said, extra=b""):
-    body = json.dumps(said).encode()
+def ok(value, extra=b""):
+    body = json.dumps(value).encode()
     return b"HTTP/1.1 200 OK\r\n%sContent-Length: %d\r\n\r\n%s" % (extra, len(body), body)
 
 
@@ -182,9 +182,9 @@
 
     def broken(self):
         """Whether a reset was received. On loopback it has arrived when the send that caused it returns."""
-        look = select.poll()
-        look.register(self.sock, 0)
-        return any(ready & select.POLLERR for _, ready in look.poll(0))
+        poller = select.poll()
+        poller.register(self.sock, 0)
+        return any(ready & select.POLLERR for _, ready in poller.poll(0))
 
 
 class Gate:
@@ -198,19 +198,19 @@
         assert self.open.wait(WAIT)
 
 
-def delay_connects(monkeypatch, which=lambda nth: True):
-    """Delays the results of the connection attempts to hosts for which `which(nth)` is true until the
+def delay_connects(monkeypatch, selects=lambda nth: True):
+    """Delays the results of the connection attempts to hosts for which `selects(nth)` is true until the
     returned gate opens.
     """
-    gate, connect, numbers = Gate(), workers.Worker.connect, itertools.count(1)
+    gate, connect, attempts = Gate(), workers.Worker.connect, itertools.count(1)
 
-    def held(worker, order):
-        said = connect(worker, order)
-        if which(next(numbers)):
+    def delayed_connect(worker, order):
+        result = connect(worker, order)
+        if selects(next(attempts)):
             gate.wait()
-        return said
+        return result
 
-    monkeypatch.setattr(workers.Worker, "connect", held)
+    monkeypatch.setattr(workers.Worker, "connect", delayed_connect)
     return gate
 
 
@@ -276,19 +276,19 @@
         self.events, self.new = [], threading.Condition()
         step = node.step
 
-        def watched(event, at=0):
+        def recorded_step(event, at=0):
             effects = step(event, at)
             with self.new:
                 self.events.append(event)
                 self.new.notify_all()
             return effects
 
-        node.step = watched
+        node.step = recorded_step
 
-    def wait(self, kind, test=lambda event: True):
+    def wait(self, kind, matches=lambda event: True):
         with self.new:
             assert self.new.wait_for(
-                lambda: any(isinstance(e, kind) and test(e) for e in self.events), WAIT
+                lambda: any(isinstance(e, kind) and matches(e) for e in self.events), WAIT
             ), f"no {kind.__name__}"
 
 
@@ -306,14 +306,14 @@
         assert node.join(WAIT)
 
 
-def wait_until(true, what):
+def wait_until(condition, message):
     """Polls until the condition is true, for what no event reports."""
     gate = threading.Event()
     for _ in range(WAIT * 200):
-        if true():
+        if condition():
             return
         gate.wait(0.005)
-    raise AssertionError(what)
+    raise AssertionError(message)
 
 
 def serve(hosts):
@@ -326,8 +326,8 @@
 
 def establish(node, hosts):
     """Opens a connection: (the client's side, the host's side)."""
-    one = client(node, open_line(1))
+    conn = client(node, open_line(1))
     peer = serve(hosts)
     peer.send_lines(b"UP r")
-    assert one.read_line() == b"UP r"
-    return one, peer
+    assert conn.read_line() == b"UP r"
+    return conn, peer
--- a/tests/crossings/test_attempts.py
+++ b/tests/crossings/test_attempts.py
@@ -31,9 +31,9 @@
 
     with running(list_server, before) as node:
         wait_for_list(node)
-        one = client(node, open_line(1))
+        conn = client(node, open_line(1))
         assert gate.reached.wait(10)
-        one.close(how)
+        conn.close(how)
         wait_until(
             lambda: any(workers.peer_closed(w.sock) for w in list(node.workers.live) if w.end.is_client),
             "the client's end has not arrived",
@@ -68,8 +68,8 @@
         assert gate.reached.wait(10)
         clients = [client(node, open_line(n)) for n in range(150)]
         wait_until(lambda: len(node.workers.live) == len(clients), "not all accepted")
-        for one in clients:
-            one.close()
+        for conn in clients:
+            conn.close()
         gate.open.set()
         wait_until(lambda: sum(node.end_reasons.values()) == len(clients), "not all ended")
         for host in hosts:
@@ -88,7 +88,7 @@
     gate = delay_connects(monkeypatch, lambda nth: nth == 1)
     with running(list_server) as node:
         wait_for_list(node)
-        one = client(node, open_line(1))
+        conn = client(node, open_line(1))
         assert gate.reached.wait(10)
         first, other = sorted(hosts, key=lambda h: not h.has_connection())
         list_server.change(first, "Terminating")
@@ -98,7 +98,7 @@
         peer = other.accept()
         assert peer.read_line().startswith(b"OPEN 00000001 ")
         peer.send_lines(b"UP r")
-        assert one.read_line() == b"UP r"
+        assert conn.read_line() == b"UP r"
         peer.close()
 
 
@@ -110,7 +110,7 @@
     gate = delay_connects(monkeypatch, lambda nth: nth == 2)
     with running(list_server) as node:
         wait_for_list(node)
-        one = client(node, open_line(1, "marked"))
+        conn = client(node, open_line(1, "marked"))
         first = next(
             h
             for h in hosts
@@ -118,15 +118,15 @@
             and h.has_connection()
         )
         peer = first.accept()
-        began = node.clock.now()
+        started_at = node.clock.now()
         assert peer.read_line().startswith(b"OPEN ")
         peer.close("reset")
         assert gate.reached.wait(10)
-        wait_until(lambda: node.clock.now() - began > 450_000, "the clock does not advance")
+        wait_until(lambda: node.clock.now() - started_at > 450_000, "the clock does not advance")
         gate.open.set()
         other = next(h for h in hosts if h is not first)
         assert other.accept().read_all() == b""
-        assert one.read_line().startswith(
+        assert conn.read_line().startswith(
             b"BUSY"
         )  # all hosts recognise repeats: the client may safely try again
 
@@ -150,7 +150,7 @@
 ):
     with running(list_server) as node:
         wait_for_list(node)
-        one = client(node, open_line(1, "once"))
+        conn = client(node, open_line(1, "once"))
         wait_until(lambda: any(h.has_connection() for h in hosts), "no connection has arrived")
         first, other = sorted(hosts, key=lambda h: not h.has_connection())
         peer = first.accept()
@@ -158,13 +158,13 @@
         peer.sock.sendall(answer)
         peer.end()
         if ran:
-            assert one.read_line() == b"ERR" and one.read_line() == b""
+            assert conn.read_line() == b"ERR" and conn.read_line() == b""
             assert not other.has_connection()
         else:
             second = other.accept()
             assert second.read_line().startswith(b"OPEN ")
             second.send_lines(b"UP r")
-            assert one.read_line() == b"UP r"
+            assert conn.read_line() == b"UP r"
             second.close()
         peer.close()
 
@@ -174,12 +174,12 @@
     with running(list_server) as node:
         wait_for_list(node)
         for n in range(3):  # the hosts take turns, so the dead one is tried first for one of them
-            one = client(node, open_line(n, "once"))
+            conn = client(node, open_line(n, "once"))
             peer = hosts[1].accept()
             assert peer.read_line().startswith(b"OPEN ")
             peer.send_lines(b"UP r")
-            assert one.read_line() == b"UP r"
-            one.close()
+            assert conn.read_line() == b"UP r"
+            conn.close()
             assert peer.read_all() == b""
         assert node.reducer.counters.answers["success", "once"] == 3
 
@@ -197,19 +197,19 @@
 
     with running(list_server, before) as node:
         wait_for_list(node)
-        one = client(node, open_line(1, "once", wait=300))
+        conn = client(node, open_line(1, "once", wait=300))
         peer = serve(hosts)
         assert peer.line.startswith(b"OPEN ")
         node.post_urgent(ev.ReloadRejected())
         assert gate.reached.wait(10)
-        began = node.clock.now()
+        started_at = node.clock.now()
         peer.send_lines(b"UP r")
-        wait_until(lambda: node.clock.now() - began > 400_000, "the clock does not advance")
+        wait_until(lambda: node.clock.now() - started_at > 400_000, "the clock does not advance")
         gate.open.set()
-        answer = one.read_line()
+        answer = conn.read_line()
         assert answer in (b"UP r", b"ERR", b"BUSY")
         if answer != b"UP r":
-            assert one.read_line() == b"" and peer.read_all() == b""
+            assert conn.read_line() == b"" and peer.read_all() == b""
 
 
 @pytest.mark.parametrize("kind", ("plain", "once", "marked"))
@@ -221,7 +221,7 @@
     gate = delay_connects(monkeypatch, lambda nth: nth == 1)
     with running(list_server) as node:
         wait_for_list(node)
-        one = client(node, open_line(1, kind))
+        conn = client(node, open_line(1, kind))
         assert gate.reached.wait(10)
         first, other = sorted(hosts, key=lambda h: not h.has_connection())
         first.accept().close("reset")
@@ -229,7 +229,7 @@
         peer = other.accept()
         assert peer.read_line().startswith(b"OPEN 00000001 ")
         peer.send_lines(b"UP r")
-        assert one.read_line() == b"UP r"
+        assert conn.read_line() == b"UP r"
         peer.close()
 
 
@@ -238,13 +238,13 @@
     """The host's kernel had received the whole line: a call that must not run twice fails without a retry."""
     with running(list_server) as node:
         wait_for_list(node)
-        one = client(node, open_line(1, "once"))
+        conn = client(node, open_line(1, "once"))
         wait_until(lambda: any(h.has_connection() for h in hosts), "no connection has arrived")
         first, other = sorted(hosts, key=lambda h: not h.has_connection())
         peer = first.accept()
         node.seen.wait(ev.WriteDone, lambda e: not e.end.is_client)
         peer.close(how)
-        assert one.read_line() == b"ERR" and one.read_line() == b""
+        assert conn.read_line() == b"ERR" and conn.read_line() == b""
         assert not other.has_connection()
 
 
@@ -261,8 +261,8 @@
         wait_for_list(node)
         clients = [client(node) if n % 2 else client(node, open_line(n)) for n in range(20)]
         assert gate.reached.wait(10)
-        for one in clients:
-            one.close("reset")
+        for conn in clients:
+            conn.close("reset")
         gate.open.set()
         last = client(node, open_line(99))  # last in the listener's queue: the others have all been accepted
         while not (peer := serve(hosts)).line:  # a connection was opened and nothing was sent on it
@@ -311,10 +311,10 @@
             client(node, open_line(n, ("plain", "once", "marked")[n % 3], wait=300 + 40 * (n % 10)))
             for n in range(60)
         ]
-        for one in clients:
-            assert one.read_line().split()[:1] in ([b"BUSY"], [b"ERR"])
-            assert one.read_line() == b""
-            one.close()
+        for conn in clients:
+            assert conn.read_line().split()[:1] in ([b"BUSY"], [b"ERR"])
+            assert conn.read_line() == b""
+            conn.close()
         assert sum(node.end_reasons.values()) <= 60 and not node.end_reasons["overdue"]
         wait_until(lambda: sum(node.end_reasons.values()) == 60, "not all ended")
         assert not node.end_reasons["overdue"]
--- a/tests/crossings/test_floods.py
+++ b/tests/crossings/test_floods.py
@@ -20,9 +20,9 @@
 from cottonspread.net.pool import BufferPool
 
 
-def call(address, word):
+def call(address, command):
     with socket.create_connection(address, timeout=1) as sock:  # operators wait that long
-        sock.sendall(word + b"\n")
+        sock.sendall(command + b"\n")
         return sock.makefile("rb").read()
 
 
@@ -33,25 +33,25 @@
     """
     list_server, back = ListServer().add(*hosts), threading.Event()
 
-    def down(one):
+    def down(request):
         assert back.wait(WAIT)
-        one.reset()
+        request.reset()
 
     for _ in range(2):
         list_server.scripted.put(down)
     more = {"known": [hosts[0].entry | {"lifecycle": "Ready"}]} if known else {}
     with running(list_server, sockets=96, operator="127.0.0.1:0", **more) as node:
-        operators = node.admin.listener.getsockname()
+        operator_address = node.admin.listener.getsockname()
         idle = [client(node) for _ in range(300)]
-        assert call(operators, b"counters").startswith(b"200 ")
+        assert call(operator_address, b"counters").startswith(b"200 ")
         assert len(node.workers.live) <= node.max_sockets + 32
         back.set()
         wait_for_list(node, 1)
         for n in range(5):
-            assert call(operators, b"health") == b"200 yes\n"
+            assert call(operator_address, b"health") == b"200 yes\n"
             # idle clients are ahead of it in the listener's queue, and like any client it tries again
             for _ in range(100):
-                one = client(node, open_line(n))
+                conn = client(node, open_line(n))
                 wait_until(
                     lambda: (
                         any(h.has_connection() for h in hosts)
@@ -63,15 +63,15 @@
                 if any(h.has_connection() for h in hosts):
                     break
                 node.end_reasons.clear()
-                one.close()
+                conn.close()
             peer = next(h for h in hosts if h.has_connection()).accept()
             assert peer.read_line().startswith(b"OPEN ")
             peer.send_lines(b"UP r")
-            assert one.read_line() == b"UP r"
-            one.close()
+            assert conn.read_line() == b"UP r"
+            conn.close()
             assert peer.read_all() == b""
-        for one in idle:
-            one.close()
+        for conn in idle:
+            conn.close()
         wait_until(lambda: not node.reducer.conns and not node.workers.live, "a descriptor is kept")
 
 
@@ -81,18 +81,18 @@
     """
     with running(list_server, sockets=96) as node:
         wait_for_list(node)
-        crowd = [client(node) for _ in range(200)]
-        for one in crowd[::2]:
-            one.sock.sendall(b"OPEN half-")
-        usual = client(node, open_line(1))
+        silent = [client(node) for _ in range(200)]
+        for conn in silent[::2]:
+            conn.sock.sendall(b"OPEN half-")
+        caller = client(node, open_line(1))
         peer = serve(hosts)
         peer.send_lines(b"UP r")
-        assert usual.read_line() == b"UP r"
-        came = [event for event in node.seen.events if isinstance(event, ev.ClientAccepted)]
-        assert len(came) == 1
+        assert caller.read_line() == b"UP r"
+        accepted = [event for event in node.seen.events if isinstance(event, ev.ClientAccepted)]
+        assert len(accepted) == 1
         assert client(node, b"PING").read_line() == b"PONG"
-        for one in crowd:
-            one.close()
+        for conn in silent:
+            conn.close()
         peer.close()
 
 
@@ -100,9 +100,9 @@
     with running(list_server) as node:
         wait_for_list(node)
         for n in range(60):
-            one = client(node)
+            conn = client(node)
             with contextlib.suppress(OSError):
-                one.sock.sendall(
+                conn.sock.sendall(
                     [
                         b"x" * 20_000,
                         b"OPEN\r\n" * 3000,
@@ -110,26 +110,26 @@
                         b"PING\r\n" * 500,
                     ][n % 4]
                 )
-            one.close("reset" if n % 3 else "close")
+            conn.close("reset" if n % 3 else "close")
         wait_until(lambda: not node.reducer.conns and not node.workers.live, "a descriptor is kept")
         assert not any(h.has_connection() and h.accept().read_all() for h in hosts)
-        one = client(node, b"PING")
-        assert one.read_line() == b"PONG"
+        conn = client(node, b"PING")
+        assert conn.read_line() == b"PONG"
 
 
 @pytest.mark.parametrize("size", (1, 2, 3))
 def test_a_first_line_may_arrive_in_pieces(hosts, list_server, size):
     with running(list_server) as node:
         wait_for_list(node)
-        one, line = client(node), open_line(1) + b"\r\n"
+        conn, line = client(node), open_line(1) + b"\r\n"
         for at in range(0, len(line), size):
-            one.sock.sendall(line[at : at + size])
+            conn.sock.sendall(line[at : at + size])
         wait_until(lambda: any(h.has_connection() for h in hosts), "no connection")
         peer = next(h for h in hosts if h.has_connection()).accept()
         assert peer.read_line().startswith(b"OPEN 00000001 ")
         for at in range(0, 6, size):
             peer.sock.sendall(b"UP r\r\n"[at : at + size])
-        assert one.read_line() == b"UP r"
+        assert conn.read_line() == b"UP r"
         peer.close()
 
 
@@ -146,8 +146,8 @@
 )
 def test_any_first_line_is_parsed_or_rejected(line):
     try:
-        read = lines.parse_open(line.split(b"\n")[0] + b"\n", NAMES.types, {}, True, 10_000_000)
-        assert 0 <= read.timeout <= 10_000_000 and read.type == 0 and not set(read.id) & set(" \r\n\0")
+        parsed = lines.parse_open(line.split(b"\n")[0] + b"\n", NAMES.types, {}, True, 10_000_000)
+        assert 0 <= parsed.timeout <= 10_000_000 and parsed.type == 0 and not set(parsed.id) & set(" \r\n\0")
     except lines.LineError as error:
         assert str(error)
 
@@ -167,13 +167,13 @@
     data = b"OPEN a b c=d,d=1\r\nM 1 \x00\xff\r\n" + tail.replace(b"\n", b"") + b"\r\n"
     ours, theirs = socket.socketpair()
     with ours, theirs:
-        line_reader, got, at = lines.LineReader(ours, BufferPool(), 1), b"", 0
+        line_reader, received, at = lines.LineReader(ours, BufferPool(), 1), b"", 0
         for cut in cuts + [len(data)]:
             theirs.sendall(data[at : at + cut])
             at = min(len(data), at + cut)
-            while data.rfind(b"\n", 0, at) + 1 > len(got):
-                got += line_reader.read_lines()
-        assert got == data and line_reader.buffer is None
+            while data.rfind(b"\n", 0, at) + 1 > len(received):
+                received += line_reader.read_lines()
+        assert received == data and line_reader.buffer is None
 
 
 JSON = st.recursive(
@@ -205,9 +205,9 @@
 
 @profile(max_examples=300, deadline=None)
 @given(JSON, JSON)
-def test_any_json_is_a_list_or_rejected(said, instance):
-    for one in (
-        said,
+def test_any_json_is_a_list_or_rejected(value, instance):
+    for response in (
+        value,
         {
             "generation": 1,
             "reset": True,
@@ -219,9 +219,9 @@
         },
     ):
         try:
-            version, listed_now, addresses, unread = discovery.read_list(one, NAMES)
-            assert isinstance(version, int) and len(unread) + len(listed_now.entries) >= 0
-            assert all(entry.host in addresses for entry in listed_now.entries if entry.state.value != "gone")
+            version, update, addresses, invalid = discovery.read_list(response, NAMES)
+            assert isinstance(version, int) and len(invalid) + len(update.entries) >= 0
+            assert all(entry.host in addresses for entry in update.entries if entry.state.value != "gone")
         except discovery.ListError:
             pass
 
@@ -267,7 +267,7 @@
     http = HttpClient(("127.0.0.1", 1), 1)
     http.sock = ours
 
-    def drip():
+    def send_headers():
         try:
             theirs.sendall(b"HTTP/1.1 200 OK\r\n")
             while True:
@@ -275,7 +275,7 @@
         except OSError:
             pass
 
-    thread = threading.Thread(target=drip, daemon=True)
+    thread = threading.Thread(target=send_headers, daemon=True)
     thread.start()
     with pytest.raises(ResponseError):
         http.get("/", WAIT)
@@ -313,30 +313,30 @@
 )
 def test_invalid_settings_stop_the_start_and_change_nothing_at_sighup(list_server, tmp_path, capsys, change):
     file = tmp_path / "node.json"
-    whole = {
+    values = {
         "name": "n",
         "listen": "127.0.0.1:0",
         "discovery": "{}:{}".format(*list_server.address),
         "settings": SETTINGS | change,
     }
-    file.write_text(json.dumps(whole))
+    file.write_text(json.dumps(values))
     assert cli.main(["check", "--config", str(file)]) == 2
-    said = capsys.readouterr().err
-    assert said.startswith("cottonspread: settings.") and said.count("\n") == 1
+    output = capsys.readouterr().err
+    assert output.startswith("cottonspread: settings.") and output.count("\n") == 1
     with running(list_server) as node:
         wait_for_list(node)
-        begin, told_before = node.reducer.config, len(node.seen.events)
+        config_before, events_before = node.reducer.config, len(node.seen.events)
         active = type(
             "Force",
             (),
             {
-                "values": json.loads(json.dumps(whole)),
-                "read": lambda self: (whole, cli.node.read_text(json.dumps(whole))),
+                "values": json.loads(json.dumps(values)),
+                "read": lambda self: (values, cli.node.read_text(json.dumps(values))),
             },
         )()
         cli.node.reload(node, active)
         node.seen.wait(ev.ReloadRejected)
-        assert node.reducer.config is begin and len(node.seen.events) > told_before
+        assert node.reducer.config is config_before and len(node.seen.events) > events_before
 
 
 def test_names_may_contain_any_allowed_character(hosts):
@@ -353,11 +353,11 @@
     ) as node:
         wait_for_list(node)
         for n, name in enumerate(["7", "a.b/c:d", "x%20y", "c"]):
-            one = client(node, open_line(n, name, t="0"))
+            conn = client(node, open_line(n, name, t="0"))
             wait_until(lambda: any(h.has_connection() for h in hosts), f"{name} was not sent on")
             peer = next(h for h in hosts if h.has_connection()).accept()
             assert f"c={name}," in peer.read_line().decode()
             peer.send_lines(b"UP r")
-            assert one.read_line() == b"UP r"
-            one.close()
+            assert conn.read_line() == b"UP r"
+            conn.close()
             assert peer.read_all() == b""
--- a/tests/crossings/test_handover.py
+++ b/tests/crossings/test_handover.py
@@ -35,13 +35,13 @@
 
 def test_a_connection_sent_completely_is_the_successors_even_if_the_sender_died():
     accepted, others = receive_after_sender_died(MESSAGE)
-    ((connection, *mine),) = accepted
+    ((connection, *sockets),) = accepted
     assert connection.id == "id"
-    for one, other in zip(mine, others, strict=True):
+    for sock, other in zip(sockets, others, strict=True):
         other.settimeout(WAIT)
-        one.sendall(b"M 1\r\n")
+        sock.sendall(b"M 1\r\n")
         assert other.recv(10) == b"M 1\r\n"
-        one.close()
+        sock.close()
         other.close()
 
 
--- a/tests/crossings/test_list.py
+++ b/tests/crossings/test_list.py
@@ -30,12 +30,12 @@
 from cottonspread.net.http import HttpClient
 
 MAX_DELAY = 6.0 / 10
-ROOM = 0.25  # seconds, for a machine that is busy with other tests; the bound itself is computed below
+MARGIN = 0.25  # seconds, for a machine that is busy with other tests; the bound itself is computed below
 
 
 @pytest.fixture
 def scaled(monkeypatch):
-    one = discovery.Discovery
+    cls = discovery.Discovery
     for name in (
         "WATCH_TIMEOUT_MS",
         "WATCH_MARGIN",
@@ -46,18 +46,18 @@
         "MAX_RETRY_DELAY",
     ):
         monkeypatch.setattr(
-            one, name, getattr(one, name) / 10 if name != "WATCH_TIMEOUT_MS" else one.WATCH_TIMEOUT_MS // 10
+            cls, name, getattr(cls, name) / 10 if name != "WATCH_TIMEOUT_MS" else cls.WATCH_TIMEOUT_MS // 10
         )
 
 
 def test_the_worst_case_delay_of_a_change_is_below_6_s_with_a_margin_for_the_node():
     """A request that hung just before, the retry delay, then a slow connection and a slow response."""
-    one = discovery.Discovery
-    longest_call = max(one.WATCH_TIMEOUT_MS / 1000 + one.WATCH_MARGIN, one.FULL_LIST_TIMEOUT)
-    pushed = longest_call + one.MAX_RETRY_DELAY + one.CONNECT_TIMEOUT
-    asked = 4.5 + one.CONNECT_TIMEOUT  # from the start of a request that failed: Membership.MAX_POLL_GAP
-    assert max(pushed, asked) <= 5.0
-    assert longest_call < 4.5
+    cls = discovery.Discovery
+    longest_request = max(cls.WATCH_TIMEOUT_MS / 1000 + cls.WATCH_MARGIN, cls.FULL_LIST_TIMEOUT)
+    watched = longest_request + cls.MAX_RETRY_DELAY + cls.CONNECT_TIMEOUT
+    polled = 4.5 + cls.CONNECT_TIMEOUT  # from the start of a request that failed: Membership.MAX_POLL_GAP
+    assert max(watched, polled) <= 5.0
+    assert longest_request < 4.5
 
 
 def next_watch(list_server):
@@ -115,10 +115,10 @@
 @pytest.mark.parametrize("times", (1, 2))
 def test_a_change_after_a_failed_request_is_known_in_time(hosts, list_server, scaled, fault, times):
     """The change is made once the fault has occurred; from then on discovery is reachable."""
-    struck = threading.Semaphore(0)
+    occurred = threading.Semaphore(0)
 
     def script(request):
-        struck.release()
+        occurred.release()
         fault(request)
 
     with running(list_server) as node:
@@ -127,19 +127,19 @@
             list_server.scripted.put(script)
         list_server.change(hosts[1], "Ready")  # ends the current watch: the next request meets the fault
         for _ in range(times):
-            assert struck.acquire(timeout=WAIT)
-        began = time.monotonic()
+            assert occurred.acquire(timeout=WAIT)
+        started_at = time.monotonic()
         list_server.change(hosts[0], "Terminating")
         wait_for_list(node, list_server.version)
-        assert time.monotonic() - began < MAX_DELAY + ROOM
+        assert time.monotonic() - started_at < MAX_DELAY + MARGIN
         assert all(e.update.entries for e in node.seen.events if isinstance(e, ev.ListReceived)), (
             "a bad response must not remove any server"
         )
-        one = client(node, open_line(1))
+        conn = client(node, open_line(1))
         peer = hosts[1].accept()
         assert peer.read_line().startswith(b"OPEN ") and not hosts[0].has_connection()
         peer.close()
-        one.close()
+        conn.close()
 
 
 @pytest.mark.parametrize("size", (1, 7))
@@ -161,12 +161,12 @@
 
 
 def test_a_list_slower_than_the_timeout_is_requested_again(hosts, list_server, scaled):
-    def drips(request):
+    def send_slowly(request):
         for byte in ok(list_server.full_list()):
             request.send(bytes([byte]))
             time.sleep(0.01)  # slower than any request may take; no assertion depends on this time
 
-    list_server.scripted.put(drips)
+    list_server.scripted.put(send_slowly)
     with running(list_server) as node:
         wait_for_list(node)
         assert len(node.reducer.entries) == 2
@@ -185,8 +185,8 @@
     with running(list_server) as node:
         wait_for_list(node)
         assert len(node.reducer.entries) == 2
-        heard = [e for e in node.seen.events if isinstance(e, ev.ListReceived)]
-        assert all(len(e.update.entries) in (0, 2) for e in heard)
+        received = [e for e in node.seen.events if isinstance(e, ev.ListReceived)]
+        assert all(len(e.update.entries) in (0, 2) for e in received)
 
 
 def test_a_new_process_asks_discovery_before_it_uses_its_initial_list(hosts, list_server):
@@ -208,11 +208,11 @@
         gate.set()
         wait_for_list(node)
         assert client(node, b"PING").read_line() == b"PONG"
-        one = client(node, open_line(2))
+        conn = client(node, open_line(2))
         peer = hosts[1].accept()
         assert peer.read_line().startswith(b"OPEN ") and not hosts[0].has_connection()
         peer.close()
-        one.close()
+        conn.close()
 
 
 @pytest.mark.parametrize("fault", (silent, reset, refused, garbage), ids=lambda f: f.__name__)
@@ -221,11 +221,11 @@
     with running(list_server, known=[hosts[0].entry | {"lifecycle": "Ready"}]) as node:
         wait_until(lambda: node.reducer.has_hosts, "not ready")
         assert client(node, b"PING").read_line() == b"PONG"
-        one = client(node, open_line(1))
+        conn = client(node, open_line(1))
         peer = hosts[0].accept()
         assert peer.read_line().startswith(b"OPEN ")
         peer.close()
-        one.close()
+        conn.close()
 
 
 @pytest.mark.parametrize("fault", [silent, half_body, refused], ids=lambda f: f.__name__)
@@ -235,10 +235,10 @@
     """During a hanging request, during a retry delay (a minute here), and twice in a row."""
     monkeypatch.setattr(discovery.Discovery, "RETRY_DELAY", 60.0)
     monkeypatch.setattr(discovery.Discovery, "MAX_RETRY_DELAY", 60.0)
-    extra, struck = Host("s-3"), threading.Event()
+    extra, occurred = Host("s-3"), threading.Event()
 
     def script(request):
-        struck.set()
+        occurred.set()
         fault(request)
 
     second, third = ListServer(version=40).add(hosts[0]), ListServer(version=3).add(*hosts, extra)
@@ -246,7 +246,7 @@
         wait_for_list(node)
         list_server.scripted.put(script)
         list_server.change(hosts[1], "Ready")
-        assert struck.wait(WAIT)
+        assert occurred.wait(WAIT)
         if fault is refused:  # the retry delay has begun
             node.seen.wait(ev.ListFailed)
         node.change_discovery(second.address)
@@ -261,18 +261,18 @@
 
 def test_a_503_on_a_reused_connection_is_not_retried(hosts, list_server, scaled):
     """A 503 was taken for a connection closed while idle: an overloaded discovery got each request twice."""
-    paths, struck = [], threading.Event()
+    paths, occurred = [], threading.Event()
 
     def script(request):
         paths.append(request.path)
-        struck.set()
+        occurred.set()
         refused(request)
 
     with running(list_server) as node:
         wait_for_list(node)
         list_server.scripted.put(script)
         list_server.change(hosts[1], "Ready")
-        assert struck.wait(WAIT)
+        assert occurred.wait(WAIT)
         node.seen.wait(ev.ListFailed)
         assert len(paths) == 1
         list_server.change(hosts[0], "Terminating")
@@ -297,25 +297,25 @@
     """The list's thread switches right after the first half of `change_address`: the request to the new
     address was aborted in place of the old one, and the new address was never used again.
     """
-    second, made, follow = (
+    second, switched, set_attribute = (
         ListServer(version=40).add(hosts[1]),
         threading.Event(),
         discovery.Discovery.__setattr__,
     )
 
-    def setting(self, name, value):
-        follow(self, name, value)
-        if name == "target" and hasattr(self, "wake") and not made.is_set():
-            made.set()
+    def set_and_switch(self, name, value):
+        set_attribute(self, name, value)
+        if name == "target" and hasattr(self, "wake") and not switched.is_set():
+            switched.set()
             list_server.change(hosts[0], "Ready")
             wait_until(lambda: self.http is value, "the thread does not move")
 
     with running(list_server) as node:
         wait_for_list(node)
-        monkeypatch.setattr(discovery.Discovery, "__setattr__", setting)
+        monkeypatch.setattr(discovery.Discovery, "__setattr__", set_and_switch)
         node.change_discovery(second.address)
         monkeypatch.undo()
-        assert made.is_set()
+        assert switched.is_set()
         wait_for_list(node, 40)
         second.change(hosts[0], "Ready")
         wait_for_list(node, 41)
@@ -360,11 +360,11 @@
 
     for script in (first, second, third):
         list_server.scripted.put(script)
-    one = HttpClient(list_server.address, 0.5)
-    one.get("/", 3.0)
+    http_client = HttpClient(list_server.address, 0.5)
+    http_client.get("/", 3.0)
     with pytest.raises(TimeoutError):
-        one.get("/", 3.0)
-    assert len(requests) <= 2 and one.deadline == 3.0
+        http_client.get("/", 3.0)
+    assert len(requests) <= 2 and http_client.deadline == 3.0
 
 
 class Clock:
@@ -383,13 +383,13 @@
     """A watch hangs on an old connection, and a server starts draining: the watch is repeated on a new
     connection.
     """
-    silences = []
+    hung_requests = []
 
     def no_news(request):
         request.send(ok({"generation": list_server.version, "reset": False, "instances": []}))
 
-    def falls_silent(request):
-        silences.append(request)
+    def hang(request):
+        hung_requests.append(request)
         list_server.change(hosts[0], "Terminating")
         request.hold()
 
@@ -397,17 +397,17 @@
         wait_for_list(node)
         for _ in range(answered):
             list_server.scripted.put(no_news)
-        list_server.scripted.put(falls_silent)
+        list_server.scripted.put(hang)
         list_server.change(hosts[1], "Ready")
         node.seen.wait(
-            ev.ListReceived, lambda e: any(one.state is io.HostState.DRAINING for one in e.update.entries)
+            ev.ListReceived, lambda e: any(entry.state is io.HostState.DRAINING for entry in e.update.entries)
         )
-        assert len(silences) == 1
-        one = client(node, open_line(1))
+        assert len(hung_requests) == 1
+        conn = client(node, open_line(1))
         peer = hosts[1].accept()
         assert peer.read_line().startswith(b"OPEN ") and not hosts[0].has_connection()
         peer.close()
-        one.close()
+        conn.close()
 
 
 def ready(host, **changed):
@@ -436,17 +436,17 @@
     gate = delay_connects(monkeypatch, lambda nth: nth == 1)
     with running(list_server) as node:
         wait_for_list(node)
-        one = client(node, open_line(1, "once"))
+        conn = client(node, open_line(1, "once"))
         assert gate.reached.wait(WAIT)
         first, other = sorted(hosts, key=lambda h: not h.has_connection())
-        whole = ok({"generation": 40, "reset": True, "instances": kind(first, other)})
+        response = ok({"generation": 40, "reset": True, "instances": kind(first, other)})
         if reload:
             second = ListServer(version=40)
-            second.scripted.put(lambda request: request.send(whole))
+            second.scripted.put(lambda request: request.send(response))
             node.change_discovery(second.address)
         else:
             list_server.scripted.put(
-                lambda request: (setattr(list_server, "version", 40), request.send(whole))
+                lambda request: (setattr(list_server, "version", 40), request.send(response))
             )
             list_server.change(other, "Ready")  # ends the current watch
         wait_for_list(node, 40)
@@ -455,5 +455,5 @@
         peer = other.accept()
         assert peer.read_line().startswith(b"OPEN 00000001 ")
         peer.send_lines(b"UP r")
-        assert one.read_line() == b"UP r"
+        assert conn.read_line() == b"UP r"
         peer.close()
--- a/tests/crossings/test_one_process.py
+++ b/tests/crossings/test_one_process.py
@@ -14,7 +14,7 @@
 from stubs import WAIT, Peer, open_line, serve, settings
 
 ROOT = Path(__file__).parent.parent.parent
-WATCHED = """
+AUDITED_PROGRAM = """
 import os, sys
 REFUSED = {"subprocess.Popen", "os.fork", "os.forkpty", "os.exec", "os.posix_spawn", "os.spawn", "os.system"}
 def watch(event, args):
@@ -38,36 +38,36 @@
     file = tmp_path / "node.json"
     file.write_text(json.dumps(json.loads(settings(list_server)) | {"listen": "{}:{}".format(*address)}))
     process = subprocess.Popen(
-        [sys.executable, "-c", WATCHED, "serve", "--config", str(file)],
+        [sys.executable, "-c", AUDITED_PROGRAM, "serve", "--config", str(file)],
         cwd=ROOT,
         stderr=subprocess.PIPE,
         text=True,
     )
-    said = []
+    log_lines = []
 
-    def log_until(word):
+    def wait_for_log(text):
         for line in process.stderr:
-            said.append(line)
-            if word in line:
+            log_lines.append(line)
+            if text in line:
                 return
-        raise AssertionError(f"ended without {word}: {said}")
+        raise AssertionError(f"ended without {text}: {log_lines}")
 
     try:
-        log_until("event=list news=full")
-        one = Peer(socket.create_connection(address, timeout=WAIT))
-        one.send_lines(open_line(1))
+        wait_for_log("event=list news=full")
+        conn = Peer(socket.create_connection(address, timeout=WAIT))
+        conn.send_lines(open_line(1))
         peer = serve(hosts)
         peer.send_lines(b"UP r")
-        assert one.read_line() == b"UP r"
+        assert conn.read_line() == b"UP r"
         process.send_signal(signal.SIGHUP)
-        log_until("event=reload")
+        wait_for_log("event=reload")
         process.send_signal(signal.SIGTERM)
-        rest = threading.Thread(target=lambda: said.extend(process.stderr), daemon=True)
-        rest.start()
-        assert one.read_line() == b"MOVE"
+        log_reader = threading.Thread(target=lambda: log_lines.extend(process.stderr), daemon=True)
+        log_reader.start()
+        assert conn.read_line() == b"MOVE"
         assert process.wait(WAIT) == 0
-        rest.join(WAIT)
-        assert not [line for line in said if line.startswith("REFUSED")]
+        log_reader.join(WAIT)
+        assert not [line for line in log_lines if line.startswith("REFUSED")]
     finally:
         process.kill()
         process.wait()
--- a/tests/crossings/test_pieces.py
+++ b/tests/crossings/test_pieces.py
@@ -31,16 +31,17 @@
         return b""
 
 
-def send_part(node, one, data):
+def send_part(node, conn, data):
     """Sends part of a line and waits until the node has received it."""
-    one.sock.sendall(data)
+    conn.sock.sendall(data)
 
     def received():
         readers = [worker.line_reader for worker in list(node.workers.live)]
-        pending = [waiting.sock for waiting in list(node.admission.pending.clients.values())]
-        return any(g and g.buffer is not None and bytes(g.buffer[: g.filled]) == data for g in readers) or (
-            any(unread(sock) == data for sock in pending)
-        )
+        pending = [client.sock for client in list(node.admission.pending.clients.values())]
+        return any(
+            reader and reader.buffer is not None and bytes(reader.buffer[: reader.filled]) == data
+            for reader in readers
+        ) or (any(unread(sock) == data for sock in pending))
 
     wait_until(received, "the part has not arrived")
 
@@ -52,12 +53,12 @@
 def test_a_first_line_completed_after_the_stop_is_answered_and_not_forwarded(hosts, list_server, cut):
     with running(list_server) as node:
         wait_for_list(node)
-        one = client(node)
-        send_part(node, one, LINE[:cut])
+        conn = client(node)
+        send_part(node, conn, LINE[:cut])
         node.stop()
         node.seen.wait(ev.StopRequested)
-        one.sock.sendall(LINE[cut:])
-        assert one.read_line().startswith(b"BUSY") and one.read_line() == b"" and not one.broken()
+        conn.sock.sendall(LINE[cut:])
+        assert conn.read_line().startswith(b"BUSY") and conn.read_line() == b"" and not conn.broken()
         assert not any(host.has_connection() for host in hosts)
         assert node.join(WAIT)
 
@@ -73,16 +74,16 @@
 def test_a_first_line_completed_after_a_reload_uses_the_new_settings(hosts, list_server, cut, known):
     with running(list_server) as node:
         wait_for_list(node)
-        one = client(node)
-        send_part(node, one, LINE[:cut])
+        conn = client(node)
+        send_part(node, conn, LINE[:cut])
         effect = {"once": "safe"}
         types = [
             t | {"Effect": effect.get(t["Name"], t["Effect"])} for t in TYPES if known or t["Name"] != "once"
         ]
         reload(node, list_server, TrafficTypes=types)
-        one.sock.sendall(LINE[cut:])
+        conn.sock.sendall(LINE[cut:])
         if not known:
-            assert one.read_line() == b"ERR" and one.read_line() == b""
+            assert conn.read_line() == b"ERR" and conn.read_line() == b""
             assert not any(host.has_connection() for host in hosts)
             return
         peer = serve(hosts)
@@ -90,7 +91,7 @@
         peer = serve(hosts)
         assert peer.line.startswith(b"OPEN 00000001 ")
         peer.send_lines(b"UP r")
-        assert one.read_line() == b"UP r"
+        assert conn.read_line() == b"UP r"
         peer.close()
 
 
@@ -98,11 +99,11 @@
 def test_a_first_line_completed_after_a_host_drains_goes_to_another_host(hosts, list_server, cut):
     with running(list_server) as node:
         wait_for_list(node)
-        one = client(node)
-        send_part(node, one, LINE[:cut])
+        conn = client(node)
+        send_part(node, conn, LINE[:cut])
         list_server.change(hosts[0], "Terminating")
         wait_for_list(node, list_server.version)
-        one.sock.sendall(LINE[cut:])
+        conn.sock.sendall(LINE[cut:])
         peer = hosts[1].accept()
         assert peer.read_line().startswith(b"OPEN 00000001 ") and not hosts[0].has_connection()
         peer.close()
@@ -112,11 +113,11 @@
 def test_part_of_a_first_line_is_not_forwarded_when_the_client_leaves(hosts, list_server, how):
     with running(list_server) as node:
         wait_for_list(node)
-        one = client(node)
-        send_part(node, one, LINE[:-1])
-        one.close(how)
+        conn = client(node)
+        send_part(node, conn, LINE[:-1])
+        conn.close(how)
         if how == "half":  # it may still read
-            assert one.read_all() in (b"ERR\r\n", b"BUSY\r\n", b"")
+            assert conn.read_all() in (b"ERR\r\n", b"BUSY\r\n", b"")
         wait_until(lambda: not node.reducer.conns and not node.workers.live, "a descriptor is still open")
         assert not any(host.has_connection() for host in hosts)
 
@@ -136,17 +137,17 @@
     """MOVE comes between two lines: no part of a line goes before it, nor to the host before its end."""
     with running(list_server) as node:
         wait_for_list(node)
-        one, peer = establish(node, hosts)
+        conn, peer = establish(node, hosts)
         if whose != "client":
             send_part(node, peer, b"M 1 half of a host's")
         if whose != "host":
-            send_part(node, one, b"M 1 half of a client's")
+            send_part(node, conn, b"M 1 half of a client's")
         end(node, list_server, hosts)
-        assert one.read_line() == b"MOVE" and one.read_line() == b""
+        assert conn.read_line() == b"MOVE" and conn.read_line() == b""
         assert peer.read_all() == b""
-        one.send_lines(b" line")  # the rest of the line, at the moment of the close
-        assert not one.broken()
-        one.close()
+        conn.send_lines(b" line")  # the rest of the line, at the moment of the close
+        assert not conn.broken()
+        conn.close()
         wait_until(lambda: not node.reducer.conns and not node.workers.live, "a descriptor is still open")
 
 
@@ -154,18 +155,18 @@
 def test_lines_sent_in_parts_by_both_sides_arrive_complete_and_in_order(hosts, list_server, size):
     with running(list_server) as node:
         wait_for_list(node)
-        one, peer = establish(node, hosts)
+        conn, peer = establish(node, hosts)
         lines = b"".join(b"M %d ab\r\n" % n for n in range(5))
         for at in range(0, len(lines), size):
-            one.sock.sendall(lines[at : at + size])
+            conn.sock.sendall(lines[at : at + size])
             peer.sock.sendall(lines[at : at + size])
         for n in range(5):
             assert peer.read_line() == b"M %d ab" % n
-            assert one.read_line() == b"M %d ab" % n
+            assert conn.read_line() == b"M %d ab" % n
         peer.send_lines(b"BYE")
         peer.end()
-        assert one.read_line() == b"BYE" and one.read_line() == b""
-        one.close()
+        assert conn.read_line() == b"BYE" and conn.read_line() == b""
+        conn.close()
 
 
 def test_small_writes_are_sent_at_once(hosts, list_server):
@@ -175,9 +176,9 @@
     """
     with running(list_server) as node:
         wait_for_list(node)
-        one, peer = establish(node, hosts)
+        conn, peer = establish(node, hosts)
         ends = list(node.workers.live)
         assert len(ends) == 2
         assert all(worker.sock.getsockopt(6, 1) for worker in ends)  # IPPROTO_TCP, TCP_NODELAY
         peer.close()
-        one.close()
+        conn.close()
--- a/tests/crossings/test_shutdown.py
+++ b/tests/crossings/test_shutdown.py
@@ -42,12 +42,12 @@
     assert peer.read_line() == b"" and not peer.broken()
 
 
-def at_the_end(monkeypatch, node, what):
-    """Calls `what` after the reducer's last step, before anything is closed."""
+def at_the_end(monkeypatch, node, action):
+    """Calls `action` after the reducer's last step, before anything is closed."""
     finish = node.close_all
 
     def finishing():
-        what()
+        action()
         finish()
 
     monkeypatch.setattr(node, "close_all", finishing)
@@ -59,32 +59,32 @@
     with running(list_server) as node:
         wait_for_list(node)
 
-        def what():
+        def connect_late():
             gate.reached.wait(WAIT)  # the accepting thread is blocked: two more stay in the queue
             late.extend(client(node, open_line(n)) for n in (2, 3))
             gate.open.set()
 
         admits = node.admission_limiter.admits
 
-        def held(now):
+        def gated_admits(now):
             if node.reducer.stopped:
                 gate.wait()
             return admits(now)
 
-        monkeypatch.setattr(node.admission_limiter, "admits", held)
+        monkeypatch.setattr(node.admission_limiter, "admits", gated_admits)
         finish = node.close_all
 
         def finishing():
             late.append(client(node, open_line(1)))
-            what()
+            connect_late()
             finish()
 
         monkeypatch.setattr(node, "close_all", finishing)
         node.stop()
         assert node.join(WAIT)
         assert len(late) == 3
-        for one in late:
-            expect_clean_end(one, b"BUSY")
+        for conn in late:
+            expect_clean_end(conn, b"BUSY")
 
 
 def test_a_connection_that_the_reducer_does_not_know_at_the_end_is_refused(list_server, monkeypatch):
@@ -92,14 +92,14 @@
     with running(list_server) as node:
         wait_for_list(node)
 
-        def what():
+        def connect_late():
             late.append(client(node, open_line(1)))
             wait_until(
                 lambda: any(isinstance(e[1], ev.ClientAccepted) for e in list(node.events.queue)),
                 "not accepted",
             )
 
-        at_the_end(monkeypatch, node, what)
+        at_the_end(monkeypatch, node, connect_late)
         node.stop()
         assert node.join(WAIT)
         expect_clean_end(late[0], b"BUSY")
@@ -109,13 +109,13 @@
 def test_a_silent_client_or_one_with_half_a_line_is_told_of_the_end(list_server, said):
     with running(list_server) as node:
         wait_for_list(node)
-        one = client(node)
-        one.sock.sendall(said)
+        conn = client(node)
+        conn.sock.sendall(said)
         wait_until(lambda: node.admission.pending, "not there")
         node.stop()
-        assert one.read_line().startswith(b"BUSY") and one.read_line() == b""
-        one.send_lines(open_line(1))  # at the moment of the close: not sent on, and no reset
-        assert not one.broken()
+        assert conn.read_line().startswith(b"BUSY") and conn.read_line() == b""
+        conn.send_lines(open_line(1))  # at the moment of the close: not sent on, and no reset
+        assert not conn.broken()
         assert node.join(WAIT)
 
 
@@ -139,13 +139,13 @@
 def test_calls_at_hosts_that_hang_are_answered_before_the_end(hosts, list_server, kind, word):
     with running(list_server) as node:
         wait_for_list(node)
-        one = client(node, open_line(1, kind))
+        conn = client(node, open_line(1, kind))
         peer = serve(hosts)
-        began = node.clock.now()
+        started_at = node.clock.now()
         node.stop()
-        expect_clean_end(one, word)
+        expect_clean_end(conn, word)
         assert node.join(WAIT)
-        assert node.clock.now() - began < (GUARD + 700) * 1000
+        assert node.clock.now() - started_at < (GUARD + 700) * 1000
         assert peer.read_all() == b""
 
 
@@ -155,10 +155,10 @@
     gate = delay_connects(monkeypatch)
     with running(list_server) as node:
         wait_for_list(node)
-        one = client(node, open_line(1, "once"))
+        conn = client(node, open_line(1, "once"))
         assert gate.reached.wait(WAIT)
         node.stop()
-        expect_clean_end(one, b"BUSY")
+        expect_clean_end(conn, b"BUSY")
         gate.open.set()
         assert serve(hosts).line == b""
         assert node.join(WAIT)
@@ -167,7 +167,7 @@
 def test_an_answer_to_a_slow_peer_does_not_delay_the_end_of_the_process(hosts, list_server):
     with running(list_server) as node:
         wait_for_list(node)
-        one, peer = establish(node, hosts)
+        conn, peer = establish(node, hosts)
 
         def flood():
             try:
@@ -182,11 +182,11 @@
             lambda: any(t.name.endswith("write_blocking") for t in threading.enumerate()),
             "it took everything",
         )
-        began = node.clock.now()
+        started_at = node.clock.now()
         node.stop()
         assert node.join(WAIT)
-        assert node.clock.now() - began < (GUARD + 700) * 1000
-        one.close()
+        assert node.clock.now() - started_at < (GUARD + 700) * 1000
+        conn.close()
         for worker in list(node.workers.live):  # the kernel does this when a real process exits
             worker.sock.close()
         peer.close()
@@ -209,10 +209,10 @@
                 node.events.put_nowait((0, ev.Tick()))
             except queue.Full:
                 break
-        asked = threading.Thread(target=node.stop)
-        asked.start()
-        asked.join(WAIT)
-        assert not asked.is_alive(), "stop() blocks"
+        stopper = threading.Thread(target=node.stop)
+        stopper.start()
+        stopper.join(WAIT)
+        assert not stopper.is_alive(), "stop() blocks"
         gate.open.set()
         node.seen.wait(ev.StopRequested)
         events = node.seen.events
@@ -228,8 +228,8 @@
 def test_two_stops_with_a_reload_and_a_drain_in_between_end_like_one(hosts, list_server):
     with running(list_server) as node:
         wait_for_list(node)
-        one, peer = establish(node, hosts)
-        began = node.clock.now()
+        conn, peer = establish(node, hosts)
+        started_at = node.clock.now()
         node.stop()
         node.seen.wait(ev.StopRequested)
         node.post_urgent(ev.DrainRequested(True))
@@ -243,10 +243,10 @@
         node.change_discovery(node.endpoints.discovery, True)
         node.stop()
         node.post_urgent(ev.DrainRequested(False))
-        expect_clean_end(one, b"MOVE")
-        one.close()
+        expect_clean_end(conn, b"MOVE")
+        conn.close()
         assert node.join(WAIT)
-        assert node.clock.now() - began < (GUARD + 700) * 1000
+        assert node.clock.now() - started_at < (GUARD + 700) * 1000
 
 
 def test_a_signal_during_the_start_does_not_kill_the_process(list_server, tmp_path, monkeypatch):
@@ -254,21 +254,23 @@
     file, read = tmp_path / "node.json", command.ActiveConfiguration.read
     file.write_text(settings(list_server))
 
-    def reading(active):
+    def read_during_signal(active):
         assert signal.getsignal(signal.SIGTERM) not in (signal.SIG_DFL, signal.SIG_IGN), (
             "the signal would kill this process"
         )
         os.kill(os.getpid(), signal.SIGTERM)
         return read(active)
 
-    kept = {number: signal.getsignal(number) for number in (signal.SIGHUP, signal.SIGTERM, signal.SIGINT)}
-    monkeypatch.setattr(command.ActiveConfiguration, "read", reading)
+    old_handlers = {
+        number: signal.getsignal(number) for number in (signal.SIGHUP, signal.SIGTERM, signal.SIGINT)
+    }
+    monkeypatch.setattr(command.ActiveConfiguration, "read", read_during_signal)
     monkeypatch.setattr(command.logfmt, "configure", lambda *_, **__: lambda: None)
     try:
         assert cli.main(["serve", "--config", str(file)]) == 0
     finally:
-        for number, what in kept.items():
-            signal.signal(number, what)
+        for number, handler in old_handlers.items():
+            signal.signal(number, handler)
 
 
 def test_a_process_with_calls_in_progress_exits_with_0_and_in_time(hosts, list_server, tmp_path):
@@ -297,20 +299,20 @@
             if "event=list news=full" in line:
                 break
         threading.Thread(target=process.stderr.read, daemon=True).start()
-        established, resting, half = open_connection(open_line(1)), open_connection(), open_connection()
-        resting.sock.sendall(b"")
+        established, silent, half = open_connection(open_line(1)), open_connection(), open_connection()
+        silent.sock.sendall(b"")
         half.sock.sendall(b"OPEN 0")
         peer = serve(hosts)
         peer.send_lines(b"UP r")
         assert established.read_line() == b"UP r"
-        hangs = open_connection(open_line(2, "once"))
+        waiting = open_connection(open_line(2, "once"))
         other = serve(hosts)
         process.send_signal(signal.SIGTERM)
         late = open_connection(open_line(3))
         process.send_signal(signal.SIGTERM)
-        for one, word in ((late, b"BUSY"), (half, b"BUSY"), (established, b"MOVE"), (hangs, b"ERR")):
-            assert one.read_line().startswith(word), word
-            assert one.read_line() == b""
+        for conn, word in ((late, b"BUSY"), (half, b"BUSY"), (established, b"MOVE"), (waiting, b"ERR")):
+            assert conn.read_line().startswith(word), word
+            assert conn.read_line() == b""
         assert other.read_all() == b"" and peer.read_all() == b""
         assert process.wait((GUARD + 700) / 1000) == 0
     finally:
