--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -15,10 +15,10 @@
 from cottonspread.net.node import Node, socket_limit
 
 
-def call(address, said, end=False):
+def call(address, command, end=False):
     """Sends an operator's command and returns everything received until the end of the connection."""
     with socket.create_connection(address, timeout=WAIT) as sock:
-        sock.sendall(said)
+        sock.sendall(command)
         if end:
             sock.shutdown(socket.SHUT_WR)
         with sock.makefile("rb") as file:
@@ -28,17 +28,17 @@
 @pytest.fixture
 def admin_server():
     """A server of the operators' address without a node, which echoes each command."""
-    one = admin.Admin(("127.0.0.1", 0), lambda word: b"200 " + word.encode() + b"\n")
-    thread = threading.Thread(target=one.run, daemon=True)
+    server = admin.Admin(("127.0.0.1", 0), lambda word: b"200 " + word.encode() + b"\n")
+    thread = threading.Thread(target=server.run, daemon=True)
     thread.start()
-    yield one, one.listener.getsockname()
-    one.stop()
+    yield server, server.listener.getsockname()
+    server.stop()
     thread.join(WAIT)
-    assert not thread.is_alive() and not one.callers
+    assert not thread.is_alive() and not server.callers
 
 
 @pytest.mark.parametrize(
-    "said, answer",
+    "command, answer",
     [
         (b"health\r\n", b"200 health\n"),
         (b"health\n", b"200 health\n"),
@@ -50,8 +50,8 @@
         (b"x" * 400 + b"\n", b"400"),
     ],
 )
-def test_one_line_gets_one_answer_and_anything_else_gets_400(admin_server, said, answer):
-    assert call(admin_server[1], said).startswith(answer)
+def test_one_line_gets_one_answer_and_anything_else_gets_400(admin_server, command, answer):
+    assert call(admin_server[1], command).startswith(answer)
 
 
 def test_an_incomplete_line_gets_400_and_no_input_gets_no_answer(admin_server):
@@ -86,19 +86,19 @@
 
 
 def test_an_internal_error_fails_only_one_command():
-    said = iter([RuntimeError("broken"), b"200 yes\n"])
+    answers = iter([RuntimeError("broken"), b"200 yes\n"])
 
     def answer(word):
-        one = next(said)
-        if isinstance(one, Exception):
-            raise one
-        return one
-
-    one = admin.Admin(("127.0.0.1", 0), answer)
-    threading.Thread(target=one.run, daemon=True).start()
-    address = one.listener.getsockname()
+        result = next(answers)
+        if isinstance(result, Exception):
+            raise result
+        return result
+
+    server = admin.Admin(("127.0.0.1", 0), answer)
+    threading.Thread(target=server.run, daemon=True).start()
+    address = server.listener.getsockname()
     assert call(address, b"health\n").startswith(b"400") and call(address, b"health\n") == b"200 yes\n"
-    one.stop()
+    server.stop()
 
 
 # Counters
@@ -160,19 +160,19 @@
     assert node.join(WAIT)
 
 
-def until(address, said, want):
+def repeat_until(address, command, accepts):
     """Repeats the command until the answer is as wanted: a command takes effect shortly after its answer."""
-    while not want(answer := call(address, said)):
+    while not accepts(answer := call(address, command)):
         pass
     return answer
 
 
 def test_a_node_answers_operators_and_is_drained_and_resumed(node_with_admin):
-    node, address, operators = node_with_admin
-    until(operators, b"health\n", lambda a: a == b"200 yes\n")
+    node, address, operator = node_with_admin
+    repeat_until(operator, b"health\n", lambda a: a == b"200 yes\n")
     client = Client(address, b"OPEN 01 02 c=chat,d=2000,g=0a")
     assert client.read_line().startswith(b"UP ")
-    text = call(operators, b"counters\r\n")
+    text = call(operator, b"counters\r\n")
     assert text.startswith(b"200") and text.endswith(b"\nEOF\n")
     for line in (
         b'app_success{tier="chat"} 1\n',
@@ -181,11 +181,11 @@
         b"app_hosts_listed 2\n",
     ):
         assert line in text
-    assert call(operators, b"stop\n").startswith(b"400") and call(operators, b"\n").startswith(b"400")
-    assert call(operators, b"quiesce\n").startswith(b"200")
+    assert call(operator, b"stop\n").startswith(b"400") and call(operator, b"\n").startswith(b"400")
+    assert call(operator, b"quiesce\n").startswith(b"200")
     assert call(address, b"PING\r\n").startswith(b"ERR")
     assert client.read_line() == b"MOVE" and client.read_line() == b""
-    assert call(operators, b"resume\n").startswith(b"200")
+    assert call(operator, b"resume\n").startswith(b"200")
     ping = Client(address, b"PING")
     assert ping.read_line() == b"PONG"
 
@@ -194,28 +194,28 @@
     node_with_admin, monkeypatch
 ):
     """A command that went through the reducer's queue waited as long as the node was busy."""
-    node, address, operators = node_with_admin
-    until(operators, b"health\n", lambda a: a == b"200 yes\n")
-    go, held = threading.Event(), threading.Event()
+    node, address, operator = node_with_admin
+    repeat_until(operator, b"health\n", lambda a: a == b"200 yes\n")
+    release, blocked = threading.Event(), threading.Event()
 
-    def stuck(event):
-        held.set()
-        go.wait(WAIT)
+    def block(event):
+        blocked.set()
+        release.wait(WAIT)
 
-    monkeypatch.setitem(node.reducer.handlers, ev.Tick, stuck)
+    monkeypatch.setitem(node.reducer.handlers, ev.Tick, block)
     node.post(ev.Tick())
-    assert held.wait(WAIT)
+    assert blocked.wait(WAIT)
     try:
         while True:
             node.events.put_nowait((0, ev.Tick()))
     except queue.Full:
         pass
-    for said in (b"health\n", b"counters\n", b"quiesce\n"):
-        assert call(operators, said).startswith(b"200")
+    for command in (b"health\n", b"counters\n", b"quiesce\n"):
+        assert call(operator, command).startswith(b"200")
     assert not node.reducer.draining
     monkeypatch.setitem(node.reducer.handlers, ev.Tick, lambda event: None)
-    go.set()
-    until(address, b"PING\r\n", lambda a: a.startswith(b"ERR"))  # quiesce overtook the queued events
+    release.set()
+    repeat_until(address, b"PING\r\n", lambda a: a.startswith(b"ERR"))  # quiesce overtook the queued events
 
 
 def test_a_node_without_the_key_has_no_such_address(service):  # noqa: F811
--- a/tests/test_drill.py
+++ b/tests/test_drill.py
@@ -25,15 +25,15 @@
     return [f"clock\tNow={1000.5 + serial}\tserial={serial}", *lines, "go"]
 
 
-def play(*lines):
-    said, sink = [], stdio.StringIO()
-    code = serve(stdio.StringIO("\n".join(lines) + "\n"), sink, said.append)
-    return code, sink.getvalue().splitlines(), said
+def run_batches(*lines):
+    errors, sink = [], stdio.StringIO()
+    code = serve(stdio.StringIO("\n".join(lines) + "\n"), sink, errors.append)
+    return code, sink.getvalue().splitlines(), errors
 
 
 def test_a_call_is_routed_and_unknown_messages_are_skipped():
-    code, out, said = play(*batch(1, *BEGIN, CALL, "novelty\tX=1"))
-    assert code == 0 and said == []
+    code, out, errors = run_batches(*batch(1, *BEGIN, CALL, "novelty\tX=1"))
+    assert code == 0 and errors == []
     assert out == ["by\tNode=3", "route\tCall=11\tUntil=1301.500\tHost=10.0.0.1:7000", "end\tserial=1"]
 
 
@@ -45,17 +45,17 @@
         "LoadReport": {"How": "probe", "Names": ["x0"]},
     }
     begin = [BEGIN[0], "begin\tRngSeed=5\tConfig=" + json.dumps(settings), *BEGIN[2:]]
-    for odd in ("x0:nan,x1:-3,what:ever", "x0:inf", "x0", ":", "x0:0.2,x7:1e300", "x0:much"):
-        pong = f"pong\tHost=10.0.0.1:7000\tDisposition=0\tFeedback={odd}"
-        code, out, said = play(
+    for feedback in ("x0:nan,x1:-3,what:ever", "x0:inf", "x0", ":", "x0:0.2,x7:1e300", "x0:much"):
+        pong = f"pong\tHost=10.0.0.1:7000\tDisposition=0\tFeedback={feedback}"
+        code, out, errors = run_batches(
             *batch(1, *begin, CALL), *[line for n in (2, 3, 4) for line in batch(n, BEGIN[0], pong)]
         )
-        assert code == 0 and said == [] and out[1] == "sample\tHost=10.0.0.1:7000"
-        assert any(line.startswith("route\tCall=11") for line in out), odd
+        assert code == 0 and errors == [] and out[1] == "sample\tHost=10.0.0.1:7000"
+        assert any(line.startswith("route\tCall=11") for line in out), feedback
 
 
 def test_an_invalid_line_is_reported_and_the_batch_still_answered():
-    code, out, said = play(
+    code, out, errors = run_batches(
         *batch(1, *BEGIN),
         *batch(
             2,
@@ -66,7 +66,7 @@
         ),
     )
     assert code == 0 and out[-1] == "end\tserial=2" and any(line.startswith("route\tCall=11") for line in out)
-    assert [line.partition(":")[0] for line in said] == ["batch 2 line 2", "batch 2 line 3"]
+    assert [line.partition(":")[0] for line in errors] == ["batch 2 line 2", "batch 2 line 3"]
 
 
 def test_invalid_framing_ends_with_one_message_and_an_exit_code():
@@ -76,9 +76,9 @@
         ["clock\tNow=soon\tserial=1", "go"],
         batch(1)[:1] + batch(2),
     ):
-        code, _, said = play(*lines)
-        assert code != 0 and len(said) == 1
-    assert play(*batch(1))[:2] == (0, ["end\tserial=1"])
+        code, _, errors = run_batches(*lines)
+        assert code != 0 and len(errors) == 1
+    assert run_batches(*batch(1))[:2] == (0, ["end\tserial=1"])
 
 
 def test_invalid_settings_are_rejected_with_a_message():
@@ -89,8 +89,8 @@
         {"TrafficTypes": [{"Effect": "odd"}]},
     ):
         begin = "begin\tRngSeed=5\tConfig=" + json.dumps(CONFIG | change)
-        _, out, said = play(*batch(1, "instance\tNode=3", begin))
-        assert out[1].startswith("exception\tMessage=settings") and said
+        _, out, errors = run_batches(*batch(1, "instance\tNode=3", begin))
+        assert out[1].startswith("exception\tMessage=settings") and errors
 
 
 def test_a_killed_node_starts_clean_and_nodes_share_nothing():
@@ -102,5 +102,5 @@
         + BEGIN[1:]
         + ["done\tCall=11\tDisposition=0\tTrial=0\tTerminal=1\tHost=10.0.0.1:7000"]
     )
-    code, out, said = play(*batch(1, *lines))
-    assert (code, said) == (0, []) and out[0] == "by\tNode=4" and len(out) == 3
+    code, out, errors = run_batches(*batch(1, *lines))
+    assert (code, errors) == (0, []) and out[0] == "by\tNode=4" and len(out) == 3
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -16,13 +16,13 @@
 RED = "test_one.py::test_red | pytest test_one.py, seed 3 | counts wrongly | 7\n"
 
 
-def run(folder, listed, workers, tests=TESTS):
+def run(folder, known_red, workers, tests=TESTS):
     for name in ("known_red.py", "alone.py", "conftest.py"):
         shutil.copy(HERE / name, folder)
     (folder / "pytest.ini").write_text("[pytest]\ntestpaths = .\n")
     (folder / "test_one.py").write_text(tests)
-    if listed is not None:
-        (folder / "KNOWN-RED.txt").write_text(listed)
+    if known_red is not None:
+        (folder / "KNOWN-RED.txt").write_text(known_red)
     done = subprocess.run(
         [sys.executable, "-m", "pytest", "-q", "-p", "no:cacheprovider", *workers],
         cwd=folder,
@@ -34,14 +34,14 @@
 
 @IN_EACH_WAY
 def test_a_listed_test_that_fails_is_run_and_reported_and_the_run_passes(tmp_path, workers):
-    code, said = run(tmp_path, RED, workers)
-    assert code == 0 and "1 passed, 1 xfailed" in said
-    assert "known red: test_one.py::test_red: counts wrongly (issue 7; pytest test_one.py, seed 3)" in said
+    code, output = run(tmp_path, RED, workers)
+    assert code == 0 and "1 passed, 1 xfailed" in output
+    assert "known red: test_one.py::test_red: counts wrongly (issue 7; pytest test_one.py, seed 3)" in output
 
 
 @IN_EACH_WAY
 @pytest.mark.parametrize(
-    "listed, tests, said",
+    "listed, tests, message",
     [
         (None, TESTS, "1 failed"),  # not listed
         (RED, TESTS.replace("assert False", "pass"), "XPASS(strict)"),  # listed, but it passes
@@ -54,6 +54,6 @@
         (RED.replace("7", "7 | more"), TESTS, FORM),
     ],
 )
-def test_everything_else_fails_the_run(tmp_path, listed, tests, said, workers):
-    code, out = run(tmp_path, listed, workers, tests)
-    assert code != 0 and said in out, out
+def test_everything_else_fails_the_run(tmp_path, listed, tests, message, workers):
+    code, output = run(tmp_path, listed, workers, tests)
+    assert code != 0 and message in output, output
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -230,14 +230,14 @@
     """Otherwise there is a write and an fsync each second, and a successor starts with weights under load in
     place of the servers' sizes.
     """
-    one = {"instanceId": "s-1", "lifecycle": "Ready", "weight": 3.0}
-    for moving, kept in ((True, 3.0), (False, 0.2)):
-        path = tmp_path / f"{moving}.json"
-        keeper = saved.SavedList(str(path), moving)
-        keeper.update(1, [one], True)
-        keeper.update(2, [one | {"weight": 0.2}], False)
-        assert saved.read(str(path))["instances"][0]["weight"] == kept
-        keeper.update(3, [one | {"weight": 0.2, "lifecycle": "Terminating"}], False)
+    instance = {"instanceId": "s-1", "lifecycle": "Ready", "weight": 3.0}
+    for dynamic, weight in ((True, 3.0), (False, 0.2)):
+        path = tmp_path / f"{dynamic}.json"
+        saved_list = saved.SavedList(str(path), dynamic)
+        saved_list.update(1, [instance], True)
+        saved_list.update(2, [instance | {"weight": 0.2}], False)
+        assert saved.read(str(path))["instances"][0]["weight"] == weight
+        saved_list.update(3, [instance | {"weight": 0.2, "lifecycle": "Terminating"}], False)
         assert saved.read(str(path))["instances"][0]["lifecycle"] == "Terminating"
 
 
@@ -350,55 +350,55 @@
     names = config.Names({}, {"here": 0}, {}, {})
 
     def read(*instances, previous=None):
-        version, listed, addresses, unread = discovery.read_list(
+        version, update, addresses, invalid = discovery.read_list(
             {"generation": 3, "reset": True, "instances": list(instances)}, names, previous=previous or {}
         )
-        return {entry.host: entry for entry in listed.entries}, addresses, unread
+        return {entry.host: entry for entry in update.entries}, addresses, invalid
 
-    first, addresses, unread = read(instance("a"), instance("b", weight=2))
-    assert not unread and first["b"].weight == 2
+    first, addresses, invalid = read(instance("a"), instance("b", weight=2))
+    assert not invalid and first["b"].weight == 2
     before = {name: (entry, addresses[name]) for name, entry in first.items()}
-    now, addresses, unread = read(
+    now, addresses, invalid = read(
         instance("a", startedAtMs=9), instance("b", **bad), instance("c", **bad), previous=before
     )
     # an invalid entry of an unknown server is left out
     assert now["a"].started == 9000 and now["b"] == first["b"] and "c" not in now
-    assert unread.keys() == {"b", "c"} and addresses.keys() == {"a", "b"}
+    assert invalid.keys() == {"b", "c"} and addresses.keys() == {"a", "b"}
     if "lifecycle" not in bad:  # draining or gone is applied all the same
-        for word, state in (("Terminating", io.HostState.DRAINING), ("Gone", io.HostState.GONE)):
-            now, addresses, unread = read(
-                instance("a"), instance("b", **bad | {"lifecycle": word}), previous=before
+        for lifecycle, state in (("Terminating", io.HostState.DRAINING), ("Gone", io.HostState.GONE)):
+            now, addresses, invalid = read(
+                instance("a"), instance("b", **bad | {"lifecycle": lifecycle}), previous=before
             )
             assert now["b"].state is state and ("b" in addresses) is (state is io.HostState.DRAINING)
 
 
 def test_of_two_entries_with_one_id_the_later_wins_and_an_empty_list_is_valid():
     names = config.Names({}, {"here": 0}, {}, {})
-    said = {
+    body = {
         "generation": 3,
         "reset": True,
         "instances": [instance("a"), instance("a", lifecycle="Terminating"), instance("b"), 7, {"weight": 1}],
     }
-    version, listed, addresses, unread = discovery.read_list(said, names)
-    assert [(e.host, e.state) for e in listed.entries] == [
+    version, update, addresses, invalid = discovery.read_list(body, names)
+    assert [(e.host, e.state) for e in update.entries] == [
         ("a", io.HostState.DRAINING),
         ("b", io.HostState.UP),
     ]
-    assert unread.keys() == {"a again", "None"} and addresses["a"] == addresses["b"] == ("10.1.0.18", 8080)
+    assert invalid.keys() == {"a again", "None"} and addresses["a"] == addresses["b"] == ("10.1.0.18", 8080)
     long = "b" * 100  # reported in full, so that the entry can be left out of the saved list
-    assert discovery.read_list(said | {"instances": [instance(long, weight="x")]}, names)[3].keys() == {long}
-    assert discovery.read_list(said | {"instances": []}, names)[1:] == (
+    assert discovery.read_list(body | {"instances": [instance(long, weight="x")]}, names)[3].keys() == {long}
+    assert discovery.read_list(body | {"instances": []}, names)[1:] == (
         io.ListUpdate(io.ListUpdateKind.FULL, 3, ()),
         {},
         {},
     )
     for broken in ({"instances": None}, {"generation": "x"}, {"reset": None} | {"generation": []}):
         with pytest.raises(discovery.ListError):
-            discovery.read_list(said | broken, names)
+            discovery.read_list(body | broken, names)
 
 
 def test_the_last_valid_list_is_kept_after_garbage_and_older_versions(monkeypatch):
-    names, heard, failed = config.Names({}, {"here": 0}, {}, {}), queue.Queue(), []
+    names, lists, failed = config.Names({}, {"here": 0}, {}, {}), queue.Queue(), []
     answers = Answers(
         listing(41),
         listing(43, False, "Terminating"),
@@ -409,17 +409,17 @@
         listing(44),
         listing(45, False, "Gone").replace(b"hostPort", b"hostPart"),
     )
-    one = discovery.Discovery(
+    watcher = discovery.Discovery(
         answers.address,
         names,
-        lambda e: heard.put(e) if isinstance(e, ev.ListReceived) else failed.append(e),
+        lambda e: lists.put(e) if isinstance(e, ev.ListReceived) else failed.append(e),
         0,
     )
     monkeypatch.setattr(discovery.time, "sleep", lambda _: None)
-    one.enabled.set()
-    start_thread(one.run, stack=LARGE_STACK_SIZE)  # with less, deeply nested JSON crashed the process
-    received = [heard.get(timeout=WAIT) for _ in range(4)]
-    one.stop()
+    watcher.enabled.set()
+    start_thread(watcher.run, stack=LARGE_STACK_SIZE)  # with less, deeply nested JSON crashed the process
+    received = [lists.get(timeout=WAIT) for _ in range(4)]
+    watcher.stop()
     assert [e.update.version for e in received] == [41, 43, 44, 45] and len(failed) == 4
     assert received[0].update.entries[0] == io.Entry("s-1", 0, -1, 1.0, 0, 7000) and received[
         0
@@ -431,20 +431,20 @@
 @pytest.mark.parametrize("known, first", ((True, "/api/targets?since=41&"), (False, "/api/targets")))
 def test_a_known_list_is_watched_from_its_version_on_without_a_full_request(known, first, monkeypatch):
     """One request instead of two: when a whole fleet restarted, neither was answered."""
-    heard, paths = queue.Queue(), []
+    lists, paths = queue.Queue(), []
     answers = Answers(listing(42, not known))
-    one = discovery.Discovery(
+    watcher = discovery.Discovery(
         answers.address,
         config.Names({}, {"here": 0}, {}, {}),
-        heard.put,
+        lists.put,
         41,
         polled=True,
         watch_initial=known,
     )
-    get = one.http.get
-    monkeypatch.setattr(one.http, "get", lambda path, wait: paths.append(path) or get(path, wait))
-    one.poll()
-    assert heard.get(timeout=WAIT).update.kind is (
+    get = watcher.http.get
+    monkeypatch.setattr(watcher.http, "get", lambda path, timeout: paths.append(path) or get(path, timeout))
+    watcher.poll()
+    assert lists.get(timeout=WAIT).update.kind is (
         io.ListUpdateKind.CHANGES if known else io.ListUpdateKind.FULL
     )
     assert len(paths) == 1 and paths[0].startswith(first) and (known or paths[0] == first)
@@ -452,21 +452,21 @@
 
 def test_a_new_address_is_accepted_at_once_whatever_its_version(monkeypatch):
     """A lower version was fetched three times before it was accepted, and each fetch counted as a failure."""
-    heard, failed = queue.Queue(), []
+    lists, failed = queue.Queue(), []
     first = Answers(listing(41))  # then a watch that is never answered
     second = Answers(listing(7), listing(8, False, "Terminating"))
-    one = discovery.Discovery(
+    watcher = discovery.Discovery(
         first.address,
         config.Names({}, {"here": 0}, {}, {}),
-        lambda e: heard.put(e) if isinstance(e, ev.ListReceived) else failed.append(e),
+        lambda e: lists.put(e) if isinstance(e, ev.ListReceived) else failed.append(e),
         0,
     )
-    one.enabled.set()
-    start_thread(one.run, stack=LARGE_STACK_SIZE)
-    assert heard.get(timeout=WAIT).update.version == 41
-    one.change_address(second.address)
-    assert [heard.get(timeout=WAIT).update.version for _ in range(2)] == [7, 8] and not failed
-    one.stop()
+    watcher.enabled.set()
+    start_thread(watcher.run, stack=LARGE_STACK_SIZE)
+    assert lists.get(timeout=WAIT).update.version == 41
+    watcher.change_address(second.address)
+    assert [lists.get(timeout=WAIT).update.version for _ in range(2)] == [7, 8] and not failed
+    watcher.stop()
 
 
 # Configuration and command line
@@ -501,19 +501,19 @@
     ],
 )
 def test_a_node_probes_and_takes_weights_for_loads_only_where_its_settings_say_so(settings, probed, moving):
-    begin = config.read_begin(WITH_TYPE | settings, 1)
-    assert (begin.probes_report_load, begin.dynamic_weights) == (probed, moving)
+    node_config = config.read_begin(WITH_TYPE | settings, 1)
+    assert (node_config.probes_report_load, node_config.dynamic_weights) == (probed, moving)
 
 
 def test_the_availability_goal_reaches_the_balancer_and_unknown_goal_keys_are_skipped():
     assert config.read_begin(WITH_TYPE, 1).availability == io.AvailabilityGoal(0, 3)
-    begin = config.read_begin(WITH_TYPE | {"Goal": {"NinesPart": 0.2, "NinesFull": 2, "Odd": "x"}}, 1)
-    assert begin.availability == io.AvailabilityGoal(0.2, 2)
+    node_config = config.read_begin(WITH_TYPE | {"Goal": {"NinesPart": 0.2, "NinesFull": 2, "Odd": "x"}}, 1)
+    assert node_config.availability == io.AvailabilityGoal(0.2, 2)
 
 
 def test_check_prints_how_weights_and_loads_are_used(tmp_path, capsys):
     file = tmp_path / "node.json"
-    for settings, said in (
+    for settings, expected in (
         ({}, "are fixed sizes, host load not requested"),
         (
             {"Weights": "live", "Limits": {"Probes": True}, "LoadReport": {"How": "probe", "Names": ["x0"]}},
@@ -522,7 +522,7 @@
     ):
         file.write_text(json.dumps(json.loads(NODE) | {"settings": WITH_TYPE | settings}))
         assert cli.main(["check", "--config", str(file)]) == 0
-        assert said in capsys.readouterr().out
+        assert expected in capsys.readouterr().out
 
 
 @pytest.mark.parametrize(
@@ -564,8 +564,8 @@
     file = tmp_path / "node.json"
     file.write_text(json.dumps(json.loads(NODE) | change))
     assert cli.main(["check", "--config", str(file)]) == 2
-    said = capsys.readouterr().err
-    assert said.startswith(f"cottonspread: {key}: ") and said.count("\n") == 1
+    output = capsys.readouterr().err
+    assert output.startswith(f"cottonspread: {key}: ") and output.count("\n") == 1
 
 
 def test_a_missing_file_and_an_address_in_use_are_reported_in_one_line(tmp_path, capsys):
@@ -577,8 +577,8 @@
             json.dumps(json.loads(NODE) | {key: f"127.0.0.1:{taken.getsockname()[1]}", other: "127.0.0.1:0"})
         )
         assert cli.main(["serve", "--config", str(file)]) == 1
-        said = capsys.readouterr().err.splitlines()[-1]
-        assert "in use" in said and f"cottonspread: {key}: " in said
+        output = capsys.readouterr().err.splitlines()[-1]
+        assert "in use" in output and f"cottonspread: {key}: " in output
 
 
 def test_log_lines_are_pairs():
@@ -637,18 +637,18 @@
 def service(monkeypatch, toy):
     """A running node with the example's toy servers and discovery."""
     servers = toy.Toy(2)
-    endpoints, resource_limits, names, host_protocol, begin, known = config.read_node(NODE, {})
+    endpoints, resource_limits, names, host_protocol, node_config, known = config.read_node(NODE, {})
     endpoints = config.Endpoints("n1", ("127.0.0.1", 0), discovery_of(servers))
-    node = Node(endpoints, resource_limits, names, host_protocol, begin, known)
+    node = Node(endpoints, resource_limits, names, host_protocol, node_config, known)
     listed = threading.Event()
-    heard = node.reducer.list_received
+    list_received = node.reducer.list_received
 
-    def hear(event):
-        heard(event)
+    def signal_list(event):
+        list_received(event)
         if event.update.entries:
             listed.set()
 
-    monkeypatch.setitem(node.reducer.handlers, ev.ListReceived, hear)
+    monkeypatch.setitem(node.reducer.handlers, ev.ListReceived, signal_list)
     node.start()
     assert listed.wait(WAIT)
     yield node, node.listener.getsockname()
@@ -684,26 +684,26 @@
     the process never ended.
     """
     monkeypatch.setattr("cottonspread.net.node.EVENT_QUEUE_SIZE", 4)
-    place, *rest = config.read_node(NODE, {})
-    node = Node(replace(place, operator=None), *rest)
+    endpoints, *rest = config.read_node(NODE, {})
+    node = Node(replace(endpoints, operator=None), *rest)
     node.shared = True
     for _ in range(waiting):
         node.post(ev.Tick())
-    posted = [threading.Thread(target=node.post, args=(ev.Tick(),), daemon=True) for _ in range(20)]
-    for thread in posted[:10]:
+    posters = [threading.Thread(target=node.post, args=(ev.Tick(),), daemon=True) for _ in range(20)]
+    for thread in posters[:10]:
         thread.start()
     node.close_all()
-    for thread in posted[10:]:
+    for thread in posters[10:]:
         thread.start()
-    for thread in posted:
+    for thread in posters:
         thread.join(WAIT)
-    assert not any(thread.is_alive() for thread in posted)
+    assert not any(thread.is_alive() for thread in posters)
 
 
 def test_a_bug_in_the_policy_is_logged_with_its_traceback_and_fails_one_connection(service, monkeypatch):
     node, address = service
-    said = stdio.StringIO()
-    handler = logging.StreamHandler(said)
+    output = stdio.StringIO()
+    handler = logging.StreamHandler(output)
     handler.setFormatter(logfmt.KeyValueFormatter("n1"))
     logging.getLogger("cottonspread").addHandler(handler)
     client = Client(address, b"OPEN 01 02 c=chat,d=2000,g=0a")
@@ -714,81 +714,83 @@
 
     with monkeypatch.context() as patch:
         patch.setattr(node.reducer.balancer, "handle", broken)
-        struck = Client(address, b"OPEN 03 04 c=chat,d=2000,g=0b")
-        assert struck.read_line() == b"ERR"
+        failed = Client(address, b"OPEN 03 04 c=chat,d=2000,g=0b")
+        assert failed.read_line() == b"ERR"
     client.send_line(b"still here")
     assert client.read_line() == b"still here"
     logging.getLogger("cottonspread").removeHandler(handler)
-    assert "event=fault" in said.getvalue() and "decisions broken" in said.getvalue()
+    assert "event=fault" in output.getvalue() and "decisions broken" in output.getvalue()
 
 
 def test_listening_is_logged_before_any_thread_can_log(monkeypatch):
     """The first list was sometimes logged before it, and a script that waited for the two lines in order
     waited for ever.
     """
-    said, logger = [], logging.getLogger("cottonspread.node")
-    monkeypatch.setattr(workers, "start_thread", lambda target, *args, **more: said.append("a thread"))
-    monkeypatch.setattr(logger, "info", lambda event, **more: said.append(event))
-    place, *rest = config.read_node(NODE, {})
-    node = Node(replace(place, listen=("127.0.0.1", 0), operator=None), *rest)
+    order, logger = [], logging.getLogger("cottonspread.node")
+    monkeypatch.setattr(workers, "start_thread", lambda target, *args, **more: order.append("a thread"))
+    monkeypatch.setattr(logger, "info", lambda event, **more: order.append(event))
+    endpoints, *rest = config.read_node(NODE, {})
+    node = Node(replace(endpoints, listen=("127.0.0.1", 0), operator=None), *rest)
     node.start()
     node.listener.close()
-    assert said[0] == "listening" and set(said[1:]) == {"a thread"}
+    assert order[0] == "listening" and set(order[1:]) == {"a thread"}
 
 
 def test_sighup_follows_the_new_discovery_and_a_faulty_file_changes_nothing(toy, tmp_path, monkeypatch):
     """SIGHUP killed the process; and a watch at the old address delayed the new one for seconds."""
-    first, second, said, rest, early = toy.Toy(1), toy.Toy(2), queue.Queue(), [], []
+    first, second, log_lines, results, skipped = toy.Toy(1), toy.Toy(2), queue.Queue(), [], []
 
-    class Said(logging.Handler):
+    class LogQueue(logging.Handler):
         def emit(self, record):
-            said.put((record.getMessage(), getattr(record, "pairs", {})))
+            log_lines.put((record.getMessage(), getattr(record, "pairs", {})))
 
     def wait_for(event, **pairs):
         """The first matching line not returned before: lines of different threads come in any order."""
         while True:
-            for line in early:
+            for line in skipped:
                 if line[0] == event and pairs.items() <= line[1].items():
-                    early.remove(line)
+                    skipped.remove(line)
                     return line[1]
-            early.append(said.get(timeout=WAIT))
+            skipped.append(log_lines.get(timeout=WAIT))
 
-    def operate():
+    def send_signals():
         try:
             address = wait_for("listening")["address"].split(":")
             wait_for("list", news="full")
             client = Client((address[0], int(address[1])), b"OPEN 01 02 c=chat,d=2000,g=0a")
-            rest.append(client.read_line()[:3])
-            for text in ("{", json.dumps(config_of | {"discovery": "{}:{}".format(*discovery_of(second))})):
+            results.append(client.read_line()[:3])
+            for text in ("{", json.dumps(values | {"discovery": "{}:{}".format(*discovery_of(second))})):
                 file.write_text(text)
                 os.kill(os.getpid(), signal.SIGHUP)
-                rest.append(sorted(wait_for("reload")))
-            rest.append(wait_for("list", news="full")["entries"])
+                results.append(sorted(wait_for("reload")))
+            results.append(wait_for("list", news="full")["entries"])
             client.send_line(b"still here")
-            rest.append(client.read_line())
+            results.append(client.read_line())
         finally:
             os.kill(os.getpid(), signal.SIGTERM)
 
-    config_of = json.loads(NODE) | {
+    values = json.loads(NODE) | {
         "listen": "127.0.0.1:0",
         "operator": "127.0.0.1:0",
         "discovery": "{}:{}".format(*discovery_of(first)),
     }
     file = tmp_path / "node.json"
-    file.write_text(json.dumps(config_of))
+    file.write_text(json.dumps(values))
     monkeypatch.setattr(logfmt, "configure", lambda node: lambda: None)
-    logger, handler = logging.getLogger("cottonspread"), Said()
+    logger, handler = logging.getLogger("cottonspread"), LogQueue()
     monkeypatch.setattr(logger, "handlers", [handler])
     monkeypatch.setattr(logger, "level", logging.INFO)
     logger.manager._clear_cache()
-    kept = {number: signal.getsignal(number) for number in (signal.SIGHUP, signal.SIGTERM, signal.SIGINT)}
+    old_handlers = {
+        number: signal.getsignal(number) for number in (signal.SIGHUP, signal.SIGTERM, signal.SIGINT)
+    }
     try:
-        threading.Thread(target=operate, daemon=True).start()
+        threading.Thread(target=send_signals, daemon=True).start()
         assert cli.main(["serve", "--config", str(file)]) == 0
     finally:
-        for number, what in kept.items():
-            signal.signal(number, what)
-    assert rest == [b"UP ", ["kept", "why"], ["discovery", "types"], 2, b"still here"]
+        for number, old_handler in old_handlers.items():
+            signal.signal(number, old_handler)
+    assert results == [b"UP ", ["kept", "why"], ["discovery", "types"], 2, b"still here"]
 
 
 def test_the_last_answers_are_sent_before_the_node_is_done():
--- a/tests/test_succession.py
+++ b/tests/test_succession.py
@@ -29,8 +29,8 @@
 from cottonspread.net.pool import BufferPool
 
 ROOT = Path(__file__).parent.parent
-WHOLE = json.loads(NODE)
-WHOLE["settings"]["TrafficTypes"].append(
+CONFIG = json.loads(NODE)
+CONFIG["settings"]["TrafficTypes"].append(
     {
         "Name": "more",
         "Effect": "keyed",
@@ -56,11 +56,11 @@
 
 
 def without(path):
-    values = copy.deepcopy(WHOLE)
-    at = values
+    values = copy.deepcopy(CONFIG)
+    parent = values
     for key in path[:-1]:
-        at = at[key]
-    del at[path[-1]]
+        parent = parent[key]
+    del parent[path[-1]]
     return values
 
 
@@ -81,7 +81,7 @@
 
 
 @pytest.mark.parametrize(
-    "path", [p for p in keys(WHOLE) if p[-1] not in KEYED_KEYS], ids=lambda p: ".".join(map(str, p))
+    "path", [p for p in keys(CONFIG) if p[-1] not in KEYED_KEYS], ids=lambda p: ".".join(map(str, p))
 )
 def test_a_file_with_a_missing_key_changes_nothing(path, tmp_path, monkeypatch, caplog):
     """A default in place of a missing key would apply half a change, and the environment in place of a
@@ -89,7 +89,7 @@
     """
     monkeypatch.setenv("PROXY_DISCOVERY", "127.0.0.1:1")
     file, node = tmp_path / "node.json", NodeStub()
-    file.write_text(json.dumps(WHOLE))
+    file.write_text(json.dumps(CONFIG))
     active = ActiveConfiguration(str(file))
     before = active.values, active.parts
     file.write_text(json.dumps(without(path)))
@@ -99,7 +99,7 @@
 
 
 def changed(change):
-    values = copy.deepcopy(WHOLE)
+    values = copy.deepcopy(CONFIG)
     change(values)
     return json.dumps(values)
 
@@ -134,7 +134,7 @@
 )
 def test_an_invalid_file_changes_nothing_and_the_log_names_its_key(text, key, tmp_path, caplog):
     file, node = tmp_path / "node.json", NodeStub()
-    file.write_text(json.dumps(WHOLE))
+    file.write_text(json.dumps(CONFIG))
     active = ActiveConfiguration(str(file))
     before = active.values, active.parts
     file.write_text(text)
@@ -148,20 +148,20 @@
 
 
 def test_keys_that_only_keyed_types_need_are_required_only_of_them():
-    more = WHOLE["settings"]["TrafficTypes"][1]
+    more = CONFIG["settings"]["TrafficTypes"][1]
     config.check_no_key_missing(
         [more], [more, {key: more[key] for key in more if key not in KEYED_KEYS} | {"Effect": "safe"}]
     )
     for key in KEYED_KEYS:
         with pytest.raises(config.ConfigurationError, match=rf"\[0\]\.{key}"):
             config.check_no_key_missing(
-                [WHOLE["settings"]["TrafficTypes"][0], more], [{k: v for k, v in more.items() if k != key}]
+                [CONFIG["settings"]["TrafficTypes"][0], more], [{k: v for k, v in more.items() if k != key}]
             )
 
 
 def test_types_may_be_added_dropped_and_changed_and_fixed_settings_are_logged(tmp_path, caplog):
     file, node = tmp_path / "node.json", NodeStub()
-    file.write_text(json.dumps(WHOLE))
+    file.write_text(json.dumps(CONFIG))
     active = ActiveConfiguration(str(file))
     for change, names in (
         (
@@ -183,12 +183,12 @@
 
 # Handover
 
-GOOD = handover.HandoverState(7, True, ("a", "b"), (("k", "s-1"),), (("s-1", 5, 2),))
+STATE = handover.HandoverState(7, True, ("a", "b"), (("k", "s-1"),), (("s-1", 5, 2),))
 
 
 def test_a_handover_file_is_read_as_written_and_only_by_the_requester():
-    text = handover.pack(GOOD, "me")
-    assert handover.unpack(text, "me") == GOOD and handover.unpack(text, "other") is None
+    text = handover.pack(STATE, "me")
+    assert handover.unpack(text, "me") == STATE and handover.unpack(text, "other") is None
 
 
 @pytest.mark.parametrize(
@@ -198,11 +198,11 @@
         "{",
         "null",
         "[]",
-        handover.pack(GOOD, "me")[:-9],
-        handover.pack(GOOD, "me").replace('"version": 1', '"version": 2'),
-        handover.pack(GOOD, "me").replace('"ids"', '"odd"'),
-        handover.pack(GOOD, "me").replace('["k", "s-1"]', '["k"]'),
-        handover.pack(GOOD, "me").replace('["s-1", 5, 2]', '["s-1", "x", 2]'),
+        handover.pack(STATE, "me")[:-9],
+        handover.pack(STATE, "me").replace('"version": 1', '"version": 2'),
+        handover.pack(STATE, "me").replace('"ids"', '"odd"'),
+        handover.pack(STATE, "me").replace('["k", "s-1"]', '["k"]'),
+        handover.pack(STATE, "me").replace('["s-1", 5, 2]', '["s-1", "x", 2]'),
         "[" * 100_000,
     ],
 )
@@ -237,11 +237,11 @@
     connected, other = socket.socketpair()
     plain = os.open(file, os.O_RDONLY)
     unbound = socket.socket()
-    for word in (str(connected.fileno()), str(plain), str(unbound.fileno()), "9999", "seven", "-1"):
-        monkeypatch.setenv("PROXY_INHERITED_FD", word)
+    for value in (str(connected.fileno()), str(plain), str(unbound.fileno()), "9999", "seven", "-1"):
+        monkeypatch.setenv("PROXY_INHERITED_FD", value)
         assert main(["serve", "--config", str(file)]) == 2
-        said = capsys.readouterr().err
-        assert said.startswith("cottonspread: PROXY_INHERITED_FD: ") and said.count("\n") == 1
+        output = capsys.readouterr().err
+        assert output.startswith("cottonspread: PROXY_INHERITED_FD: ") and output.count("\n") == 1
     assert inherited_listener({}) is None
     os.close(plain)
 
@@ -252,12 +252,15 @@
 class Process:
     """A `serve` process; several of the same name share one listening socket."""
 
-    def __init__(self, folder, listener, discovery_at, **more):
+    def __init__(self, folder, listener, discovery_address, **more):
         with socket.create_server(("127.0.0.1", 0)) as free:
-            self.operators = free.getsockname()
+            self.operator_address = free.getsockname()
         values = (
-            {key: value for key, value in WHOLE.items() if key != "operator"}
-            | {"discovery": "{}:{}".format(*discovery_at), "listen": "{}:{}".format(*listener.getsockname())}
+            {key: value for key, value in CONFIG.items() if key != "operator"}
+            | {
+                "discovery": "{}:{}".format(*discovery_address),
+                "listen": "{}:{}".format(*listener.getsockname()),
+            }
             | more
         )
         (folder / "node.json").write_text(json.dumps(values))
@@ -271,14 +274,14 @@
             | {
                 "TMPDIR": str(folder),
                 "PROXY_INHERITED_FD": str(listener.fileno()),
-                "PROXY_OPERATOR": "{}:{}".format(*self.operators),
+                "PROXY_OPERATOR": "{}:{}".format(*self.operator_address),
             },
         )
 
     def ready(self):
         while self.process.poll() is None:
             try:
-                if call(self.operators, b"health\n") == b"200 yes\n":
+                if call(self.operator_address, b"health\n") == b"200 yes\n":
                     return self
             except OSError:  # not there yet
                 pass
@@ -290,13 +293,13 @@
 
     def wait_for_log(self, text):
         """Waits for a text in the log, which a separate thread writes with a short delay."""
-        by = time.monotonic() + WAIT
+        deadline = time.monotonic() + WAIT
         while text not in self.log_text():
-            assert time.monotonic() < by, self.log_text()
+            assert time.monotonic() < deadline, self.log_text()
         return True
 
     def counter(self, name):
-        text = call(self.operators, b"counters\n").decode()
+        text = call(self.operator_address, b"counters\n").decode()
         return int(next(line for line in text.splitlines() if line.startswith(f"app_{name}")).split()[-1])
 
 
@@ -310,9 +313,9 @@
         return processes[-1]
 
     yield start, listener.getsockname()
-    for one in processes:
-        one.process.kill()
-        one.process.wait(WAIT)
+    for node in processes:
+        node.process.kill()
+        node.process.wait(WAIT)
 
 
 def open_call(address, id, key=b"0a"):
@@ -337,24 +340,24 @@
     clients = open_connections(address, 6)
     second = start().ready()
     assert second.wait_for_log("handed=True") and first.wait_for_log("hands-over")
-    twice = open_call(address, b"a0")  # whichever of the two takes it
-    assert twice.read_line() == b"ERR"
+    duplicate = open_call(address, b"a0")  # whichever of the two takes it
+    assert duplicate.read_line() == b"ERR"
     answers, done = [], threading.Event()
 
     def open_calls():
         n = 0
         while not done.is_set():
             n += 1
-            one = open_call(address, b"b%d" % n, b"g%d" % (n % 9))
-            answers.append(one.read_line())
-            one.sock.close()
+            client = open_call(address, b"b%d" % n, b"g%d" % (n % 9))
+            answers.append(client.read_line())
+            client.sock.close()
 
-    crowd = threading.Thread(target=open_calls, daemon=True)
-    crowd.start()
+    caller = threading.Thread(target=open_calls, daemon=True)
+    caller.start()
     first.process.send_signal(signal.SIGTERM)
     assert first.process.wait(WAIT) == 0
     done.set()
-    crowd.join(WAIT)
+    caller.join(WAIT)
     assert len(answers) > 10 and all(answer.startswith(b"UP ") for answer in answers)
     for n, client in enumerate(clients):  # established connections go on at the second process
         client.send_line(b"still here %d" % n)
@@ -373,30 +376,31 @@
     first = start().ready()
     clients = open_connections(address, 12)
     start().ready()
-    said, done = [[] for _ in range(6)], threading.Event()  # half of them send without a pause
+    received, done = [[] for _ in range(6)], threading.Event()  # half of them send without a pause
 
-    def talk(client, heard):
+    def send_lines(client, echoes):
         n = 0
-        while (not done.is_set() or n < 50) and b"MOVE" not in heard:
+        while (not done.is_set() or n < 50) and b"MOVE" not in echoes:
             client.send_line(b"line %d" % n)
-            heard.append(client.read_line())
+            echoes.append(client.read_line())
             n += 1
 
-    talkers = [
-        threading.Thread(target=talk, args=pair, daemon=True) for pair in zip(clients[:6], said, strict=True)
+    senders = [
+        threading.Thread(target=send_lines, args=pair, daemon=True)
+        for pair in zip(clients[:6], received, strict=True)
     ]
-    for one in talkers:
-        one.start()
+    for sender in senders:
+        sender.start()
     first.process.send_signal(signal.SIGTERM)
     assert first.process.wait(WAIT) == 0
     done.set()
-    for one in talkers:
-        one.join(WAIT)
-    passed = first.log_text().count("reason=handed-over")
-    assert passed + sum(b"MOVE" in heard for heard in said) == 12 and passed >= 6
-    for heard in said:  # a connection that was never idle when checked is moved
-        ours = heard[: heard.index(b"MOVE")] if b"MOVE" in heard else heard
-        assert ours == [b"line %d" % n for n in range(len(ours))]
+    for sender in senders:
+        sender.join(WAIT)
+    transferred = first.log_text().count("reason=handed-over")
+    assert transferred + sum(b"MOVE" in echoes for echoes in received) == 12 and transferred >= 6
+    for echoes in received:  # a connection that was never idle when checked is moved
+        before_move = echoes[: echoes.index(b"MOVE")] if b"MOVE" in echoes else echoes
+        assert before_move == [b"line %d" % n for n in range(len(before_move))]
 
 
 def test_a_successor_stopped_during_the_transfer_loses_no_connection(platform):
@@ -407,27 +411,28 @@
     second = start().ready()
     received = [[] for _ in clients]
 
-    def talk(client, heard):
-        while b"MOVE" not in heard and b"" not in heard:
+    def send_lines(client, echoes):
+        while b"MOVE" not in echoes and b"" not in echoes:
             client.send_line(b"line")
-            heard.append(client.read_line())
-        heard.append(client.read_line())
+            echoes.append(client.read_line())
+        echoes.append(client.read_line())
 
-    talkers = [
-        threading.Thread(target=talk, args=pair, daemon=True) for pair in zip(clients, received, strict=True)
+    senders = [
+        threading.Thread(target=send_lines, args=pair, daemon=True)
+        for pair in zip(clients, received, strict=True)
     ]
-    for one in talkers[:6]:
-        one.start()
+    for sender in senders[:6]:
+        sender.start()
     first.process.send_signal(signal.SIGTERM)
     assert second.wait_for_log("event=adopted")
     second.process.send_signal(signal.SIGTERM)
-    for one in talkers[6:]:
-        one.start()
-    for one in talkers:
-        one.join(WAIT)
+    for sender in senders[6:]:
+        sender.start()
+    for sender in senders:
+        sender.join(WAIT)
     assert first.process.wait(WAIT) == 0 and second.process.wait(WAIT) == 0
-    for heard in received:
-        assert heard[-2:] == [b"MOVE", b""] and set(heard[:-2]) <= {b"line"}
+    for echoes in received:
+        assert echoes[-2:] == [b"MOVE", b""] and set(echoes[:-2]) <= {b"line"}
     assert "Traceback" not in first.log_text() + second.log_text()
 
 
@@ -474,10 +479,10 @@
 @pytest.mark.parametrize("folder", ["short", "a" * 90])
 def test_a_socket_is_reachable_in_a_folder_with_a_long_name(folder, tmp_path):
     (tmp_path / folder).mkdir()
-    where = str(tmp_path / folder / "cottonspread-n1.heir")
-    with short_socket_path(where) as path:
+    socket_path = str(tmp_path / folder / "cottonspread-n1.heir")
+    with short_socket_path(socket_path) as path:
         listener = control.listen(path)
-    with short_socket_path(where) as path:
+    with short_socket_path(socket_path) as path:
         control.connect(path).close()
     listener.accept()[0].close()
     listener.close()
@@ -489,11 +494,11 @@
 def test_an_idle_reader_releases_its_socket_and_leaves_later_input_to_the_next(socket_and_reader):
     """Two processes reading one socket would split its lines."""
     (ours, reader), done = socket_and_reader, threading.Event()
-    started = threading.Thread(
+    thread = threading.Thread(
         target=lambda: (pytest.raises(lines.SocketReleasedError, reader.read_lines), done.set()),
         daemon=True,
     )
-    started.start()
+    thread.start()
     while not reader.idle:
         pass
     assert lines.try_release([reader]) and not done.is_set()
@@ -513,15 +518,15 @@
 
 
 def test_a_reader_reclaimed_before_any_input_goes_on_reading(socket_and_reader):
-    (ours, reader), heard = socket_and_reader, []
-    thread = threading.Thread(target=lambda: heard.append(reader.read_lines()), daemon=True)
+    (ours, reader), received = socket_and_reader, []
+    thread = threading.Thread(target=lambda: received.append(reader.read_lines()), daemon=True)
     thread.start()
     while not reader.idle:
         pass
     assert lines.try_release([reader]) and not reader.reclaim()
     ours.sendall(b"as ever\r\n")
     thread.join(WAIT)
-    assert heard == [b"as ever\r\n"]
+    assert received == [b"as ever\r\n"]
 
 
 @pytest.fixture
@@ -553,18 +558,18 @@
 )
 def test_an_invalid_transfer_message_leaves_the_connection_with_the_sender(line):
     ours, theirs = socket.socketpair(socket.AF_UNIX)
-    one, other = socket.socketpair()
-    taker = threading.Thread(
+    sent, other = socket.socketpair()
+    receiver = threading.Thread(
         target=connection_transfer.receive_connections, args=(theirs, lambda *_: True), daemon=True
     )
-    taker.start()
-    socket.send_fds(ours, [line], [one.fileno()])
+    receiver.start()
+    socket.send_fds(ours, [line], [sent.fileno()])
     ours.shutdown(socket.SHUT_WR) if not line.endswith(b"\n") else None
     assert ours.recv(1) == connection_transfer.DECLINED
     other.sendall(b"still ours")
-    assert one.recv(100) == b"still ours"
+    assert sent.recv(100) == b"still ours"
     ours.close()
-    taker.join(WAIT)
+    receiver.join(WAIT)
 
 
 def test_a_successor_that_cannot_start_leaves_the_other_serving(platform):
@@ -598,21 +603,21 @@
 
 def test_sighup_changes_the_types_of_a_serving_node(platform, tmp_path):
     start, address = platform
-    one = start().ready()
+    node = start().ready()
     client = open_call(address, b"a1")
     assert client.read_line().startswith(b"UP ")
     values = json.loads((tmp_path / "node.json").read_text())
-    for text, figure in (("{", "reconfig_failed"), (json.dumps(without(("name",))), "reconfig_failed")):
+    for text, counter in (("{", "reconfig_failed"), (json.dumps(without(("name",))), "reconfig_failed")):
         (tmp_path / "node.json").write_text(text)
-        before = one.counter(figure)
-        one.process.send_signal(signal.SIGHUP)
-        while one.counter(figure) == before:
+        before = node.counter(counter)
+        node.process.send_signal(signal.SIGHUP)
+        while node.counter(counter) == before:
             pass
-    assert one.counter("reconfig_failed") == 2 and one.counter("reconfig_ok") == 0
+    assert node.counter("reconfig_failed") == 2 and node.counter("reconfig_ok") == 0
     values["settings"]["TrafficTypes"][0]["Name"] = "talk"
     (tmp_path / "node.json").write_text(json.dumps(values))
-    one.process.send_signal(signal.SIGHUP)
-    while not one.counter("reconfig_ok"):
+    node.process.send_signal(signal.SIGHUP)
+    while not node.counter("reconfig_ok"):
         pass
     assert Client(address, b"OPEN a2 02 c=talk,d=2000,g=0b").read_line().startswith(b"UP ")
     assert Client(address, b"OPEN a3 02 c=chat,d=2000,g=0b").read_line() == b"ERR"
