--- a/benchmarks/crossings/mutants.py
+++ b/benchmarks/crossings/mutants.py
@@ -1,4 +1,5 @@
-"""Breaks, one by one, lines that get concurrent events right, and runs the tests that must fail then:
+"""Mutation tests of race conditions: breaks, one at a time, a line that handles concurrent events correctly,
+and runs the tests that must fail then:
 
     python benchmarks/crossings/mutants.py OUT.json
 
--- a/tests/crossings/test_floods.py
+++ b/tests/crossings/test_floods.py
@@ -58,7 +58,7 @@
                         or node.end_reasons["no-room-at-all"]
                         or node.end_reasons["rejected"]
                     ),
-                    "not dealt with",
+                    "neither forwarded nor refused",
                 )
                 if any(h.has_connection() for h in hosts):
                     break
@@ -72,7 +72,7 @@
             assert peer.read_all() == b""
         for conn in idle:
             conn.close()
-        wait_until(lambda: not node.reducer.conns and not node.workers.live, "a descriptor is kept")
+        wait_until(lambda: not node.reducer.conns and not node.workers.live, "a descriptor is still open")
 
 
 def test_silent_clients_cost_no_step_of_the_reducer(hosts, list_server):
@@ -111,7 +111,7 @@
                     ][n % 4]
                 )
             conn.close("reset" if n % 3 else "close")
-        wait_until(lambda: not node.reducer.conns and not node.workers.live, "a descriptor is kept")
+        wait_until(lambda: not node.reducer.conns and not node.workers.live, "a descriptor is still open")
         assert not any(h.has_connection() and h.accept().read_all() for h in hosts)
         conn = client(node, b"PING")
         assert conn.read_line() == b"PONG"
@@ -354,7 +354,7 @@
         wait_for_list(node)
         for n, name in enumerate(["7", "a.b/c:d", "x%20y", "c"]):
             conn = client(node, open_line(n, name, t="0"))
-            wait_until(lambda: any(h.has_connection() for h in hosts), f"{name} was not sent on")
+            wait_until(lambda: any(h.has_connection() for h in hosts), f"{name} was not forwarded")
             peer = next(h for h in hosts if h.has_connection()).accept()
             assert f"c={name}," in peer.read_line().decode()
             peer.send_lines(b"UP r")
--- a/tests/crossings/test_list.py
+++ b/tests/crossings/test_list.py
@@ -308,7 +308,7 @@
         if name == "target" and hasattr(self, "wake") and not switched.is_set():
             switched.set()
             list_server.change(hosts[0], "Ready")
-            wait_until(lambda: self.http is value, "the thread does not move")
+            wait_until(lambda: self.http is value, "the thread does not switch to the new address")
 
     with running(list_server) as node:
         wait_for_list(node)
--- a/tests/crossings/test_shutdown.py
+++ b/tests/crossings/test_shutdown.py
@@ -1,5 +1,5 @@
-"""SIGTERM during calls in any state: accepted calls are answered, nothing read afterwards is sent on, and the
-process ends in time.
+"""SIGTERM during calls in any state: accepted calls are answered, nothing read afterwards is forwarded, and
+the process ends in time.
 """
 
 import json
@@ -111,10 +111,10 @@
         wait_for_list(node)
         conn = client(node)
         conn.sock.sendall(said)
-        wait_until(lambda: node.admission.pending, "not there")
+        wait_until(lambda: node.admission.pending, "the client is not pending")
         node.stop()
         assert conn.read_line().startswith(b"BUSY") and conn.read_line() == b""
-        conn.send_lines(open_line(1))  # at the moment of the close: not sent on, and no reset
+        conn.send_lines(open_line(1))  # at the moment of the close: not forwarded, and no reset
         assert not conn.broken()
         assert node.join(WAIT)
 
@@ -180,7 +180,7 @@
         thread.start()
         wait_until(
             lambda: any(t.name.endswith("write_blocking") for t in threading.enumerate()),
-            "it took everything",
+            "no write has blocked",
         )
         started_at = node.clock.now()
         node.stop()
@@ -194,7 +194,7 @@
 
 
 def test_sigterm_overtakes_queued_events(list_server):
-    """Behind 4,096 queued events it was handled too late for the platform's time limit."""
+    """A stop request behind 4,096 queued events was handled too late for the platform's time limit."""
     gate = Gate()
 
     def before(node):
@@ -250,7 +250,7 @@
 
 
 def test_a_signal_during_the_start_does_not_kill_the_process(list_server, tmp_path, monkeypatch):
-    """It came before the handler was installed, and the process was killed by it."""
+    """A SIGTERM that came before the handler was installed killed the process."""
     file, read = tmp_path / "node.json", command.ActiveConfiguration.read
     file.write_text(settings(list_server))
 
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -146,7 +146,7 @@
     assert lines.traffic_type_name(line) == name
 
 
-# A node with such an address
+# A node with an operators' address
 
 
 @pytest.fixture
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -165,7 +165,7 @@
 def test_the_first_report_on_a_connection_may_be_a_delay():
     """A connection reports load only when it is used; read as a load, a congested host's delay was lost."""
     delays, fresh = MessageDelays(slow_threshold=17_000), ConnectionSignals()
-    # small for a load: not reported as one yet
+    # 0: unusually small for a load, so it is not taken for one yet
     assert delays.classify(7_380_000, fresh, 2784.4, 0, MEAN_LOAD) == 0
     assert delays.classify(8_380_500, fresh, 2114.3, 0, MEAN_LOAD) == 2_114_300 and not delays.misread_loads
     assert delays.classify(8_400_000, ConnectionSignals(), 52_000, 0, MEAN_LOAD) is None
@@ -723,8 +723,8 @@
 
 
 def test_listening_is_logged_before_any_thread_can_log(monkeypatch):
-    """The first list was sometimes logged before it, and a script that waited for the two lines in order
-    waited for ever.
+    """The first list was sometimes logged before `listening`, and a script that waited for the two lines in
+    order waited for ever.
     """
     order, logger = [], logging.getLogger("cottonspread.node")
     monkeypatch.setattr(workers, "start_thread", lambda target, *args, **more: order.append("a thread"))
--- a/tests/test_succession.py
+++ b/tests/test_succession.py
@@ -283,7 +283,7 @@
             try:
                 if call(self.operator_address, b"health\n") == b"200 yes\n":
                     return self
-            except OSError:  # not there yet
+            except OSError:  # not listening yet
                 pass
         raise AssertionError(self.log_text())
 
