--- a/cottonspread/net/connection_transfer.py
+++ b/cottonspread/net/connection_transfer.py
@@ -22,24 +22,24 @@
 
     def __init__(self, sock, post):
         """`sock`: connected to the successor; `post(event)` passes events to the reducer."""
-        self.sock, self.post, self.orders = sock, post, queue.SimpleQueue()
+        self.sock, self.post, self.transfers = sock, post, queue.SimpleQueue()
 
     def run(self):
-        """The thread: transfers the connections put into `orders`, one at a time."""
+        """The thread: transfers the connections put into `transfers`, one at a time."""
         while True:
-            order = self.orders.get()
-            self.post(ev.TransferDone(order.conn, *self.send(order)))
+            transfer = self.transfers.get()
+            self.post(ev.TransferDone(transfer.conn, *self.send(transfer)))
 
-    def send(self, order):
+    def send(self, transfer):
         """Transfers one connection: (whether the successor has it; if not, whether it was busy reading)."""
-        workers = order.client.worker, order.host.worker
+        workers = transfer.client.worker, transfer.host.worker
         readers = [worker.line_reader for worker in workers]
         if None in readers or not lines.try_release(readers):
             return False, True
         try:
             socket.send_fds(
                 self.sock,
-                [handover.pack_connection(order.connection)],
+                [handover.pack_connection(transfer.connection)],
                 [worker.sock.fileno() for worker in workers],
             )
             accepted = self.sock.recv(1) == ACCEPTED
@@ -48,7 +48,7 @@
             accepted = False
         for worker in workers if not accepted else ():
             if worker.line_reader.reclaim():
-                worker.orders.put(ev.Read(worker.end))
+                worker.effects.put(ev.Read(worker.end))
         return accepted, False
 
 
--- a/cottonspread/net/node.py
+++ b/cottonspread/net/node.py
@@ -375,7 +375,7 @@
         elif isinstance(effect, ev.FollowList):
             self.discovery.enabled.set()
         elif isinstance(effect, ev.Transfer):
-            self.connection_sender.orders.put(effect)
+            self.connection_sender.transfers.put(effect)
         elif isinstance(effect, ev.Exit):
             self.close_all()
         else:
--- a/cottonspread/net/workers.py
+++ b/cottonspread/net/workers.py
@@ -73,40 +73,40 @@
     def __init__(self, end, sock, pool, post, live, clock):
         """`post(event)` passes events to the reducer; `live`: the set of workers that hold a socket."""
         self.end, self.sock, self.pool, self.post, self.live, self.clock = end, sock, pool, post, live, clock
-        self.orders, self.line_reader = queue.SimpleQueue(), None
+        self.effects, self.line_reader = queue.SimpleQueue(), None
         end.worker = self
 
     def run(self):
         """The thread: executes orders until the socket is released."""
         while True:
-            order = self.orders.get()
-            if isinstance(order, ev.Free):
+            effect = self.effects.get()
+            if isinstance(effect, ev.Free):
                 self.release()
                 return
             try:
                 result = (
                     self.read()
-                    if isinstance(order, ev.Read)
+                    if isinstance(effect, ev.Read)
                     else self.discard_input()
-                    if isinstance(order, ev.DiscardInput)
-                    else self.connect(order)
+                    if isinstance(effect, ev.DiscardInput)
+                    else self.connect(effect)
                 )
             except Exception:  # an internal error: log it and end the connection
-                log.exception("fault", extra={"pairs": {"while": type(order).__name__}})
+                log.exception("fault", extra={"pairs": {"while": type(effect).__name__}})
                 result = (
                     ev.ConnectDone(self.end, False)
-                    if isinstance(order, ev.Connect)
+                    if isinstance(effect, ev.Connect)
                     else ev.ReadEnded(self.end, "fault")
                 )
             if result is not None:
                 self.post(result)
 
-    def connect(self, order):
+    def connect(self, effect):
         """Connects to a host; returns the event for the reducer."""
         sock = self.sock
         try:
-            sock.settimeout(max(0.001, order.timeout / 1e6))
-            sock.connect(order.address)
+            sock.settimeout(max(0.001, effect.timeout / 1e6))
+            sock.connect(effect.address)
             prepare(sock)
             return ev.ConnectDone(self.end, True)
         except OSError as error:
@@ -206,17 +206,17 @@
             return False
         return True
 
-    def probe(self, order):
+    def probe(self, effect):
         """Sends one probe to a host, in its own thread so that a silent host blocks nothing else.
 
         A lack of local resources, such as descriptors, is not reported as a failure of the host.
         """
         started_at, data = time.monotonic(), b""
         try:
-            with socket.create_connection(order.address, timeout=order.timeout / 1e6) as sock:
+            with socket.create_connection(effect.address, timeout=effect.timeout / 1e6) as sock:
                 sock.sendall(lines.STATS)
                 while not data.endswith(b"\n") and len(data) < lines.MAX_REPORT_BYTES:
-                    sock.settimeout(max(0.001, order.timeout / 1e6 - (time.monotonic() - started_at)))
+                    sock.settimeout(max(0.001, effect.timeout / 1e6 - (time.monotonic() - started_at)))
                     chunk = sock.recv(lines.MAX_REPORT_BYTES)
                     if not chunk:
                         raise ConnectionResetError
@@ -233,7 +233,7 @@
                 errno.EADDRNOTAVAIL,
             )
             ending, report = Ending.FULL if local_failure else Ending.CONNECT_FAILED, {}
-        self.post(ev.ProbeDone(order.host, ending, report, round((time.monotonic() - started_at) * 1e6)))
+        self.post(ev.ProbeDone(effect.host, ending, report, round((time.monotonic() - started_at) * 1e6)))
 
     def execute(self, effect):
         """Passes an effect of the reducer to the thread that executes it."""
@@ -256,10 +256,10 @@
                 sock.close()
                 self.write_queue.put(ev.ConnectDone(effect.end, False, "no-thread"))
                 return
-            effect.end.worker.orders.put(effect)
+            effect.end.worker.effects.put(effect)
         elif isinstance(effect, (ev.Read, ev.DiscardInput)):
             if effect.end.worker is not None:
-                effect.end.worker.orders.put(effect)
+                effect.end.worker.effects.put(effect)
         else:
             self.write_queue.put(effect)
 
@@ -297,7 +297,7 @@
         elif isinstance(effect, ev.Free):  # after all others: no order may hit a reused descriptor
             if worker.line_reader is not None and worker.line_reader.released:
                 worker.sock.close()  # its thread is blocked in a read until input for the new owner arrives
-            worker.orders.put(effect)
+            worker.effects.put(effect)
         elif isinstance(effect, ev.ShutdownWrite):
             worker.sock.shutdown(socket.SHUT_WR)
         elif effect.reset:
--- a/tests/crossings/stubs.py
+++ b/tests/crossings/stubs.py
@@ -204,8 +204,8 @@
     """
     gate, connect, attempts = Gate(), workers.Worker.connect, itertools.count(1)
 
-    def delayed_connect(worker, order):
-        result = connect(worker, order)
+    def delayed_connect(worker, effect):
+        result = connect(worker, effect)
         if selects(next(attempts)):
             gate.wait()
         return result
