--- a/cottonspread/net/workers.py
+++ b/cottonspread/net/workers.py
@@ -3,8 +3,9 @@
 They make no decisions and keep no state but sockets.
 
 Each end of a connection has one thread, which connects, reads and finally closes the socket. One thread
-writes for all ends; a write that would block is moved to a thread of its own. An end has at most three orders
-queued at a time, so the order queues are bounded by the number of ends. The event queue has its own limit.
+writes for all ends; a write that would block is moved to a thread of its own. An end has at most three
+effects queued at a time, so the effect queues are bounded by the number of ends. The event queue has
+its own limit.
 """
 
 import errno
@@ -77,7 +78,7 @@
         end.worker = self
 
     def run(self):
-        """The thread: executes orders until the socket is released."""
+        """The thread: executes effects until the socket is released."""
         while True:
             effect = self.effects.get()
             if isinstance(effect, ev.Free):
@@ -185,7 +186,7 @@
     """All worker threads of a node, and the thread that writes for them."""
 
     def __init__(self, pool, post, clock, on_all_written=lambda: None):
-        """`on_all_written` is called once, after the order None, when all data is with the kernel."""
+        """`on_all_written` is called once, after a None in the queue, when all data is with the kernel."""
         self.pool, self.post, self.clock, self.on_all_written = pool, post, clock, on_all_written
         self.write_queue = queue.SimpleQueue()
         self.live = set()  # workers that hold a socket, including those that the reducer does not know yet
@@ -287,14 +288,14 @@
                     self.post(ev.WriteDone(effect.end, False))
 
     def execute_write(self, worker, effect):
-        """Executes one write-side order of an end: data to send, or how to end the connection."""
+        """Executes one write-side effect on an end: data to send, or how to end the connection."""
         if isinstance(effect, ev.Write):
             skip_reason = self.reason_not_to_start(effect) if effect.first_line else ""
             if skip_reason:
                 self.post(ev.WriteDone(effect.end, False, skip_reason=skip_reason))
             else:
                 self.write(worker.sock, effect)
-        elif isinstance(effect, ev.Free):  # after all others: no order may hit a reused descriptor
+        elif isinstance(effect, ev.Free):  # after all others: no effect may hit a reused descriptor
             if worker.line_reader is not None and worker.line_reader.released:
                 worker.sock.close()  # its thread is blocked in a read until input for the new owner arrives
             worker.effects.put(effect)
@@ -309,8 +310,8 @@
     def reason_not_to_start(self, effect):
         """Why the first line of an attempt must not be sent after all, or "".
 
-        Checks what the reducer could not know when it gave the order: that the client has left, which on a
-        busy node is still queued behind many other events, or that the deadline has passed.
+        Checks what the reducer could not know when it returned the effect: that the client has left, which on
+        a busy node is still queued behind many other events, or that the deadline has passed.
         """
         client = effect.end.conn.client.worker
         try:
