--- a/cottonspread/config/platform.py
+++ b/cottonspread/config/platform.py
@@ -367,7 +367,7 @@
     elif isinstance(old, list):
         if not isinstance(new, list):
             raise ConfigurationError(f"{path or 'configuration'}: not a list")
-        if old and all(isinstance(one, dict) for one in old):
+        if old and all(isinstance(entry, dict) for entry in old):
             check_list(old, new, path)
 
 
@@ -385,13 +385,15 @@
     """`check_no_key_missing` for two lists of objects."""
 
     def in_all(key, objects):
-        return objects and all(one.get(key) is not None for one in objects)
+        return objects and all(entry.get(key) is not None for entry in objects)
 
     common = [key for key in old[0] if key not in KEYED_ONLY and in_all(key, old)]
-    keyed = [key for key in KEYED_ONLY if in_all(key, [one for one in old if one.get("Effect") == "keyed"])]
-    for n, one in enumerate(new):
-        if not isinstance(one, dict):
+    keyed = [
+        key for key in KEYED_ONLY if in_all(key, [entry for entry in old if entry.get("Effect") == "keyed"])
+    ]
+    for n, entry in enumerate(new):
+        if not isinstance(entry, dict):
             raise ConfigurationError(f"{path}[{n}]: not an object")
-        for key in common + keyed * (one.get("Effect") == "keyed"):
-            if one.get(key) is None:
+        for key in common + keyed * (entry.get("Effect") == "keyed"):
+            if entry.get(key) is None:
                 raise ConfigurationError(f"{path}[{n}].{key}: missing")
--- a/cottonspread/drill/batches.py
+++ b/cottonspread/drill/batches.py
@@ -35,17 +35,17 @@
             now, serial = ms_to_us(clock["Now"]), clock["serial"]
         except (KeyError, ValueError) as error:
             raise FramingError(f"clock line without a valid time or serial: {error!r}") from error
-        replies, node, last_node, at = [], None, None, 0
-        while at < len(lines):
-            line, first = lines[at], at
-            at += 1
+        replies, node, last_node, index = [], None, None, 0
+        while index < len(lines):
+            line, first = lines[index], index
+            index += 1
             actions = []
             try:
                 name, fields = codec.split(line)
                 entries = []
-                while name == "view" and at < len(lines) and lines[at].startswith("item"):
-                    at += 1
-                    entries.append(codec.split(lines[at - 1])[1])
+                while name == "view" and index < len(lines) and lines[index].startswith("item"):
+                    index += 1
+                    entries.append(codec.split(lines[index - 1])[1])
                 if name == "instance":
                     node = int(fields["Node"])
                     continue
--- a/cottonspread/net/node.py
+++ b/cottonspread/net/node.py
@@ -334,34 +334,34 @@
     def run_reducer(self):
         """The thread that runs the reducer."""
         while not self.finished:
-            left = (self.reducer.due() - self.clock.now()) / 1e6
+            timeout = (self.reducer.due() - self.clock.now()) / 1e6
             try:
-                at, event = self.urgent_events.get_nowait()
+                event_time, event = self.urgent_events.get_nowait()
             except queue.Empty:
-                at, event = self.next_event(left)
+                event_time, event = self.next_event(timeout)
             now = self.clock.now()
-            at = getattr(event, "at", 0) or at or now
+            event_time = getattr(event, "at", 0) or event_time or now
             if isinstance(event, ev.LinesRead) and event.end.is_client and event.end.conn.request is None:
                 with self.limiter_lock:
-                    self.admission_limiter.record_wait(now, now - at)
-            for effect in self.step(event, at):
+                    self.admission_limiter.record_wait(now, now - event_time)
+            for effect in self.step(event, event_time):
                 self.execute(effect)
 
-    def next_event(self, left):
-        """The next queued event with its time, or a tick after `left` seconds."""
+    def next_event(self, timeout):
+        """The next queued event with its time, or a tick after `timeout` seconds."""
         try:
-            return self.events.get(timeout=left) if left > 0 else self.events.get_nowait()
+            return self.events.get(timeout=timeout) if timeout > 0 else self.events.get_nowait()
         except queue.Empty:
             return 0, ev.Tick()
 
-    def step(self, event, at=0):
+    def step(self, event, event_time=0):
         """Makes one step of the reducer and returns its effects.
 
         A bug in it is logged with its traceback and costs one connection.
         """
         self.steps += 1
         try:
-            return self.reducer.step(self.clock.now(), event, at)
+            return self.reducer.step(self.clock.now(), event, event_time)
         except Exception:
             log.exception("fault", extra={"pairs": {"while": type(event).__name__}})
         return self.reducer.after_fault(event)
--- a/tests/crossings/test_list.py
+++ b/tests/crossings/test_list.py
@@ -174,9 +174,9 @@
 
 def test_a_response_cut_off_inside_an_entry_changes_nothing(hosts, list_server, scaled):
     """A response that ends inside an entry, with a matching length: no part of it is applied."""
-    whole = json.dumps(list_server.full_list()).encode()
-    for cut in range(1, len(whole), 37):
-        body = whole[:cut]
+    full_body = json.dumps(list_server.full_list()).encode()
+    for cut in range(1, len(full_body), 37):
+        body = full_body[:cut]
         list_server.scripted.put(
             lambda request, body=body: request.send(
                 b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body)
--- a/tests/crossings/test_shutdown.py
+++ b/tests/crossings/test_shutdown.py
@@ -105,12 +105,12 @@
         expect_clean_end(late[0], b"BUSY")
 
 
-@pytest.mark.parametrize("said", (b"", b"OPEN 0000"))
-def test_a_silent_client_or_one_with_half_a_line_is_told_of_the_end(list_server, said):
+@pytest.mark.parametrize("data", (b"", b"OPEN 0000"))
+def test_a_silent_client_or_one_with_half_a_line_is_told_of_the_end(list_server, data):
     with running(list_server) as node:
         wait_for_list(node)
         conn = client(node)
-        conn.sock.sendall(said)
+        conn.sock.sendall(data)
         wait_until(lambda: node.admission.pending, "the client is not pending")
         node.stop()
         assert conn.read_line().startswith(b"BUSY") and conn.read_line() == b""
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -30,10 +30,10 @@
     lines = [line for line in file.read_text().splitlines() if line.strip()] if file.exists() else []
     entries = {}
     for line in lines:
-        words = [word.strip() for word in line.split("|")]
-        if len(words) != len(Entry._fields) or not all(words) or words[0] in entries:
+        fields = [field.strip() for field in line.split("|")]
+        if len(fields) != len(Entry._fields) or not all(fields) or fields[0] in entries:
             raise pytest.UsageError(f"{FILE}: not `{FORM}`, or listed twice: {line}")
-        entries[words[0]] = Entry(*words)
+        entries[fields[0]] = Entry(*fields)
     return entries
 
 
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -28,7 +28,7 @@
 @pytest.fixture
 def admin_server():
     """A server of the operators' address without a node, which echoes each command."""
-    server = admin.Admin(("127.0.0.1", 0), lambda word: b"200 " + word.encode() + b"\n")
+    server = admin.Admin(("127.0.0.1", 0), lambda command: b"200 " + command.encode() + b"\n")
     thread = threading.Thread(target=server.run, daemon=True)
     thread.start()
     yield server, server.listener.getsockname()
@@ -88,7 +88,7 @@
 def test_an_internal_error_fails_only_one_command():
     answers = iter([RuntimeError("broken"), b"200 yes\n"])
 
-    def answer(word):
+    def answer(command):
         result = next(answers)
         if isinstance(result, Exception):
             raise result
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -475,7 +475,7 @@
 
 
 @pytest.mark.parametrize(
-    "settings, probed, moving",
+    "settings, probed, dynamic",
     [
         ({}, False, False),  # old settings, without these keys
         (
@@ -500,9 +500,9 @@
         ({"LoadReport": {"How": "probe", "Names": ["x0"]}, "Weights": "rough"}, False, False),
     ],
 )
-def test_a_node_probes_and_takes_weights_for_loads_only_where_its_settings_say_so(settings, probed, moving):
+def test_a_node_probes_and_takes_weights_for_loads_only_where_its_settings_say_so(settings, probed, dynamic):
     node_config = config.read_begin(WITH_TYPE | settings, 1)
-    assert (node_config.probes_report_load, node_config.dynamic_weights) == (probed, moving)
+    assert (node_config.probes_report_load, node_config.dynamic_weights) == (probed, dynamic)
 
 
 def test_the_availability_goal_reaches_the_balancer_and_unknown_goal_keys_are_skipped():
@@ -570,11 +570,13 @@
 
 def test_a_missing_file_and_an_address_in_use_are_reported_in_one_line(tmp_path, capsys):
     assert cli.main(["serve", "--config", str(tmp_path / "none.json")]) == 2
-    taken = socket.create_server(("127.0.0.1", 0))
+    occupied = socket.create_server(("127.0.0.1", 0))
     file = tmp_path / "node.json"
     for key, other in (("listen", "operator"), ("operator", "listen")):
         file.write_text(
-            json.dumps(json.loads(NODE) | {key: f"127.0.0.1:{taken.getsockname()[1]}", other: "127.0.0.1:0"})
+            json.dumps(
+                json.loads(NODE) | {key: f"127.0.0.1:{occupied.getsockname()[1]}", other: "127.0.0.1:0"}
+            )
         )
         assert cli.main(["serve", "--config", str(file)]) == 1
         output = capsys.readouterr().err.splitlines()[-1]
