--- a/cottonspread/net/admin.py
+++ b/cottonspread/net/admin.py
@@ -37,7 +37,7 @@
     """The server of the operators' address."""
 
     def __init__(self, address, answer):
-        """`answer(word)` returns the answer to a command, as bytes; it must not block.
+        """`answer(command)` returns the answer to a command, as bytes; it must not block.
 
         Raises OSError if the address cannot be bound.
         """
