--- a/benchmarks/crossings/mutants.py
+++ b/benchmarks/crossings/mutants.py
@@ -1,5 +1,5 @@
-"""Mutation test of the code that handles concurrent events: changes one line at a time and runs the tests
-that must then fail:
+"""Mutation tests of race conditions: breaks, one at a time, a line that handles concurrent events correctly,
+and runs the tests that must fail then:
 
     python benchmarks/crossings/mutants.py OUT.json
 
@@ -33,8 +33,8 @@
     (
         "the look for the client before the first byte",
         "net/workers.py",
-        'why = self.reason_not_to_start(effect) if effect.first_line else ""',
-        'why = ""',
+        'skip_reason = self.reason_not_to_start(effect) if effect.first_line else ""',
+        'skip_reason = ""',
         [f"{ATTEMPTS}::test_nothing_is_sent_if_the_client_left_while_the_host_connection_was_opening"],
     ),
     (
@@ -193,21 +193,21 @@
     ),
     (
         "BUSY after SIGTERM",
-        "net/reducer.py",
+        "net/drain.py",
         '            return "stopping"\n',
         '            return ""\n',
         [f"{SHUTDOWN}::test_lines_read_after_the_stop_are_not_forwarded_and_earlier_calls_are_answered"],
     ),
     (
         "the last moment for answers",
-        "net/reducer.py",
-        "                self.end_leg(leg, Ending.TIMEOUT)  # and no other",
+        "net/drain.py",
+        "                self.reducer.end_leg(leg, Ending.TIMEOUT)  # and no other",
         "                pass  # and no other",
         [f"{SCENARIO}[stop_long_call]"],
     ),
     (
         "a stop is one stop",
-        "net/reducer.py",
+        "net/drain.py",
         "        if self.stopping:\n            return\n        # The platform",
         "        # The platform",
         [f"{SCENARIO}[stop_twice]"],
@@ -285,14 +285,15 @@
     (
         "the bound on clients that wait for their first line",
         "net/admission.py",
-        "for one in self.pending.remove_excess(self.handler.max_pending()):",
-        "for one in ():",
+        "for oldest in self.pending.remove_excess(self.handler.max_pending()):",
+        "for oldest in ():",
         [f"{FLOODS}::test_idle_clients_that_use_up_the_descriptors_do_not_lock_others_out"],
     ),
     (
         "who waits for a first line is no connection of the reducer's",
         "net/admission.py",
-        "if first and not is_complete(first) and not ready & (select.EPOLLRDHUP | select.EPOLLHUP):",
+        "if first_input and not is_complete(first_input) and not ready & "
+        "(select.EPOLLRDHUP | select.EPOLLHUP):",
         "if False:",
         [f"{FLOODS}::test_silent_clients_cost_no_step_of_the_reducer"],
     ),
@@ -321,8 +322,9 @@
     (
         "one time for a call and its repeat",
         "net/http.py",
-        "# In what is left of the time: two silences, one behind the other, were waited out in full.\n",
-        "self.until = time.monotonic() + wait\n",
+        "                return self.exchange(path, body)\n        except",
+        "                self.deadline = time.monotonic() + timeout\n"
+        "                return self.exchange(path, body)\n        except",
         [f"{LIST}::test_a_retry_after_a_reset_does_not_extend_the_timeout"],
     ),
     (
@@ -335,8 +337,8 @@
     (
         "a watch that is silent late",
         "net/http.py",
-        "        self.sock.settimeout(self.time_left())\n        got",
-        "        self.sock.settimeout(None if self.rest == b'' else self.left())\n        got",
+        "        self.sock.settimeout(self.time_left())\n        data",
+        "        self.sock.settimeout(None if self.buffered == b'' else self.time_left())\n        data",
         [f"{LIST}::test_a_watch_that_hangs_after_answered_ones_times_out_and_is_repeated"],
     ),
     (
--- a/cottonspread/cli/instance.py
+++ b/cottonspread/cli/instance.py
@@ -82,7 +82,7 @@
         return 0
 
     def poll(self):
-        """Does what is due by time: state changes, the check for a supervisor, status messages."""
+        """Does the periodic work: state changes, the check for a supervisor, status messages."""
         now = time.monotonic()
         if self.state == "waiting" and self.initial_list.ready(self.node):
             self.set_state("prepared")
@@ -175,10 +175,10 @@
             log.error("held", extra={"pairs": {"by": self.lock.holder_pid()}})
             os._exit(1)
 
-    def leave(self, handed):
-        """Stops accepting connections and shuts down; `handed`: a successor has the listening socket."""
+    def leave(self, has_successor):
+        """Stops accepting connections and shuts down; `has_successor`: it has the listening socket."""
         self.accept_deadline = 0.0
-        self.node.shut_down(handed)
+        self.node.shut_down(has_successor)
         self.lock.release()
         self.set_state("leaving")
 
@@ -187,10 +187,10 @@
         values = json.loads(live)
         try:
             parts = self.read(values)
-        except config.ConfigurationError as fault:
-            self.refused = {"live": control.digest(live), "why": str(fault)}
+        except config.ConfigurationError as error:
+            self.refused = {"live": control.digest(live), "why": str(error)}
             self.node.post_urgent(ev.ReloadRejected())
-            log.error("reload", extra={"pairs": {"why": fault, "kept": "the old configuration"}})
+            log.error("reload", extra={"pairs": {"why": error, "kept": "the old configuration"}})
             self.send_status()
             return
         logging.getLogger("cottonspread").setLevel(values["level"].upper())
@@ -201,11 +201,11 @@
         self.send_status()
 
 
-def instance(given):
+def instance(args):
     """Runs an instance; returns its exit code."""
     start_message = json.loads(sys.stdin.readline())
     start = json.loads(start_message["start"])
-    write_out = logfmt.configure(
+    flush_log = logfmt.configure(
         start_message["name"],
         json.loads(start_message["live"])["level"].upper(),
         start["format"],
@@ -213,11 +213,11 @@
     )
     try:
         return Instance(start_message).run()
-    except (config.ConfigurationError, OSError) as fault:
-        log.error("not-started", extra={"pairs": {"why": fault}})
+    except (config.ConfigurationError, OSError) as error:
+        log.error("not-started", extra={"pairs": {"why": error}})
         return 2
     finally:
-        write_out()
+        flush_log()
 
 
 def add(commands):
--- a/cottonspread/cli/node.py
+++ b/cottonspread/cli/node.py
@@ -24,8 +24,8 @@
     try:
         with open(path, encoding="utf-8") as file:
             return file.read()
-    except (OSError, UnicodeDecodeError) as fault:
-        raise config.ConfigurationError(f"configuration: {path}: {fault}") from fault
+    except (OSError, UnicodeDecodeError) as error:
+        raise config.ConfigurationError(f"configuration: {path}: {error}") from error
 
 
 def read(path):
@@ -38,8 +38,8 @@
     parts = config.read_node(text, environment or {})
     try:
         discovery.read_list(parts[-1], parts[2])
-    except discovery.ListError as fault:
-        raise config.ConfigurationError(f"known: {fault}") from fault
+    except discovery.ListError as error:
+        raise config.ConfigurationError(f"known: {error}") from error
     return parts
 
 
@@ -47,7 +47,7 @@
     """The sections of the operator's file, as `op.read` returns them; None without a file."""
     if not path:
         return None
-    # imported here because it needs msgspec, which a node without such a file need not have
+    # Imported here because it needs msgspec, which a node without such a file need not have.
     from cottonspread.config import operator as op
 
     return op.read(path)
@@ -59,9 +59,10 @@
     def stop_node(node, active):
         takeover.stop(node, active) if takeover else node.stop()
 
-    requests = queue.SimpleQueue()  # functions that signal handlers, threads and the follower have run here
+    # Functions for this thread to run, queued by signal handlers, other threads and the follower.
+    requests = queue.SimpleQueue()
     signal.signal(signal.SIGHUP, lambda *_: requests.put(reload))
-    # installed before anything else: a signal during the start killed the process
+    # Installed before anything else: until then a signal kills the process.
     for number in (signal.SIGTERM, signal.SIGINT):
         signal.signal(number, lambda *_: requests.put(stop_node))
     sections = read_operator_file(operator_path)
@@ -73,7 +74,7 @@
         listener = takeovers.inherited_listener(os.environ)
     takeover = follower = None
     name = active.parts[0].name
-    write_out = (
+    flush_log = (
         logfmt.configure(name, sections[0].level.upper(), sections[0].format)
         if sections
         else logfmt.configure(name)
@@ -94,19 +95,19 @@
             follower.start()
         run_node(node, active, takeover, requests)
         return 0
-    except OSError as fault:
-        where = fault.filename or "listen: {}:{}".format(*parts[0].listen)
-        what = "address in use" if fault.errno == errno.EADDRINUSE else fault.strerror or fault
+    except OSError as error:
+        where = error.filename or "listen: {}:{}".format(*parts[0].listen)
+        what = "address in use" if error.errno == errno.EADDRINUSE else error.strerror or error
         print(f"cottonspread: {where}: {what}", file=sys.stderr)
         return 1
     finally:
         if follower:
             follower.stop()
-        write_out()
+        flush_log()
 
 
 def run_node(node, active, takeover, requests):
-    """Until the node has ended: runs the requests, handles takeovers and notifies the service manager."""
+    """Runs the requests, handles takeovers and notifies the service manager until the node has ended."""
     manager, manager_state = notify.ServiceManager(), False
     while not node.join(0):
         if takeover:
@@ -164,18 +165,18 @@
     name = section.node or active.parts[0].name
     try:
         follower = Client(name, tuple(section.replicas), folder, check, apply)
-    except OSError as fault:
-        raise config.ConfigurationError(f"configuration.state: {folder}: {fault}") from fault
+    except OSError as error:
+        raise config.ConfigurationError(f"configuration.state: {folder}: {error}") from error
     if follower.saved:
         try:
             active.start_with(follower.saved.body)
-        except config.ConfigurationError as fault:  # start with the file; the follower reports the reason
-            log.error("saved-configuration", extra={"pairs": {"why": fault, "kept": "the file"}})
+        except config.ConfigurationError as error:  # start with the file; the follower reports the reason
+            log.error("saved-configuration", extra={"pairs": {"why": error, "kept": "the file"}})
     return follower
 
 
 def apply_published(node, active, published):
-    """Puts a text from the configuration store into force, as SIGHUP does with a file: (ok, why not)."""
+    """Applies a text from the configuration store, as SIGHUP does with a file: (applied, why not)."""
     before, active.published = active.published, published
     why = reload(node, active)
     if why:
@@ -189,17 +190,21 @@
 
     `manager_state`: what the last call returned.
     """
-    steps, ready, at = manager_state or (-1, False, 0.0)
+    steps, ready, notified_at = manager_state or (-1, False, 0.0)
     now, status = time.monotonic(), node.status()
     if not ready and status["listed"] and node.ping():
         ready = manager.notify_ready("serving")
     if node.reducer.stopping and ready != "stopping":
         manager.notify_stopping()
         ready = "stopping"
-    if manager.watchdog_interval and now - at >= manager.watchdog_interval and status["steps"] != steps:
+    if (
+        manager.watchdog_interval
+        and now - notified_at >= manager.watchdog_interval
+        and status["steps"] != steps
+    ):
         manager.notify_watchdog()
         return status["steps"], ready, now
-    return steps, ready, at
+    return steps, ready, notified_at
 
 
 def reload(node, active):
@@ -210,16 +215,16 @@
     try:
         values, parts = active.read()
         config.check_no_key_missing(active.values, values)
-    except config.ConfigurationError as fault:
+    except config.ConfigurationError as error:
         node.post_urgent(ev.ReloadRejected())
-        log.error("reload", extra={"pairs": {"why": fault, "kept": "the old configuration"}})
-        return str(fault)
-    except Exception as fault:  # a bug of ours
+        log.error("reload", extra={"pairs": {"why": error, "kept": "the old configuration"}})
+        return str(error)
+    except Exception as error:  # an internal error
         node.post_urgent(ev.ReloadRejected())
         log.exception("fault", extra={"pairs": {"while": "reload"}})
-        return f"internal error: {type(fault).__name__}: {fault}"
+        return f"internal error: {type(error).__name__}: {error}"
     endpoints, resource_limits, _, _, node_config, _ = parts
-    # what cannot change while the node runs still has the values of the start
+    # Settings that cannot change while the node runs still have the values in `active.parts`.
     old_endpoints, old_limits, _, _, old_config, _ = active.parts
     node.reload(*parts[:-1])
     kept = [
@@ -285,11 +290,11 @@
 
 def add(commands):
     """Adds the sub-commands to the parser."""
-    for name, what, run in (
+    for name, help_text, run in (
         ("serve", "run one node in the foreground", serve),
         ("check", "read the configuration and print what a node would do with it", check),
     ):
-        command = commands.add_parser(name, help=what)
+        command = commands.add_parser(name, help=help_text)
         command.add_argument(
             "--config",
             default=os.environ.get("PROXY_CONFIG"),
@@ -297,8 +302,8 @@
         )
         command.add_argument("--operator", metavar="FILE", help="the operator's TOML file")
         command.set_defaults(
-            run=lambda given, run=run: run(
-                given.config if run is check else require_path(given.config), given.operator
+            run=lambda args, run=run: run(
+                args.config if run is check else require_path(args.config), args.operator
             )
         )
     commands.add_parser("version", help="print the version").set_defaults(run=version)
@@ -311,7 +316,7 @@
     return path
 
 
-def version(given):
+def version(args):
     """Prints the version."""
     print(f"cottonspread {__version__}")
     return 0
--- a/cottonspread/lists/saved.py
+++ b/cottonspread/lists/saved.py
@@ -33,15 +33,15 @@
 
 def sync_folder(folder):
     """Makes renames and removals in the folder durable. Raises OSError."""
-    opened = os.open(folder, os.O_RDONLY | os.O_DIRECTORY)
+    fd = os.open(folder, os.O_RDONLY | os.O_DIRECTORY)
     try:
-        os.fsync(opened)
+        os.fsync(fd)
     finally:
-        os.close(opened)
+        os.close(fd)
 
 
 class SavedList:
-    """Saves the list from discovery as JSON. A file that cannot be written costs one log line."""
+    """Saves the list from discovery as JSON. A failure to write the file is logged once."""
 
     def __init__(self, path, dynamic_weights=False):
         """`dynamic_weights`: changes of weights alone are not saved."""
@@ -55,26 +55,26 @@
             self.dynamic_weights
             and not full
             and all(
-                one | {"weight": 0} == self.entries.get(str(one["instanceId"]), {}) | {"weight": 0}
-                for one in instances
+                instance | {"weight": 0} == self.entries.get(str(instance["instanceId"]), {}) | {"weight": 0}
+                for instance in instances
             )
         ):
             return
         if full:
             self.entries = {}
-        for one in instances:
-            self.entries[str(one["instanceId"])] = one
-            if one["lifecycle"] == "Gone":
-                del self.entries[str(one["instanceId"])]
+        for instance in instances:
+            self.entries[str(instance["instanceId"])] = instance
+            if instance["lifecycle"] == "Gone":
+                del self.entries[str(instance["instanceId"])]
         try:
             write_atomically(
                 self.path,
                 json.dumps({"generation": version, "reset": True, "instances": list(self.entries.values())}),
             )
             self.failing = False
-        except OSError as fault:
+        except OSError as error:
             if not self.failing:  # logged once, not for each list
-                log.error("list-not-saved", extra={"pairs": {"file": self.path, "why": fault}})
+                log.error("list-not-saved", extra={"pairs": {"file": self.path, "why": error}})
             self.failing = True
 
 
@@ -86,6 +86,6 @@
         return saved if isinstance(saved, dict) and isinstance(saved.get("instances"), list) else None
     except FileNotFoundError:
         return None
-    except (OSError, ValueError, RecursionError) as fault:
-        log.warning("saved-list", extra={"pairs": {"file": path, "why": fault, "kept": "none"}})
+    except (OSError, ValueError, RecursionError) as error:
+        log.warning("saved-list", extra={"pairs": {"file": path, "why": error, "kept": "none"}})
         return None
--- a/cottonspread/net/admin.py
+++ b/cottonspread/net/admin.py
@@ -37,16 +37,15 @@
     """The server of the operators' address."""
 
     def __init__(self, address, answer):
-        """`answer(word)` returns the answer to a command, as bytes; it must not block.
+        """`answer(command)` returns the answer to a command, as bytes; it must not block.
 
         Raises OSError if the address cannot be bound.
         """
         try:
             self.listener = socket.create_server(address, backlog=BACKLOG)
-        except OSError as fault:
-            fault.filename = "operator: {}:{}".format(
-                *address
-            )  # tells which of the node's two addresses failed
+        except OSError as error:
+            # Tells which of the node's two addresses failed.
+            error.filename = "operator: {}:{}".format(*address)
             raise
         self.listener.setblocking(False)
         self.answer_to, self.callers, self.stopped = answer, {}, False
@@ -63,11 +62,11 @@
                     self.accept() if key.fileobj is self.listener else self.serve(self.callers[key.fileobj])
                 except KeyError:  # evicted earlier in this round, in favour of a new caller
                     pass
-                except OSError as fault:
+                except OSError as error:
                     if key.fileobj is not self.listener:
                         self.close(key.fileobj)
                     elif not self.stopped:
-                        log.warning("accept", extra={"pairs": {"why": fault}})
+                        log.warning("accept", extra={"pairs": {"why": error}})
                         time.sleep(0.01)
             now = time.monotonic()
             for caller in [c for c in self.callers.values() if c.deadline <= now]:
@@ -102,22 +101,22 @@
             data = caller.sock.recv(4096)
         except BlockingIOError:
             return
-        if caller.answer is not None:  # answered: unread input would turn the close into a reset
+        if caller.answer is not None:  # discard further input: closing with unread input would send a reset
             if not data:
                 self.close(caller.sock)
             return
         caller.received += data
-        line, ended, rest = caller.received.partition(b"\n")
-        if not ended and data and len(caller.received) <= MAX_LINE:
+        line, newline, rest = caller.received.partition(b"\n")
+        if not newline and data and len(caller.received) <= MAX_LINE:
             return
         if not caller.received:
             self.close(caller.sock)
-        elif not ended or rest or len(line) > MAX_LINE:
+        elif not newline or rest or len(line) > MAX_LINE:
             self.reply(caller, b"400 one whole line to a connection, of %d bytes at most\n" % MAX_LINE)
         else:
             try:
                 answer = self.answer_to(line.strip().decode("ascii", "replace"))
-            except Exception:  # a bug of ours: log it and go on serving the other callers
+            except Exception:  # an internal error: log it and go on serving the other callers
                 log.exception("fault", extra={"pairs": {"while": "operators' call"}})
                 answer = b"400 fault, see the log\n"
             self.reply(caller, answer)
--- a/cottonspread/net/workers.py
+++ b/cottonspread/net/workers.py
@@ -3,8 +3,9 @@
 They make no decisions and keep no state but sockets.
 
 Each end of a connection has one thread, which connects, reads and finally closes the socket. One thread
-writes for all ends; a write that would block is moved to a thread of its own. An end has at most three orders
-queued at a time, so the order queues are bounded by the number of ends. The event queue has its own limit.
+writes for all ends; a write that would block is moved to a thread of its own. An end has at most three
+effects queued at a time, so the effect queues are bounded by the number of ends. The event queue has
+its own limit.
 """
 
 import errno
@@ -22,14 +23,17 @@
 
 log = logging.getLogger("cottonspread.workers")
 
-STACK_SIZE = 128 * 1024  # of each end's thread
-# of the few others: parsing JSON nested a thousand levels deep needs over 128 KiB and would crash the process
+STACK_SIZE = 128 * 1024  # bytes, for the thread of each connection end
+# For the few other threads: parsing JSON nested a thousand levels deep needs over 128 KiB, and a stack
+# overflow would crash the process.
 LARGE_STACK_SIZE = 1024 * 1024
 PARTIAL_LINE_TIMEOUT = 5  # seconds; a blocking read checks at this interval whether a partial line is too old
 RCVTIMEO = struct.pack("ll", PARTIAL_LINE_TIMEOUT, 0)
-# bytes and seconds: how much input of a connection being closed is discarded without a pause
+# After discarding DISCARD_BURST bytes from a connection that is being closed, a thread pauses for
+# DISCARD_PAUSE seconds.
 DISCARD_BURST, DISCARD_PAUSE = 64 * 1024, 0.05
-# bytes discarded in total, then milliseconds to wait until the reducer shuts the connection down
+# Bytes discarded in total; then the thread waits this many milliseconds for the reducer to shut the
+# connection down.
 MAX_DISCARDED, CUT_TIMEOUT_MS = 1024 * 1024, 2000
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)
 
@@ -70,44 +74,44 @@
     def __init__(self, end, sock, pool, post, live, clock):
         """`post(event)` passes events to the reducer; `live`: the set of workers that hold a socket."""
         self.end, self.sock, self.pool, self.post, self.live, self.clock = end, sock, pool, post, live, clock
-        self.orders, self.line_reader = queue.SimpleQueue(), None
+        self.effects, self.line_reader = queue.SimpleQueue(), None
         end.worker = self
 
     def run(self):
-        """The thread: executes orders until the socket is released."""
+        """The thread: executes effects until the socket is released."""
         while True:
-            order = self.orders.get()
-            if isinstance(order, ev.Free):
+            effect = self.effects.get()
+            if isinstance(effect, ev.Free):
                 self.release()
                 return
             try:
                 result = (
                     self.read()
-                    if isinstance(order, ev.Read)
+                    if isinstance(effect, ev.Read)
                     else self.discard_input()
-                    if isinstance(order, ev.DiscardInput)
-                    else self.connect(order)
+                    if isinstance(effect, ev.DiscardInput)
+                    else self.connect(effect)
                 )
-            except Exception:  # a bug of ours: log it and end the connection
-                log.exception("fault", extra={"pairs": {"while": type(order).__name__}})
+            except Exception:  # an internal error: log it and end the connection
+                log.exception("fault", extra={"pairs": {"while": type(effect).__name__}})
                 result = (
                     ev.ConnectDone(self.end, False)
-                    if isinstance(order, ev.Connect)
+                    if isinstance(effect, ev.Connect)
                     else ev.ReadEnded(self.end, "fault")
                 )
             if result is not None:
                 self.post(result)
 
-    def connect(self, order):
+    def connect(self, effect):
         """Connects to a host; returns the event for the reducer."""
         sock = self.sock
         try:
-            sock.settimeout(max(0.001, order.timeout / 1e6))
-            sock.connect(order.address)
+            sock.settimeout(max(0.001, effect.timeout / 1e6))
+            sock.connect(effect.address)
             prepare(sock)
             return ev.ConnectDone(self.end, True)
-        except OSError as fault:
-            return ev.ConnectDone(self.end, False, errno.errorcode.get(fault.errno, type(fault).__name__))
+        except OSError as error:
+            return ev.ConnectDone(self.end, False, errno.errorcode.get(error.errno, type(error).__name__))
 
     def read(self):
         """Reads whole lines, blocking; returns the event for the reducer, None if the socket was released."""
@@ -122,8 +126,8 @@
             )
         except lines.SocketReleasedError:
             return None
-        except lines.LineError as fault:
-            return ev.ReadEnded(self.end, str(fault))
+        except lines.LineError as error:
+            return ev.ReadEnded(self.end, str(error))
         except OSError:
             return ev.ReadEnded(self.end, "reset")
 
@@ -139,8 +143,8 @@
             self.line_reader.drop()
         try:
             burst, remaining = 0, MAX_DISCARDED
-            while remaining > 0 and (got := self.discard_some()):
-                burst, remaining = burst + got, remaining - got
+            while remaining > 0 and (discarded := self.discard_some()):
+                burst, remaining = burst + discarded, remaining - discarded
                 if burst >= DISCARD_BURST:
                     burst = 0
                     time.sleep(DISCARD_PAUSE)
@@ -182,7 +186,7 @@
     """All worker threads of a node, and the thread that writes for them."""
 
     def __init__(self, pool, post, clock, on_all_written=lambda: None):
-        """`on_all_written` is called once, after the order None, when all data is with the kernel."""
+        """`on_all_written` is called once, after a None in the queue, when all data is with the kernel."""
         self.pool, self.post, self.clock, self.on_all_written = pool, post, clock, on_all_written
         self.write_queue = queue.SimpleQueue()
         self.live = set()  # workers that hold a socket, including those that the reducer does not know yet
@@ -203,26 +207,26 @@
             return False
         return True
 
-    def probe(self, order):
+    def probe(self, effect):
         """Sends one probe to a host, in its own thread so that a silent host blocks nothing else.
 
         A lack of local resources, such as descriptors, is not reported as a failure of the host.
         """
         started_at, data = time.monotonic(), b""
         try:
-            with socket.create_connection(order.address, timeout=order.timeout / 1e6) as sock:
+            with socket.create_connection(effect.address, timeout=effect.timeout / 1e6) as sock:
                 sock.sendall(lines.STATS)
                 while not data.endswith(b"\n") and len(data) < lines.MAX_REPORT_BYTES:
-                    sock.settimeout(max(0.001, order.timeout / 1e6 - (time.monotonic() - started_at)))
-                    got = sock.recv(lines.MAX_REPORT_BYTES)
-                    if not got:
+                    sock.settimeout(max(0.001, effect.timeout / 1e6 - (time.monotonic() - started_at)))
+                    chunk = sock.recv(lines.MAX_REPORT_BYTES)
+                    if not chunk:
                         raise ConnectionResetError
-                    data += got
+                    data += chunk
             ending, report = lines.parse_probe_answer(data)
         except TimeoutError:
             ending, report = Ending.TIMEOUT, {}
-        except OSError as fault:
-            local_failure = fault.errno in (
+        except OSError as error:
+            local_failure = error.errno in (
                 errno.EMFILE,
                 errno.ENFILE,
                 errno.ENOBUFS,
@@ -230,7 +234,7 @@
                 errno.EADDRNOTAVAIL,
             )
             ending, report = Ending.FULL if local_failure else Ending.CONNECT_FAILED, {}
-        self.post(ev.ProbeDone(order.host, ending, report, round((time.monotonic() - started_at) * 1e6)))
+        self.post(ev.ProbeDone(effect.host, ending, report, round((time.monotonic() - started_at) * 1e6)))
 
     def execute(self, effect):
         """Passes an effect of the reducer to the thread that executes it."""
@@ -243,20 +247,20 @@
         if isinstance(effect, ev.Connect):
             try:
                 sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
-            except OSError as fault:
+            except OSError as error:
                 # Posted by the writer thread: the reducer's thread must not block on its own event queue.
                 self.write_queue.put(
-                    ev.ConnectDone(effect.end, False, errno.errorcode.get(fault.errno, "socket"))
+                    ev.ConnectDone(effect.end, False, errno.errorcode.get(error.errno, "socket"))
                 )
                 return
             if not self.start_worker(effect.end, sock):
                 sock.close()
                 self.write_queue.put(ev.ConnectDone(effect.end, False, "no-thread"))
                 return
-            effect.end.worker.orders.put(effect)
+            effect.end.worker.effects.put(effect)
         elif isinstance(effect, (ev.Read, ev.DiscardInput)):
             if effect.end.worker is not None:
-                effect.end.worker.orders.put(effect)
+                effect.end.worker.effects.put(effect)
         else:
             self.write_queue.put(effect)
 
@@ -284,17 +288,17 @@
                     self.post(ev.WriteDone(effect.end, False))
 
     def execute_write(self, worker, effect):
-        """Executes one write-side order of an end: data to send, or how to end the connection."""
+        """Executes one write-side effect on an end: data to send, or how to end the connection."""
         if isinstance(effect, ev.Write):
-            why = self.reason_not_to_start(effect) if effect.first_line else ""
-            if why:
-                self.post(ev.WriteDone(effect.end, False, skip_reason=why))
+            skip_reason = self.reason_not_to_start(effect) if effect.first_line else ""
+            if skip_reason:
+                self.post(ev.WriteDone(effect.end, False, skip_reason=skip_reason))
             else:
                 self.write(worker.sock, effect)
-        elif isinstance(effect, ev.Free):  # after all others: no order may hit a reused descriptor
+        elif isinstance(effect, ev.Free):  # after all others: no effect may hit a reused descriptor
             if worker.line_reader is not None and worker.line_reader.released:
                 worker.sock.close()  # its thread is blocked in a read until input for the new owner arrives
-            worker.orders.put(effect)
+            worker.effects.put(effect)
         elif isinstance(effect, ev.ShutdownWrite):
             worker.sock.shutdown(socket.SHUT_WR)
         elif effect.reset:
@@ -306,8 +310,8 @@
     def reason_not_to_start(self, effect):
         """Why the first line of an attempt must not be sent after all, or "".
 
-        Checks what the reducer could not know when it gave the order: that the client has left, which on a
-        busy node is still queued behind many other events, or that the deadline has passed.
+        Checks what the reducer could not know when it returned the effect: that the client has left, which on
+        a busy node is still queued behind many other events, or that the deadline has passed.
         """
         client = effect.end.conn.client.worker
         try:
