--- a/tests/fleet/test_core.py
+++ b/tests/fleet/test_core.py
@@ -249,7 +249,7 @@
 
     @invariant()
     def invariants(self):
-        sim = getattr(self, "world", None)
+        sim = getattr(self, "sim", None)
         if sim is None:
             return
         core = sim.core
@@ -270,7 +270,7 @@
 
     def teardown(self):
         """After any sequence it settles with one active process per name, and stops when told to."""
-        if not hasattr(self, "world"):
+        if not hasattr(self, "sim"):
             return
         sim, core = self.sim, self.sim.core
         sim.refused_live.clear()
