--- a/cottonspread/configstore/callers.py
+++ b/cottonspread/configstore/callers.py
@@ -119,8 +119,8 @@
             if wait <= 0:
                 return CallError("deadline passed before the call was sent")
             return m.decode(self._send(job.message, wait), REPLIES[type(job.message)])
-        except (OSError, ResponseError, m.MessageError) as fault:
-            return CallError(str(fault) or type(fault).__name__)
+        except (OSError, ResponseError, m.MessageError) as error:
+            return CallError(str(error) or type(error).__name__)
 
     def _send(self, message: m.Message, wait: float) -> bytes:
         if isinstance(message, m.WatchRequest):
--- a/cottonspread/configstore/client.py
+++ b/cottonspread/configstore/client.py
@@ -54,9 +54,9 @@
             record = storage.read(self._path, m.Record)
             if record is not None and not record.is_valid():
                 raise storage.StorageError(f"{self._path}: damaged record")
-        except storage.StorageError as fault:
-            log.error("saved-configuration", extra={"pairs": {"why": fault, "kept": "none"}})
-            return None, str(fault)
+        except storage.StorageError as error:
+            log.error("saved-configuration", extra={"pairs": {"why": error, "kept": "none"}})
+            return None, str(error)
         return record, ""
 
     @property
@@ -135,11 +135,11 @@
     def _run_check(self, record: m.Record) -> core.Checked:
         try:
             self._check(record)
-        except ConfigurationError as fault:
-            return core.Checked(False, str(fault)[: m.MAX_WHY_LENGTH])
-        except Exception as fault:  # unexpected
+        except ConfigurationError as error:
+            return core.Checked(False, str(error)[: m.MAX_WHY_LENGTH])
+        except Exception as error:  # unexpected
             log.exception("fault", extra={"pairs": {"while": "check"}})
-            return core.Checked(False, f"internal error: {type(fault).__name__}: {fault}"[: m.MAX_WHY_LENGTH])
+            return core.Checked(False, f"internal error: {type(error).__name__}: {error}"[: m.MAX_WHY_LENGTH])
         return core.Checked(True)
 
     def _save(self, record: m.Record | None) -> core.Saved:
@@ -148,8 +148,8 @@
                 storage.remove(self._path)
             else:
                 storage.write(self._path, record)
-        except OSError as fault:
-            return core.Saved(False, f"not saved: {fault}"[: m.MAX_WHY_LENGTH])
+        except OSError as error:
+            return core.Saved(False, f"not saved: {error}"[: m.MAX_WHY_LENGTH])
         return core.Saved(True)
 
     def _apply_record(self, record: m.Record) -> None:
@@ -158,6 +158,6 @@
 
         try:
             self._apply(record, done)
-        except Exception as fault:  # unexpected
+        except Exception as error:  # unexpected
             log.exception("fault", extra={"pairs": {"while": "apply"}})
-            done(False, f"internal error: {type(fault).__name__}: {fault}")
+            done(False, f"internal error: {type(error).__name__}: {error}")
--- a/cottonspread/configstore/follower.py
+++ b/cottonspread/configstore/follower.py
@@ -262,11 +262,11 @@
     # Answers
 
     def _watch_replied(self, now: int, event: WatchReplied) -> None:
-        fault = self._why_distrusted(event.answer, self._watches.since_of(event.call))
-        if fault:
+        reason = self._why_distrusted(event.answer, self._watches.since_of(event.call))
+        if reason:
             if self._watches.failed(now, event.call):
                 record = event.answer.record
-                self._effects.append(Notice(NoticeKind.DISTRUSTED, record.version if record else 0, fault))
+                self._effects.append(Notice(NoticeKind.DISTRUSTED, record.version if record else 0, reason))
             return
         if not self._watches.replied(now, event.call):
             return
--- a/cottonspread/configstore/messages.py
+++ b/cottonspread/configstore/messages.py
@@ -280,8 +280,8 @@
         raise MessageError(f"{kind.__name__}: {len(data)} bytes exceed the limit")
     try:
         return msgspec.json.decode(data, type=kind)
-    except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as fault:
-        raise MessageError(f"{kind.__name__}: {str(fault)[:MAX_WHY_LENGTH]}") from None
+    except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
+        raise MessageError(f"{kind.__name__}: {str(error)[:MAX_WHY_LENGTH]}") from None
 
 
 def to_query(request: WatchRequest) -> str:
@@ -305,5 +305,5 @@
         nested = {key: pairs[key] for key in QUERY_FIELDS & pairs.keys()}
         nested["report"] = {key: value for key, value in pairs.items() if key not in QUERY_FIELDS}
         return msgspec.convert(nested, WatchRequest, strict=False)
-    except (msgspec.ValidationError, ValueError) as fault:
-        raise MessageError(f"query: {str(fault)[:MAX_WHY_LENGTH]}") from None
+    except (msgspec.ValidationError, ValueError) as error:
+        raise MessageError(f"query: {str(error)[:MAX_WHY_LENGTH]}") from None
--- a/cottonspread/configstore/replica.py
+++ b/cottonspread/configstore/replica.py
@@ -273,8 +273,8 @@
             write = self._writes.popleft()
             try:
                 state = _state_after(self.state, write.message)
-            except register.RefusedError as fault:
-                self._refuse(write, str(fault))
+            except register.RefusedError as error:
+                self._refuse(write, str(error))
                 continue
             if state is self.state:
                 self._acknowledge(write)
--- a/cottonspread/configstore/server.py
+++ b/cottonspread/configstore/server.py
@@ -104,8 +104,8 @@
             return m.from_query(query)
         if method == "POST" and path in POST_MESSAGES:
             return m.decode(body, POST_MESSAGES[path])
-    except m.MessageError as fault:
-        raise RequestError(400, str(fault)) from fault
+    except m.MessageError as error:
+        raise RequestError(400, str(error)) from error
     raise RequestError(404, f"{method} {path[:100]}: no such endpoint")
 
 
@@ -237,9 +237,9 @@
     def _store(self, effect: core.Store) -> core.Stored:
         try:
             storage.write(self._path, effect.state)
-        except OSError as fault:
-            log.error("not-stored", extra={"pairs": {"why": fault}})
-            return core.Stored(effect.token, False, str(fault)[: m.MAX_WHY_LENGTH])
+        except OSError as error:
+            log.error("not-stored", extra={"pairs": {"why": error}})
+            return core.Stored(effect.token, False, str(error)[: m.MAX_WHY_LENGTH])
         return core.Stored(effect.token, True)
 
     def _ask_peer(self, effect: core.CallPeer) -> None:
@@ -302,9 +302,9 @@
             if request is None:
                 return
             message = read_message(*request)
-        except RequestError as fault:
+        except RequestError as error:
             connection.closing = True
-            self._respond(connection, fault.status, str(fault).encode())
+            self._respond(connection, error.status, str(error).encode())
             return
         self._requests += 1
         connection.request = self._requests
--- a/cottonspread/configstore/storage.py
+++ b/cottonspread/configstore/storage.py
@@ -40,16 +40,16 @@
             text = file.read(MAX_FILE_LENGTH + 1)
     except FileNotFoundError:
         return None
-    except (OSError, UnicodeDecodeError) as fault:
-        raise StorageError(f"{path}: {fault}") from fault
+    except (OSError, UnicodeDecodeError) as error:
+        raise StorageError(f"{path}: {error}") from error
     recorded, _, body = text.partition("\n")
     body = body.removesuffix("\n")
     if len(text) > MAX_FILE_LENGTH or recorded != checksum(body):
         raise StorageError(f"{path}: damaged: the checksum does not match")
     try:
         return messages.decode(body.encode(), kind)
-    except messages.MessageError as fault:
-        raise StorageError(f"{path}: {fault}") from fault
+    except messages.MessageError as error:
+        raise StorageError(f"{path}: {error}") from error
 
 
 def checksum(text: str) -> str:
--- a/cottonspread/fleet/plan.py
+++ b/cottonspread/fleet/plan.py
@@ -85,8 +85,8 @@
     try:
         with open(template_path, encoding="utf-8") as file:
             text = file.read()
-    except (OSError, UnicodeDecodeError) as fault:
-        raise op.OperatorFileError([f"{path}: fleet.config: {template_path}: {fault}"]) from fault
+    except (OSError, UnicodeDecodeError) as error:
+        raise op.OperatorFileError([f"{path}: fleet.config: {template_path}: {error}"]) from error
     template_config = config.parse(text, template_path)
     if published is not None and isinstance(template_config, dict):
         template_config = config.with_local_keys(
@@ -121,8 +121,8 @@
             if "seed" in template_config:
                 instance_config["seed"] = "%x" % (int(template_config["seed"], 16) + n)
             endpoints = check(canonical_json(instance_config))[0]
-        except (config.ConfigurationError, ValueError, TypeError) as fault:
-            raise op.OperatorFileError([f"{template_path}: {fault} (instance {name})"]) from fault
+        except (config.ConfigurationError, ValueError, TypeError) as error:
+            raise op.OperatorFileError([f"{template_path}: {error} (instance {name})"]) from error
         live = {key: instance_config.pop(key) for key in LIVE_KEYS if key in instance_config} | {
             "level": log.level
         }
@@ -156,15 +156,15 @@
 
 def bind_all(specs):
     """Returns listening sockets by address; the error lists every address that is in use."""
-    listeners, faults = {}, []
+    listeners, errors = {}, []
     for spec in specs:
         try:
             listeners[spec.address] = listen_on(spec.address)
-        except OSError as fault:
-            why = "address in use" if fault.errno == errno.EADDRINUSE else fault.strerror or str(fault)
-            faults.append(f"fleet.listen: {spec.address[0]}:{spec.address[1]} for {spec.name}: {why}")
-    if faults:
+        except OSError as error:
+            why = "address in use" if error.errno == errno.EADDRINUSE else error.strerror or str(error)
+            errors.append(f"fleet.listen: {spec.address[0]}:{spec.address[1]} for {spec.name}: {why}")
+    if errors:
         for sock in listeners.values():
             sock.close()
-        raise op.OperatorFileError(faults)
+        raise op.OperatorFileError(errors)
     return listeners
--- a/cottonspread/fleet/store_follower.py
+++ b/cottonspread/fleet/store_follower.py
@@ -41,10 +41,10 @@
         name = self.section.node or self.supervisor.fleet.name
         try:
             self.client = Client(name, tuple(self.section.replicas), folder, self.check, self.enqueue)
-        except OSError as fault:
+        except OSError as error:
             raise op.OperatorFileError(
-                [f"{self.supervisor.path}: configuration.state: {folder}: {fault}"]
-            ) from fault
+                [f"{self.supervisor.path}: configuration.state: {folder}: {error}"]
+            ) from error
         if self.client.saved:
             # If the saved body is not valid any more, the file is used, and the follower reports the refusal.
             with contextlib.suppress(config.ConfigurationError):
@@ -77,9 +77,9 @@
             record, done = self.pending_records.get()
             try:
                 self.roll_out(record, done)
-            except (config.ConfigurationError, OSError) as fault:
+            except (config.ConfigurationError, OSError) as error:
                 self.wanted_body = self.body_in_force
-                done(False, str(fault))
+                done(False, str(error))
 
     def roll_out(self, record, done):
         """Starts a rollout as for a reload; its outcome goes to the follower."""
--- a/cottonspread/fleet/supervisor.py
+++ b/cottonspread/fleet/supervisor.py
@@ -97,8 +97,8 @@
         try:
             os.makedirs(self.folder, exist_ok=True)
             os.makedirs(self.logs, exist_ok=True)
-        except OSError as fault:
-            raise op.OperatorFileError([f"{self.path}: fleet.state: {fault}"]) from fault
+        except OSError as error:
+            raise op.OperatorFileError([f"{self.path}: fleet.state: {error}"]) from error
         longest = os.path.join(self.folder, f"{self.fleet.name}-255.{10**6}.sock")
         if len(longest) > control.MAX_SOCKET_PATH:
             raise op.OperatorFileError(
@@ -164,8 +164,8 @@
                 return json.load(file)
         except FileNotFoundError:
             return {}
-        except (OSError, ValueError) as fault:
-            log.warning("state", extra={"pairs": {"why": fault, "kept": "nothing"}})
+        except (OSError, ValueError) as error:
+            log.warning("state", extra={"pairs": {"why": error, "kept": "nothing"}})
             return {}
 
     def save_state(self):
@@ -175,8 +175,8 @@
                 os.path.join(self.folder, "fleet.json"),
                 json.dumps({"program": list(self.program), "generation": self.core.generation}),
             )
-        except OSError as fault:
-            log.error("state", extra={"pairs": {"why": fault}})
+        except OSError as error:
+            log.error("state", extra={"pairs": {"why": error}})
 
     def find_instances(self):
         """Finds instances of an earlier supervisor and reads their identity and status.
@@ -213,10 +213,10 @@
                     self.listeners[spec.address] = listener
                 self.pidfds[spec.name, hello["generation"]] = os.pidfd_open(pid)
                 found.append((spec.name, hello["generation"], spec, status, sock))
-            except (OSError, ValueError, LookupError) as fault:
+            except (OSError, ValueError, LookupError) as error:
                 log.error(
                     "not-adopted",
-                    extra={"pairs": {"pid": pid, "socket": file, "why": fault or type(fault).__name__}},
+                    extra={"pairs": {"pid": pid, "socket": file, "why": error or type(error).__name__}},
                 )
                 kill_and_wait(pid)
                 control.unlink(path)
@@ -391,8 +391,8 @@
             self.watch_process(name, generation)
             with child.stdin:
                 child.stdin.write(json.dumps(start_message).encode() + b"\n")
-        except OSError as fault:
-            child, why = self.children.get((name, generation)), str(fault)
+        except OSError as error:
+            child, why = self.children.get((name, generation)), str(error)
             if child is not None:
                 child.kill()
                 if (name, generation) in self.pidfds:
@@ -590,11 +590,11 @@
         for message in messages:
             try:
                 self.run_command(connection, message)
-            except config.ConfigurationError as fault:
-                connection.send({"ok": False, "why": str(fault)})
-            except Exception as fault:  # unexpected: reported, and the supervisor goes on
+            except config.ConfigurationError as error:
+                connection.send({"ok": False, "why": str(error)})
+            except Exception as error:  # unexpected: reported, and the supervisor goes on
                 log.exception("fault", extra={"pairs": {"while": message.get("do")}})
-                connection.send({"ok": False, "why": f"internal error: {type(fault).__name__}: {fault}"})
+                connection.send({"ok": False, "why": f"internal error: {type(error).__name__}: {error}"})
         if not is_open or not connection.flush():
             self.pending_replies = [
                 (k, other) for k, other in self.pending_replies if other is not connection
@@ -634,8 +634,8 @@
         try:
             pending = self.core.pending
             self.change_plan((pending[0] if pending else self.core.plan).program, "reload", connection)
-        except config.ConfigurationError as fault:
-            log.error("reload", extra={"pairs": {"why": fault, "kept": "the old configuration"}})
+        except config.ConfigurationError as error:
+            log.error("reload", extra={"pairs": {"why": error, "kept": "the old configuration"}})
             self.manager.notify_ready(self.summary())
             if connection:
                 raise
@@ -740,8 +740,8 @@
     """Opens an instance's log file, or /dev/null if that fails, so that the instance runs anyway."""
     try:
         return open(path, "ab")
-    except OSError as fault:
-        log.error("log", extra={"pairs": {"file": path, "why": fault}})
+    except OSError as error:
+        log.error("log", extra={"pairs": {"file": path, "why": error}})
         return open(os.devnull, "ab")
 
 
--- a/tests/configstore/shells.py
+++ b/tests/configstore/shells.py
@@ -204,8 +204,8 @@
             with socket.create_connection(("127.0.0.1", self.port), timeout=5) as sock:
                 sock.sendall(b"OPEN i%d k c=%s,d=20\r\n" % (time.monotonic_ns(), kind.encode()))
                 return sock.makefile("rb").readline().decode().strip()
-        except OSError as fault:
-            return str(fault)
+        except OSError as error:
+            return str(error)
 
     def accepts(self, kind):
         """Whether the node accepts a call of this type."""
