--- a/cottonspread/fleet/core.py
+++ b/cottonspread/fleet/core.py
@@ -128,7 +128,7 @@
     start_timeout_from: int = 0  # its start timeout counts from here
     state: str = STARTING
     state_since: int = 0
-    take_sent_at: int = 0
+    accept_sent_at: int = 0
     leave_sent_at: int = 0
     killed_at: int = 0
     steps: int = -1
@@ -530,14 +530,14 @@
         """Returns a text if calls end badly more often than in unchanged processes, else an empty string."""
         fleet = self.plan.fleet
         ended, bad = (
-            p.status.get(k, 0) - was
-            for k, was in zip(("ended", "bad"), p.baseline_counts or (0, 0), strict=True)
+            p.status.get(k, 0) - baseline
+            for k, baseline in zip(("ended", "bad"), p.baseline_counts or (0, 0), strict=True)
         )
         if ended < fleet.worse_of:
             return ""
         # Unchanged processes run under the same conditions now. Late in the rollout none are left, so the
         # share before the rollout counts too.
-        was = max(
+        baseline = max(
             self.rollout.baseline_bad_share,
             self.bad_share(
                 [s.active for s in self.slots.values() if s.active and s.active.spec.start != p.spec.start]
@@ -545,8 +545,8 @@
         )
         share = bad / ended
         return (
-            f"{bad} of {ended} calls ended badly, before {was:.3f} of them"
-            if share > was + fleet.worse_by
+            f"{bad} of {ended} calls ended badly, before {baseline:.3f} of them"
+            if share > baseline + fleet.worse_by
             else ""
         )
 
@@ -580,7 +580,7 @@
         # The supervisor answers BUSY while no process does and none is about to.
         answer_busy = (
             not slot.active
-            and not (slot.successor and slot.successor.take_sent_at)
+            and not (slot.successor and slot.successor.accept_sent_at)
             and (
                 self.stopping
                 or slot.drained
@@ -641,7 +641,7 @@
             return
         if new is not None or old is not None and old.killed_at and not old.leave_sent_at:
             return  # the old process has to end before the next is started
-        if old is None or not old.leave_sent_at and not self.can_become(old, slot):
+        if old is None or not old.leave_sent_at and not self.can_reach_spec(old, slot):
             if self.now >= slot.restart_not_before and not slot.given_up:
                 self.start(slot)
         elif (
@@ -667,12 +667,12 @@
         old, new = slot.active, slot.successor
         if new.spec != slot.spec:
             self.kill(new, "plan changed")
-        elif new.state == PREPARED and not new.take_sent_at:
+        elif new.state == PREPARED and not new.accept_sent_at:
             if old is not None and not old.leave_sent_at:
                 old.leave_sent_at = self.now
                 self.effects.append(StopAccepting(slot.name, old.generation, True))
             elif old is None:
-                new.take_sent_at = self.now
+                new.accept_sent_at = self.now
                 self.set_answering_busy(slot, False)  # before the successor accepts
                 self.effects.append(StartAccepting(slot.name, new.generation))
 
@@ -682,7 +682,7 @@
         return p.requested_spec is None and p.status.get("live", p.spec.live_digest) != p.spec.live_digest
 
     @staticmethod
-    def can_become(p, slot):
+    def can_reach_spec(p, slot):
         """Whether this process can reach the slot's spec without a restart."""
         spec = slot.spec
         return (
@@ -714,14 +714,14 @@
         if slot.successor is not None and not slot.successor.killed_at:
             self.kill(slot.successor, "no longer needed")
         old = slot.active
-        busy = sum(1 for s in self.slots.values() if s.leaving or s.active and s.active.leave_sent_at)
+        leaving = sum(1 for s in self.slots.values() if s.leaving or s.active and s.active.leave_sent_at)
         if (
             old is not None
             and not old.leave_sent_at
             and not old.killed_at
             and (
                 slot.drained
-                or busy < ((fleet.stop_at_once or len(self.slots)) if self.stopping else fleet.at_once)
+                or leaving < ((fleet.stop_at_once or len(self.slots)) if self.stopping else fleet.at_once)
             )
         ):
             old.leave_sent_at = self.now
--- a/cottonspread/fleet/supervisor.py
+++ b/cottonspread/fleet/supervisor.py
@@ -99,12 +99,12 @@
             os.makedirs(self.logs, exist_ok=True)
         except OSError as error:
             raise op.OperatorFileError([f"{self.path}: fleet.state: {error}"]) from error
-        longest = os.path.join(self.folder, f"{self.fleet.name}-255.{10**6}.sock")
-        if len(longest) > control.MAX_SOCKET_PATH:
+        longest_path = os.path.join(self.folder, f"{self.fleet.name}-255.{10**6}.sock")
+        if len(longest_path) > control.MAX_SOCKET_PATH:
             raise op.OperatorFileError(
                 [
                     f"{self.path}: fleet.state: {self.folder}: the path is too long for sockets: "
-                    f"{len(longest)} bytes with their names; the limit is {control.MAX_SOCKET_PATH}"
+                    f"{len(longest_path)} bytes with their names; the limit is {control.MAX_SOCKET_PATH}"
                 ]
             )
         self.lock = control.Lock(os.path.join(self.folder, "fleet.pid"))
@@ -184,7 +184,7 @@
         An instance that does not answer is killed; stale socket files are removed.
         """
         found = []
-        running = instances_running()
+        running = running_pids_by_socket()
         for file in sorted(os.listdir(self.folder)):
             path = os.path.join(self.folder, file)
             if not file.endswith(".sock") or file == "fleet.sock":
@@ -745,7 +745,7 @@
         return open(os.devnull, "ab")
 
 
-def instances_running():
+def running_pids_by_socket():
     """Returns the pid by control socket of every instance on this machine.
 
     They are found by their command lines, because a pid in a file may belong to another process by now.
@@ -754,11 +754,11 @@
     for pid in filter(str.isdigit, os.listdir("/proc")):
         try:
             with open(f"/proc/{pid}/cmdline", "rb") as file:
-                words = file.read().split(b"\0")
+                arguments = file.read().split(b"\0")
         except OSError:
             continue
-        if b"instance" in words and b"--socket" in words[:-1]:
-            found[os.fsdecode(words[words.index(b"--socket") + 1])] = int(pid)
+        if b"instance" in arguments and b"--socket" in arguments[:-1]:
+            found[os.fsdecode(arguments[arguments.index(b"--socket") + 1])] = int(pid)
     return found
 
 
