--- a/benchmarks/configstore/mutants.py
+++ b/benchmarks/configstore/mutants.py
@@ -158,7 +158,7 @@
         "the old file after a failed apply",
         "follower.py",
         "                self._effects.append(Save(self._in_force))",
-        "                self._next()",
+        "                self._finish_current()",
         FOLLOWER,
     ),
     ("a damaged saved record", "follower.py", "if not event.saved.is_valid():", "if False:", FOLLOWER),
@@ -396,18 +396,18 @@
         return {"mutant": what, "file": file, "noticed": done.returncode == 1 and bool(lines), "why": why}
 
 
-def main(given):
+def main(arguments):
     """Runs all mutants, or those whose name contains one of the words after the result's path."""
-    words = given[1:]
-    chosen = [one for one in MUTANTS if not words or any(word in one[0] for word in words)]
+    words = arguments[1:]
+    selected = [one for one in MUTANTS if not words or any(word in one[0] for word in words)]
     results = []
     with ThreadPoolExecutor(PARALLEL) as pool:
-        for one in pool.map(run_mutant, chosen):
+        for one in pool.map(run_mutant, selected):
             results.append(one)
             verdict = "noticed" if one["noticed"] else "NOT NOTICED"
             print(f"{verdict}: {one['mutant']} ({one['file']}): {one['why']}", flush=True)
-    if given:
-        Path(given[0]).write_text(json.dumps(results, indent=1) + "\n")
+    if arguments:
+        Path(arguments[0]).write_text(json.dumps(results, indent=1) + "\n")
     return 0 if all(one["noticed"] for one in results) else 1
 
 
--- a/cottonspread/configstore/follower.py
+++ b/cottonspread/configstore/follower.py
@@ -55,7 +55,7 @@
     """A replica replied to a watch."""
 
     call: int
-    answer: m.WatchReply
+    reply: m.WatchReply
 
 
 @dataclass(frozen=True, slots=True)
@@ -201,7 +201,7 @@
         self._recheck_at: int | None = None
         self._current: m.Record | None = None
         self._phase: _Phase | None = None
-        self._restoring_saved = False  # the current record is the saved one
+        self._current_is_saved = False  # the current record is the saved one
         self._queued: m.Record | None = None  # the newest record received meanwhile
         self._last_contact: int | None = None
         self._started, self._was_cut_off, self._hold_until = 0, False, 0
@@ -256,32 +256,32 @@
             )
             return
         self._min_version, self._seen_generation = event.saved.version, event.saved.generation
-        self._restoring_saved = True
+        self._current_is_saved = True
         self._start_check(event.saved)
 
     # Answers
 
     def _watch_replied(self, now: int, event: WatchReplied) -> None:
-        reason = self._why_distrusted(event.answer, self._watches.since_of(event.call))
+        reason = self._why_distrusted(event.reply, self._watches.since_of(event.call))
         if reason:
             if self._watches.failed(now, event.call):
-                record = event.answer.record
+                record = event.reply.record
                 self._effects.append(Notice(NoticeKind.DISTRUSTED, record.version if record else 0, reason))
             return
         if not self._watches.replied(now, event.call):
             return
-        self._record_contact(now, event.answer.majority_age_us)
-        if event.answer.record is not None:
+        self._record_contact(now, event.reply.majority_age_us)
+        if event.reply.record is not None:
             self._hold_until = now + MAX_HOLD
-            self._consider(event.answer.record)
+            self._consider(event.reply.record)
 
     def _record_contact(self, now: int, age: int | None) -> None:
         if age is not None and (self._last_contact is None or now - age > self._last_contact):
             self._last_contact = now - age
 
-    def _why_distrusted(self, answer: m.WatchReply, since: int) -> str:
-        """Returns why the answer cannot be trusted, or an empty string."""
-        record = answer.record
+    def _why_distrusted(self, reply: m.WatchReply, since: int) -> str:
+        """Returns why the reply cannot be trusted, or an empty string."""
+        record = reply.record
         if record is None:
             return ""
         if not record.is_valid():
@@ -318,7 +318,7 @@
 
     def _advance(self, now: int, event: Checked | Saved | Applied) -> None:
         match (self._phase, event):
-            case (_Phase.CHECKING, Checked(ok=True)) if self._restoring_saved:
+            case (_Phase.CHECKING, Checked(ok=True)) if self._current_is_saved:
                 self._apply()
             case (_Phase.CHECKING, Checked(ok=True)):
                 self._phase = _Phase.SAVING
@@ -327,18 +327,18 @@
                 self._apply()
             case (_Phase.APPLYING, Applied(ok=True)):
                 self._put_in_force()
-            case (_Phase.APPLYING, Applied(ok=False, why=why)) if not self._restoring_saved:
+            case (_Phase.APPLYING, Applied(ok=False, why=why)) if not self._current_is_saved:
                 self._refuse(now, why)
                 self._phase = _Phase.RESTORING
                 self._effects.append(Save(self._in_force))
             case (_Phase.CHECKING, Checked(why=why)) | (_Phase.SAVING, Saved(why=why)):
                 self._refuse(now, why)
-                self._next()
+                self._finish_current()
             case (_Phase.APPLYING, Applied(why=why)):
                 self._refuse(now, why)
-                self._next()
+                self._finish_current()
             case (_Phase.RESTORING, Saved()):
-                self._next()
+                self._finish_current()
 
     def _apply(self) -> None:
         self._phase = _Phase.APPLYING
@@ -352,7 +352,7 @@
         self._failing, self._failing_why = 0, ""
         self._effects.append(Notice(NoticeKind.IN_FORCE, record.version))
         self._watches.report_soon()
-        self._next()
+        self._finish_current()
 
     def _refuse(self, now: int, why: str) -> None:
         self._refused, self._refused_why = self._current, (why or "no reason given")[: m.MAX_WHY_LENGTH]
@@ -360,8 +360,8 @@
         self._effects.append(Notice(NoticeKind.REFUSED, self._refused.version, self._refused_why))
         self._watches.report_soon()
 
-    def _next(self) -> None:
-        self._current, self._phase, self._restoring_saved = None, None, False
+    def _finish_current(self) -> None:
+        self._current, self._phase, self._current_is_saved = None, None, False
         if self._queued is not None:
             record, self._queued = self._queued, None
             self._start_or_update(record)
--- a/cottonspread/configstore/overview.py
+++ b/cottonspread/configstore/overview.py
@@ -142,9 +142,9 @@
     return f"{node.name} version {node.version}, last report {node.age_us / m.SECOND:.1f} s ago{why}"
 
 
-def replica_text(one: ReplicaStatus) -> str:
+def replica_text(replica: ReplicaStatus) -> str:
     """Formats the status of one replica."""
-    if not one.up:
-        return f"replica {one.name}: does not answer: {one.why}"
-    age = "never" if one.majority_age_us is None else f"{one.majority_age_us / m.SECOND:.1f} s ago"
-    return f"replica {one.name}: version {one.version} {one.stage}, last in a majority: {age}"
+    if not replica.up:
+        return f"replica {replica.name}: does not answer: {replica.why}"
+    age = "never" if replica.majority_age_us is None else f"{replica.majority_age_us / m.SECOND:.1f} s ago"
+    return f"replica {replica.name}: version {replica.version} {replica.stage}, last in a majority: {age}"
--- a/cottonspread/configstore/pending.py
+++ b/cottonspread/configstore/pending.py
@@ -38,7 +38,7 @@
         self._requests[request] = PendingRequest(message, deadline)
         heapq.heappush(self._heap, (deadline, request))
         if len(self._heap) > 2 * len(self._requests) + HEAP_SLACK:
-            self._heap = [(wait.deadline, number) for number, wait in self._requests.items()]
+            self._heap = [(pending.deadline, number) for number, pending in self._requests.items()]
             heapq.heapify(self._heap)
 
     def remove(self, request: int) -> PendingRequest | None:
@@ -49,14 +49,14 @@
         """Returns the earliest deadline; None if nothing is pending."""
         while self._heap:
             deadline, request = self._heap[0]
-            wait = self._requests.get(request)
-            if wait is not None and wait.deadline == deadline:
+            pending = self._requests.get(request)
+            if pending is not None and pending.deadline == deadline:
                 return deadline
             heapq.heappop(self._heap)
         return None
 
     def pop_expired(self, now: int):
-        """Removes the requests whose deadline has passed and yields them as (request, wait)."""
+        """Removes the requests whose deadline has passed and yields them as (number, request)."""
         while (deadline := self.next_deadline()) is not None and deadline <= now:
             _, request = heapq.heappop(self._heap)
             yield request, self._requests.pop(request)
--- a/cottonspread/configstore/replica.py
+++ b/cottonspread/configstore/replica.py
@@ -216,14 +216,14 @@
         record = self._record_for(message.report.node)
         generation = register.generation_of(record)
         is_newer = generation > message.since
-        answer = m.WatchReply(
+        reply = m.WatchReply(
             generation=generation,
             reset=is_newer,
             record=record if is_newer else None,
             majority_age_us=self.majority_age(now),
             replica=self.name,
         )
-        self._effects.append(Reply(request, answer))
+        self._effects.append(Reply(request, reply))
 
     def _handle_read_state(self, now: int, request: int, message: m.ReadState) -> None:
         if message.timeout_ms == 0 or self._has_newer_state(message):
@@ -255,7 +255,7 @@
         self._effects.append(Reply(request, reply))
 
     def _reports_for(self, now: int, message: m.ReadState) -> list[m.ReceivedReport]:
-        watching = {wait.message.report.node for _, wait in self._watches}
+        watching = {pending.message.report.node for _, pending in self._watches}
         return self.reports.select(now, message.nodes, watching)
 
     # Writes, one at a time
@@ -322,14 +322,14 @@
 
     def _reply_to_waiting(self, now: int) -> None:
         """Replies to the waiting requests for which the state now has news."""
-        for request, wait in self._watches:
-            if self._has_newer_record(wait.message):
+        for request, pending in self._watches:
+            if self._has_newer_record(pending.message):
                 self._watches.remove(request)
-                self._reply_to_watch(now, request, wait.message)
-        for request, wait in self._readers:
-            if self._has_newer_state(wait.message):
+                self._reply_to_watch(now, request, pending.message)
+        for request, pending in self._readers:
+            if self._has_newer_state(pending.message):
                 self._readers.remove(request)
-                self._reply_with_state(now, request, wait.message)
+                self._reply_with_state(now, request, pending.message)
 
     # The other replicas
 
@@ -354,10 +354,10 @@
     # Time
 
     def _expire_waiting(self, now: int) -> None:
-        for request, wait in self._watches.pop_expired(now):
-            self._reply_to_watch(now, request, wait.message)
-        for request, wait in self._readers.pop_expired(now):
-            self._reply_with_state(now, request, wait.message)
+        for request, pending in self._watches.pop_expired(now):
+            self._reply_to_watch(now, request, pending.message)
+        for request, pending in self._readers.pop_expired(now):
+            self._reply_with_state(now, request, pending.message)
 
     def _schedule_wake(self) -> None:
         times = self._watches.next_deadline(), self._readers.next_deadline(), self._peers.next_call_at()
--- a/cottonspread/configstore/server.py
+++ b/cottonspread/configstore/server.py
@@ -194,12 +194,12 @@
             self._sweep()
 
     @staticmethod
-    def _call_guarded(what: Callable, mask: int) -> None:
+    def _call_guarded(callback: Callable, mask: int) -> None:
         """Logs an unexpected exception and goes on serving."""
         try:
-            what(mask)
+            callback(mask)
         except Exception:
-            log.exception("fault", extra={"pairs": {"while": getattr(what, "__qualname__", "event")}})
+            log.exception("fault", extra={"pairs": {"while": getattr(callback, "__qualname__", "event")}})
 
     def _drain_wake(self, mask: int) -> None:
         self._wake_reader.recv(4096)
@@ -231,7 +231,7 @@
             case core.Reject():
                 self._reply(effect.request, 503, effect.why.encode())
             case core.CallPeer():
-                self._ask_peer(effect)
+                self._call_peer(effect)
         return None
 
     def _store(self, effect: core.Store) -> core.Stored:
@@ -242,7 +242,7 @@
             return core.Stored(effect.token, False, str(error)[: m.MAX_WHY_LENGTH])
         return core.Stored(effect.token, True)
 
-    def _ask_peer(self, effect: core.CallPeer) -> None:
+    def _call_peer(self, effect: core.CallPeer) -> None:
         def done(outcome):
             if isinstance(outcome, CallError):
                 self._inbox.put(core.PeerFailed(effect.call, str(outcome)))
@@ -318,10 +318,10 @@
             self._respond(connection, status, body)
 
     def _respond(self, connection: Connection, status: int, body: bytes) -> None:
-        more = "Retry-After: 1\r\n" if status == 503 else ""
-        more += "Connection: close\r\n" if connection.closing else ""
-        kind = "application/json" if status == 200 else "text/plain"
-        head = f"HTTP/1.1 {status} {REASON_PHRASES[status]}\r\nContent-Type: {kind}\r\n{more}"
+        headers = "Retry-After: 1\r\n" if status == 503 else ""
+        headers += "Connection: close\r\n" if connection.closing else ""
+        content_type = "application/json" if status == 200 else "text/plain"
+        head = f"HTTP/1.1 {status} {REASON_PHRASES[status]}\r\nContent-Type: {content_type}\r\n{headers}"
         connection.unsent += f"{head}Content-Length: {len(body)}\r\n\r\n".encode() + body
         connection.waiting_since = now()
         self._send(connection)
@@ -357,10 +357,10 @@
         self._last_sweep = now()
         for connection in list(self._connections.values()):
             if connection.unsent:
-                wait = SEND_TIMEOUT
+                timeout = SEND_TIMEOUT
             elif connection.request is not None:
                 continue  # the core ends it at its deadline
             else:
-                wait = REQUEST_TIMEOUT if connection.data else IDLE_TIMEOUT
-            if self._last_sweep - connection.waiting_since > wait:
+                timeout = REQUEST_TIMEOUT if connection.data else IDLE_TIMEOUT
+            if self._last_sweep - connection.waiting_since > timeout:
                 self._drop(connection)
