--- a/tests/configstore/drivers.py
+++ b/tests/configstore/drivers.py
@@ -3,7 +3,7 @@
 from cottonspread.configstore import follower as fo
 from cottonspread.configstore import messages as m
 from cottonspread.configstore import publisher as pu
-from cottonspread.configstore import replica as re
+from cottonspread.configstore import replica as rep
 
 REPLICAS = "r1", "r2", "r3"
 EVERYWHERE, CANARY, WITHDRAWN = m.Stage.EVERYWHERE, m.Stage.CANARY, m.Stage.WITHDRAWN
@@ -11,7 +11,7 @@
 """A canary threshold that makes every node a canary."""
 
 
-TICKS_AT_MOST = 10_000
+MAX_TICKS = 10_000
 """Ticks in one interval of time: a core that requests more would run in a busy loop."""
 
 
@@ -41,9 +41,9 @@
     def restart(self):
         """Restarts the replica; only the disk's contents are kept."""
         peers = tuple(name for name in REPLICAS if name != self.name)
-        self.core = re.Replica(self.name, peers, self.disk, always_half)
+        self.core = rep.Replica(self.name, peers, self.disk, always_half)
         self.stores, self.replies, self.peer_calls = [], {}, []
-        self.step(re.Tick())
+        self.step(rep.Tick())
 
     def step(self, event):
         for effect in self.core.step(self.now, event):
@@ -51,48 +51,48 @@
 
     def execute(self, effect):
         match effect:
-            case re.Store():
+            case rep.Store():
                 self.stores.append(effect)
                 if not self.store_waits:
                     self.finish_store()
-            case re.Reply():
+            case rep.Reply():
                 self.replies[effect.request] = effect.message
-            case re.Reject():
+            case rep.Reject():
                 self.rejected[effect.request] = effect.why
-            case re.CallPeer():
+            case rep.CallPeer():
                 self.peer_calls.append(effect)
 
     def finish_store(self):
         store = self.stores.pop(0)
         if not self.store_fails:
             self.disk = m.decode(m.encode(store.state), m.ReplicaState)
-        self.step(re.Stored(store.token, not self.store_fails, "disk full" if self.store_fails else ""))
+        self.step(rep.Stored(store.token, not self.store_fails, "disk full" if self.store_fails else ""))
 
     def ask(self, message):
         """Sends a request and returns its number."""
         self.number += 1
-        self.step(re.RequestReceived(self.number, message))
+        self.step(rep.RequestReceived(self.number, message))
         return self.number
 
     def reply(self, message):
         """Sends a request and returns the reply, or None."""
         return self.replies.get(self.ask(message))
 
-    def watch(self, node="n1", since=0, timeout_ms=10_000, **said):
-        report = m.NodeReport(node=node, **said)
+    def watch(self, node="n1", since=0, timeout_ms=10_000, **fields):
+        report = m.NodeReport(node=node, **fields)
         return self.ask(m.WatchRequest(since=since, timeout_ms=timeout_ms, report=report))
 
-    def state(self, **more):
-        return self.reply(m.ReadState(**more))
+    def state(self, **fields):
+        return self.reply(m.ReadState(**fields))
 
     def pass_time(self, span):
         until = self.now + span
         ticks = 0
         while self.core.wake_at <= until:
             ticks += 1
-            assert ticks < TICKS_AT_MOST, "wants ticks without pause"
+            assert ticks < MAX_TICKS, "wants ticks without pause"
             self.now = max(self.now, self.core.wake_at)
-            self.step(re.Tick())
+            self.step(rep.Tick())
         self.now = until
 
 
@@ -140,8 +140,8 @@
     def answer(self, new=None, call=None, age=0, generation=None):
         """Answers a call, by default the oldest."""
         call = call or next(iter(self.open_calls))
-        ask = self.open_calls.pop(call)
-        generation = generation if generation is not None else new.generation if new else ask.request.since
+        sent = self.open_calls.pop(call)
+        generation = generation if generation is not None else new.generation if new else sent.request.since
         self.step(
             fo.WatchReplied(
                 call,
@@ -150,7 +150,7 @@
                     reset=new is not None,
                     record=new,
                     majority_age_us=age,
-                    replica=ask.replica,
+                    replica=sent.replica,
                 ),
             )
         )
@@ -165,7 +165,7 @@
         ticks = 0
         while self.core.wake_at <= until:
             ticks += 1
-            assert ticks < TICKS_AT_MOST, "wants ticks without pause"
+            assert ticks < MAX_TICKS, "wants ticks without pause"
             self.now = max(self.now, self.core.wake_at)
             self.step(fo.Tick())
         self.now = until
@@ -257,7 +257,7 @@
         until, turns = self.cluster.now + span, 0
         while self.done is None and self.cluster.now <= until:
             turns += 1
-            assert turns < TICKS_AT_MOST, "wants ticks without pause"
+            assert turns < MAX_TICKS, "wants ticks without pause"
             if self.calls:
                 self.deliver()
             else:
--- a/tests/configstore/shells.py
+++ b/tests/configstore/shells.py
@@ -23,11 +23,11 @@
 WAIT = 20
 
 
-def until(true, what, wait=WAIT):
-    """Waits until `true()` is true and returns its value; AssertionError after `wait` seconds."""
-    end = time.monotonic() + wait
-    while not (value := true()):
-        assert time.monotonic() < end, what() if callable(what) else what
+def until(condition, what, wait=WAIT):
+    """Waits until `condition()` is true and returns its value; AssertionError after `wait` seconds."""
+    deadline = time.monotonic() + wait
+    while not (value := condition()):
+        assert time.monotonic() < deadline, what() if callable(what) else what
         time.sleep(0.01)
     return value
 
@@ -57,8 +57,8 @@
     spec = importlib.util.spec_from_file_location("toy", ROOT / "examples" / "toy.py")
     module = importlib.util.module_from_spec(spec)
     spec.loader.exec_module(module)
-    one, listener = module.Toy(1), socket.create_server(("127.0.0.1", port))
-    threading.Thread(target=one.accept, args=(listener, one.discover), daemon=True).start()
+    discovery, listener = module.Toy(1), socket.create_server(("127.0.0.1", port))
+    threading.Thread(target=discovery.accept, args=(listener, discovery.discover), daemon=True).start()
     return f"127.0.0.1:{listener.getsockname()[1]}"
 
 
@@ -93,7 +93,7 @@
             self.start(n, "--new")
 
     @property
-    def all(self):
+    def addresses(self):
         """The replicas' addresses as a command-line argument."""
         return ",".join(self.names)
 
@@ -118,7 +118,7 @@
     def command(self, capsys, *words):
         """Returns exit code and output of `cottonspread configuration ...`."""
         capsys.readouterr()
-        code = cli.main(["configuration", words[0], "--replicas", self.all, *words[1:]])
+        code = cli.main(["configuration", words[0], "--replicas", self.addresses, *words[1:]])
         output = capsys.readouterr()
         return code, output.out + output.err
 
--- a/tests/configstore/test_follower.py
+++ b/tests/configstore/test_follower.py
@@ -53,7 +53,7 @@
     driver.answer(record(2, 1))
     assert driver.steps == [] and driver.view().generation == 2
     pass_call_interval(driver)
-    assert {ask.request.since for ask in driver.open_calls.values()} == {2}
+    assert {sent.request.since for sent in driver.open_calls.values()} == {2}
 
 
 @pytest.mark.parametrize(
@@ -75,12 +75,14 @@
     driver.fail()  # the watch whose `since` was 0
     pass_call_interval(driver)
     driver.pass_time(m.SECOND)
-    call, asked = next((call, ask) for call, ask in driver.open_calls.items() if ask.request.since == 5)
+    call, distrusted = next(
+        (call, sent) for call, sent in driver.open_calls.items() if sent.request.since == 5
+    )
     driver.answer(wrong, call)
     assert driver.steps == [] and driver.in_force == record(5, 5) and driver.view().version == 5
     assert driver.notices[-1].kind == fo.NoticeKind.DISTRUSTED
     driver.pass_time(m.SECOND)
-    assert asked.replica not in [ask.replica for ask in driver.open_calls.values() if ask.call > call]
+    assert distrusted.replica not in [sent.replica for sent in driver.open_calls.values() if sent.call > call]
 
 
 def test_one_record_at_a_time_and_the_newest_that_came_meanwhile_next():
@@ -143,9 +145,9 @@
         for call in list(driver.open_calls):
             driver.answer(call=call)
     pass_call_interval(driver)
-    ask = list(driver.open_calls.values())[-1]
-    assert ask.request.since == 1 and ask.request.report.refused == 2
-    driver.answer(record(2, 2), ask.call)
+    sent = list(driver.open_calls.values())[-1]
+    assert sent.request.since == 1 and sent.request.report.refused == 2
+    driver.answer(record(2, 2), sent.call)
     assert driver.finish_steps() == STEPS
     pass_call_interval(driver)
     assert list(driver.open_calls.values())[-1].request.report == m.NodeReport(node="n1", in_force=2)
@@ -190,7 +192,7 @@
 
 def test_it_starts_from_the_saved_record_without_saving_it_and_asks_from_there():
     driver = FollowerDriver(saved=record(5, 5, CANARY, below=0))
-    assert {ask.request.since for ask in driver.open_calls.values()} == {5}
+    assert {sent.request.since for sent in driver.open_calls.values()} == {5}
     assert driver.finish_steps() == [fo.Check, fo.Apply] and driver.view().version == 5
 
 
@@ -203,7 +205,7 @@
 def test_a_damaged_saved_record_is_reported_and_not_used():
     driver = FollowerDriver(saved=msgspec.structs.replace(record(5, 5), body="half"))
     assert driver.steps == [] and driver.notices[0].kind == fo.NoticeKind.DISTRUSTED
-    assert {ask.request.since for ask in driver.open_calls.values()} == {0}
+    assert {sent.request.since for sent in driver.open_calls.values()} == {0}
     driver.answer(record(5, 5))
     assert driver.finish_steps() == STEPS
 
@@ -217,9 +219,9 @@
         for call in list(driver.open_calls):
             driver.answer(call=call)
     pass_call_interval(driver)
-    ask = list(driver.open_calls.values())[-1]
-    assert ask.request.since == 0
-    driver.answer(record(4, 4), ask.call)
+    sent = list(driver.open_calls.values())[-1]
+    assert sent.request.since == 0
+    driver.answer(record(4, 4), sent.call)
     assert driver.steps == []
     driver.pass_time(m.SECOND)
     driver.answer(record(6, 6), max(driver.open_calls))
@@ -231,11 +233,11 @@
 
 def test_two_watches_are_open_at_two_replicas_and_the_third_is_the_spare():
     driver = FollowerDriver()
-    first, second = (ask.replica for ask in driver.open_calls.values())
+    first, second = (sent.replica for sent in driver.open_calls.values())
     (spare,) = set(REPLICAS) - {first, second}
     driver.fail()
     driver.pass_time(watches.RETRY_DELAY)
-    assert {ask.replica for ask in driver.open_calls.values()} == {second, spare}
+    assert {sent.replica for sent in driver.open_calls.values()} == {second, spare}
 
 
 def test_the_orders_of_many_nodes_spread_over_the_replicas():
@@ -287,17 +289,17 @@
         driver.answer(), driver.answer()
         pass_call_interval(driver)
         assert len(driver.open_calls) == 2
-        for ask in driver.open_calls.values():
-            timeout = ask.request.timeout_ms * m.MILLISECOND
+        for sent in driver.open_calls.values():
+            timeout = sent.request.timeout_ms * m.MILLISECOND
             assert watches.WATCH_TIMEOUT * (1 - watches.WATCH_JITTER) <= timeout <= watches.WATCH_TIMEOUT
-            assert ask.deadline == watches.MIN_CALL_INTERVAL + timeout + watches.REPLY_GRACE
+            assert sent.deadline == watches.MIN_CALL_INTERVAL + timeout + watches.REPLY_GRACE
             drawn.add(timeout)
     assert len(drawn) > 50
 
 
 def test_a_watch_at_another_replica_than_before_is_short():
     driver = FollowerDriver()
-    assert {ask.request.timeout_ms * m.MILLISECOND for ask in driver.open_calls.values()} == {
+    assert {sent.request.timeout_ms * m.MILLISECOND for sent in driver.open_calls.values()} == {
         watches.PROBE_TIMEOUT
     }
     preferred = driver.open_calls[1].replica
@@ -306,12 +308,12 @@
     for _ in range(watches.MAX_SPARE_REPLIES):
         driver.answer(call=max(driver.open_calls))
         driver.pass_time(watches.MIN_CALL_INTERVAL)
-    ask = driver.open_calls[max(driver.open_calls)]
-    assert ask.replica == preferred and ask.request.timeout_ms * m.MILLISECOND == watches.PROBE_TIMEOUT
+    sent = driver.open_calls[max(driver.open_calls)]
+    assert sent.replica == preferred and sent.request.timeout_ms * m.MILLISECOND == watches.PROBE_TIMEOUT
     driver.answer(call=max(driver.open_calls))
     driver.pass_time(watches.MIN_CALL_INTERVAL)
-    ask = driver.open_calls[max(driver.open_calls)]
-    assert ask.replica == preferred and ask.request.timeout_ms * m.MILLISECOND > 5 * watches.PROBE_TIMEOUT
+    sent = driver.open_calls[max(driver.open_calls)]
+    assert sent.replica == preferred and sent.request.timeout_ms * m.MILLISECOND > 5 * watches.PROBE_TIMEOUT
 
 
 def test_a_watch_after_a_failure_is_short_until_one_is_answered():
@@ -319,9 +321,9 @@
     for _ in range(3):
         driver.fail(max(driver.open_calls))
         driver.pass_time(watches.MAX_RETRY_DELAY)
-        ask = driver.open_calls[max(driver.open_calls)]
-        assert ask.request.timeout_ms * m.MILLISECOND == watches.PROBE_TIMEOUT
-        assert ask.deadline <= driver.now + watches.PROBE_TIMEOUT + watches.REPLY_GRACE
+        sent = driver.open_calls[max(driver.open_calls)]
+        assert sent.request.timeout_ms * m.MILLISECOND == watches.PROBE_TIMEOUT
+        assert sent.deadline <= driver.now + watches.PROBE_TIMEOUT + watches.REPLY_GRACE
     driver.answer(call=max(driver.open_calls))
     driver.pass_time(watches.MIN_CALL_INTERVAL)
     assert (
--- a/tests/configstore/test_publisher.py
+++ b/tests/configstore/test_publisher.py
@@ -16,12 +16,12 @@
     return PublisherDriver(cluster, pu.Publish(body, **more))
 
 
-def report(cluster, record, share=1.0, **said):
+def report(cluster, record, share=1.0, **fields):
     """Lets this share of the canaries report these fields for the record."""
     names = cluster.canaries(record)
     for name in names[: round(len(names) * share)]:
-        cluster.reported[name] = {key: record.version for key in said} | {
-            key: value for key, value in said.items() if key == "why"
+        cluster.reported[name] = {key: record.version for key in fields} | {
+            key: value for key, value in fields.items() if key == "why"
         }
     cluster.report_nodes()
 
@@ -325,7 +325,7 @@
 # A publisher that dies
 
 
-def runs_until_its_death(calls, body=BODY, bad=False):
+def cluster_of_dead_publisher(calls, body=BODY, bad=False):
     """Returns a cluster whose publisher died after `calls` calls; None if it was done before."""
     cluster = cluster_with(record(1, 1))
     driver = start_publishing(cluster, body)
@@ -345,7 +345,7 @@
 def test_a_publisher_may_die_at_every_step_and_another_resumes_or_publishes(bad):
     deaths, outcomes = 0, set()
     for calls in range(1, 200):
-        cluster = runs_until_its_death(calls, bad=bad)
+        cluster = cluster_of_dead_publisher(calls, bad=bad)
         if cluster is None:
             break
         deaths += 1
@@ -358,8 +358,8 @@
         assert last.outcome == pu.Outcome.IN_FORCE
         assert {cluster.committed(name).body for name in cluster.replicas} == {"after all"}
     assert deaths > 15
-    through = pu.Outcome.WITHDRAWN if bad else pu.Outcome.IN_FORCE
-    assert outcomes == {through, pu.Outcome.NOTHING}
+    expected = pu.Outcome.WITHDRAWN if bad else pu.Outcome.IN_FORCE
+    assert outcomes == {expected, pu.Outcome.NOTHING}
 
 
 def test_resume_goes_on_with_the_canaries():
--- a/tests/configstore/test_replica.py
+++ b/tests/configstore/test_replica.py
@@ -6,7 +6,7 @@
 
 from cottonspread.configstore import messages as m
 from cottonspread.configstore import peers, reports
-from cottonspread.configstore import replica as re
+from cottonspread.configstore import replica as rep
 
 EMPTY_POSITION = m.EMPTY_POSITION
 
@@ -146,7 +146,7 @@
 def test_waiting_writes_are_bounded():
     driver = ReplicaDriver()
     driver.store_waits = True
-    requests = [driver.ask(accept(EMPTY_POSITION, record(1, 1))) for _ in range(re.MAX_QUEUED_WRITES + 5)]
+    requests = [driver.ask(accept(EMPTY_POSITION, record(1, 1))) for _ in range(rep.MAX_QUEUED_WRITES + 5)]
     assert len(driver.rejected) == 4
     driver.finish_store()
     assert set(driver.replies) | set(driver.rejected) == set(requests)
@@ -211,9 +211,9 @@
     driver = committed(one)
     watches = {f"n{number}": driver.watch(f"n{number}", since=1) for number in range(40)}
     driver.reply(m.Commit(record=new))
-    told = {node for node, watch in watches.items() if watch in driver.replies}
-    assert told == {node for node in watches if m.canary_hash(node, 2) < 2**31} and 5 < len(told) < 35
-    other = next(node for node in watches if node not in told)
+    served = {node for node, watch in watches.items() if watch in driver.replies}
+    assert served == {node for node in watches if m.canary_hash(node, 2) < 2**31} and 5 < len(served) < 35
+    other = next(node for node in watches if node not in served)
     assert driver.replies[driver.watch(other, since=0)].record == one
 
 
@@ -226,11 +226,11 @@
 
 
 def test_watches_are_bounded_and_end_with_their_connection(monkeypatch):
-    monkeypatch.setattr(re, "MAX_WATCHES", 3)
+    monkeypatch.setattr(rep, "MAX_WATCHES", 3)
     driver = ReplicaDriver()
     numbers = [driver.watch(f"n{number}") for number in range(4)]
     assert list(driver.rejected) == numbers[3:]
-    driver.step(re.RequestAbandoned(numbers[0]))
+    driver.step(rep.RequestAbandoned(numbers[0]))
     assert driver.watch("n9") not in driver.rejected
     driver.reply(m.Commit(record=record(1, 1)))
     assert numbers[0] not in driver.replies and numbers[1] in driver.replies
@@ -240,7 +240,7 @@
     driver = ReplicaDriver()
     driver.watch("stays", timeout_ms=5_000)  # has the earliest deadline, and so keeps the others in the heap
     for _ in range(5_000):
-        driver.step(re.RequestAbandoned(driver.watch()))
+        driver.step(rep.RequestAbandoned(driver.watch()))
     assert len(driver.core._watches._heap) <= 200
 
 
@@ -252,9 +252,9 @@
     driver.watch("n1", in_force=3)
     driver.now += 2 * m.SECOND
     driver.watch("n2", in_force=4, refused=5, why="bad port")
-    told = {received.report.node: received for received in driver.state(reports=True).reports}
-    assert told["n1"].age_us == 2 * m.SECOND and told["n1"].watching
-    assert told["n2"].report.refused == 5 and told["n2"].report.why == "bad port"
+    by_node = {received.report.node: received for received in driver.state(reports=True).reports}
+    assert by_node["n1"].age_us == 2 * m.SECOND and by_node["n1"].watching
+    assert by_node["n2"].report.refused == 5 and by_node["n2"].report.why == "bad port"
     driver.watch("n1", in_force=5)
     named = driver.state(reports=True, nodes=["n1", "nobody"]).reports
     assert [(received.report.in_force, received.age_us) for received in named] == [(5, 0)]
@@ -294,14 +294,14 @@
     assert {call.peer for call in driver.peer_calls} == {"r2", "r3"}
     watch = driver.watch(since=1)
     good, new = record(4, 3), record(5, 4, CANARY, below=0)
-    driver.step(re.PeerReplied(1, peer_reply(committed=new, committed_generation=5, good=good)))
+    driver.step(rep.PeerReplied(1, peer_reply(committed=new, committed_generation=5, good=good)))
     assert driver.disk.committed == new and driver.disk.good == good and driver.disk.accepted == new
     assert driver.replies[watch].record == good
 
 
 def test_a_good_version_that_was_missed_is_caught_up_beside_a_committed_canary():
     driver = committed(record(1, 1), record(5, 4, CANARY, below=0))
-    driver.step(re.PeerReplied(1, peer_reply(committed_generation=5, good=record(4, 3))))
+    driver.step(rep.PeerReplied(1, peer_reply(committed_generation=5, good=record(4, 3))))
     assert driver.disk.good == record(4, 3) and driver.disk.committed.generation == 5
     driver.pass_time(m.SECOND)
     assert driver.peer_calls[-1].message.since == 5 and driver.peer_calls[-1].message.good_since == 4
@@ -310,9 +310,9 @@
 def test_records_of_another_replica_are_checked():
     driver = committed(record(3, 3))
     for wrong in (damaged(generation=9, body="x"), record(4, 2), record(3, 3, body="other")):
-        driver.step(re.PeerReplied(driver.peer_calls[-1].call, peer_reply(committed=wrong)))
+        driver.step(rep.PeerReplied(driver.peer_calls[-1].call, peer_reply(committed=wrong)))
         driver.pass_time(m.SECOND)
-    driver.step(re.PeerReplied(driver.peer_calls[-1].call, peer_reply(good=damaged(body="x"))))
+    driver.step(rep.PeerReplied(driver.peer_calls[-1].call, peer_reply(good=damaged(body="x"))))
     assert driver.disk.committed == record(3, 3) and driver.disk.good == record(3, 3)
 
 
@@ -320,8 +320,8 @@
     driver = committed(record(1, 1))
     request = driver.ask(m.ReadState(since=1, good_since=1, timeout_ms=1_000))
     driver.reply(m.Commit(record=record(2, 2, CANARY)))
-    told = driver.replies[request]
-    assert told.committed == record(2, 2, CANARY) and told.good is None
+    reply = driver.replies[request]
+    assert reply.committed == record(2, 2, CANARY) and reply.good is None
     request = driver.ask(m.ReadState(since=2, good_since=1, timeout_ms=1_000))
     driver.pass_time(m.SECOND)
     assert driver.replies[request].committed is None
@@ -330,10 +330,10 @@
 def test_each_reply_has_the_age_of_the_majority():
     driver = committed(record(1, 1))
     assert driver.replies[driver.watch()].majority_age_us is None
-    driver.step(re.PeerReplied(2, peer_reply()))
+    driver.step(rep.PeerReplied(2, peer_reply()))
     driver.now += 3 * m.SECOND
     assert driver.replies[driver.watch()].majority_age_us == 3 * m.SECOND
-    driver.step(re.PeerFailed(1, "refused"))
+    driver.step(rep.PeerFailed(1, "refused"))
     assert driver.replies[driver.watch()].majority_age_us == 3 * m.SECOND
 
 
@@ -341,11 +341,11 @@
     driver = ReplicaDriver()
     for _ in range(12):
         for call in driver.peer_calls[-2:]:
-            driver.step(re.PeerFailed(call.call, "refused"))
+            driver.step(rep.PeerFailed(call.call, "refused"))
         asked = len(driver.peer_calls)
         driver.pass_time(peers.MAX_PEER_RETRY_DELAY)
         assert len(driver.peer_calls) == asked + 2
-    driver.step(re.PeerFailed(driver.peer_calls[-1].call, "refused"))
+    driver.step(rep.PeerFailed(driver.peer_calls[-1].call, "refused"))
     assert (
         peers.MAX_PEER_RETRY_DELAY * 3 // 4 <= driver.core.wake_at - driver.now <= peers.MAX_PEER_RETRY_DELAY
     )
@@ -354,7 +354,7 @@
 def test_a_peer_that_always_has_news_is_not_asked_without_pause():
     driver = ReplicaDriver()
     for _ in range(40):
-        driver.step(re.PeerReplied(driver.peer_calls[-1].call, peer_reply(committed=damaged(body="x"))))
+        driver.step(rep.PeerReplied(driver.peer_calls[-1].call, peer_reply(committed=damaged(body="x"))))
         driver.pass_time(10 * m.MILLISECOND)
     assert len(driver.peer_calls) <= 2 + 40 * 10 * m.MILLISECOND // peers.PEER_CALL_DELAY + 1
 
--- a/tests/configstore/test_shell_fleet.py
+++ b/tests/configstore/test_shell_fleet.py
@@ -121,8 +121,8 @@
     def read_plan(self, program):
         return plans.read(self.path, program, self.check, self.store_follower.wanted_body)
 
-    def begin_rollout(self, plan, why, line):
-        self.rollouts.append((plan, line))
+    def begin_rollout(self, plan, why, connection):
+        self.rollouts.append((plan, connection))
 
 
 def test_the_outcome_of_a_rollout_is_reported_and_a_failed_body_is_dropped(tmp_path):
@@ -145,18 +145,18 @@
 
     good = json.dumps(configuration("127.0.0.1:1", "second"))
     enqueue(1, m.Stage.CANARY, good)
-    plan, line = supervisor.rollouts.pop()
+    plan, connection = supervisor.rollouts.pop()
     assert "second" in plan.specs["f-0"].live and plan.fleet.live_watch_s == 0.5 and not outcomes
-    line.send({"ok": True, "why": "done"})
+    connection.send({"ok": True, "why": "done"})
     assert (
         outcomes.pop() == (1, True, "done")
         and store_follower.body_in_force == store_follower.wanted_body == good
     )
 
     third = enqueue(2, m.Stage.EVERYWHERE, json.dumps(configuration("127.0.0.1:1", "third")))
-    plan, line = supervisor.rollouts.pop()
+    plan, connection = supervisor.rollouts.pop()
     assert plan.fleet.live_watch_s == 0 and store_follower.wanted_body == third.body
-    line.send({"ok": False, "why": "f-0: refused"})
+    connection.send({"ok": False, "why": "f-0: refused"})
     assert (
         outcomes.pop() == (2, False, "f-0: refused")
         and store_follower.body_in_force == store_follower.wanted_body == good
--- a/tests/configstore/test_shell_store.py
+++ b/tests/configstore/test_shell_store.py
@@ -108,7 +108,7 @@
     store.until_watching(2)
     file = store.folder / "next.json"
     file.write_text(json.dumps(shells.configuration()))
-    words = "configuration", "publish", "--replicas", store.all, str(file)
+    words = "configuration", "publish", "--replicas", store.addresses, str(file)
     publisher = store.process("publisher.log", *words)
     shells.until(lambda: len(held) == 2, "both canaries are applying")
     publisher.kill()
--- a/tests/fleet/test_core.py
+++ b/tests/fleet/test_core.py
@@ -539,11 +539,11 @@
 def test_a_paced_stop_stops_a_limited_number_at_a_time(most):
     sim = start_all(count=3, stop_at_once=most)
     sim.step("stop")
-    seen = 0
+    max_leaving = 0
     while not sim.all_stopped:
-        seen = max(seen, sum(p["leave"] is not None for p in sim.processes.values()))
+        max_leaving = max(max_leaving, sum(p["leave"] is not None for p in sim.processes.values()))
         sim.run_for(0.25)
-    assert seen == most
+    assert max_leaving == most
 
 
 def applied(sim):
--- a/tests/fleet/test_lab_fleet.py
+++ b/tests/fleet/test_lab_fleet.py
@@ -41,15 +41,15 @@
     assert "Traceback" not in process.stdout, process.stdout
     folder = str(out / "out" / "0-only")
     result = results.read(folder)
-    told = [n for n in record.read(folder, "nodes") if n["k"].startswith("fleet-")]
-    assert [n["code"] for n in told if "code" in n] == [0, 0, 0], told  # reload, upgrade, stop
+    events = [n for n in record.read(folder, "nodes") if n["k"].startswith("fleet-")]
+    assert [n["code"] for n in events if "code" in n] == [0, 0, 0], events  # reload, upgrade, stop
     # No answer may be lost, duplicated, sent again or sent to a draining server. Rules about milliseconds are
     # checked only where the machine is fast enough (benchmarks).
     timed = {"a leg after the final answer", "no answer before the guard time"}
     assert not [o for o in result.audit["offences"] if o["what"] not in timed], process.stdout
     calls = [c for c in record.read(folder, "load") if c["k"] == "call"]
     start = json.loads((Path(folder) / "start.json").read_text())["start"]
-    first_stop = next(n["t"] - start for n in told if n["k"] == "fleet-stop")
+    first_stop = next(n["t"] - start for n in events if n["k"] == "fleet-stop")
     before = [c for c in calls if c["intended"] < first_stop - 500_000]
     kinds = {}
     for c in before:
--- a/tests/fleet/test_operator.py
+++ b/tests/fleet/test_operator.py
@@ -65,8 +65,8 @@
     for line, key in zip(error.value.faults, keys, strict=True):
         assert line.startswith(f"{file}: {key}"), line
     assert cli.main(["check", "--operator", str(file)]) == 2
-    said = capsys.readouterr().err.splitlines()
-    assert len(said) == len(keys) and all(line.startswith(f"cottonspread: {file}: ") for line in said)
+    printed = capsys.readouterr().err.splitlines()
+    assert len(printed) == len(keys) and all(line.startswith(f"cottonspread: {file}: ") for line in printed)
 
 
 def fleet(tmp_path, text=GOOD, node=NODE):
