--- a/cottonspread/fleet/control.py
+++ b/cottonspread/fleet/control.py
@@ -12,7 +12,7 @@
 import socket
 
 MAX_SOCKET_PATH = 100  # bytes of a socket's path: the kernel allows 107
-MAX_BUFFERED_BYTES = 1 << 20  # of unread or unsent data
+MAX_BUFFERED_BYTES = 1 << 20  # of an incomplete line or of unsent data, per connection
 
 
 def digest(text):
--- a/cottonspread/fleet/core.py
+++ b/cottonspread/fleet/core.py
@@ -15,12 +15,13 @@
 from dataclasses import dataclass, field, replace
 
 SECOND = 1_000_000
-# For the report "leaving". The process accepts connections until then, so only a stuck one is killed.
+# Time from StopAccepting until the process reports "leaving". Until then it runs and accepts connections as
+# usual, so only a stuck process exceeds it.
 LEAVE_TIMEOUT = 5 * SECOND
 # If the supervisor itself was stopped for this long, the silence does not count against the processes.
 STALL_THRESHOLD = SECOND
 
-# States that a process reports; waiting: for a host list with a server on it
+# States that a process reports; "waiting": for a host list with a server on it
 STARTING, WAITING, PREPARED, SERVING, LEAVING = "starting", "waiting", "prepared", "serving", "leaving"
 # Further states of an instance in the status table
 DRAINED, BACKOFF, GIVEN_UP, STOPPED = "drained", "back-off", "given-up", "stopped"
@@ -77,9 +78,9 @@
 
 @dataclass(frozen=True)
 class AnswerBusy:
-    """Whether the supervisor itself answers BUSY at the instance's address.
+    """Start or stop answering BUSY at the instance's address in the supervisor itself.
 
-    It does so while no process is active and none is about to be.
+    It answers while no process is active and none is about to be.
     """
 
     name: str
@@ -128,10 +129,10 @@
     start_timeout_from: int = 0  # its start timeout counts from here
     state: str = STARTING
     state_since: int = 0
-    accept_sent_at: int = 0
-    leave_sent_at: int = 0
+    accept_sent_at: int = 0  # when it was told to accept connections; 0: not yet
+    leave_sent_at: int = 0  # when it was told to stop accepting, or reported that it did; 0: not yet
     killed_at: int = 0
-    steps: int = -1
+    steps: int = -1  # the step counter in its last status; -1: none received
     last_progress_at: int = 0  # when its step counter last changed
     status: dict = field(default_factory=dict)  # the last status that it reported
     baseline_counts: tuple = ()  # (ended, bad) calls when its observation began
@@ -289,7 +290,8 @@
             p.steps, p.last_progress_at = status["steps"], self.now
         p.status = status
         if status.get("live") == p.spec.live:
-            # The status has the full text instead of its digest: a program of an earlier release.
+            # A program of an earlier release reports the full text instead of its digest; it applies settings
+            # only at its start.
             p.accepts_live = False
         refused = status.get("refused")
         if refused and p.requested_spec and refused["live"] == p.requested_spec.live_digest:
@@ -394,7 +396,7 @@
                 slot, is_added = Slot(name, spec), True
                 self.slots[name] = slot
             elif slot.removed:
-                # It is being removed; without this it would be gone before its turn comes.
+                # It is being removed; without this its slot would be deleted before its change begins.
                 slot.removed, is_added = False, True
             if slot in self.rollout.in_progress:
                 slot.spec = spec
@@ -545,7 +547,7 @@
         )
         share = bad / ended
         return (
-            f"{bad} of {ended} calls ended badly, before {baseline:.3f} of them"
+            f"{bad} of {ended} calls ended badly; the share before was {baseline:.3f}"
             if share > baseline + fleet.worse_by
             else ""
         )
@@ -607,10 +609,10 @@
             return
         if p in slot.leaving:
             if self.now - p.leave_sent_at > fleet.stop_s * SECOND:
-                self.kill(p, "did not stop")
+                self.kill(p, "did not stop in time")
         elif p.leave_sent_at:
             if self.now - p.leave_sent_at > LEAVE_TIMEOUT:
-                self.kill(p, "did not leave")
+                self.kill(p, "did not report leaving in time")
         elif p is slot.successor:
             # No process can serve without a host list, and a restart would not provide one. During a rollout
             # the active process serves on, so the timeout applies.
--- a/cottonspread/fleet/plan.py
+++ b/cottonspread/fleet/plan.py
@@ -109,8 +109,8 @@
                 "Balancers": fleet.nodes or fleet.first + fleet.instances,
             },
         }
-        # The supervisor's socket replaces it; and a successor, which runs beside its predecessor, could not
-        # bind the same address.
+        # The supervisor's control socket replaces the node's operator address, which a successor, running
+        # beside its predecessor, could not bind.
         instance_config.pop("operator", None)
         try:
             instance_config["discovery"] = (
--- a/cottonspread/fleet/store_follower.py
+++ b/cottonspread/fleet/store_follower.py
@@ -16,8 +16,8 @@
 from cottonspread.fleet import plan as plans
 
 MAX_CANARY_WATCH_S = 0.5
-"""Upper bound in seconds for observing a live change on a canary, which happens twice: the store's own wait
-for canaries comes on top."""
+"""Upper bound in seconds for observing a live change on a canary. A rollout observes the first instance
+and then all others, so it takes twice this; the store's own wait for canaries comes on top."""
 
 
 class StoreFollower:
@@ -46,7 +46,7 @@
                 [f"{self.supervisor.path}: configuration.state: {folder}: {error}"]
             ) from error
         if self.client.saved:
-            # If the saved body is not valid any more, the file is used, and the follower reports the refusal.
+            # If the saved body is no longer valid, the file is used, and the follower reports the refusal.
             with contextlib.suppress(config.ConfigurationError):
                 self.check(self.client.saved)
                 self.body_in_force = self.wanted_body = self.client.saved.body
--- a/cottonspread/fleet/supervisor.py
+++ b/cottonspread/fleet/supervisor.py
@@ -37,10 +37,10 @@
 
 log = logging.getLogger("cottonspread.fleet")
 
-POLL_INTERVAL = 0.05
+POLL_INTERVAL = 0.05  # seconds
 BUSY_CLIENT_TIMEOUT = 1.0  # seconds for a client to send its first line, and then to close
 MAX_BUSY_CLIENTS = 64
-STATUS_INTERVAL = 5.0
+STATUS_INTERVAL = 5.0  # seconds between status lines to the service manager
 
 
 def now():
@@ -143,9 +143,10 @@
         self.listeners |= plans.bind_all(s for s in plan.specs.values() if s.address not in self.listeners)
 
     def raise_descriptor_limit(self, instances):
-        """Makes room for a listener, a control socket and a pidfd per instance, twice while it is changed.
+        """Raises the descriptor limit to what the supervisor needs, or fails.
 
-        An instance's process has its own limit.
+        It needs a listener per instance, and a control socket and a pidfd for each of its processes, of which
+        there are two during a change. An instance's process has its own limit.
         """
         need = 5 * instances + MAX_BUSY_CLIENTS + 32
         hard_limit = control.raise_descriptor_limit(need)
@@ -317,7 +318,7 @@
         """Passes an event to the core and executes its effects."""
         effects = self.core.step(now(), event, *args)
         if any(isinstance(effect, Start) for effect in effects):
-            self.save_state()  # the generation counter, once for all that start now
+            self.save_state()  # the generation counter, once for all processes that start now
         for effect in effects:
             self.execute(effect)
         if not self.was_ready and self.core.ready():
@@ -396,7 +397,7 @@
             if child is not None:
                 child.kill()
                 if (name, generation) in self.pidfds:
-                    return  # its exit will be noticed
+                    return  # process_exited reports its end
                 child.wait()
                 del self.children[name, generation]
             # Deferred, because this runs inside a step of the core.
@@ -424,6 +425,7 @@
         fd = self.pidfds.pop((name, generation))
         self.selector.unregister(fd)
         os.close(fd)
+        # An adopted process is not a child of this one, so its exit status is unknown.
         child, how = self.children.pop((name, generation), None), "gone"
         if child:
             code = child.wait()
@@ -671,7 +673,7 @@
         self.step("change_plan", plan, why)
 
     def rollout_ended(self, effect):
-        """Saves the program in force and sends the outcome to whoever waits for it."""
+        """Saves the program in force and sends the outcome to the connections that wait for it."""
         # The program is saved only now: after a crash during an upgrade the next supervisor rolls it back.
         self.program = effect.plan.program
         self.save_state()
--- a/tests/fleet/test_fleet.py
+++ b/tests/fleet/test_fleet.py
@@ -612,7 +612,9 @@
         assert fleet.first_answer(0, b"OPEN j%d k%d c=chat,d=2000" % (n, n)).startswith(b"BUSY")
     _, stderr = upgrade.communicate(timeout=WAIT)
     assert (
-        upgrade.returncode == 1 and "f-0: " in stderr and "calls ended badly, before 0.000 of them" in stderr
+        upgrade.returncode == 1
+        and "f-0: " in stderr
+        and "calls ended badly; the share before was 0.000" in stderr
     ), stderr
     after = fleet.wait_ready()
     assert after["f-1"] == before["f-1"] and fleet.first_answer(0, b"OPEN x k c=chat,d=2000").startswith(
