--- a/benchmarks/configstore/mutants.py
+++ b/benchmarks/configstore/mutants.py
@@ -20,7 +20,7 @@
     for name in ("replica", "follower", "publisher", "configuration_plays")
 )
 
-MUTANTS = [  # what, file in configstore, its text, the text instead, tests
+MUTANTS = [  # description, file in configstore, original text, replacement, tests
     ("compare-and-set of a proposal", "register.py", "if highest != base:", "if False:", REPLICA),
     (
         "a generation goes back",
@@ -322,7 +322,7 @@
         "    _check_follows(highest, record)\n"
         "    if state.accepted and record.version == highest.version"
         " and record.digest != state.accepted.digest:\n"
-        '        raise RefusedError("same version, other digest")\n',
+        '        raise RefusedError("same version, different digest")\n',
         "",
         PLAYS,
     ),
--- a/cottonspread/configstore/calls.py
+++ b/cottonspread/configstore/calls.py
@@ -18,7 +18,7 @@
 
     message: object
     next_call_at: int
-    call: int | None = None
+    call: int | None = None  # number of the open call; None: not made yet
     failures: int = 0
 
 
--- a/cottonspread/configstore/follower.py
+++ b/cottonspread/configstore/follower.py
@@ -31,7 +31,7 @@
 It covers a watch of 10 s, its grace, the delay after a failure and the majority age that a replica may
 report, without a false alarm."""
 RECHECK_DELAY = 60 * m.SECOND
-"""A refused record is requested again after this time: a check costs a node some milliseconds."""
+"""A refused record is requested again after this time; each check costs a node some milliseconds."""
 MAX_HOLD = 1 * m.SECOND
 """A node sends its next watch once the received record is in force or refused, so that the watch reports the
 result; no later than this, because a check or a disk may hang."""
@@ -180,7 +180,7 @@
     CHECKING = "checking"
     SAVING = "saving"
     APPLYING = "applying"
-    RESTORING = "restoring"
+    RESTORING = "restoring"  # it could not be applied; the old record is being saved again
 
 
 class Follower:
@@ -201,7 +201,7 @@
         self._recheck_at: int | None = None
         self._current: m.Record | None = None
         self._phase: _Phase | None = None
-        self._current_is_saved = False  # the current record is the saved one
+        self._current_is_saved = False  # the current record was read from the file at the start
         self._queued: m.Record | None = None  # the newest record received meanwhile
         self._last_contact: int | None = None
         self._started, self._was_cut_off, self._hold_until = 0, False, 0
@@ -259,7 +259,7 @@
         self._current_is_saved = True
         self._start_check(event.saved)
 
-    # Answers
+    # Replies
 
     def _watch_replied(self, now: int, event: WatchReplied) -> None:
         reason = self._why_distrusted(event.reply, self._watches.since_of(event.call))
@@ -292,7 +292,7 @@
             return f"not for this node at stage {record.stage.name}"
         for known in (self._in_force, self._current, self._queued, self._refused):
             if known is not None and known.version == record.version and known.digest != record.digest:
-                return "same version, other digest"
+                return "same version, different digest"
         return ""
 
     def _consider(self, record: m.Record) -> None:
--- a/cottonspread/configstore/majority.py
+++ b/cottonspread/configstore/majority.py
@@ -16,8 +16,9 @@
     """The combined state of a majority."""
 
     highest: m.Position
-    """The highest position that any of them accepted. Of two with the same generation, the later stage: if
-    it is open whether a version is released everywhere or withdrawn, withdrawing it is harmless."""
+    """The highest position that any of them accepted. Of two with the same generation and version, the one at
+    the later stage: if it is undecided whether a version is released everywhere or withdrawn, withdrawing it
+    is harmless."""
     committed: m.Record | None
     good: m.Record | None
     """The newest record at stage EVERYWHERE, committed or accepted: its canaries had applied it."""
--- a/cottonspread/configstore/peers.py
+++ b/cottonspread/configstore/peers.py
@@ -22,7 +22,7 @@
 
     name: str
     next_call_at: int = 0
-    call: int | None = None
+    call: int | None = None  # number of the open call; None: none is open
     failures: int = 0
     last_reply_at: int | None = None
 
--- a/cottonspread/configstore/publisher.py
+++ b/cottonspread/configstore/publisher.py
@@ -19,7 +19,8 @@
 from cottonspread.configstore.majority import MajorityState, canaries_of, canary_threshold, summarize_replies
 
 PHASE_TIMEOUT = 5 * m.SECOND
-"""Without replies from a majority for this long a run ends with NO_QUORUM; five calls to a replica fit in."""
+"""A run ends with NO_QUORUM if a step gets no replies from a majority for this long; the time suffices for
+five calls to a replica."""
 POLL_INTERVAL = 100 * m.MILLISECOND
 """Between two reads of the canaries' reports, and between two attempts of a refused commit."""
 MAX_ROUNDS = 8
--- a/cottonspread/configstore/replica.py
+++ b/cottonspread/configstore/replica.py
@@ -131,7 +131,7 @@
 
 
 class Replica:
-    """One of the control machines.
+    """The state machine of one replica.
 
     `wake_at`: when the next `Tick` is due. `state`: the durable state.
     """
--- a/cottonspread/configstore/watches.py
+++ b/cottonspread/configstore/watches.py
@@ -40,7 +40,7 @@
     replica: str
     next_call_at: int = 0
     called_at: int = 0
-    call: int | None = None
+    call: int | None = None  # number of the open call; None: none is open
     since: int = 0
     failures: int = 0
     has_replied: bool = False
