--- a/tests/configstore/drivers.py
+++ b/tests/configstore/drivers.py
@@ -90,7 +90,7 @@
         ticks = 0
         while self.core.wake_at <= until:
             ticks += 1
-            assert ticks < MAX_TICKS, "wants ticks without pause"
+            assert ticks < MAX_TICKS, "the core requests ticks in a busy loop"
             self.now = max(self.now, self.core.wake_at)
             self.step(rep.Tick())
         self.now = until
@@ -165,7 +165,7 @@
         ticks = 0
         while self.core.wake_at <= until:
             ticks += 1
-            assert ticks < MAX_TICKS, "wants ticks without pause"
+            assert ticks < MAX_TICKS, "the core requests ticks in a busy loop"
             self.now = max(self.now, self.core.wake_at)
             self.step(fo.Tick())
         self.now = until
@@ -257,7 +257,7 @@
         until, turns = self.cluster.now + span, 0
         while self.done is None and self.cluster.now <= until:
             turns += 1
-            assert turns < MAX_TICKS, "wants ticks without pause"
+            assert turns < MAX_TICKS, "the core requests ticks in a busy loop"
             if self.calls:
                 self.deliver()
             else:
--- a/tests/configstore/test_shell_fleet.py
+++ b/tests/configstore/test_shell_fleet.py
@@ -82,7 +82,7 @@
 
     code, output = store.publish(capsys, configuration(discovery, "other"))
     assert code == 0 and "in force at 1 nodes" in output, output
-    assert fleet.pids() == pids, "nobody was restarted"
+    assert fleet.pids() == pids, "no process was restarted"
     assert [log(store, n).count("event=reload") for n in range(2)] == [1, 1]
     shown = fleet.status()["configuration"]
     assert (shown["version"], shown["refused"], shown["cut_off"]) == (1, 0, False)
--- a/tests/configstore/test_shell_server.py
+++ b/tests/configstore/test_shell_server.py
@@ -110,7 +110,7 @@
     sockets = [running.connect(watch()) for _ in range(3)]
     shells.until(lambda: running.server.core.watches == 3, "three watches are open")
     sockets.pop().close()
-    shells.until(lambda: running.server.core.watches == 2, "one has gone")
+    shells.until(lambda: running.server.core.watches == 2, "one watch is dropped")
     with running.connect(post("accept", m.encode(ACCEPT))) as sock:
         assert m.decode(answer(sock)[1], m.AcceptReply).accepted
         sock.sendall(post("commit", m.encode(m.Commit(record=RECORD))))
@@ -147,10 +147,10 @@
         sock.connect(running.address)
         sock.sendall(post("state", b"{}"))
         connections = running.server._connections
-        slow = shells.until(lambda: [one for one in list(connections.values()) if one.unsent], "on its way")[
-            0
-        ]
-        shells.until(lambda: slow.sock not in connections, "it is given up")
+        slow = shells.until(
+            lambda: [one for one in list(connections.values()) if one.unsent], "its reply is partly sent"
+        )[0]
+        shells.until(lambda: slow.sock not in connections, "it is disconnected")
         assert running.server.core.watches == 1, "before the watch has ended"
         assert answer(waits)[0] == 200, "a watch may take longer than any of these"
 
@@ -162,7 +162,7 @@
         with running.connect() as third:
             assert answer(third) == (0, b"")
         other.close()
-        shells.until(lambda: running.server.core.watches == 1, "one has gone")
+        shells.until(lambda: running.server.core.watches == 1, "one watch is dropped")
         with running.connect(post("state", b"{}")) as third:
             assert answer(third)[0] == 200
         assert one.fileno() >= 0
@@ -172,12 +172,12 @@
     monkeypatch.setattr(server, "MAX_BUFFERED_BYTES", 3_000)
     part = b"POST /api/configuration/accept HTTP/1.1\r\nContent-Length: 100000\r\n\r\n" + b"x" * 2_000
     with running.connect(part) as held:
-        shells.until(lambda: running.server._buffered == len(part), "held")
+        shells.until(lambda: running.server._buffered == len(part), "the partial request is buffered")
         with running.connect(part) as over:
             assert answer(over) == (0, b"")
         assert running.server._buffered == len(part)
         held.close()
-    shells.until(lambda: running.server._buffered == 0, "given back")
+    shells.until(lambda: running.server._buffered == 0, "its bytes are no longer counted")
 
 
 def test_what_is_acknowledged_is_on_the_disk(running, tmp_path):
@@ -229,10 +229,10 @@
     name = f"127.0.0.1:{silent.getsockname()[1]}"
     callers, outcomes = Callers(), []
     callers.call(name, m.ReadState(), now() + 200_000, outcomes.append)
-    shells.until(lambda: outcomes, "the first has run out")
+    shells.until(lambda: outcomes, "the first call has timed out")
     callers.call(name, m.ReadState(), now() + 3600 * m.SECOND, outcomes.append)
     callers.stop()
-    shells.until(lambda: len(outcomes) == 2, "the second is given up")
+    shells.until(lambda: len(outcomes) == 2, "the second call is aborted")
     callers.call("127.0.0.1:1", m.ReadState(), now() + m.SECOND, outcomes.append)
     assert [type(one) for one in outcomes] == [CallError] * 3
     silent.close()
--- a/tests/configstore/test_shell_store.py
+++ b/tests/configstore/test_shell_store.py
@@ -27,7 +27,7 @@
     assert "canaries: version 1 canary: 2 nodes" in output and "in force at 6 nodes" in output
     assert all(node.knows("other") for node in nodes)
     assert [client.view().version for client in followers] == [1] * 4
-    assert nodes[0].log().count("event=listening") == 1, "nobody was restarted"
+    assert nodes[0].log().count("event=listening") == 1, "no process was restarted"
 
     # It is valid by itself, but lacks a key that the configuration in force has, which only nodes can detect.
     faulty = json.loads(json.dumps(good))
@@ -36,7 +36,7 @@
     store.until_watching(36)
     code, output = store.publish(capsys, faulty)
     assert code == 1 and "withdrawn: version 3" in output, output
-    assert "missing" in output or "as played" in output
+    assert "missing" in output or "refused by the test" in output
     status = store.status(capsys)
     assert (status["version"], status["stage"]) == (3, "everywhere")
     assert all(node.knows("other") for node in nodes)
@@ -45,7 +45,7 @@
 
 def refuse(record):
     if "Rules" not in json.loads(record.body)["settings"]:
-        raise config.ConfigurationError("settings.Rules: missing, as played")
+        raise config.ConfigurationError("settings.Rules: missing, refused by the test")
 
 
 def test_one_replica_lost_and_back_two_lost_and_a_node_started_without_any(store, capsys):
--- a/tests/fleet/test_core.py
+++ b/tests/fleet/test_core.py
@@ -116,7 +116,7 @@
 
     def apply(self, key, spec):
         if spec.live in self.refused_live:
-            self.processes[key]["refused"] = {"live": spec.live_digest, "why": "as played"}
+            self.processes[key]["refused"] = {"live": spec.live_digest, "why": "by the test"}
         elif not self.processes[key]["ignores_apply"]:
             self.processes[key] |= {"live": spec.live_digest, "refused": None}
 
@@ -471,9 +471,9 @@
 
 
 def test_a_removed_name_that_a_rollback_restores_while_it_leaves_is_kept():
-    """A plan removes two names and is rolled back while they leave.
+    """A plan removes two names and is rolled back while their processes leave.
 
-    One of them was lost from the core's table, and the rollout never ended.
+    The core used to delete one of the names from its table, and the rollout never ended.
     """
     sim = start_all(count=4)
     sim.step("change_plan", plan(2, start="bad"))
@@ -571,7 +571,7 @@
     sim.refused_live.add("y")
     sim.step("change_plan", plan(8, live="y"))
     sim.run_for(5)
-    assert not sim.outcomes[-1].ok and sim.outcomes[-1].why == "f-0: refused: as played"
+    assert not sim.outcomes[-1].ok and sim.outcomes[-1].why == "f-0: refused: by the test"
     assert applied(sim) == ["f-0"] and len(sim.started) == 8
 
 
@@ -581,7 +581,7 @@
     sim.run_for(0.5)
     sim.refused_live.add("y")
     sim.run_for(5)
-    assert not sim.outcomes[-1].ok and "refused: as played" in sim.outcomes[-1].why
+    assert not sim.outcomes[-1].ok and "refused: by the test" in sim.outcomes[-1].why
     assert {p["live"] for p in sim.processes.values()} == {plan().specs["f-0"].live_digest} and len(
         sim.started
     ) == 3
--- a/tests/fleet/test_fleet.py
+++ b/tests/fleet/test_fleet.py
@@ -256,7 +256,7 @@
         env={**os.environ, "NOTIFY_SOCKET": str(fleet.folder / "notify"), "WATCHDOG_USEC": "100000"},
     )
     fleet.processes.append(process)
-    fleet.until(lambda: notifications.count("WATCHDOG=1") >= 3, "alive")
+    fleet.until(lambda: notifications.count("WATCHDOG=1") >= 3, "keep-alives are sent")
     assert not any("READY" in line for line in notifications), "ready without a list"
     may_answer.set()
     fleet.until(lambda: any("READY=1" in line for line in notifications), "ready")
@@ -271,7 +271,8 @@
     before = fleet.wait_ready()
     os.kill(before["f-0"], signal.SIGKILL)
     fleet.until(
-        lambda: fleet.rows()["f-0"]["pid"] not in (None, before["f-0"]) and fleet.status()["ready"], "back"
+        lambda: fleet.rows()["f-0"]["pid"] not in (None, before["f-0"]) and fleet.status()["ready"],
+        "the killed instance is back",
     )
     assert fleet.rows()["f-0"]["why"] == "signal 9" and fleet.rows()["f-0"]["restarts"] == 1
     before = fleet.wait_ready()
@@ -423,7 +424,10 @@
         write_files(template, operators)
         count = fleet.log().count('kept="the old configuration"')
         process.send_signal(signal.SIGHUP)
-        fleet.until(lambda before=count: fleet.log().count('kept="the old configuration"') > before, "told")
+        fleet.until(
+            lambda before=count: fleet.log().count('kept="the old configuration"') > before,
+            "the rejected reload is logged",
+        )
         assert expected in fleet.log().splitlines()[-1] or expected in fleet.log(), expected
     write_files(*good)
     assert fleet.wait_ready() == before and kept
@@ -441,14 +445,14 @@
     _, fleet.node["discovery"] = toy(1)
     fleet.write()
     assert fleet.command("reload").returncode == 0
-    assert fleet.wait_ready() == before, "nobody was restarted"
+    assert fleet.wait_ready() == before, "no process was restarted"
     fleet.until(
         lambda: fleet.command("logs", "f-1").stdout.count("entries=1") == 1, "the new discovery's list"
     )
     fleet.write(instances=3)  # this changes Balancers too: two instances apply it, and one is new
     assert fleet.command("reload").returncode == 0
     after = fleet.wait_ready()
-    assert set(after) == {"f-0", "f-1", "f-2"} and after | before == after, "nobody was restarted"
+    assert set(after) == {"f-0", "f-1", "f-2"} and after | before == after, "no process was restarted"
     assert all(fleet.command("logs", name).stdout.count("event=reload") == 2 for name in before)
     fleet.node["limits"]["sockets"] = 1000
     fleet.write()
@@ -480,7 +484,7 @@
     with pytest.raises(BlockingIOError):  # neither closed nor sent anything
         established.recv(1, socket.MSG_PEEK)
     established.close()
-    assert fleet.wait_ready() == before, "nobody was restarted"
+    assert fleet.wait_ready() == before, "no process was restarted"
     process.kill()
     process.wait()
     fleet.run()
@@ -499,7 +503,8 @@
     assert fleet.first_answer(0, b"PING") == fleet.first_answer(1, b"PING") == b"PONG"
     os.kill(before["f-0"], signal.SIGKILL)
     fleet.until(
-        lambda: fleet.rows()["f-0"]["pid"] not in (None, before["f-0"]) and fleet.status()["ready"], "back"
+        lambda: fleet.rows()["f-0"]["pid"] not in (None, before["f-0"]) and fleet.status()["ready"],
+        "the killed instance is back",
     )
     fleet.node["limits"]["sockets"] = 1000
     fleet.write()
@@ -530,7 +535,7 @@
     resource.prlimit(process.pid, resource.RLIMIT_NOFILE, full)
     fleet.until(
         lambda: fleet.status().get("ready") or fleet.rows().get("f-0", {}).get("state") == "given-up",
-        "goes on",
+        "the supervisor goes on",
     )
     assert fleet.command("restart", "f-0").returncode == 0
     after = fleet.wait_ready()
