--- a/cottonspread/fleet/supervisor.py
+++ b/cottonspread/fleet/supervisor.py
@@ -70,7 +70,7 @@
         self.folder, self.logs = plans.folders(self.path, self.fleet)
         self.manager, self.selector, self.timers = notify.ServiceManager(), selectors.DefaultSelector(), []
         self.listeners, self.busy_listeners, self.busy_clients = {}, {}, {}  # by address; by name; by socket
-        self.children, self.pidfds, self.channels = {}, {}, {}  # by (name, generation)
+        self.children, self.pidfds, self.instance_connections = {}, {}, {}  # by (name, generation)
         self.unconnected = {}  # paths of control sockets that do not accept connections yet
         self.pending_replies, self.was_ready, self.done, self.started_at = [], False, False, time.monotonic()
         self.handlers = {
@@ -226,7 +226,7 @@
     def attach(self, name, generation, sock):
         """Registers a connected instance: its control connection and its process."""
         connection = control.JsonConnection(sock)
-        self.channels[name, generation] = connection
+        self.instance_connections[name, generation] = connection
         self.selector.register(
             sock, selectors.EVENT_READ, lambda: self.receive_status(name, generation, connection)
         )
@@ -431,7 +431,7 @@
             code = child.wait()
             how = f"signal {-code}" if code < 0 else f"exit {code}"
         self.unconnected.pop((name, generation), None)
-        self.close_channel(name, generation)
+        self.close_instance_connection(name, generation)
         self.step("exited", name, generation, how)
         if not self.core.rollout:
             self.close_unused_listeners()
@@ -447,14 +447,14 @@
         """Passes status reports of an instance to the core."""
         messages, is_open = connection.receive()
         if not is_open:
-            self.close_channel(name, generation)
+            self.close_instance_connection(name, generation)
         for message in messages:
             if isinstance(message.get("status"), dict):
                 self.step("status_received", name, generation, message["status"])
 
-    def close_channel(self, name, generation):
+    def close_instance_connection(self, name, generation):
         """Closes the control connection to an instance, if any."""
-        connection = self.channels.pop((name, generation), None)
+        connection = self.instance_connections.pop((name, generation), None)
         if connection:
             self.close_socket(connection.sock)
 
@@ -465,7 +465,7 @@
 
     def send_to_instance(self, effect, message):
         """Sends a message to an instance, if it is connected."""
-        connection = self.channels.get((effect.name, effect.generation))
+        connection = self.instance_connections.get((effect.name, effect.generation))
         if connection:
             connection.send(message)
 
