--- a/cottonspread/fleet/core.py
+++ b/cottonspread/fleet/core.py
@@ -547,7 +547,7 @@
         )
         share = bad / ended
         return (
-            f"{bad} of {ended} calls ended badly; the share before was {baseline:.3f}"
+            f"{bad} of {ended} calls ended badly, compared with a share of {baseline:.3f} before"
             if share > baseline + fleet.worse_by
             else ""
         )
--- a/tests/fleet/test_fleet.py
+++ b/tests/fleet/test_fleet.py
@@ -619,7 +619,7 @@
     assert (
         upgrade.returncode == 1
         and "f-0: " in stderr
-        and "calls ended badly; the share before was 0.000" in stderr
+        and "calls ended badly, compared with a share of 0.000 before" in stderr
     ), stderr
     after = fleet.wait_ready()
     assert after["f-1"] == before["f-1"] and fleet.first_answer(0, b"OPEN x k c=chat,d=2000").startswith(
