--- a/cottonspread/fleet/core.py
+++ b/cottonspread/fleet/core.py
@@ -15,12 +15,13 @@
 from dataclasses import dataclass, field, replace
 
 SECOND = 1_000_000
-# For the report "leaving". The process accepts connections until then, so only a stuck one is killed.
+# Time from StopAccepting until the process reports "leaving". Until then it runs and accepts connections as
+# usual, so only a stuck process exceeds it.
 LEAVE_TIMEOUT = 5 * SECOND
 # If the supervisor itself was stopped for this long, the silence does not count against the processes.
 STALL_THRESHOLD = SECOND
 
-# States that a process reports; waiting: for a host list with a server on it
+# States that a process reports; "waiting": for a host list with a server on it
 STARTING, WAITING, PREPARED, SERVING, LEAVING = "starting", "waiting", "prepared", "serving", "leaving"
 # Further states of an instance in the status table
 DRAINED, BACKOFF, GIVEN_UP, STOPPED = "drained", "back-off", "given-up", "stopped"
@@ -77,9 +78,9 @@
 
 @dataclass(frozen=True)
 class AnswerBusy:
-    """Whether the supervisor itself answers BUSY at the instance's address.
+    """Start or stop answering BUSY at the instance's address in the supervisor itself.
 
-    It does so while no process is active and none is about to be.
+    It answers while no process is active and none is about to be.
     """
 
     name: str
@@ -128,10 +129,10 @@
     start_timeout_from: int = 0  # its start timeout counts from here
     state: str = STARTING
     state_since: int = 0
-    take_sent_at: int = 0
-    leave_sent_at: int = 0
+    accept_sent_at: int = 0  # when it was told to accept connections; 0: not yet
+    leave_sent_at: int = 0  # when it was told to stop accepting, or reported that it did; 0: not yet
     killed_at: int = 0
-    steps: int = -1
+    steps: int = -1  # the step counter in its last status; -1: none received
     last_progress_at: int = 0  # when its step counter last changed
     status: dict = field(default_factory=dict)  # the last status that it reported
     baseline_counts: tuple = ()  # (ended, bad) calls when its observation began
@@ -289,7 +290,8 @@
             p.steps, p.last_progress_at = status["steps"], self.now
         p.status = status
         if status.get("live") == p.spec.live:
-            # The status has the full text instead of its digest: a program of an earlier release.
+            # A program of an earlier release reports the full text instead of its digest; it applies settings
+            # only at its start.
             p.accepts_live = False
         refused = status.get("refused")
         if refused and p.requested_spec and refused["live"] == p.requested_spec.live_digest:
@@ -394,7 +396,7 @@
                 slot, is_added = Slot(name, spec), True
                 self.slots[name] = slot
             elif slot.removed:
-                # It is being removed; without this it would be gone before its turn comes.
+                # It is being removed; without this its slot would be deleted before its change begins.
                 slot.removed, is_added = False, True
             if slot in self.rollout.in_progress:
                 slot.spec = spec
@@ -530,14 +532,14 @@
         """Returns a text if calls end badly more often than in unchanged processes, else an empty string."""
         fleet = self.plan.fleet
         ended, bad = (
-            p.status.get(k, 0) - was
-            for k, was in zip(("ended", "bad"), p.baseline_counts or (0, 0), strict=True)
+            p.status.get(k, 0) - baseline
+            for k, baseline in zip(("ended", "bad"), p.baseline_counts or (0, 0), strict=True)
         )
         if ended < fleet.worse_of:
             return ""
         # Unchanged processes run under the same conditions now. Late in the rollout none are left, so the
         # share before the rollout counts too.
-        was = max(
+        baseline = max(
             self.rollout.baseline_bad_share,
             self.bad_share(
                 [s.active for s in self.slots.values() if s.active and s.active.spec.start != p.spec.start]
@@ -545,8 +547,8 @@
         )
         share = bad / ended
         return (
-            f"{bad} of {ended} calls ended badly, before {was:.3f} of them"
-            if share > was + fleet.worse_by
+            f"{bad} of {ended} calls ended badly, compared with a share of {baseline:.3f} before"
+            if share > baseline + fleet.worse_by
             else ""
         )
 
@@ -580,7 +582,7 @@
         # The supervisor answers BUSY while no process does and none is about to.
         answer_busy = (
             not slot.active
-            and not (slot.successor and slot.successor.take_sent_at)
+            and not (slot.successor and slot.successor.accept_sent_at)
             and (
                 self.stopping
                 or slot.drained
@@ -607,10 +609,10 @@
             return
         if p in slot.leaving:
             if self.now - p.leave_sent_at > fleet.stop_s * SECOND:
-                self.kill(p, "did not stop")
+                self.kill(p, "did not stop in time")
         elif p.leave_sent_at:
             if self.now - p.leave_sent_at > LEAVE_TIMEOUT:
-                self.kill(p, "did not leave")
+                self.kill(p, "did not report leaving in time")
         elif p is slot.successor:
             # No process can serve without a host list, and a restart would not provide one. During a rollout
             # the active process serves on, so the timeout applies.
@@ -641,7 +643,7 @@
             return
         if new is not None or old is not None and old.killed_at and not old.leave_sent_at:
             return  # the old process has to end before the next is started
-        if old is None or not old.leave_sent_at and not self.can_become(old, slot):
+        if old is None or not old.leave_sent_at and not self.can_reach_spec(old, slot):
             if self.now >= slot.restart_not_before and not slot.given_up:
                 self.start(slot)
         elif (
@@ -667,12 +669,12 @@
         old, new = slot.active, slot.successor
         if new.spec != slot.spec:
             self.kill(new, "plan changed")
-        elif new.state == PREPARED and not new.take_sent_at:
+        elif new.state == PREPARED and not new.accept_sent_at:
             if old is not None and not old.leave_sent_at:
                 old.leave_sent_at = self.now
                 self.effects.append(StopAccepting(slot.name, old.generation, True))
             elif old is None:
-                new.take_sent_at = self.now
+                new.accept_sent_at = self.now
                 self.set_answering_busy(slot, False)  # before the successor accepts
                 self.effects.append(StartAccepting(slot.name, new.generation))
 
@@ -682,7 +684,7 @@
         return p.requested_spec is None and p.status.get("live", p.spec.live_digest) != p.spec.live_digest
 
     @staticmethod
-    def can_become(p, slot):
+    def can_reach_spec(p, slot):
         """Whether this process can reach the slot's spec without a restart."""
         spec = slot.spec
         return (
@@ -714,14 +716,14 @@
         if slot.successor is not None and not slot.successor.killed_at:
             self.kill(slot.successor, "no longer needed")
         old = slot.active
-        busy = sum(1 for s in self.slots.values() if s.leaving or s.active and s.active.leave_sent_at)
+        leaving = sum(1 for s in self.slots.values() if s.leaving or s.active and s.active.leave_sent_at)
         if (
             old is not None
             and not old.leave_sent_at
             and not old.killed_at
             and (
                 slot.drained
-                or busy < ((fleet.stop_at_once or len(self.slots)) if self.stopping else fleet.at_once)
+                or leaving < ((fleet.stop_at_once or len(self.slots)) if self.stopping else fleet.at_once)
             )
         ):
             old.leave_sent_at = self.now
--- a/cottonspread/fleet/supervisor.py
+++ b/cottonspread/fleet/supervisor.py
@@ -37,10 +37,10 @@
 
 log = logging.getLogger("cottonspread.fleet")
 
-POLL_INTERVAL = 0.05
+POLL_INTERVAL = 0.05  # seconds
 BUSY_CLIENT_TIMEOUT = 1.0  # seconds for a client to send its first line, and then to close
 MAX_BUSY_CLIENTS = 64
-STATUS_INTERVAL = 5.0
+STATUS_INTERVAL = 5.0  # seconds between status lines to the service manager
 
 
 def now():
@@ -70,7 +70,7 @@
         self.folder, self.logs = plans.folders(self.path, self.fleet)
         self.manager, self.selector, self.timers = notify.ServiceManager(), selectors.DefaultSelector(), []
         self.listeners, self.busy_listeners, self.busy_clients = {}, {}, {}  # by address; by name; by socket
-        self.children, self.pidfds, self.channels = {}, {}, {}  # by (name, generation)
+        self.children, self.pidfds, self.instance_connections = {}, {}, {}  # by (name, generation)
         self.unconnected = {}  # paths of control sockets that do not accept connections yet
         self.pending_replies, self.was_ready, self.done, self.started_at = [], False, False, time.monotonic()
         self.handlers = {
@@ -97,14 +97,14 @@
         try:
             os.makedirs(self.folder, exist_ok=True)
             os.makedirs(self.logs, exist_ok=True)
-        except OSError as fault:
-            raise op.OperatorFileError([f"{self.path}: fleet.state: {fault}"]) from fault
-        longest = os.path.join(self.folder, f"{self.fleet.name}-255.{10**6}.sock")
-        if len(longest) > control.MAX_SOCKET_PATH:
+        except OSError as error:
+            raise op.OperatorFileError([f"{self.path}: fleet.state: {error}"]) from error
+        longest_path = os.path.join(self.folder, f"{self.fleet.name}-255.{10**6}.sock")
+        if len(longest_path) > control.MAX_SOCKET_PATH:
             raise op.OperatorFileError(
                 [
                     f"{self.path}: fleet.state: {self.folder}: the path is too long for sockets: "
-                    f"{len(longest)} bytes with their names; the limit is {control.MAX_SOCKET_PATH}"
+                    f"{len(longest_path)} bytes with their names; the limit is {control.MAX_SOCKET_PATH}"
                 ]
             )
         self.lock = control.Lock(os.path.join(self.folder, "fleet.pid"))
@@ -143,9 +143,10 @@
         self.listeners |= plans.bind_all(s for s in plan.specs.values() if s.address not in self.listeners)
 
     def raise_descriptor_limit(self, instances):
-        """Makes room for a listener, a control socket and a pidfd per instance, twice while it is changed.
+        """Raises the descriptor limit to what the supervisor needs, or fails.
 
-        An instance's process has its own limit.
+        It needs a listener per instance, and a control socket and a pidfd for each of its processes, of which
+        there are two during a change. An instance's process has its own limit.
         """
         need = 5 * instances + MAX_BUSY_CLIENTS + 32
         hard_limit = control.raise_descriptor_limit(need)
@@ -164,8 +165,8 @@
                 return json.load(file)
         except FileNotFoundError:
             return {}
-        except (OSError, ValueError) as fault:
-            log.warning("state", extra={"pairs": {"why": fault, "kept": "nothing"}})
+        except (OSError, ValueError) as error:
+            log.warning("state", extra={"pairs": {"why": error, "kept": "nothing"}})
             return {}
 
     def save_state(self):
@@ -175,8 +176,8 @@
                 os.path.join(self.folder, "fleet.json"),
                 json.dumps({"program": list(self.program), "generation": self.core.generation}),
             )
-        except OSError as fault:
-            log.error("state", extra={"pairs": {"why": fault}})
+        except OSError as error:
+            log.error("state", extra={"pairs": {"why": error}})
 
     def find_instances(self):
         """Finds instances of an earlier supervisor and reads their identity and status.
@@ -184,7 +185,7 @@
         An instance that does not answer is killed; stale socket files are removed.
         """
         found = []
-        running = instances_running()
+        running = running_pids_by_socket()
         for file in sorted(os.listdir(self.folder)):
             path = os.path.join(self.folder, file)
             if not file.endswith(".sock") or file == "fleet.sock":
@@ -213,10 +214,10 @@
                     self.listeners[spec.address] = listener
                 self.pidfds[spec.name, hello["generation"]] = os.pidfd_open(pid)
                 found.append((spec.name, hello["generation"], spec, status, sock))
-            except (OSError, ValueError, LookupError) as fault:
+            except (OSError, ValueError, LookupError) as error:
                 log.error(
                     "not-adopted",
-                    extra={"pairs": {"pid": pid, "socket": file, "why": fault or type(fault).__name__}},
+                    extra={"pairs": {"pid": pid, "socket": file, "why": error or type(error).__name__}},
                 )
                 kill_and_wait(pid)
                 control.unlink(path)
@@ -225,7 +226,7 @@
     def attach(self, name, generation, sock):
         """Registers a connected instance: its control connection and its process."""
         connection = control.JsonConnection(sock)
-        self.channels[name, generation] = connection
+        self.instance_connections[name, generation] = connection
         self.selector.register(
             sock, selectors.EVENT_READ, lambda: self.receive_status(name, generation, connection)
         )
@@ -317,7 +318,7 @@
         """Passes an event to the core and executes its effects."""
         effects = self.core.step(now(), event, *args)
         if any(isinstance(effect, Start) for effect in effects):
-            self.save_state()  # the generation counter, once for all that start now
+            self.save_state()  # the generation counter, once for all processes that start now
         for effect in effects:
             self.execute(effect)
         if not self.was_ready and self.core.ready():
@@ -391,12 +392,12 @@
             self.watch_process(name, generation)
             with child.stdin:
                 child.stdin.write(json.dumps(start_message).encode() + b"\n")
-        except OSError as fault:
-            child, why = self.children.get((name, generation)), str(fault)
+        except OSError as error:
+            child, why = self.children.get((name, generation)), str(error)
             if child is not None:
                 child.kill()
                 if (name, generation) in self.pidfds:
-                    return  # its exit will be noticed
+                    return  # process_exited reports its end
                 child.wait()
                 del self.children[name, generation]
             # Deferred, because this runs inside a step of the core.
@@ -424,12 +425,13 @@
         fd = self.pidfds.pop((name, generation))
         self.selector.unregister(fd)
         os.close(fd)
+        # An adopted process is not a child of this one, so its exit status is unknown.
         child, how = self.children.pop((name, generation), None), "gone"
         if child:
             code = child.wait()
             how = f"signal {-code}" if code < 0 else f"exit {code}"
         self.unconnected.pop((name, generation), None)
-        self.close_channel(name, generation)
+        self.close_instance_connection(name, generation)
         self.step("exited", name, generation, how)
         if not self.core.rollout:
             self.close_unused_listeners()
@@ -445,14 +447,14 @@
         """Passes status reports of an instance to the core."""
         messages, is_open = connection.receive()
         if not is_open:
-            self.close_channel(name, generation)
+            self.close_instance_connection(name, generation)
         for message in messages:
             if isinstance(message.get("status"), dict):
                 self.step("status_received", name, generation, message["status"])
 
-    def close_channel(self, name, generation):
+    def close_instance_connection(self, name, generation):
         """Closes the control connection to an instance, if any."""
-        connection = self.channels.pop((name, generation), None)
+        connection = self.instance_connections.pop((name, generation), None)
         if connection:
             self.close_socket(connection.sock)
 
@@ -463,7 +465,7 @@
 
     def send_to_instance(self, effect, message):
         """Sends a message to an instance, if it is connected."""
-        connection = self.channels.get((effect.name, effect.generation))
+        connection = self.instance_connections.get((effect.name, effect.generation))
         if connection:
             connection.send(message)
 
@@ -590,11 +592,11 @@
         for message in messages:
             try:
                 self.run_command(connection, message)
-            except config.ConfigurationError as fault:
-                connection.send({"ok": False, "why": str(fault)})
-            except Exception as fault:  # unexpected: reported, and the supervisor goes on
+            except config.ConfigurationError as error:
+                connection.send({"ok": False, "why": str(error)})
+            except Exception as error:  # unexpected: reported, and the supervisor goes on
                 log.exception("fault", extra={"pairs": {"while": message.get("do")}})
-                connection.send({"ok": False, "why": f"internal error: {type(fault).__name__}: {fault}"})
+                connection.send({"ok": False, "why": f"internal error: {type(error).__name__}: {error}"})
         if not is_open or not connection.flush():
             self.pending_replies = [
                 (k, other) for k, other in self.pending_replies if other is not connection
@@ -634,8 +636,8 @@
         try:
             pending = self.core.pending
             self.change_plan((pending[0] if pending else self.core.plan).program, "reload", connection)
-        except config.ConfigurationError as fault:
-            log.error("reload", extra={"pairs": {"why": fault, "kept": "the old configuration"}})
+        except config.ConfigurationError as error:
+            log.error("reload", extra={"pairs": {"why": error, "kept": "the old configuration"}})
             self.manager.notify_ready(self.summary())
             if connection:
                 raise
@@ -671,7 +673,7 @@
         self.step("change_plan", plan, why)
 
     def rollout_ended(self, effect):
-        """Saves the program in force and sends the outcome to whoever waits for it."""
+        """Saves the program in force and sends the outcome to the connections that wait for it."""
         # The program is saved only now: after a crash during an upgrade the next supervisor rolls it back.
         self.program = effect.plan.program
         self.save_state()
@@ -740,12 +742,12 @@
     """Opens an instance's log file, or /dev/null if that fails, so that the instance runs anyway."""
     try:
         return open(path, "ab")
-    except OSError as fault:
-        log.error("log", extra={"pairs": {"file": path, "why": fault}})
+    except OSError as error:
+        log.error("log", extra={"pairs": {"file": path, "why": error}})
         return open(os.devnull, "ab")
 
 
-def instances_running():
+def running_pids_by_socket():
     """Returns the pid by control socket of every instance on this machine.
 
     They are found by their command lines, because a pid in a file may belong to another process by now.
@@ -754,11 +756,11 @@
     for pid in filter(str.isdigit, os.listdir("/proc")):
         try:
             with open(f"/proc/{pid}/cmdline", "rb") as file:
-                words = file.read().split(b"\0")
+                arguments = file.read().split(b"\0")
         except OSError:
             continue
-        if b"instance" in words and b"--socket" in words[:-1]:
-            found[os.fsdecode(words[words.index(b"--socket") + 1])] = int(pid)
+        if b"instance" in arguments and b"--socket" in arguments[:-1]:
+            found[os.fsdecode(arguments[arguments.index(b"--socket") + 1])] = int(pid)
     return found
 
 
