--- a/cottonspread/policy/overview.py
+++ b/cottonspread/policy/overview.py
@@ -80,7 +80,7 @@
         """The share of slow servers. One that hangs does not count: it says nothing of the others' load."""
         cut = [h for h in watched if self.recently_cut(h, now)]
         slow = [h for h in watched if h.legs and not h.hung and self.health.is_slow(h, now)]
-        reporting = self.sums.holding + sum(not h.legs for h in cut)
+        reporting = self.sums.servers_with_legs + sum(not h.legs for h in cut)
         # The 2 is a prior, because a single server says little of the others.
         return len({*cut, *slow}) / (reporting + 2)
 
--- a/cottonspread/policy/path.py
+++ b/cottonspread/policy/path.py
@@ -245,7 +245,7 @@
             host.restart()
         self.membership.drop_gone(withdrawn)
         up = self.membership.up()
-        self.rotation.keep(up)
+        self.rotation.set_servers(up)
         self.overview.set_servers(up, self.now)
 
     def withdraw(self, host):
--- a/cottonspread/policy/rotation.py
+++ b/cottonspread/policy/rotation.py
@@ -6,16 +6,16 @@
 class Rotation(CyclicOrder):
     """Weighted round robin over the servers by their sizes, from a random start."""
 
-    MAX_PLACES = 40_000  # servers in all cached prefixes of group orders together, 3 MB
+    MAX_CACHED_SERVERS = 40_000  # servers in all cached prefixes of group orders together, 3 MB
 
     def __init__(self, rng):
         """`rng`: the node's `SeededRandom`."""
         super().__init__()
-        self.rng, self.group_orders = rng, OrderCache(self.MAX_PLACES)
+        self.rng, self.group_orders = rng, OrderCache(self.MAX_CACHED_SERVERS)
 
-    def keep(self, hosts):
+    def set_servers(self, hosts):
         """Sets the servers that are up; new ones go behind the others."""
         first = hosts and not self.order
-        super().keep(hosts)
+        super().set_servers(hosts)
         self.at = self.rng.below(len(hosts)) if first else 0
-        self.group_orders.keep(self.order)
+        self.group_orders.set_servers(self.order)
--- a/cottonspread/structures/cyclic_order.py
+++ b/cottonspread/structures/cyclic_order.py
@@ -7,7 +7,7 @@
 class CyclicOrder:
     """Servers in a fixed cyclic order, and the current position: behind the server taken last.
 
-    `keep` costs one step for each server, `next` one step for each server that it considers.
+    `set_servers` costs one step for each server, `next` one step for each server that it considers.
     """
 
     def __init__(self):
@@ -17,7 +17,7 @@
         # server: its position; zone: positions of its servers, when requested
         self.positions, self.zones = {}, {}
 
-    def keep(self, items):
+    def set_servers(self, items):
         """Replaces the servers by these; new ones come last, in the given order."""
         following = list(self.following())
         wanted, known = set(items), set(following)
--- a/cottonspread/structures/lru_map.py
+++ b/cottonspread/structures/lru_map.py
@@ -51,11 +51,11 @@
         for key in self.keys_of.pop(value, ()):
             del self.entries[key]
 
-    def trim(self, oldest, most):
-        """Removes the longest idle keys: those last used before `oldest`, and those in excess of `most`."""
+    def trim(self, oldest, max_size):
+        """Removes the longest idle keys: those last used before `oldest`, and those beyond `max_size`."""
         while self.entries:
             key, (_, used) = next(iter(self.entries.items()))
-            if used >= oldest and len(self.entries) <= most:
+            if used >= oldest and len(self.entries) <= max_size:
                 return
             self.remove(key)
 
--- a/cottonspread/structures/nominal_sizes.py
+++ b/cottonspread/structures/nominal_sizes.py
@@ -14,10 +14,10 @@
         """`dynamic_weights`: whether listed weights vary with load."""
         self.dynamic_weights, self.largest = dynamic_weights, {}  # kind or server: its largest listed weight
 
-    def update(self, entry, before):
+    def update(self, entry, previous):
         """Takes in an entry and the server's previous one; returns whether a size has changed."""
         if not self.dynamic_weights:
-            return entry.weight != before.weight
+            return entry.weight != previous.weight
         size_class = self.size_class(entry)
         grows = entry.weight > self.largest.get(size_class, 0)
         if grows:
--- a/cottonspread/structures/order_cache.py
+++ b/cottonspread/structures/order_cache.py
@@ -14,15 +14,15 @@
 from zlib import crc32
 
 # 2**32 over the golden ratio. Checksums are multiplied by it: those of similar texts keep their order.
-SPREAD = 2654435761
+MULTIPLIER = 2654435761
 MASK = 0xFFFFFFFF
-LANE = 8  # bytes of a lane, which holds a checksum times SPREAD
-TOP = 3  # the byte of a lane with the highest eight bits of a rank
-STEPS = 256  # values of that byte
+LANE = 8  # bytes of a lane, which holds a checksum times MULTIPLIER
+TOP_BYTE = 3  # the byte of a lane with the highest eight bits of a rank
+BYTE_VALUES = 256  # values of that byte
 SPARE = 8  # servers searched for beyond those requested, for later requests of a few more
 
 
-def start_of(key):
+def key_checksum(key):
     """The checksum of a key, with which the checksums of its servers' ranks start."""
     return crc32(str(key).encode())
 
@@ -32,9 +32,9 @@
     return str(server.name).encode()
 
 
-def rank(start, name):
-    """The rank of the server with that name (bytes) for the key with that start."""
-    return crc32(name, start) * SPREAD & MASK
+def rank(key_sum, name):
+    """The rank of the server with that name (bytes) for the key with that checksum."""
+    return crc32(name, key_sum) * MULTIPLIER & MASK
 
 
 class Checksums:
@@ -51,82 +51,84 @@
         self.sums = int.from_bytes(struct.pack(f"<{len(names)}Q", *map(crc32, names)), "little")
         self.ones = int.from_bytes(b"\1".ljust(LANE, b"\0") * len(names), "little")
 
-    def below(self, start, steps):
-        """Yields the index of each name whose rank has a highest byte below `steps`.
+    def below(self, key_sum, limit):
+        """Yields the index of each name whose rank has a highest byte below `limit`.
 
-        `start`: the checksum of the key for which the ranks are, see `start_of`.
+        `key_sum`: the checksum of the key for which the ranks are, see `key_checksum`.
         """
         zeros = bytes(self.length)
-        turned = crc32(zeros, start) ^ crc32(zeros)
-        ranks = (self.sums ^ turned * self.ones) * SPREAD
-        highest = ranks.to_bytes(self.size, "little")[TOP::LANE]
-        found = highest.translate(bytes(steps) + b"\1" * (STEPS - steps))
-        place = found.find(0)
-        while place >= 0:
-            yield place
-            place = found.find(0, place + 1)
+        flipped_bits = crc32(zeros, key_sum) ^ crc32(zeros)
+        ranks = (self.sums ^ flipped_bits * self.ones) * MULTIPLIER
+        highest = ranks.to_bytes(self.size, "little")[TOP_BYTE::LANE]
+        found = highest.translate(bytes(limit) + b"\1" * (BYTE_VALUES - limit))
+        index = found.find(0)
+        while index >= 0:
+            yield index
+            index = found.find(0, index + 1)
 
 
 @dataclass(eq=False)
 class Prefix:
-    """The first servers of one key's order: all whose rank has a highest byte below `steps`."""
+    """The first servers of one key's order: all whose rank has a highest byte below `limit`."""
 
     servers: list
-    steps: int
+    limit: int
 
 
 class OrderCache:
     """Caches the first servers of each key's order.
 
-    The cache is emptied once all cached orders together hold `most` servers.
+    The cache is emptied once all cached orders together hold `max_servers` servers.
     """
 
-    def __init__(self, most):
-        """`most`: the number of servers that all cached orders together may hold."""
-        self.most, self.passes = most, 0  # `passes`: searches through all servers so far
-        self.keep([])
+    def __init__(self, max_servers):
+        """`max_servers`: the number of servers that all cached orders together may hold."""
+        self.max_servers, self.scans = max_servers, 0  # `scans`: searches through all servers so far
+        self.set_servers([])
 
-    def keep(self, servers):
+    def set_servers(self, servers):
         """Replaces the servers by these and empties the cache."""
         self.servers = servers
         self.lanes = None  # (Checksums, their servers) for each length of names; computed when needed
-        self.prefixes, self.places = {}, 0
+        self.prefixes, self.cached_count = {}, 0
 
     def first(self, key, count):
         """The servers in the key's order, lazily; about `count` of them are expected to be needed."""
-        prefix, given = self.prefixes.get(key), 0
+        prefix, yielded = self.prefixes.get(key), 0
         while True:
-            if prefix is None or len(prefix.servers) < count and prefix.steps < STEPS:
-                prefix = self.longer(key, prefix, count + SPARE)
-            while given < len(prefix.servers):
-                yield prefix.servers[given]
-                given += 1
-            if prefix.steps == STEPS:
+            if prefix is None or len(prefix.servers) < count and prefix.limit < BYTE_VALUES:
+                prefix = self.extend(key, prefix, count + SPARE)
+            while yielded < len(prefix.servers):
+                yield prefix.servers[yielded]
+                yielded += 1
+            if prefix.limit == BYTE_VALUES:
                 return
-            count = 2 * given + 1
+            count = 2 * yielded + 1
 
     def sorted(self, key, servers):
         """The given servers in the key's order."""
-        start = start_of(key)
-        return sorted(servers, key=lambda one: (rank(start, name_of(one)), one.name))
+        key_sum = key_checksum(key)
+        return sorted(servers, key=lambda one: (rank(key_sum, name_of(one)), one.name))
 
-    def longer(self, key, prefix, count):
+    def extend(self, key, prefix, count):
         """Computes and caches a prefix of about `count` servers, longer than `prefix`."""
-        if self.places >= self.most:
-            self.prefixes, self.places = {}, 0
-        steps = STEPS * count // max(1, len(self.servers)) + 1
-        steps, start = min(STEPS, max(steps, prefix.steps + 1 if prefix else 1)), start_of(key)
-        found = [servers[place] for sums, servers in self.by_length() for place in sums.below(start, steps)]
-        prefix = self.prefixes[key] = Prefix(self.sorted(key, found), steps)
-        self.places += len(found) + 1
-        self.passes += 1
+        if self.cached_count >= self.max_servers:
+            self.prefixes, self.cached_count = {}, 0
+        limit = BYTE_VALUES * count // max(1, len(self.servers)) + 1
+        limit, key_sum = min(BYTE_VALUES, max(limit, prefix.limit + 1 if prefix else 1)), key_checksum(key)
+        found = [servers[index] for sums, servers in self.by_length() for index in sums.below(key_sum, limit)]
+        prefix = self.prefixes[key] = Prefix(self.sorted(key, found), limit)
+        self.cached_count += len(found) + 1
+        self.scans += 1
         return prefix
 
     def by_length(self):
         """(Checksums, their servers) for each length of names."""
         if self.lanes is None:
-            alike = defaultdict(list)
+            by_length = defaultdict(list)
             for one in self.servers:
-                alike[len(name_of(one))].append(one)
-            self.lanes = [(Checksums([name_of(one) for one in some]), some) for some in alike.values()]
+                by_length[len(name_of(one))].append(one)
+            self.lanes = [
+                (Checksums([name_of(one) for one in servers]), servers) for servers in by_length.values()
+            ]
         return self.lanes
--- a/cottonspread/structures/sums.py
+++ b/cottonspread/structures/sums.py
@@ -12,7 +12,7 @@
     def __init__(self):
         """No server is up yet."""
         self.legs, self.load, self.size, self.count = 0, 0, 0, 0
-        self.holding = 0  # number of servers that are up and have legs
+        self.servers_with_legs = 0  # number of servers that are up and have legs
         self.weighed_at_count = NEVER  # how many loads had been reported when all legs were last weighed
         self.exclude([])
 
@@ -26,7 +26,7 @@
             self.legs += legs
             self.load += load
             held = len(host.legs)
-            self.holding += bool(held + legs) - bool(held)
+            self.servers_with_legs += bool(held + legs) - bool(held)
         if host in self.excluded:
             self.excluded_legs += legs
             self.excluded_load += load
@@ -62,7 +62,7 @@
         """
         self.legs, self.load = sum(len(host.legs) for host in hosts), sum(host.load for host in hosts)
         self.size, self.count = sum(host.size for host in hosts), len(hosts)
-        self.holding, self.weighed_at_count = sum(1 for host in hosts if host.legs), NEVER
+        self.servers_with_legs, self.weighed_at_count = sum(1 for host in hosts if host.legs), NEVER
         self.exclude([])
 
     def exclude(self, hosts):
--- a/tests/scale/test_balancer_work.py
+++ b/tests/scale/test_balancer_work.py
@@ -59,10 +59,10 @@
 def test_a_group_s_order_is_computed_in_one_pass_and_only_once():
     node = warmed_up(BalancerNode(1000, 500, 200))
     orders = node.balancer.rotation.group_orders
-    before = orders.passes
+    before = orders.scans
     for _ in range(5):
         node.arrive("some group")
-    assert orders.passes - before == 1
+    assert orders.scans - before == 1
 
 
 def test_a_call_in_a_zone_without_servers_does_not_search_all_others():
--- a/tests/scale/test_overview.py
+++ b/tests/scale/test_overview.py
@@ -136,7 +136,7 @@
         random_node.step()
         up = [h for h in node.membership.hosts.values() if h.up]
         assert (node.sums.legs, node.sums.load) == legs_and_load(up)
-        assert node.sums.holding == sum(bool(h.legs) for h in up)
+        assert node.sums.servers_with_legs == sum(bool(h.legs) for h in up)
         assert (node.sums.excluded_legs, node.sums.excluded_load) == legs_and_load(node.sums.excluded)
     assert refreshes > STEPS / 20
 
--- a/tests/scale/test_structures_against_naive.py
+++ b/tests/scale/test_structures_against_naive.py
@@ -54,7 +54,7 @@
     rng = Random(seed)
     servers, orders = random_servers(rng, 3 if seed % 3 == 0 else 300), OrderCache(200)
     for _ in range(6):
-        orders.keep(servers)
+        orders.set_servers(servers)
         for key in (rng.choice(("a", "group-7", 12, None, "x" * 40)) for _ in range(12)):
             expected_order, count = sorted_order(key, servers), rng.randrange(len(servers) + 1)
             found = orders.first(key, rng.choice((0, 3, count)))
@@ -70,13 +70,13 @@
 def test_a_name_that_is_a_number_is_ranked_by_its_text():
     rng = Random(1)
     servers, orders = [server(n, rng) for n in range(150)], OrderCache(200)
-    orders.keep(servers)
+    orders.set_servers(servers)
     assert list(orders.first("k", 5)) == sorted_order("k", servers)
 
 
 def test_cached_orders_are_bounded():
     servers, orders = [server(f"s{n}", Random(n)) for n in range(100)], OrderCache(500)
-    orders.keep(servers)
+    orders.set_servers(servers)
     for n in range(1000):
         next(orders.first(f"g{n}", 2))
         assert sum(len(prefix.servers) for prefix in orders.prefixes.values()) <= 500 + 100
@@ -142,12 +142,12 @@
     copies = {one.name: copy_of(one) for one in servers}
     naive, rotation = NaiveRotation(), CyclicOrder()
     naive.keep(servers)
-    rotation.keep(list(copies.values()))
+    rotation.set_servers(list(copies.values()))
     for now in range(300):
         if rng.random() < 0.05:
             listed = rng.sample(servers, rng.randrange(len(servers) + 1))
             naive.keep(listed)
-            rotation.keep([copies[one.name] for one in listed])
+            rotation.set_servers([copies[one.name] for one in listed])
         for one in rng.sample(servers, len(servers) // 8):
             one.skip_until = copies[one.name].skip_until = now + rng.randrange(9)
         allowed_names = {one.name for one in naive.order if rng.random() < 0.5}
@@ -172,7 +172,7 @@
     """`fits` changes the server that it checks, as a call does that finds it unavailable."""
     rotation = CyclicOrder()
     servers = [server(f"s{n}", Random(n)) for n in range(5)]
-    rotation.keep(servers)
+    rotation.set_servers(servers)
     checked = []
 
     def fits(one):
