--- a/cottonspread/driver.py
+++ b/cottonspread/driver.py
@@ -57,8 +57,8 @@
         The key of a call with a group is the group.
         """
         key = e.group if e.group is not None else e.key
-        kind, most = self.settings.types[e.type], self.settings.limits.max_legs
-        call = Call(e.call, kind, key, e.group, self.now + e.time_left, e.returned, max_legs=most)
+        traffic_type, max_legs = self.settings.types[e.type], self.settings.limits.max_legs
+        call = Call(e.call, traffic_type, key, e.group, self.now + e.time_left, e.returned, max_legs=max_legs)
         self.calls[call.id], call.path = call, self.path(call)
         self.calls_since_leg += 1
         self.call_arrived(call)
--- a/cottonspread/policy/ceilings.py
+++ b/cottonspread/policy/ceilings.py
@@ -13,7 +13,7 @@
     CUT_TO = 0.75  # of the load, kept at a cut: well below full, so that the server's backlog drains
     DOUBLING_TIME = 60 * SECOND
     # A smaller share of slow servers is no overload of the fleet.
-    CALM_TIME, CALM_DOUBLING_TIME, FLEET_OVERLOAD_SHARE = 5 * SECOND, 4 * SECOND, 0.3
+    COOLDOWN, FAST_DOUBLING_TIME, FLEET_OVERLOAD_SHARE = 5 * SECOND, 4 * SECOND, 0.3
     MIN_GROWTH_BASE = Loads.MEAN  # a ceiling grows at least as fast as one of this size would
 
     def __init__(self, loads, rng, settings):
@@ -25,7 +25,7 @@
         """Cuts the ceiling; yields the legs in excess of it, those that free the most load first."""
         host.ceiling, host.cut_at = host.load * self.CUT_TO, now
         legs = sorted(host.staying_legs(), key=lambda leg: (-self.loads.freed_by(leg), leg.call.type.revenue))
-        over = (
+        excess = (
             host.load
             - host.ceiling
             - sum(self.loads.freed_by(leg) for leg in host.legs if leg.move_requested)
@@ -33,9 +33,9 @@
         for leg in legs:
             weight = self.loads.freed_by(leg)
             # The last one is drawn at random: otherwise nodes that each hold few would all move one too many.
-            if over <= 0 or over < weight and self.rng.below(1000) >= 1000 * over / weight:
+            if excess <= 0 or excess < weight and self.rng.below(1000) >= 1000 * excess / weight:
                 return
-            over -= weight
+            excess -= weight
             yield leg
 
     def has_room(self, host, call, now):
@@ -44,7 +44,7 @@
             return True
         # A server on which this node has no leg reports nothing: it is tried with one call now and then, by
         # about one node at a time.
-        if not host.legs and now - host.cut_at > 2 * self.CALM_TIME:
+        if not host.legs and now - host.cut_at > 2 * self.COOLDOWN:
             return not self.rng.below(self.settings.nodes)
         # The growth is additive where little is left, or the server would stay closed. It has no end at which
         # the ceiling is dropped: ceilings cut together and dropped together let the whole overload back in.
@@ -53,8 +53,7 @@
         )
         # Once the fleet is no longer overloaded the cause was a passing fault, not too many calls: growth
         # speeds up, because servers cut together would otherwise stay idle for a minute.
-        calm = (
-            max(0, now - max(self.fleet_overloaded_at, host.cut_at) - self.CALM_TIME)
-            / self.CALM_DOUBLING_TIME
+        fast_doublings = (
+            max(0, now - max(self.fleet_overloaded_at, host.cut_at) - self.COOLDOWN) / self.FAST_DOUBLING_TIME
         )
-        return host.load + self.loads.added_by(call, host) <= limit * 2 ** min(calm, 9)
+        return host.load + self.loads.added_by(call, host) <= limit * 2 ** min(fast_doublings, 9)
--- a/cottonspread/policy/choice.py
+++ b/cottonspread/policy/choice.py
@@ -6,7 +6,7 @@
 
 
 class Choice:
-    """One search for a server, by `host()`; created anew for each leg, because the fleet's state changes."""
+    """One search for a server, by `find()`; created anew for each leg, because the fleet's state changes."""
 
     SKIP_TIME = SECOND // 4  # for so long a server that takes no new keys is not considered again
     # All servers, and the dependency that they share, may be ejected, slow or full at the same time, and a
@@ -30,7 +30,7 @@
             self.settings.nodes == 1 or node.rng.below(1000) >= 2500 * self.overview.slow_share**2
         )
 
-    def host(self):
+    def find(self):
         """The server for the next leg; None if no server may get it now."""
         paused = not self.health.may_send(self.node.shared_dependency, self.now)
         host = None if paused and not self.forced else self.choose()
@@ -45,14 +45,14 @@
         # A server that was probed for this call and has room is taken: the rotation has moved past it, and
         # another search would probe the next one.
         for host in (recorded, call.probed_host):
-            if host and self.may_take(host) and self.is_lightly_loaded(host):
+            if host and self.is_eligible(host) and self.is_lightly_loaded(host):
                 return host
         # If no server fits the call is rejected at once: filling the last free one spreads the overload.
         if self.settings.groups_share_work and self.settings.nodes > 1 and call.group is not None:
             return self.choose_for_group()
         return self.in_turn()
 
-    def may_take(self, host):
+    def is_eligible(self, host):
         """Whether the call may go to this server, given its earlier legs and the server's state."""
         call = self.call
         if not host.up or not may_retry_at(call, host) or any(leg.host is host for leg in call.legs):
@@ -85,7 +85,7 @@
         if not self.is_lightly_loaded(host) or heavy and not self.readings.has_room(host, self.now):
             return False
         has_reports = host.legs or host in self.overview.cold or self.readings.is_current(host, self.now)
-        if (has_reports or self.try_unreported or self.forced) and self.may_take(host):
+        if (has_reports or self.try_unreported or self.forced) and self.is_eligible(host):
             return True
         # When the fleet is overloaded all servers are skipped, instead of checking each one for every call.
         host.skip_until = self.now + self.SKIP_TIME
@@ -94,16 +94,22 @@
     def in_turn(self):
         """The next server in the rotation that takes new keys, those of the node's own zone first."""
         rotation = self.node.rotation
-        local = self.settings.zone_crossing_price and self.first_open(rotation.in_zone(self.settings.zone))
-        return local or self.first_open(rotation.following())
+        local = self.settings.zone_crossing_price and self.first_accepting(
+            rotation.in_zone(self.settings.zone)
+        )
+        return local or self.first_accepting(rotation.following())
 
-    def next_among(self, few):
+    def next_among(self, candidates):
         """The next of a few given servers that takes new keys, those of the node's own zone first."""
         rotation, zone = self.node.rotation, self.settings.zone
-        local = [host for host in few if host.entry.zone == zone] if self.settings.zone_crossing_price else ()
-        return self.first_open(rotation.among(local)) or self.first_open(rotation.among(few))
+        local = (
+            [host for host in candidates if host.entry.zone == zone]
+            if self.settings.zone_crossing_price
+            else ()
+        )
+        return self.first_accepting(rotation.among(local)) or self.first_accepting(rotation.among(candidates))
 
-    def first_open(self, servers):
+    def first_accepting(self, servers):
         """The first of these servers, in rotation order, that takes new keys."""
         now = self.now + self.SKIP_TIME if self.forced else self.now  # when forced, none is skipped
         return self.node.rotation.next(self.accepts_new_key, now, servers)
@@ -115,16 +121,16 @@
         to keep a group together by its own records: the rotations of forty nodes put every group on every
         server. So all nodes use the same few servers for a group, those of their own zone first.
         """
-        few = self.group_servers()
+        servers = self.group_servers()
         # Cold servers come first: those replaced in a release stayed empty while the others were overloaded.
         for host in self.cold_servers():
             if host.skip_until <= self.now and self.accepts_new_key(host):
                 return host
-        host = self.next_among(few)
+        host = self.next_among(servers)
         # While the fleet has room, a call is not rejected to spare one more server the group's cost.
         if host is None and self.readings.fleet_has_room():
             self.call.max_load_ratio = self.readings.LOW
-            host = self.first_open(self.node.rotation.following())
+            host = self.first_accepting(self.node.rotation.following())
         return host
 
     def group_servers(self):
@@ -134,13 +140,13 @@
         the group's order replaces it.
         """
         rotation, group = self.node.rotation, self.call.group
-        few, wanted = [], self.node.groups.servers(group, len(rotation.order))
+        servers, wanted = [], self.node.groups.servers(group, len(rotation.order))
         for host in rotation.group_orders.first(group, wanted):
-            few.append(host)
+            servers.append(host)
             wanted -= not host.recovery_limit
             if not wanted:
                 break
-        return few
+        return servers
 
     def cold_servers(self):
         """The cold servers that the call may try before the group's own."""
--- a/cottonspread/policy/overview.py
+++ b/cottonspread/policy/overview.py
@@ -49,7 +49,7 @@
             return
         self.refreshed_at = now
         self.sums.reweigh_all(self.rotation.order, self.loads.reported, self.loads.MEAN)
-        if self.settings.take_change():  # other servers may be slow under the new settings
+        if self.settings.consume_change():  # other servers may be slow under the new settings
             self.watched.update(self.rotation.positions)
         self.exceptional = {h: None for h in self.exceptional if self.is_exceptional(h, now)}
         self.cold = {h for h in self.exceptional if h.up and self.is_cold(h, now)}
@@ -65,8 +65,8 @@
         )
 
     def recently_cut(self, host, now):
-        """Whether its ceiling was cut within the last `Ceilings.CALM_TIME`."""
-        return now - host.cut_at < Ceilings.CALM_TIME
+        """Whether its ceiling was cut within the last `Ceilings.COOLDOWN`."""
+        return now - host.cut_at < Ceilings.COOLDOWN
 
     def is_exceptional(self, host, now):
         """Whether each call that might go there still has to check the server's state."""
--- a/cottonspread/policy/rotation.py
+++ b/cottonspread/policy/rotation.py
@@ -15,7 +15,7 @@
 
     def set_servers(self, hosts):
         """Sets the servers that are up; new ones go behind the others."""
-        first = hosts and not self.order
+        is_first = hosts and not self.order
         super().set_servers(hosts)
-        self.at = self.rng.below(len(hosts)) if first else 0
+        self.at = self.rng.below(len(hosts)) if is_first else 0
         self.group_orders.set_servers(self.order)
--- a/cottonspread/policy/slow_start.py
+++ b/cottonspread/policy/slow_start.py
@@ -41,9 +41,11 @@
         share of them: with a draw at each server in turn, nearly every call cost a cold server the work of
         one more group.
         """
-        few = min(len(cold), max(2, round(len(cold) * share)))
-        sends = self.rng.below(10000) * max(1, calls) < 10000 * self.SHARED_DRAW_FACTOR * budget * len(cold)
-        return cold[self.rng.below(few)] if sends else None
+        candidate_count = min(len(cold), max(2, round(len(cold) * share)))
+        admitted = self.rng.below(10000) * max(1, calls) < 10000 * self.SHARED_DRAW_FACTOR * budget * len(
+            cold
+        )
+        return cold[self.rng.below(candidate_count)] if admitted else None
 
     def may_send(self, host, now, drawn=False):
         """Whether the server may get another leg; `drawn`: this call was drawn for it already.
--- a/cottonspread/state.py
+++ b/cottonspread/state.py
@@ -62,7 +62,7 @@
 
     def apply(self, config):
         """Puts the settings of `config` in force."""
-        self.unread_change = True
+        self.change_pending = True
         self.types, self.limits, self.tick, self.cold = config.types, config.legs, config.tick, config.cold
         self.zone, self.zone_crossing_price, self.move_price = (
             config.zone,
@@ -74,9 +74,9 @@
         targets = [one.message_target for one in config.types if one.message_target]
         self.message_target = min(targets, default=SECOND)
 
-    def take_change(self):
+    def consume_change(self):
         """Whether the settings changed since the last call of this method."""
-        changed, self.unread_change = self.unread_change, False
+        changed, self.change_pending = self.change_pending, False
         return changed
 
 
--- a/tests/scale/test_overview.py
+++ b/tests/scale/test_overview.py
@@ -32,8 +32,8 @@
     full = [h for h in order if node.readings.is_full(h, now)]
     probed = node.settings.probes_report_load
     exceptional = {h for h in order if h in cold or h.recovery_limit or probed and (h in full or h in near)}
-    active = [h for h in order if h.legs or now - h.cut_at < Ceilings.CALM_TIME]
-    slow = [h for h in active if health.is_slow(h, now) and not h.hung or now - h.cut_at < Ceilings.CALM_TIME]
+    active = [h for h in order if h.legs or now - h.cut_at < Ceilings.COOLDOWN]
+    slow = [h for h in active if health.is_slow(h, now) and not h.hung or now - h.cut_at < Ceilings.COOLDOWN]
     weights = [leg.load - node.loads.weight_of(leg) for h in order for leg in h.legs]
     return exceptional, len(slow) / (len(active) + 2), weights
 
@@ -142,7 +142,7 @@
 
 
 def test_a_server_whose_ceiling_was_just_cut_counts_as_slow():
-    """A cut counts for `Ceilings.CALM_TIME`, even if nothing else shows a slow server.
+    """A cut counts for `Ceilings.COOLDOWN`, even if nothing else shows a slow server.
 
     The server was found to be distant after the cut, which removed its ceiling, and has answered since.
     """
@@ -155,6 +155,6 @@
         node.now += SECOND
         node.overview.refresh(node.now)
         assert node.overview.slow_share == 1 / (1 + 2)
-    node.now += Ceilings.CALM_TIME
+    node.now += Ceilings.COOLDOWN
     node.overview.refresh(node.now)
     assert node.overview.slow_share == 0
