--- a/cottonspread/net/logfmt.py
+++ b/cottonspread/net/logfmt.py
@@ -10,7 +10,7 @@
 QUEUE_SIZE = 4096  # log records that may wait to be written
 
 
-def pair(key, value):
+def format_pair(key, value):
     """`key=value`, quoted where needed; floats with three decimals."""
     text = f"{value:.3f}" if isinstance(value, float) else str(value)
     plain = text and text.isprintable() and not set(text) & set(' ="')
@@ -44,7 +44,7 @@
 
     def format(self, record):
         """The line for a record."""
-        return " ".join(pair(k, v) for k, v in self.pairs(record).items())
+        return " ".join(format_pair(k, v) for k, v in self.pairs(record).items())
 
 
 class JsonFormatter(KeyValueFormatter):
--- a/cottonspread/net/message_delays.py
+++ b/cottonspread/net/message_delays.py
@@ -15,9 +15,9 @@
 
 SECOND = 1_000_000
 TOLERANCE = SECOND // 30  # how far the interval between delay reports may differ from whole seconds
-CLAIM_TIMEOUT = 2 * SECOND  # how long a claim may wait for a silence that confirms it
+HANG_CONFIRM_TIMEOUT = 2 * SECOND  # how long a suspected hang may wait for a silence that confirms it
 MAX_DELAY = 60 * SECOND  # no delay report is larger
-CHAIN_TIME = 2 * SECOND + 2 * TOLERANCE  # three reports one second apart are delays, whatever their size
+SERIES_TIME = 2 * SECOND + 2 * TOLERANCE  # three reports one second apart are delays, whatever their size
 MAX_AWAITING_ECHO = 64  # sent lines whose times are kept, per connection
 
 
@@ -82,11 +82,11 @@
     misread_loads: list = field(default_factory=list)
     # Each is a hang or a load: (when, delay, signals of the connection, its load before, silence that it
     # takes to accept it as a hang).
-    claims: deque = field(default_factory=lambda: deque(maxlen=8))
+    suspected_hangs: deque = field(default_factory=lambda: deque(maxlen=8))
 
     def undecided(self):
         """Whether the passing of time alone may change an interpretation."""
-        return bool(self.reported_delay or self.candidates or self.claims)
+        return bool(self.reported_delay or self.candidates or self.suspected_hangs)
 
     def silence(self, now, connections):
         """How long the host has been silent, and the item of `connections` (with `signals`) that shows it.
@@ -113,18 +113,21 @@
         line = LoadLine(now, delay, signals, signals.load, value < (signals.load or mean_load) / 4)
         # A backlog grows by at most a second per second. A larger delay means that the host answers nothing,
         # and then its echoes are missing too. A host that was connected just now may have any backlog.
-        grown = delay <= (self.reported_delay or slow) + SECOND
-        fits = (
-            grown or silent_for > slow or line.withheld and now - self.connected_since <= SECOND + TOLERANCE
+        can_be_backlog = delay <= (self.reported_delay or slow) + SECOND
+        is_plausible = (
+            can_be_backlog
+            or silent_for > slow
+            or line.withheld
+            and now - self.connected_since <= SECOND + TOLERANCE
         )
         due = self.report_phase >= 0 and is_whole_seconds(now - self.report_phase)
-        if due and (delay > slow or self.reported_delay) and fits:
+        if due and (delay > slow or self.reported_delay) and is_plausible:
             return self.accept_delay(now, delay)
         if any(line.withheld and other.withheld or self.follows(other) for other in self.predecessors(line)):
             return self.accept_delay(now, delay)
         if any(
-            is_whole_seconds(now - when) and abs(delay - claimed - now + when) <= TOLERANCE
-            for when, claimed, *_ in self.claims
+            is_whole_seconds(now - when) and abs(delay - suspected_delay - now + when) <= TOLERANCE
+            for when, suspected_delay, *_ in self.suspected_hangs
         ):
             return self.accept_delay(now, delay)  # grown by exactly the time passed: the host hangs
         # The balancer does not react yet to a single delay that short, and no load falls that far at once.
@@ -132,14 +135,14 @@
             self.report_phase < 0
             and line.withheld
             and delay > slow
-            and fits
+            and is_plausible
             and (delay < 12 * slow or value < signals.load / 100)
         ):
             accepted = self.accept_delay(now, delay)
             self.unconfirmed = line
             return accepted
-        if not grown and (self.report_phase < 0 or due):
-            self.claims.append((now, delay, signals, signals.load, 3 * slow if due else SECOND // 2))
+        if not can_be_backlog and (self.report_phase < 0 or due):
+            self.suspected_hangs.append((now, delay, signals, signals.load, 3 * slow if due else SECOND // 2))
         self.candidates.append(line)
         return 0 if line.withheld else None
 
@@ -161,7 +164,7 @@
         """Records a delay report, and finds earlier ones that were taken for loads; returns the delay."""
         self.last_delay_at = self.report_phase = now
         self.reported_delay, self.unconfirmed = delay if delay > self.slow_threshold else 0, None
-        self.claims.clear()
+        self.suspected_hangs.clear()
         # latest first, so that each connection ends with the load before its first misread line
         for line in reversed([line for line in self.candidates if is_whole_seconds(now - line.when)]):
             self.candidates.remove(line)
@@ -169,14 +172,14 @@
                 self.misread_loads.append((line.signals, line.previous_load))
         return delay
 
-    def confirmed_claim(self, now, silent_for):
-        """The claim that a silence confirms: (delay, signals of the connection, its load before), or None.
+    def confirmed_hang(self, now, silent_for):
+        """The suspected hang that a silence confirms: (delay, signals of the connection, its load before), or None.
 
         `silent_for`: how long the host has been silent.
         """
-        while self.claims and now - self.claims[0][0] > CLAIM_TIMEOUT:
-            self.claims.popleft()
-        for when, delay, signals, load, needed_silence in self.claims:
+        while self.suspected_hangs and now - self.suspected_hangs[0][0] > HANG_CONFIRM_TIMEOUT:
+            self.suspected_hangs.popleft()
+        for when, delay, signals, load, needed_silence in self.suspected_hangs:
             if silent_for >= needed_silence:
                 self.accept_delay(when, delay)
                 return delay + now - when, signals, load
@@ -191,7 +194,7 @@
                 found.append(self.unconfirmed)
                 self.report_phase = -1
             self.reported_delay, self.unconfirmed = 0, None
-        while self.candidates and now - self.candidates[0].when > CHAIN_TIME:
+        while self.candidates and now - self.candidates[0].when > SERIES_TIME:
             self.candidates.popleft()
         for line in self.candidates:
             if line.withheld and now - line.when > SECOND + 2 * TOLERANCE:
--- a/cottonspread/net/node.py
+++ b/cottonspread/net/node.py
@@ -364,7 +364,7 @@
             return self.reducer.step(self.clock.now(), event, at)
         except Exception:
             log.exception("fault", extra={"pairs": {"while": type(event).__name__}})
-        return self.reducer.after_fault(event)
+        return self.reducer.handle_exception(event)
 
     def execute(self, effect):
         """Executes one effect of the reducer."""
--- a/cottonspread/net/reducer.py
+++ b/cottonspread/net/reducer.py
@@ -207,15 +207,15 @@
         self.lateness.record(self.now, self.now - min(self.event_time, self.due()))
         self.run_balancer()  # events left over from a step that raised
         while self.timers and self.timers[0][0] <= self.now:
-            what, args = heapq.heappop(self.timers)[2:]
-            what(*args)
+            callback, args = heapq.heappop(self.timers)[2:]
+            callback(*args)
             self.run_balancer()
         self.handlers[type(event)](event)
         self.run_balancer()
         effects, self.effects = self.effects, []
         return effects
 
-    def after_fault(self, event):
+    def handle_exception(self, event):
         """Ends the connection that the event was about, after `step` raised; returns the effects."""
         conn = getattr(getattr(event, "end", None), "conn", None)
         if conn is not None and not conn.reason:
@@ -228,14 +228,14 @@
         """When `step` must be called next even if nothing happens."""
         return self.timers[0][0] if self.timers else self.now + SECOND
 
-    def call_at(self, when, what, *args):
-        """Calls `what(*args)` at the given time."""
+    def call_at(self, when, callback, *args):
+        """Calls `callback(*args)` at the given time."""
         self.last_sequence += 1
-        heapq.heappush(self.timers, (when, self.last_sequence, what, args))
+        heapq.heappush(self.timers, (when, self.last_sequence, callback, args))
 
-    def call_later(self, span, what, *args):
-        """Calls `what(*args)` after the given time span."""
-        self.call_at(self.now + span, what, *args)
+    def call_later(self, span, callback, *args):
+        """Calls `callback(*args)` after the given time span."""
+        self.call_at(self.now + span, callback, *args)
 
     def next_order(self):
         """A number greater than all earlier ones."""
@@ -352,8 +352,8 @@
                 self.config.groups_share_work,
                 self.max_wait,
             )
-        except lines.LineError as fault:
-            self.dismiss(conn, str(fault))
+        except lines.LineError as error:
+            self.dismiss(conn, str(error))
             return
         # Each connection must have a new id. Hosts answer ERR to an id that is already open, at this node or
         # another: every host that was tried looked broken, and each such leg costs a host work.
@@ -722,16 +722,16 @@
             silence, leg = host.message_delays.silence(self.now, legs)
             silence = max(0, silence - late)
             loads = host.message_delays.resolved_loads(self.now)
-            claim = (
-                host.message_delays.confirmed_claim(self.now, silence)
+            hang = (
+                host.message_delays.confirmed_hang(self.now, silence)
                 if self.host_protocol.sends_delay
                 else None
             )
-            if claim:  # a line that was taken for a load was a delay
-                loads.append(claim[1:])
+            if hang:  # a line that was taken for a load was a delay
+                loads.append(hang[1:])
             self.report_loads(host, loads)
-            if claim:
-                self.report_delay(leg, claim[0], True)
+            if hang:
+                self.report_delay(leg, hang[0], True)
             # A silence is reported when it begins, at half a second, where the balancer recognises a hang,
             # and then once a second.
             elif self.host_protocol.sends_delay and silence >= 3 * self.slow_threshold:
@@ -870,8 +870,8 @@
     def write_done(self, e):
         """Continues with what was waiting for the end of a write."""
         end, conn = e.end, e.end.conn
-        first = e.ok and not end.is_client and not end.leg.written
-        if first:  # also if the leg has ended meanwhile: the host has got the line
+        first_line_written = e.ok and not end.is_client and not end.leg.written
+        if first_line_written:  # also if the leg has ended meanwhile: the host has got the line
             end.leg.written = True
             self.counters.backend_calls += 1
         if (
@@ -893,7 +893,7 @@
         elif not e.ok:
             self.write_failed(end, e.skip_reason)
         else:
-            self.read_next(end, first)
+            self.read_next(end, first_line_written)
 
     def write_failed(self, end, skip_reason):
         """Ends what a failed write belongs to. `skip_reason`: see `WriteDone`."""
@@ -909,10 +909,10 @@
         else:
             self.host_ended(end.leg, "reset")
 
-    def read_next(self, end, first):
-        """Starts the next read after a write is done. `first`: an attempt's first line was written."""
+    def read_next(self, end, first_line_written):
+        """Starts the next read after a write is done. `first_line_written`: it was a leg's first line."""
         conn = end.conn
-        if first:
+        if first_line_written:
             self.read(end)
         elif not end.is_client:
             self.read(conn.client)  # only now, so that no lines queue up here
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -116,9 +116,9 @@
     """A load report that arrives at the host's reporting second would otherwise be taken for a hang."""
     delays, signals = MessageDelays(slow_threshold=17_000), ConnectionSignals(load=40_000)
     assert delays.classify(5_000_000, signals, 14_236.5, 0, MEAN_LOAD) is None
-    assert delays.confirmed_claim(5_050_000, 0) is None
-    assert delays.confirmed_claim(5_400_000, 60_000) is None
-    assert delays.confirmed_claim(5_800_000, 500_000) == (15_036_500, signals, 40_000)
+    assert delays.confirmed_hang(5_050_000, 0) is None
+    assert delays.confirmed_hang(5_400_000, 60_000) is None
+    assert delays.confirmed_hang(5_800_000, 500_000) == (15_036_500, signals, 40_000)
     assert delays.classify(6_000_000, signals, 14_986.5, 500_000, MEAN_LOAD) == 14_986_500
 
 
@@ -126,7 +126,7 @@
     """A load of 250,419 was read as a delay of 250 s, and its connection lost its load."""
     delays = MessageDelays(slow_threshold=17_000)
     assert delays.classify(5_000_000, ConnectionSignals(load=200_000), 250_419, 0, MEAN_LOAD) is None
-    assert delays.confirmed_claim(5_500_000, 500_000) is None
+    assert delays.confirmed_hang(5_500_000, 500_000) is None
 
 
 def test_a_delay_that_grows_with_time_is_a_hang():
