--- a/cottonspread/net/message_delays.py
+++ b/cottonspread/net/message_delays.py
@@ -173,9 +173,10 @@
         return delay
 
     def confirmed_hang(self, now, silent_for):
-        """The suspected hang that a silence confirms: (delay, signals of the connection, its load before), or None.
+        """The suspected hang that a silence confirms, or None.
 
-        `silent_for`: how long the host has been silent.
+        Returns (delay, signals of the connection, its load before). `silent_for`: how long the host has been
+        silent.
         """
         while self.suspected_hangs and now - self.suspected_hangs[0][0] > HANG_CONFIRM_TIMEOUT:
             self.suspected_hangs.popleft()
