--- a/cottonspread/front/counters.py
+++ b/cottonspread/front/counters.py
@@ -8,8 +8,8 @@
 ANSWERS = ("success", "busy", "failure")
 
 
-def label(text):
-    """Escapes a label's value."""
+def escape_label(text):
+    """Escapes the value of a label."""
     return text.replace("\\", r"\\").replace('"', r"\"").replace("\n", r"\n")
 
 
@@ -44,7 +44,7 @@
         for (answer, name), count in dict(self.answers).items():
             yield (
                 answer,
-                f'{{tier="{label(name)}"}}',
+                f'{{tier="{escape_label(name)}"}}',
                 count + (refused_on_accept.get(name, 0) if answer == "busy" else 0),
             )
         yield "inflight", "", inflight
--- a/cottonspread/front/handover.py
+++ b/cottonspread/front/handover.py
@@ -39,27 +39,27 @@
     sent: tuple = ()  # (server, time, legs) sent to cold servers, the oldest first
 
 
-def snapshot(module, now, **more):
+def snapshot(balancer, now, **fields):
     """The decision module's state that a successor needs; the module is only read.
 
-    `more`: the other fields of `HandoverState`.
+    `fields`: the other fields of `HandoverState`.
     """
-    records = [(key, host.name) for key, (host, _) in list(module.records.items())[-MAX_RECORDS:]]
-    cold = [h for h in module.membership.hosts.values() if module.slow_start.capacity_share(h, now) < 1]
+    records = [(key, host.name) for key, (host, _) in list(balancer.records.items())[-MAX_RECORDS:]]
+    cold = [h for h in balancer.membership.hosts.values() if balancer.slow_start.capacity_share(h, now) < 1]
     return HandoverState(
         records=tuple(records),
         sent=tuple(
             (h.name, at, count)
             for h in cold
-            for at, count in h.sent.buckets_in(now, module.settings.cold.window)
+            for at, count in h.sent.buckets_in(now, balancer.settings.cold.window)
         ),
-        **more,
+        **fields,
     )
 
 
-def pack(state, mark):
-    """The state as JSON; `mark`: the token of the successor that asked for it."""
-    return json.dumps({"version": VERSION, "mark": mark, **asdict(state)})
+def pack(state, token):
+    """The state as JSON; `token`: the token of the successor that asked for it."""
+    return json.dumps({"version": VERSION, "mark": token, **asdict(state)})
 
 
 def pack_connection(connection):
@@ -86,12 +86,12 @@
         raise ValueError(f"{type(error).__name__}: {error}") from error
 
 
-def unpack(text, mark):
-    """The state in a JSON text; None if it has another mark, ValueError if it cannot be read."""
+def unpack(text, token):
+    """The state in a JSON text; None if it has another token, ValueError if it cannot be read."""
     parsed = json.loads(text)
     if not isinstance(parsed, dict) or parsed.get("version") != VERSION:
         raise ValueError(f"not a handover state of version {VERSION}")
-    if parsed.get("mark") != mark:
+    if parsed.get("mark") != token:
         return None
     try:
         return HandoverState(
--- a/cottonspread/front/lateness.py
+++ b/cottonspread/front/lateness.py
@@ -9,7 +9,7 @@
 from collections import deque
 
 SECOND = 1_000_000
-HALF = SECOND // 2
+HALF_SECOND = SECOND // 2
 
 
 class Lateness:
@@ -28,8 +28,8 @@
 
     def end_half_second(self, now):
         """Starts a new half second if the current one is over."""
-        if now - self.since >= HALF:
-            self.previous = self.current if now - self.since < 2 * HALF else 0
+        if now - self.since >= HALF_SECOND:
+            self.previous = self.current if now - self.since < 2 * HALF_SECOND else 0
             self.since, self.current = now, 0
 
     def recent_max(self, now):
@@ -78,16 +78,16 @@
         self.handled.append(self.wait_count)
         self.arrivals.append(self.arrived)
         mean = self.wait_sum // self.wait_count if self.wait_count else 0
-        a_second = SECOND / self.INTERVAL / len(self.handled)
+        per_second = SECOND / self.INTERVAL / len(self.handled)
         if (
             mean > self.target
             and self.last_mean > self.target
             and mean > self.last_mean - self.INTERVAL // 10
         ):
-            self.rate = max(self.MIN_RATE, self.CUT * sum(self.handled) * a_second)
+            self.rate = max(self.MIN_RATE, self.CUT * sum(self.handled) * per_second)
         elif mean < self.target // 2 and self.rate:
             self.rate *= self.GROWTH
-            if self.rate > self.DROP_LIMIT_AT * max(sum(self.arrivals) * a_second, self.MIN_RATE):
+            if self.rate > self.DROP_LIMIT_AT * max(sum(self.arrivals) * per_second, self.MIN_RATE):
                 self.rate = 0.0
         self.last_mean, self.wait_sum, self.wait_count, self.arrived, self.interval_end = (
             mean,
