--- a/tests/notation.py
+++ b/tests/notation.py
@@ -31,7 +31,7 @@
     )
 
 
-def begin(o, types, tenants=()):
+def node_config(o, types, tenants=()):
     """The node configuration of a `site` line; `o`: its options."""
     return io.NodeConfig(
         int(o.get("seed", 7)),
--- a/tests/scale/test_overview.py
+++ b/tests/scale/test_overview.py
@@ -3,7 +3,7 @@
 from random import Random
 
 import pytest
-from notation import begin, traffic_type
+from notation import node_config, traffic_type
 
 from cottonspread import interface as io
 from cottonspread.interface import Ending, HostState
@@ -51,7 +51,7 @@
         site = {"nodes": self.rng.choice((1, 40)), "moving": 0.03} | ({"probe": 1} if seed % 2 else {})
         self.types = (traffic_type("t", {}),)
         self.site = site
-        self.node = Balancer(self.now, begin(site, self.types))
+        self.node = Balancer(self.now, node_config(site, self.types))
         self.entries = {n: io.Entry(f"s{n}", n % 3) for n in range(SERVERS)}
         self.send(io.ListUpdate(io.ListUpdateKind.FULL, 1, tuple(self.entries.values())))
 
@@ -111,7 +111,7 @@
             self.change()
         else:
             faster = (traffic_type("t", {"message": rng.choice((20, 50, 400))}),)
-            self.send(io.Reconfigured(begin(self.site, faster)))
+            self.send(io.Reconfigured(node_config(self.site, faster)))
 
 
 @pytest.mark.parametrize("seed", range(24))
--- a/tests/test_idle.py
+++ b/tests/test_idle.py
@@ -3,13 +3,13 @@
 import heapq
 import itertools
 
-from notation import begin, entry, traffic_type
+from notation import entry, node_config, traffic_type
 
 from cottonspread import interface as io
 from cottonspread.policy.path import Balancer
 from cottonspread.state import SECOND
 
-LASTS = 60 * SECOND
+DURATION = 60 * SECOND
 IDLE, CALLS = 4 * SECOND, 15  # what the long-running test counts as an idle process
 
 
@@ -18,7 +18,7 @@
 
     Every attempt ends with `ending`: a time-out at its deadline, any other after a millisecond.
     """
-    node = Balancer(0, begin({"nodes": 20} | site, (traffic_type("t", {}),)))
+    node = Balancer(0, node_config({"nodes": 20} | site, (traffic_type("t", {}),)))
     node.handle(0, io.ListUpdate(io.ListUpdateKind.FULL, 1, tuple(entry(f"s{n}") for n in range(servers))))
     ends, attempts, longest = [], {}, (0, 0)
     last, rejected = 0, 0
@@ -37,13 +37,13 @@
             elif isinstance(action, io.Reject):
                 rejected += 1
 
-    for now in range(SECOND, LASTS, SECOND // rate):
+    for now in range(SECOND, DURATION, SECOND // rate):
         while ends and ends[0][0] <= now:
             at, call, number = heapq.heappop(ends)
             carry_out(at, node.handle(at, io.LegEnded(call, number, ending, False)))
         call = f"c{now}"
         carry_out(now, node.handle(now, io.CallArrived(call, 0, 2 * SECOND, call, group and f"g{now % 5}")))
-    assert len(attempts) > LASTS // IDLE, "hardly anything was tried"
+    assert len(attempts) > DURATION // IDLE, "hardly anything was tried"
     return longest
 
 
@@ -57,7 +57,7 @@
 
 def test_a_cold_server_gets_no_calls_beyond_its_budget():
     """A cold server has one budget for all nodes: calls beyond it are rejected, however many come."""
-    node = Balancer(0, begin({"nodes": 100, "seed": 5}, (traffic_type("t", {}),)))
+    node = Balancer(0, node_config({"nodes": 100, "seed": 5}, (traffic_type("t", {}),)))
     node.handle(0, io.ListUpdate(io.ListUpdateKind.FULL, 1, (entry("a:started=1"),)))
     sent = [
         action
--- a/tests/test_idle_widely.py
+++ b/tests/test_idle_widely.py
@@ -16,25 +16,25 @@
 from random import Random
 
 import pytest
-from notation import begin, entry, traffic_type
+from notation import entry, node_config, traffic_type
 
 from cottonspread import interface as io
 from cottonspread.interface import Ending
 from cottonspread.policy import Balancer
 from cottonspread.state import SECOND
 
-LASTS, RECOVERS = 40 * SECOND, 20 * SECOND
+DURATION, RECOVERY_TIME = 40 * SECOND, 20 * SECOND
 IDLE, CALLS = 4 * SECOND, 15  # what the long-running test counts as an idle process
 FAILURES = (Ending.TIMEOUT, Ending.CONNECT_FAILED, Ending.RESET, Ending.ERROR, Ending.FULL)
 ANSWER_TIME = 1000  # microseconds
 REPORT_INTERVAL = SECOND  # between two delay reports of a server
 
 
-class Play:
+class Simulation:
     """One node that gets calls at an even rate; sub-classes decide how its attempts end."""
 
     def __init__(self, servers, rate, grouped, **site):
-        self.node = Balancer(0, begin(site, (traffic_type("t", {}),)))
+        self.node = Balancer(0, node_config(site, (traffic_type("t", {}),)))
         self.servers = [f"s{number}" for number in range(servers)]
         self.handle(0, io.ListUpdate(io.ListUpdateKind.FULL, 1, tuple(entry(name) for name in self.servers)))
         self.between, self.grouped = SECOND // rate, grouped
@@ -92,7 +92,7 @@
         raise NotImplementedError
 
 
-class Failing(Play):
+class Failing(Simulation):
     """Every attempt fails, with endings drawn from those given, until the servers are healthy."""
 
     def __init__(self, endings, servers, rate, grouped, nodes, **site):
@@ -109,7 +109,7 @@
         self.schedule(at, io.LegEnded(action.call, leg, ending, False))
 
 
-class Slow(Play):
+class Slow(Simulation):
     """Every server accepts each call at once, holds some from the start, and reports slow messages."""
 
     HELD, DELAYS = 3, (150_000, 171_000)  # connections a server; microseconds, reported in turn
@@ -122,7 +122,7 @@
             self.established[call] = name
             group = f"g{number}" if grouped else None
             self.handle(0, io.CallArrived(call, 0, 2 * SECOND, call, group, held_by=name))
-        for at in range(SECOND, LASTS, REPORT_INTERVAL):
+        for at in range(SECOND, DURATION, REPORT_INTERVAL):
             self.run(at, at + REPORT_INTERVAL)
             self.report_delays(at + REPORT_INTERVAL)
 
@@ -154,11 +154,11 @@
     """Holds also while the servers recover."""
     rates = (4, 12, 100) if servers < 16 else (4, 12)
     for rate, grouped, nodes in itertools.product(rates, (False, True), (1, 200)):
-        play = Failing(endings, servers, rate, grouped, nodes)
-        play.run(SECOND, LASTS)
-        play.healthy = True
-        play.run(LASTS, LASTS + RECOVERS)
-        idle = play.idle_time(LASTS + RECOVERS)
+        simulation = Failing(endings, servers, rate, grouped, nodes)
+        simulation.run(SECOND, DURATION)
+        simulation.healthy = True
+        simulation.run(DURATION, DURATION + RECOVERY_TIME)
+        idle = simulation.idle_time(DURATION + RECOVERY_TIME)
         assert idle < IDLE, (idle, rate, grouped, nodes)
 
 
@@ -166,16 +166,16 @@
 @pytest.mark.parametrize("site, reported_load", (({}, 0), ({"probe": 1}, 0.6)), ids=("unprobed", "probed"))
 def test_a_node_whose_servers_are_all_slow_goes_on_trying(site, reported_load, servers):
     for grouped, nodes in itertools.product((False, True), (1, 200)):
-        play = Slow(servers, 12, grouped, reported_load, nodes=nodes, **site)
-        idle = play.idle_time(LASTS)
+        simulation = Slow(servers, 12, grouped, reported_load, nodes=nodes, **site)
+        idle = simulation.idle_time(DURATION)
         assert idle < IDLE, (idle, grouped, nodes)
 
 
 @pytest.mark.parametrize("servers", (1, 5, 16, 60))
 def test_a_node_whose_servers_all_tell_that_they_are_full_goes_on_trying(servers):
     for grouped, nodes in itertools.product((False, True), (1, 200)):
-        play = Slow(servers, 12, grouped, 0.95, nodes=nodes, probe=1)
-        idle = play.idle_time(LASTS)
+        simulation = Slow(servers, 12, grouped, 0.95, nodes=nodes, probe=1)
+        idle = simulation.idle_time(DURATION)
         assert idle < IDLE, (idle, grouped, nodes)
 
 
@@ -186,9 +186,9 @@
     times, rng = [], Random(7)
     for _ in range(200):
         seed = rng.getrandbits(63)
-        play = Failing((Ending.CONNECT_FAILED,), 5, 40, False, 200, seed=seed)
-        play.run(SECOND, 20 * SECOND)
-        times += play.resumed_at
+        simulation = Failing((Ending.CONNECT_FAILED,), 5, 40, False, 200, seed=seed)
+        simulation.run(SECOND, 20 * SECOND)
+        times += simulation.resumed_at
     # The first ejections of 8 s begin by 8.3 s and end by 16 s: all attempts in between are forced ones.
     in_each_tenth = Counter(at * 10 // SECOND for at in times if 9 * SECOND <= at < 16 * SECOND)
     assert sum(in_each_tenth.values()) >= 200
@@ -196,21 +196,23 @@
 
 
 def test_no_server_that_drains_or_is_gone_is_tried_when_all_are_ejected():
-    play = Failing((Ending.CONNECT_FAILED,), 6, 12, False, 20)
-    play.run(SECOND, 20 * SECOND)
+    simulation = Failing((Ending.CONNECT_FAILED,), 6, 12, False, 20)
+    simulation.run(SECOND, 20 * SECOND)
     left = (entry("s0:state=draining"), entry("s1:state=gone"), entry("s2:state=draining"))
-    play.handle(20 * SECOND, io.ListUpdate(io.ListUpdateKind.CHANGES, 2, left))
-    play.tried.clear()
-    play.run(20 * SECOND, 60 * SECOND)
-    assert play.tried == {"s3", "s4", "s5"}
+    simulation.handle(20 * SECOND, io.ListUpdate(io.ListUpdateKind.CHANGES, 2, left))
+    simulation.tried.clear()
+    simulation.run(20 * SECOND, 60 * SECOND)
+    assert simulation.tried == {"s3", "s4", "s5"}
 
 
 def test_no_cold_server_is_tried_beyond_its_budget_when_all_are_ejected():
     """Cold servers among those that refuse: this node sends them no more than it draws for them."""
-    play = Failing((Ending.CONNECT_FAILED,), 4, 12, False, 200)
-    play.run(SECOND, 20 * SECOND)
+    simulation = Failing((Ending.CONNECT_FAILED,), 4, 12, False, 200)
+    simulation.run(SECOND, 20 * SECOND)
     cold = tuple(entry(f"f{number}:started=20000") for number in range(4))
-    play.handle(20 * SECOND, io.ListUpdate(io.ListUpdateKind.CHANGES, 2, cold))
-    play.run(20 * SECOND, 24 * SECOND)
-    to_cold = sum(play.node.membership.hosts[one.host].sent.total(24 * SECOND, 4 * SECOND) for one in cold)
+    simulation.handle(20 * SECOND, io.ListUpdate(io.ListUpdateKind.CHANGES, 2, cold))
+    simulation.run(20 * SECOND, 24 * SECOND)
+    to_cold = sum(
+        simulation.node.membership.hosts[one.host].sent.total(24 * SECOND, 4 * SECOND) for one in cold
+    )
     assert to_cold <= 2, to_cold  # eight draws, two windows for each of four, at 3 legs in 200
--- a/tests/test_many_nodes.py
+++ b/tests/test_many_nodes.py
@@ -6,7 +6,7 @@
 from dataclasses import replace
 
 import pytest
-from notation import begin, entry, traffic_type
+from notation import entry, node_config, traffic_type
 
 from cottonspread import interface as io
 from cottonspread.policy import Balancer
@@ -24,7 +24,7 @@
         self.all = [
             Balancer(
                 0,
-                begin(
+                node_config(
                     {"nodes": NODES, "seed": n * 2654435761 + 1, "zone": n % 4, "crossing": 0.03} | site,
                     (traffic_type("t", {}),),
                 ),
@@ -171,9 +171,10 @@
 def test_another_poll_interval_applies_from_the_reload_on():
     """Guards against a poll delay that stays with the settings of the start."""
     site, types = {"list": "ask"}, (traffic_type("t", {}),)
-    node = Balancer(0, begin(site, types))
+    node = Balancer(0, node_config(site, types))
     node.handle(
-        0, io.Reconfigured(replace(begin(site, types), server_list=io.ServerListRules(True, 2 * SECOND)))
+        0,
+        io.Reconfigured(replace(node_config(site, types), server_list=io.ServerListRules(True, 2 * SECOND))),
     )
     waits = [
         action.after
@@ -184,8 +185,8 @@
     assert len(waits) == 50 and max(waits) <= 4 * SECOND
 
 
-WARM, WINDOW, MULTIPLE, COLD = 20 * SECOND, 2 * SECOND, 2.5, 0.12  # as `notation.begin` has them
-LASTS = 3 * SECOND
+WARM, WINDOW, MULTIPLE, COLD = 20 * SECOND, 2 * SECOND, 2.5, 0.12  # as `notation.node_config` has them
+CALL_DURATION = 3 * SECOND
 
 
 def max_excess(count, known, seed, unequal, restarts):
@@ -199,7 +200,7 @@
     servers = [f"w{n}" for n in range(8)] + [f"s{n}:started=1000" for n in range(4)]
 
     def node(n, again=0):
-        one = Balancer(now, begin(site | {"seed": 1 + n + 1000 * again + 100_000 * seed}, types))
+        one = Balancer(now, node_config(site | {"seed": 1 + n + 1000 * again + 100_000 * seed}, types))
         one.handle(now, io.ListUpdate(io.ListUpdateKind.FULL, 1, tuple(entry(word) for word in servers)))
         return one
 
@@ -223,8 +224,10 @@
                 if isinstance(action, io.Send):
                     nodes[n].handle(now, io.LegAccepted(id, 0, 0))
                     sent.setdefault(action.host, []).append(now)
-                    ends.append((now + LASTS, nodes[n], id))
-    carried = sum(len(times) for name, times in sent.items() if name[0] == "w") / 8 * LASTS / (20 * SECOND)
+                    ends.append((now + CALL_DURATION, nodes[n], id))
+    carried = (
+        sum(len(times) for name, times in sent.items() if name[0] == "w") / 8 * CALL_DURATION / (20 * SECOND)
+    )
     cold = [times for name, times in sent.items() if name[0] == "s"]
     return max(excess(times, carried) for times in cold), sum(len(times) for times in cold)
 
--- a/tests/test_readings.py
+++ b/tests/test_readings.py
@@ -1,7 +1,7 @@
 """How the module uses probe results, in details too small for a scenario."""
 
 import pytest
-from notation import begin, traffic_type
+from notation import node_config, traffic_type
 
 from cottonspread import interface as io
 from cottonspread.policy.readings import Readings
@@ -11,7 +11,7 @@
 @pytest.fixture
 def readings():
     types = (traffic_type("t", {"message": 50}),)
-    return Readings(SeededRandom(1), Settings(begin({"probe": "1"}, types), default_nodes=1))
+    return Readings(SeededRandom(1), Settings(node_config({"probe": "1"}, types), default_nodes=1))
 
 
 def host(name="a"):
--- a/tests/test_reducer.py
+++ b/tests/test_reducer.py
@@ -38,7 +38,7 @@
 from pathlib import Path
 
 import pytest
-from notation import begin, entry, ms, pairs, play, traffic_type
+from notation import entry, ms, node_config, pairs, play, traffic_type
 
 from cottonspread import config
 from cottonspread import interface as io
@@ -60,7 +60,7 @@
     def __init__(self, site, types):
         self.reducer = Reducer(
             0,
-            begin(site, types),
+            node_config(site, types),
             type_names(types),
             config.HostProtocol(ms(50), "no_loads" not in site, True, "loads_only" not in site),
             int(site.get("sockets", 100)),
@@ -286,7 +286,9 @@
         site, *types = [part.split() for part in " ".join(args).split("|")]
         types = [traffic_type(words[0], pairs(words[1:])) for words in types]
         self.step(
-            ev.SettingsReloaded(begin(pairs(site), types), type_names(types), self.reducer.host_protocol)
+            ev.SettingsReloaded(
+                node_config(pairs(site), types), type_names(types), self.reducer.host_protocol
+            )
         )
 
     def on_inherit(self, end, args, at):
@@ -364,10 +366,10 @@
                 answers = self.answers.get(name, [])
                 # after UP, lines are only forwarded
                 finals = 1 if answers and answers[0].startswith(b"UP") else len(answers)
-                client_left = end.conn.reason == "left-in-setup"  # a call that was transferred has its UP
-                assert finals + client_left == 1, f"{name}: {answers}, {end.conn.reason}"
+                left_in_setup = end.conn.reason == "left-in-setup"  # a call that was transferred has its UP
+                assert finals + left_in_setup == 1, f"{name}: {answers}, {end.conn.reason}"
                 in_time = (
-                    client_left
+                    left_in_setup
                     or self.stalled
                     or end.conn.request.held_by
                     or self.answered_at[name] <= end.conn.guard
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -1,6 +1,6 @@
 """Plays the scenarios in tests/scenarios/*.txt against the decision module of one node.
 
-site WORD=VALUE ...           settings that differ from the defaults in `notation.begin`
+site WORD=VALUE ...           settings that differ from the defaults in `notation.node_config`
 type NAME WORD=VALUE ...      a traffic type; without any there is a single repeatable type
 TIME EVENT ARGS               TIME in ms; events: list changes|full|saved|failed HOST[:WORD=VALUE[,..]] ..,
                               call ID .., open ID HOST .., accept ID LEG, done ID LEG ENDING [closed],
@@ -19,7 +19,7 @@
 from pathlib import Path
 
 import pytest
-from notation import begin, entry, ms, pairs, play, traffic_type
+from notation import entry, ms, node_config, pairs, play, traffic_type
 
 from cottonspread import interface as io
 from cottonspread.policy import Balancer
@@ -53,7 +53,7 @@
     if verb == "tune":
         site, *rest = [part.split() for part in " ".join(args).split("|")]
         types[:] = [traffic_type(words[0], pairs(words[1:])) for words in rest]
-        return io.Reconfigured(begin(pairs(site), types))
+        return io.Reconfigured(node_config(pairs(site), types))
     if verb == "inherit":
         sent = [re.fullmatch(r"(\w+):(\d+)@(\d+)", word) for word in args]
         return io.Inherited(
@@ -76,7 +76,7 @@
     return words
 
 
-def recount(node):
+def check_sums(node):
     """Checks the node's sums against a plain count, after every event."""
     for host in node.membership.hosts.values():
         groups = {leg.call.group for leg in host.legs}
@@ -96,12 +96,12 @@
 
     def start(site, types):
         types_played.extend(types)
-        node = Balancer(0, begin(site, types))
+        node = Balancer(0, node_config(site, types))
         return node, checked_actions(node.actions())
 
     def act(node, now, verb, args, bound):
         actions = node.handle(now, event(verb, [bound.get(w, w) for w in args], types_played))
-        recount(node)
+        check_sums(node)
         return checked_actions(actions)
 
     play(file, start, act)
