--- a/tests/test_idle_widely.py
+++ b/tests/test_idle_widely.py
@@ -172,7 +172,7 @@
 
 
 @pytest.mark.parametrize("servers", (1, 5, 16, 60))
-def test_a_node_whose_servers_all_tell_that_they_are_full_goes_on_trying(servers):
+def test_a_node_whose_servers_all_report_that_they_are_full_goes_on_trying(servers):
     for grouped, nodes in itertools.product((False, True), (1, 200)):
         simulation = Slow(servers, 12, grouped, 0.95, nodes=nodes, probe=1)
         idle = simulation.idle_time(DURATION)
