--- a/cottonspread/driver.py
+++ b/cottonspread/driver.py
@@ -126,7 +126,7 @@
         call = self.calls.get(e.call)
         leg = call.legs[e.leg] if call and e.leg < len(call.legs) else None
         if leg is None or leg.ending:
-            return  # both sides may end a leg at the same time: nothing is kept of it any more
+            return  # both sides may end a leg at the same time: the second event is ignored
         if isinstance(e, io.LegAccepted):
             self.accept_leg(leg, e)
             return
@@ -241,5 +241,5 @@
         raise NotImplementedError
 
     def move_next_draining(self):
-        """Called when the next client is to be moved off a draining server."""
+        """Called when it is time to move the next client off a draining server."""
         raise NotImplementedError
--- a/cottonspread/front/handover.py
+++ b/cottonspread/front/handover.py
@@ -1,15 +1,15 @@
 """The state that a process passes to its successor, as text in a file. Does no I/O.
 
-To servers and clients the two are one node: keys stay on their servers, legs sent to cold servers go on
-counting, and the id of a call open in one process is taken in the other. Times are of the monotonic clock,
-which all processes of a machine share.
+To servers and clients the two are one node: keys stay on their servers, legs sent to cold servers still
+count against the budget, and the id of a call open in one process is in use in the other. Times are of the
+monotonic clock, which all processes of a machine share.
 """
 
 import json
 from dataclasses import asdict, dataclass, replace
 
 VERSION = 1
-MAX_RECORDS = 5000  # the latest ones; each takes about 60 bytes of text, which counts as memory
+MAX_RECORDS = 5000  # the latest ones; each takes about 60 bytes of text, which count as memory
 
 
 @dataclass(frozen=True)
--- a/cottonspread/front/lateness.py
+++ b/cottonspread/front/lateness.py
@@ -43,17 +43,18 @@
     """Decides which new connections to refuse because the node itself cannot keep up.
 
     It goes by how long clients' first lines had waited when the reducer got to them, on the mean over a tenth
-    of a second. If that is over `target` twice and not falling, the admitted rate is cut to 0.85 of what the
-    node handled lately, which is what it can do while it is late: so the queue drains, and repeated cuts do
-    not make the rate collapse. Under half the target the rate grows again. While the wait falls by itself, as
-    after a pause of the node, nothing is cut, because what waits there can still be answered.
+    of a second. If that is over `target` twice and not falling, the admitted rate is cut to 0.85 of the rate
+    that the node handled lately. That rate is its capacity while it is late, so the queue drains, and
+    repeated cuts do not make the rate collapse. Under half the target the rate grows again. While the wait
+    falls by itself, as after a pause of the node, nothing is cut, because what waits there can still be
+    answered.
     """
 
     INTERVAL = SECOND // 10
-    INTERVALS = 5  # over so many, what the node handled is counted
+    INTERVALS = 5  # handled and arrived connections are counted over this many intervals
     CUT, GROWTH = 0.85, 1.01
-    DROP_LIMIT_AT = 2  # a limit of so many times the arrival rate is dropped
-    MIN_RATE = 10.0  # a second: some are always admitted, or nothing would show that the overload is over
+    DROP_LIMIT_AT = 2  # a limit of this many times the arrival rate is dropped
+    MIN_RATE = 10.0  # a second: some are always admitted, or the end of an overload would go unnoticed
 
     def __init__(self, target):
         """`target`: microseconds for which first lines may wait."""
--- a/cottonspread/front/reports.py
+++ b/cottonspread/front/reports.py
@@ -22,7 +22,7 @@
 def probe_ended(host, ending, waited, report):
     """A `ProbeEnded` event.
 
-    `waited`: microseconds; `report`: values by name, `x0` the load put on the host over what it can do, `x1`
-    seconds of queued work; a missing value counts as not reported.
+    `waited`: microseconds; `report`: values by name, `x0` the host's load over its capacity, `x1` seconds of
+    queued work; a missing value counts as not reported.
     """
     return io.ProbeEnded(host, ending, waited, report.get("x0", -1.0), report.get("x1", 0.0))
--- a/cottonspread/interface.py
+++ b/cottonspread/interface.py
@@ -24,7 +24,7 @@
 
     OK = "ok"
     ERROR = "error"
-    FULL = "refused at capacity"  # the host did not look at the call
+    FULL = "refused at capacity"  # the host did not process the call
     TIMEOUT = "no answer in time"
     CONNECT_FAILED = "no connection"
     RESET = "connection reset"
@@ -55,8 +55,8 @@
 
     name: str
     effect: Effect
-    deduplicated_by: str  # "all", "zone" or "cell": the group of hosts that drops repeats of a call
-    deduplicated_for: int  # how long that group recognises repeats
+    deduplicated_by: str  # "all", "zone" or "cell": the set of hosts that recognises repeats of a call
+    deduplicated_for: int  # how long these hosts recognise repeats
     setup_target: int
     guard_time: int
     revenue: float
@@ -88,24 +88,24 @@
 class ColdStart:
     """How hosts warm up after their start, and the budget of what they may be sent meanwhile."""
 
-    share: float = 1.0  # of its full capacity, which a host has at its start
+    share: float = 1.0  # the part of its full capacity that a host has at its start
     warm_after: int = 0
-    multiple: float = 1.0  # all nodes together stay under so many times what the host can do
-    window: int = 0  # in any window of this length
+    multiple: float = 1.0  # bounds what all nodes together send a host, as a multiple of what it can handle
+    window: int = 0  # the bound holds in any window of this length
 
 
 @dataclass(frozen=True)
 class ServerListRules:
     """How the server list is read."""
 
-    polled: bool = False  # the list answers polls, and sends nothing unasked
-    poll_interval: int = 0  # a node that has not polled for so long counts as informed of all changes
+    polled: bool = False  # the list only answers polls; it pushes no changes
+    poll_interval: int = 0  # a node that has not polled for this long counts as informed of all changes
     drain_grace: int = 0
 
 
 @dataclass(frozen=True)
 class Prices:
-    """What each kind of action costs, as a part of what a call earns."""
+    """What each kind of action costs, as a fraction of a call's revenue."""
 
     zone_crossing: float = 0.0
     move: float = 0.0
@@ -143,17 +143,17 @@
     may_message_peers: bool = False
     groups_share_work: bool = False
     probes_report_load: bool = False  # an answered probe reports the host's load ratio
-    dynamic_weights: bool = False  # a listed weight is the size over 1 + calls held a core, and lags behind
+    dynamic_weights: bool = False  # a listed weight is the size over 1 + open calls per core, and lags
     availability: AvailabilityGoal = field(default_factory=AvailabilityGoal)
 
 
-class Entry(NamedTuple):  # created for every server with every list update: the cheapest type
-    """A server as the list has it."""
+class Entry(NamedTuple):  # cheap to create: there is one for every host in every list update
+    """A host as the server list has it."""
 
     host: object
     zone: int = 0
     kind: int = 0
-    weight: float = 1.0  # as listed: the server's size, or see `NodeConfig.dynamic_weights`
+    weight: float = 1.0  # as listed: the host's size, or see `NodeConfig.dynamic_weights`
     cell: int = 0
     started: int = 0  # 0: long ago
     state: HostState = HostState.UP
@@ -254,7 +254,7 @@
     host: object
     ending: Ending
     waited: int = 0
-    load: float = -1.0  # load put on the host over what it can do, seconds ago; -1: not reported
+    load: float = -1.0  # the host's load over its capacity, seconds ago; -1: not reported
     backlog: float = 0.0  # seconds of queued work
 
 
@@ -299,7 +299,7 @@
     """Tell the client that the call is rejected and that a retry is harmless."""
 
     call: object
-    retry_after: int = 0  # 0: not told to the client
+    retry_after: int = 0  # 0: the client gets no time
 
 
 @dataclass(frozen=True)
--- a/cottonspread/net/drain.py
+++ b/cottonspread/net/drain.py
@@ -136,7 +136,7 @@
             self.reducer.transfer(conn for conn in self.reducer.conns if conn.up and not conn.reason)
 
     def answers_due(self):
-        """Whether it is too late for further attempts."""
+        """Whether it is too late for further legs."""
         return self.move_phase and self.reducer.now >= self.move_phase.answer_by
 
     def end_setups(self, phase):
--- a/cottonspread/net/events.py
+++ b/cottonspread/net/events.py
@@ -66,7 +66,7 @@
     end: ConnectionEnd
     ok: bool
     at: int = 0  # when the kernel took it; 0: not known
-    skip_reason: str = ""  # why an attempt's first line was not sent at all: "client-gone" or "too-late"
+    skip_reason: str = ""  # why a leg's first line was not sent at all: "client-gone" or "too-late"
 
 
 @dataclass(frozen=True, slots=True)
@@ -214,7 +214,7 @@
 
     end: ConnectionEnd
     data: bytes
-    first_line: bool = False  # it is an attempt's first line, sent only while the client is still connected
+    first_line: bool = False  # it is a leg's first line, sent only while the client is still connected
     send_by: int = 0  # do not start to send it after this time; 0: no limit
 
 
--- a/cottonspread/net/lines.py
+++ b/cottonspread/net/lines.py
@@ -207,12 +207,12 @@
 
 
 def busy_line(retry_after):
-    """A `BUSY` line. `retry_after`: microseconds after which the client should come back; 0: not told."""
+    """A `BUSY` line. `retry_after`: microseconds after which the client should come back; 0: not given."""
     return b"BUSY %d\r\n" % (retry_after // 1000) if retry_after else b"BUSY\r\n"
 
 
 def parse_answer(line, rest=b""):
-    """Parses a host's first line: None if it accepted the call, else how the attempt ended.
+    """Parses a host's first line: None if it accepted the call, else how the leg ended.
 
     `rest`: input that came after the line. A refusal followed by more input is not trusted and counts as an
     error.
--- a/cottonspread/net/reducer.py
+++ b/cottonspread/net/reducer.py
@@ -32,12 +32,12 @@
 ECHO_CHECK_INTERVAL = SECOND // 10  # how often hosts are checked for missing echoes
 FIRST_LINE_TIMEOUT = 2 * SECOND  # for a client's first line, including the PINGs before it
 PENDING_CLIENTS_DIVISOR = 5  # at most 1 / this of all sockets may be clients without a first line
-MAX_WAIT_FACTOR = 10  # times the longest guard time; a client that claims to wait longer is in error
+MAX_WAIT_FACTOR = 10  # times the longest guard time; a first line with a longer wait is invalid
 LINGER_TIMEOUT = SECOND  # for the other side to close its half of a closed connection
 LINGER_RESERVE_DIVISOR = 10  # no lingering once fewer than 1 / this of all sockets are left
 HANG_DELAY = SECOND // 2  # a healthy host never pauses that long
 MAX_ENDED_IDS = 2000  # ids of ended calls that are remembered
-WRITE_TIMEOUT = 3 * SECOND  # a peer that reads nothing for so long is given up
+WRITE_TIMEOUT = 3 * SECOND  # a connection whose peer reads nothing for this long is closed
 # A client tolerates 7 s without an echo, counted from the last one, and its next line may be sent up to 2 s
 # later. Its connection is moved away from a silent host before that.
 ECHO_TIMEOUT = 9 * SECOND // 2
@@ -78,7 +78,7 @@
     max_legs: int = 1  # likewise
     guard: int = 0  # the end of its guard time
     legs: list = field(default_factory=list)
-    answered: bool = False  # it had its final answer, or its client has left
+    answered: bool = False  # it has had its final answer, or its client has left
     up: bool = False  # established: a host accepted the call
     move_reason: str = ""  # reason code if the client is to be moved; "" if not
     reason: str = ""  # reason code of its end; "" while it is open
@@ -139,7 +139,7 @@
             ActiveSet(host_is_active, order),
         )
         self.probing = set()  # hosts with a running probe whose result the balancer waits for
-        self.probes = 0  # that are running
+        self.probes = 0  # number of running probes
         self.counters = Counters(())
         self.has_hosts, self.drain_controller = False, DrainController(self)
         # whether a successor takes over connections, and the connection that it is being offered now
@@ -403,7 +403,7 @@
             self.open_leg(Leg(conn, len(conn.legs), host, conn.guard), REATTACH_TIMEOUT // 4)
 
     def retry_after(self):
-        """Microseconds after which a client that is refused should come back; 0: not told."""
+        """Microseconds after which a refused client should come back; 0: the client gets no time."""
         return self.config.legs.max_retry_after // 2 if self.config.legs.may_retry_after else 0
 
     def client_lines(self, conn, data):
@@ -490,7 +490,7 @@
 
         If this node was late itself, the answer may have arrived without being read yet. Then the leg gets
         that much more time (`extended` is set the second time); if the guard time does not allow that, the
-        leg is cancelled and the host not blamed.
+        leg is cancelled and not counted against the host.
         """
         if leg.up or leg.ended:
             return
@@ -503,7 +503,7 @@
             self.end_leg(leg, Ending.TIMEOUT if extended or not late else Ending.CANCELLED)
 
     def cancel_leg(self, leg):
-        """Cancels a leg without blaming its host, unless it was accepted meanwhile."""
+        """Cancels a leg, which does not count against its host, unless it was accepted meanwhile."""
         if not leg.up:
             self.end_leg(leg, Ending.CANCELLED)
 
@@ -714,7 +714,7 @@
     def check_echoes(self):
         """Checks all hosts for missing echoes: the time without one is a lower bound on the message delay."""
         self.call_later(ECHO_CHECK_INTERVAL, self.check_echoes)
-        late = self.lateness.recent_max(self.now)  # an echo may have been here unread for so long
+        late = self.lateness.recent_max(self.now)  # an echo may have waited unread for this long
         for host in [host for host in self.active_hosts.active() if host.legs]:
             # While a client reads nothing its host is not read either, so echoes are missing through no fault
             # of the host.
--- a/cottonspread/policy/ceilings.py
+++ b/cottonspread/policy/ceilings.py
@@ -12,7 +12,8 @@
 
     CUT_TO = 0.75  # of the load, kept at a cut: well below full, so that the server's backlog drains
     DOUBLING_TIME = 60 * SECOND
-    # A smaller share of slow servers is no overload of the fleet.
+    # A ceiling grows faster once `COOLDOWN` has passed since the last cut and the last overload of the fleet,
+    # that is, the last time at which at least `FLEET_OVERLOAD_SHARE` of the servers were slow.
     COOLDOWN, FAST_DOUBLING_TIME, FLEET_OVERLOAD_SHARE = 5 * SECOND, 4 * SECOND, 0.3
     MIN_GROWTH_BASE = Loads.MEAN  # a ceiling grows at least as fast as one of this size would
 
@@ -46,12 +47,13 @@
         # about one node at a time.
         if not host.legs and now - host.cut_at > 2 * self.COOLDOWN:
             return not self.rng.below(self.settings.nodes)
-        # The growth is additive where little is left, or the server would stay closed. It has no end at which
-        # the ceiling is dropped: ceilings cut together and dropped together let the whole overload back in.
+        # The growth is additive at low ceilings; otherwise the server would get no more calls. The ceiling is
+        # never dropped after a fixed time: ceilings cut together and dropped together let the whole overload
+        # back in.
         limit = (
             host.ceiling + max(host.ceiling, self.MIN_GROWTH_BASE) * (now - host.cut_at) / self.DOUBLING_TIME
         )
-        # Once the fleet is no longer overloaded the cause was a passing fault, not too many calls: growth
+        # If the fleet is no longer overloaded, the cause was a passing fault, not too many calls. Growth then
         # speeds up, because servers cut together would otherwise stay idle for a minute.
         fast_doublings = (
             max(0, now - max(self.fleet_overloaded_at, host.cut_at) - self.COOLDOWN) / self.FAST_DOUBLING_TIME
--- a/cottonspread/policy/choice.py
+++ b/cottonspread/policy/choice.py
@@ -8,9 +8,9 @@
 class Choice:
     """One search for a server, by `find()`; created anew for each leg, because the fleet's state changes."""
 
-    SKIP_TIME = SECOND // 4  # for so long a server that takes no new keys is not considered again
+    SKIP_TIME = SECOND // 4  # a server that takes no new keys is not considered again for this long
     # All servers, and the dependency that they share, may be ejected, slow or full at the same time, and a
-    # node that attempts nothing learns of no recovery. After this many calls without a leg and this much
+    # node that sends nothing cannot notice a recovery. After this many calls without a leg and this much
     # time (plus up to a second of random jitter, or all nodes would retry in step) an attempt is forced on
     # the next server that is not cold.
     FORCED_AFTER_CALLS, FORCED_AFTER_TIME = 8, 2 * SECOND
@@ -47,7 +47,7 @@
         for host in (recorded, call.probed_host):
             if host and self.is_eligible(host) and self.is_lightly_loaded(host):
                 return host
-        # If no server fits the call is rejected at once: filling the last free one spreads the overload.
+        # If no server fits, the call is rejected at once: filling the last free server spreads the overload.
         if self.settings.groups_share_work and self.settings.nodes > 1 and call.group is not None:
             return self.choose_for_group()
         return self.in_turn()
@@ -77,9 +77,10 @@
     def accepts_new_key(self, host):
         """Whether a new key may go to this server.
 
-        Its load is checked as well as its connection count, because a server with few connections collects
-        heavy ones. A server over the mean is passed over for this call, but not skipped for a time: with few
-        connections each server was over the mean in turn, and calls were rejected while all were idle.
+        Its load is checked as well as its connection count: by count alone, heavy connections would collect
+        on a server with few of them. A server over the mean is passed over for this call, but not skipped for
+        a time: with few connections each server was over the mean in turn, and calls were rejected while all
+        were idle.
         """
         heavy = well_over(host.load / Loads.MEAN, self.mean_load * host.size / self.mean_size)
         if not self.is_lightly_loaded(host) or heavy and not self.readings.has_room(host, self.now):
--- a/cottonspread/policy/health.py
+++ b/cottonspread/policy/health.py
@@ -9,12 +9,12 @@
     MIN_EJECTION_TIME = SECOND  # about the longest queue that a live server clears within its set-up target
     MAX_EJECTION_TIME = 8 * SECOND
     RECOVERY_PERIOD = 3 * SECOND // 4  # together with the bucket in which it begins, a second
-    SHARED_FAULT_SERVERS = 3  # so many servers that time out with no answer in between: a shared fault
-    RECOVERED_AT = 8  # a recovery limit of so many legs is lifted
+    SHARED_FAULT_SERVERS = 3  # this many servers that time out with no answer in between share a fault
+    RECOVERED_AT = 8  # a recovery limit of this many legs is lifted
     EARLY_SLOW_SHARE = 0.7  # of the message target: slow already, where many nodes fill one server
     NEAR_SLOW_SHARE = 0.4  # of the message target: one more connection makes a server slow
-    SAME_REPORT_RATIO = 100  # reports that differ by less than one part in so many are the same
-    # Reported once a second while it lasts: after two missing reports it is over.
+    SAME_REPORT_RATIO = 100  # reports that differ by at most one part in this many are the same
+    # Slowness is reported once a second while it lasts: after two missing reports it is over.
     REPORT_MAX_AGE = 5 * SECOND // 2
 
     def __init__(self, settings):
@@ -90,13 +90,13 @@
         return report.still_slow and (report.growth >= report.interval or stuck)
 
     def is_overloaded(self, host, report, now):
-        """Whether a slow server that still answers is to lose connections now."""
+        """Whether connections should be moved off a slow server that still answers."""
         if host.hung:
             return False  # it is back and working off its backlog
         if report.still_slow and report.delay <= report.previous / 2:
             return False  # its queue will soon be empty: another cut would leave it idle
         # Where probes report load a node holds only a small share of a server's connections. Its second
-        # report comes a second later, and waiting for it loses all nodes the revenue of that second.
+        # report comes a second later, and waiting for it costs all nodes the revenue of that second.
         return (
             self.settings.probes_report_load
             or now - host.slow_since >= SECOND // 2
--- a/cottonspread/policy/overview.py
+++ b/cottonspread/policy/overview.py
@@ -29,7 +29,7 @@
                 self.mark_exceptional(host)
 
     def mark_exceptional(self, host):
-        """Has each call check this server's state, until a refresh finds it ordinary again."""
+        """Makes every call check this server's state, until a refresh finds it ordinary again."""
         self.exceptional[host] = self.watched[host] = None
 
     def means(self):
--- a/cottonspread/policy/path.py
+++ b/cottonspread/policy/path.py
@@ -29,7 +29,7 @@
 class Balancer(Driver):
     """Makes every decision of one node: takes events, returns actions."""
 
-    MAX_MOVE_PRICE = 0.3  # as a part of what a call earns; at a higher price no moves are requested
+    MAX_MOVE_PRICE = 0.3  # as a fraction of a call's revenue; at a higher price no moves are requested
 
     def path(self, call):
         """Runs one call from arrival to its final answer.
@@ -56,7 +56,7 @@
             if isinstance(result, io.LegAccepted):
                 result = yield None  # the connection is established; its end closes the call
             if result.ending is Ending.NOT_SENT:
-                break  # the caller had no time or no leg left to send it
+                break  # the front end had no time or no leg left to send it
         if may_reject(call):
             yield io.Reject(call.id, self.retry_after())
         else:
@@ -79,7 +79,7 @@
             self.pending.append(io.Subscribe())
 
     def call_arrived(self, call):
-        """Counts the call, and schedules a forced attempt if too many calls in a row had none."""
+        """Counts the call, and schedules a forced attempt if too many calls in a row had no leg."""
         call.max_load_ratio = self.readings.draw_bound()
         self.groups.calls.add(call.group)
         self.arrivals.add(self.now)
@@ -132,7 +132,7 @@
         self.membership.drop_gone([leg.host])
 
     def leg_ended_normally(self, leg):
-        """The call completed, or a side cancelled it, as a draining server may do to move its clients."""
+        """Handles a leg that completed or was cancelled. A draining server may cancel to move its clients."""
         host = leg.host
         self.records.touch(leg.call.key, host, self.now)
         host.moves_own_clients |= leg.ending is Ending.CANCELLED and not (leg.move_requested or host.up)
@@ -249,7 +249,7 @@
         self.overview.set_servers(up, self.now)
 
     def withdraw(self, host):
-        """Handles a server that takes nothing new; from a draining one clients are moved one by one.
+        """Handles a server that gets no new calls; clients of a draining one are moved one by one.
 
         The first move comes after half a second.
         """
--- a/cottonspread/policy/readings.py
+++ b/cottonspread/policy/readings.py
@@ -6,15 +6,16 @@
 
 
 class Readings:
-    """Load ratios: the load put on a server over what it can do, as probes report them."""
+    """Load ratios of servers, that is, load divided by capacity, as probes report them."""
 
     MAX_AGE = 4 * SECOND  # older results are ignored
     REPROBE_AFTER = SECOND  # an older result is renewed before a call relies on it
     # A call passes over servers with a load ratio over its bound, drawn from this range: with one bound for
     # all, calls would flock to the same servers.
     LOW, HIGH = 0.55, 0.85
-    MAX_PROBES = 3  # for one call: so the budget of all nodes follows the number of calls
-    BUSY_FROM, WINDOW = 0.4, 8  # the mean of so many results from which a group fills its servers in order
+    MAX_PROBES = 3  # per call, so that the probes of all nodes together grow with the number of calls
+    # From this mean load ratio on, over the last `WINDOW` results, a group fills its servers in order.
+    BUSY_FROM, WINDOW = 0.4, 8
     SILENT_LOAD = 9.0  # the load ratio of a server that does not answer
 
     def __init__(self, rng, settings):
--- a/cottonspread/policy/retries.py
+++ b/cottonspread/policy/retries.py
@@ -23,7 +23,7 @@
 def deduplicated_until(call):
     """Until when a repeat is recognised as one, counted from the first leg that may have run; 0: no limit.
 
-    The connection of a leg chosen in time may come up late, so whoever sends it checks this time as well.
+    The connection of a leg chosen in time may come up late, so the front end checks this time as well.
     """
     ran = may_have_run(call)
     return ran[0].sent_at + call.type.deduplicated_for if ran and call.type.effect is Effect.REFERENCED else 0
--- a/cottonspread/policy/slow_start.py
+++ b/cottonspread/policy/slow_start.py
@@ -6,11 +6,13 @@
 class SlowStart:
     """Caps what a cold server is sent, within this node's share of the budget of all nodes."""
 
-    # Chance of a draw, as a multiple of the node's share of the budget: it seldom has a call to send there.
+    # Chance of a draw, as a multiple of the node's share of the budget. It is over 1 because a node seldom
+    # has a call for the server just when it may send one.
     DRAW_FACTOR = 3.0
-    # The same where many cold servers share the draws: as many calls go there as with 3 for each.
+    # The same for draws that many cold servers share; it sends them as many calls as a factor of 3 with draws
+    # for each server alone.
     SHARED_DRAW_FACTOR = 1.8
-    DEFAULT_NODES = 256  # nodes assumed where their number is not set: too many only cost time
+    DEFAULT_NODES = 256  # nodes assumed if their number is not set; too high a number only slows the warm-up
     INITIAL_SETUPS = 4  # set-ups in flight to a warm server that has not answered any yet
 
     def __init__(self, rng, settings):
--- a/cottonspread/state.py
+++ b/cottonspread/state.py
@@ -87,17 +87,17 @@
     name: object
     entry: io.Entry
     size: float = 1.0  # nominal capacity, its weight in the rotation
-    load_ratio: float = 0.0  # load put on it over what it can do, as last probed
+    load_ratio: float = 0.0  # its load divided by its capacity, as last probed
     load_ratio_at: int = -60 * SECOND
     legs: dict = field(default_factory=dict)  # legs being set up or established, in order of sending
     setups: int = 0  # those of them not yet answered
     groups: Counter = field(default_factory=Counter)
     load: int = 0  # weight of its legs and groups on this node, see `Loads`
-    turn_credit: float = 0.0  # rotation: fraction of a turn accumulated
+    turn_credit: float = 0.0  # rotation: accumulated fraction of a turn
     answers: int = 0  # answered set-ups since its last start or ejection
     last_draw_at: int = -60 * SECOND  # slow start: time of the last draw for a leg to it
     ejected_until: int = 0  # health: no leg before this time
-    skip_until: int = 0  # did not take a new key: not considered again before this time
+    skip_until: int = 0  # found unfit for a new key: not considered again before this time
     recovery_limit: int = 0  # health: legs allowed in `Health.RECOVERY_PERIOD`; 0: no limit
     ejection_time: int = 0  # health: duration of its last ejection; 0: recovered since
     delay: int = 0  # last reported message delay
--- a/cottonspread/structures/cyclic_order.py
+++ b/cottonspread/structures/cyclic_order.py
@@ -72,4 +72,4 @@
                     waiting.append(one)
             if not waiting:
                 return None
-            left, fits = waiting, bool  # these fit already; go round until one has a whole turn
+            left, fits = waiting, bool  # these fit already: go round until one has a full turn
--- a/cottonspread/structures/nominal_sizes.py
+++ b/cottonspread/structures/nominal_sizes.py
@@ -4,7 +4,7 @@
 class NominalSizes:
     """Sizes of servers, that is, their nominal capacities.
 
-    A static weight is the size. A dynamic weight is the size over 1 + calls held a core; then the largest
+    A static weight is the size. A dynamic weight is the size over 1 + open calls per core; then the largest
     weight listed for any server of a kind is the size (or for the server alone, if kinds are not known).
     """
 
--- a/cottonspread/structures/order_cache.py
+++ b/cottonspread/structures/order_cache.py
@@ -13,7 +13,8 @@
 from dataclasses import dataclass
 from zlib import crc32
 
-# 2**32 over the golden ratio. Checksums are multiplied by it: those of similar texts keep their order.
+# 2**32 over the golden ratio. Checksums are multiplied by it, because the plain checksums of similar names
+# keep their order from one key to the next.
 MULTIPLIER = 2654435761
 MASK = 0xFFFFFFFF
 LANE = 8  # bytes of a lane, which holds a checksum times MULTIPLIER
