--- a/tests/test_idle.py
+++ b/tests/test_idle.py
@@ -10,7 +10,7 @@
 from cottonspread.state import SECOND
 
 DURATION = 60 * SECOND
-IDLE, CALLS = 4 * SECOND, 15  # what the long-running test counts as an idle process
+IDLE, CALLS = 4 * SECOND, 15  # from these on the long-running test counts a process as idle
 
 
 def longest_idle(ending, servers, rate, group, **site):
@@ -43,12 +43,12 @@
             carry_out(at, node.handle(at, io.LegEnded(call, number, ending, False)))
         call = f"c{now}"
         carry_out(now, node.handle(now, io.CallArrived(call, 0, 2 * SECOND, call, group and f"g{now % 5}")))
-    assert len(attempts) > DURATION // IDLE, "hardly anything was tried"
+    assert len(attempts) > DURATION // IDLE, "too few calls were attempted"
     return longest
 
 
 def test_a_node_whose_servers_all_fail_goes_on_trying():
-    """Ejections last 8 s and longer: without forced attempts there was none for up to 331 calls."""
+    """Ejections last 8 s and longer: without forced attempts, up to 331 calls in a row were rejected."""
     endings = io.Ending.TIMEOUT, io.Ending.CONNECT_FAILED
     cases = itertools.product(endings, (3, 8, 60), (5, 40), (False, True))
     worst = max(longest_idle(ending, servers, rate, group) for ending, servers, rate, group in cases)
--- a/tests/test_idle_widely.py
+++ b/tests/test_idle_widely.py
@@ -1,13 +1,13 @@
 """A node that gets calls attempts some, however earlier attempts ended and whatever its servers report.
 
-Guards against a node that attempts nothing and so learns of no recovery. All servers fail, or all are slow,
-or all report to probes that they are full. Each is then ejected or passed over (`Health.record_failure`,
+Guards against a node that sends nothing and therefore never notices a recovery: all servers fail, are slow
+or report to probes that they are full, so each is ejected or passed over (`Health.record_failure`,
 `Overview.is_near_slow`, `Ceilings.has_room`, `Readings.exceeds_bound`), perhaps also the dependency that they
 share (`Driver.shared_dependency`), each for its own time and independently. Every call is rejected.
 
-The longest time without an attempt was 9.0 s where servers failed, and far longer where all were slow or
-reported that they were full; the log says `ejected for 8000 ms` for server after server, and then nothing.
-`Choice.forced` ends such times; see docs/incidents/2026-12-03-all-rest-at-once.md.
+Before `Choice.forced` the longest time without an attempt was 9.0 s where servers failed, and far longer
+where all were slow or reported that they were full; the log says `ejected for 8000 ms` for one server after
+another, and then nothing. See docs/incidents/2026-12-03-all-rest-at-once.md.
 """
 
 import heapq
@@ -24,7 +24,7 @@
 from cottonspread.state import SECOND
 
 DURATION, RECOVERY_TIME = 40 * SECOND, 20 * SECOND
-IDLE, CALLS = 4 * SECOND, 15  # what the long-running test counts as an idle process
+IDLE, CALLS = 4 * SECOND, 15  # from these on the long-running test counts a process as idle
 FAILURES = (Ending.TIMEOUT, Ending.CONNECT_FAILED, Ending.RESET, Ending.ERROR, Ending.FULL)
 ANSWER_TIME = 1000  # microseconds
 REPORT_INTERVAL = SECOND  # between two delay reports of a server
--- a/tests/test_many_nodes.py
+++ b/tests/test_many_nodes.py
@@ -1,4 +1,4 @@
-"""Behaviour that shows with many nodes only: balancers with seeds of their own that get the same server list,
+"""Behaviour that appears only with many nodes: balancers with different seeds that get the same server list
 and know nothing of one another.
 """
 
@@ -169,7 +169,7 @@
 
 
 def test_another_poll_interval_applies_from_the_reload_on():
-    """Guards against a poll delay that stays with the settings of the start."""
+    """Guards against a poll delay that keeps following the settings from the start."""
     site, types = {"list": "ask"}, (traffic_type("t", {}),)
     node = Balancer(0, node_config(site, types))
     node.handle(
--- a/tests/test_reducer.py
+++ b/tests/test_reducer.py
@@ -29,7 +29,7 @@
 The sockets to hosts are named h1, h2, .. in the order in which they are opened. Writes are done at once
 unless held.
 
-The world below checks in every scenario: at most one pending read and write per socket, nothing after a
+`World` checks in every scenario: at most one pending read and write per socket, nothing after a
 socket is freed, exactly one final answer per call, in time (unless the node was stalled), no socket, call or
 leg left at the end, and counters that agree with the lines on the connections.
 """
@@ -193,7 +193,7 @@
         return +Counter(counters.answers | {"backend_calls": counters.backend_calls})
 
     def act(self, now, verb, args):
-        while verb != "stall" and self.reducer.due() < now:  # the calls that the node's loop makes in between
+        while verb != "stall" and self.reducer.due() < now:  # the steps that the node's loop runs in between
             self.now = max(self.now, self.reducer.due())
             self.step(ev.Tick())
         self.now, at = now, 0
@@ -404,7 +404,7 @@
 
 @pytest.mark.parametrize("seed", range(150))
 def test_random_events_give_one_answer_per_call_and_free_all_sockets(seed):
-    """Plays a hundred random events, each possible in its state; the world checks the results."""
+    """Plays a hundred random events, each possible in its state; `World` checks the results."""
     rng = SeededRandom(seed)
 
     def choice(choices):
