--- a/cottonspread/net/lines.py
+++ b/cottonspread/net/lines.py
@@ -91,7 +91,7 @@
                     self.buffer[: self.filled] = self.buffer[end : end + self.filled]
                     self.partial_since = time.monotonic()
                 else:
-                    self.drop()
+                    self.discard_buffer()
                 return complete
             if self.filled == len(self.buffer):
                 raise LineError("long-line")
@@ -114,7 +114,7 @@
             self.released = False
             return not self.idle
 
-    def drop(self):
+    def discard_buffer(self):
         """Discards what was read and returns the buffer to the pool."""
         if self.buffer is not None:
             self.pool.release(self.buffer)
--- a/cottonspread/net/reducer.py
+++ b/cottonspread/net/reducer.py
@@ -385,7 +385,7 @@
             self.end_call(conn, "held-by-unknown", lines.ERR)
             return
         self.read(conn.client)  # to notice when the client leaves
-        self.call_at(conn.guard + self.config.tick, self.overdue, conn)
+        self.call_at(conn.guard + self.config.tick, self.end_overdue_call, conn)
         self.queue_event(
             io.CallArrived(
                 conn,
@@ -417,7 +417,7 @@
         self.expect_echo(leg)
         self.write(leg.end, data)
 
-    def overdue(self, conn):
+    def end_overdue_call(self, conn):
         """Logs an error and ends the call if the balancer has not answered it within its guard time."""
         if not conn.answered and not conn.up:
             self.effects.append(ev.Log("overdue", {"call": conn.request.id}, "error"))
@@ -456,7 +456,7 @@
 
     def start_leg(self, conn, host_name, deadline, send_by):
         """Starts the leg that the balancer asks for, or ends it at once if it must not start any more."""
-        leg = Leg(conn, len(conn.legs), self.host(host_name), deadline, send_by)
+        leg = Leg(conn, len(conn.legs), self.get_or_add_host(host_name), deadline, send_by)
         running = [other for other in conn.legs if not other.ended]
         if (
             conn.answered
@@ -608,7 +608,7 @@
             self.counters.count_answer("success", conn.type.name)
             # The host may have been removed from the list and added again meanwhile. The leg must belong to
             # the new object: nobody checks the old one for missing echoes.
-            leg.host = self.host(leg.host.name)
+            leg.host = self.get_or_add_host(leg.host.name)
             conn.setup_time = self.now - conn.accepted_at
             self.leg_established(leg)
             if self.transfers_enabled:
@@ -756,7 +756,7 @@
 
         If there is no room for the probe, the result is FULL, which says nothing about the host.
         """
-        host = self.host(name)
+        host = self.get_or_add_host(name)
         if host.address is None:
             self.queue_event(io.ProbeEnded(name, Ending.CONNECT_FAILED))
         elif (
@@ -1037,7 +1037,7 @@
 
     # The host list
 
-    def host(self, name):
+    def get_or_add_host(self, name):
         """The host of that name, which is added if it is not known."""
         if name not in self.hosts:
             self.hosts[name] = Host(name, MessageDelays(self.slow_threshold), order=self.next_order())
@@ -1046,7 +1046,7 @@
     def list_received(self, e):
         """Takes over an update of the host list and passes it to the balancer."""
         for name, address in e.addresses.items():
-            self.host(name).address = address
+            self.get_or_add_host(name).address = address
         self.has_hosts = self.has_hosts or any(entry.state is io.HostState.UP for entry in e.update.entries)
         self.queue_event(e.update)
         # Dynamic weights arrive every second; only hosts that were added, removed or restarted are logged.
@@ -1218,7 +1218,7 @@
         leg = Leg(
             conn,
             0,
-            self.host(offered.host),
+            self.get_or_add_host(offered.host),
             0,
             end=e.host,
             write_issued=True,
--- a/cottonspread/net/workers.py
+++ b/cottonspread/net/workers.py
@@ -136,7 +136,7 @@
         shuts it down in the end.
         """
         if self.line_reader is not None:
-            self.line_reader.drop()
+            self.line_reader.discard_buffer()
         try:
             burst, remaining = 0, MAX_DISCARDED
             while remaining > 0 and (got := self.discard_some()):
@@ -171,7 +171,7 @@
     def release(self):
         """Closes the socket and detaches the thread from its connection end."""
         if self.line_reader is not None:
-            self.line_reader.drop()
+            self.line_reader.discard_buffer()
         if self.sock is not None:
             self.sock.close()
         self.end.worker = None
--- a/cottonspread/policy/path.py
+++ b/cottonspread/policy/path.py
@@ -222,8 +222,10 @@
     def request_moves(self, host, delay, why, leaving):
         """Asks clients of a slow server to reconnect elsewhere, if a move is worth its price."""
         if leaving and self.settings.move_price <= self.MAX_MOVE_PRICE:
-            took = f"messages take {delay // 1000} ms"
-            self.pending.append(io.Log(f"{host.name}: {took}, {why}: moving {len(leaving)} connections"))
+            delay_text = f"messages take {delay // 1000} ms"
+            self.pending.append(
+                io.Log(f"{host.name}: {delay_text}, {why}: moving {len(leaving)} connections")
+            )
             for leg in leaving:
                 self.move(leg)
 
--- a/cottonspread/structures/order_cache.py
+++ b/cottonspread/structures/order_cache.py
@@ -109,7 +109,7 @@
     def sorted(self, key, servers):
         """The given servers in the key's order."""
         key_sum = key_checksum(key)
-        return sorted(servers, key=lambda one: (rank(key_sum, name_of(one)), one.name))
+        return sorted(servers, key=lambda server: (rank(key_sum, name_of(server)), server.name))
 
     def extend(self, key, prefix, count):
         """Computes and caches a prefix of about `count` servers, longer than `prefix`."""
@@ -127,9 +127,10 @@
         """(Checksums, their servers) for each length of names."""
         if self.lanes is None:
             by_length = defaultdict(list)
-            for one in self.servers:
-                by_length[len(name_of(one))].append(one)
+            for server in self.servers:
+                by_length[len(name_of(server))].append(server)
             self.lanes = [
-                (Checksums([name_of(one) for one in servers]), servers) for servers in by_length.values()
+                (Checksums([name_of(server) for server in servers]), servers)
+                for servers in by_length.values()
             ]
         return self.lanes
