--- a/tests/notation.py
+++ b/tests/notation.py
@@ -16,55 +16,63 @@
     return round(float(value) * 1000)
 
 
-def traffic_type(name, o):
-    """The traffic type of a `type` line; `o`: its options."""
-    effect = io.Effect(o.get("effect", "may run again").replace("_", " "))
+def traffic_type(name, options):
+    """The traffic type of a `type` line; `options`: its WORD=VALUE pairs."""
+    effect = io.Effect(options.get("effect", "may run again").replace("_", " "))
     return io.TrafficType(
         name,
         effect,
-        o.get("scope", "all"),
-        ms(o.get("remembered", 5000)),
-        ms(o.get("setup", 300)),
-        ms(o.get("guard", 1200)),
-        float(o.get("revenue", 1)),
-        ms(o.get("message", 50)),
+        options.get("scope", "all"),
+        ms(options.get("remembered", 5000)),
+        ms(options.get("setup", 300)),
+        ms(options.get("guard", 1200)),
+        float(options.get("revenue", 1)),
+        ms(options.get("message", 50)),
     )
 
 
-def node_config(o, types, tenants=()):
-    """The node configuration of a `site` line; `o`: its options."""
+def node_config(options, types, tenants=()):
+    """The node configuration of a `site` line; `options`: its WORD=VALUE pairs."""
     return io.NodeConfig(
-        int(o.get("seed", 7)),
+        int(options.get("seed", 7)),
         0,
-        int(o.get("nodes", 1)),
-        int(o.get("zone", 0)),
+        int(options.get("nodes", 1)),
+        int(options.get("zone", 0)),
         ms(2),
         tuple(types),
-        tuple(io.Tenant(str(n), 1, 0, float(q)) for n, q in enumerate(o.get("quota", "").split(",")) if q),
-        io.LegLimits(int(o.get("legs", 4)), False, True, "retry_after" in o, ms(o.get("retry_after", 0))),
-        io.ColdStart(float(o.get("cold", 0.12)), ms(o.get("warm", 20000)), 2.5, ms(2000)),
-        io.ServerListRules(o.get("list") == "ask", ms(10000), ms(400)),
-        io.Prices(float(o.get("crossing", 0)), float(o.get("moving", 0.03))),
+        tuple(
+            io.Tenant(str(n), 1, 0, float(q)) for n, q in enumerate(options.get("quota", "").split(",")) if q
+        ),
+        io.LegLimits(
+            int(options.get("legs", 4)),
+            False,
+            True,
+            "retry_after" in options,
+            ms(options.get("retry_after", 0)),
+        ),
+        io.ColdStart(float(options.get("cold", 0.12)), ms(options.get("warm", 20000)), 2.5, ms(2000)),
+        io.ServerListRules(options.get("list") == "ask", ms(10000), ms(400)),
+        io.Prices(float(options.get("crossing", 0)), float(options.get("moving", 0.03))),
         False,
-        "tell" in o,
+        "tell" in options,
         True,
-        "probe" in o,
-        "moving_weights" in o,
+        "probe" in options,
+        "moving_weights" in options,
     )
 
 
 def entry(word):
     """The list's entry of a server written as HOST[:OPTION=VALUE[,...]]."""
     name, _, rest = word.partition(":")
-    o = pairs(rest.split(",")) if rest else {}
+    options = pairs(rest.split(",")) if rest else {}
     return io.Entry(
         name,
-        int(o.get("zone", 0)),
-        int(o.get("kind", 0)),
-        float(o.get("size", 1)),
-        int(o.get("cell", 0)),
-        ms(o.get("started", 0)),
-        io.HostState(o.get("state", "up")),
+        int(options.get("zone", 0)),
+        int(options.get("kind", 0)),
+        float(options.get("size", 1)),
+        int(options.get("cell", 0)),
+        ms(options.get("started", 0)),
+        io.HostState(options.get("state", "up")),
     )
 
 
--- a/tests/test_idle_widely.py
+++ b/tests/test_idle_widely.py
@@ -37,18 +37,19 @@
         self.node = Balancer(0, node_config(site, (traffic_type("t", {}),)))
         self.servers = [f"s{number}" for number in range(servers)]
         self.handle(0, io.ListUpdate(io.ListUpdateKind.FULL, 1, tuple(entry(name) for name in self.servers)))
-        self.between, self.grouped = SECOND // rate, grouped
+        self.call_interval, self.grouped = SECOND // rate, grouped
         self.scheduled = []  # (time, number, event) still to be passed to the node, a heap
         self.sequence = itertools.count()
         self.attempts = {}  # call: how many legs it had
         self.last_attempt, self.rejected, self.longest_idle = 0, 0, 0
-        self.resumed_at, self.tried = [], set()  # times at which idle times ended; servers that got attempts
+        # times at which idle times ended; servers that got attempts
+        self.resumed_at, self.attempted = [], set()
 
     def handle(self, now, event):
         for action in self.node.handle(now, event):
             if isinstance(action, io.Send):
                 self.end_idle_time(now)
-                self.tried.add(action.host)
+                self.attempted.add(action.host)
                 leg = self.attempts.get(action.call, 0)
                 self.attempts[action.call] = leg + 1
                 self.sent(now, action, leg)
@@ -69,11 +70,11 @@
         heapq.heappush(self.scheduled, (at, next(self.sequence), event))
 
     def run(self, first, last):
-        for now in range(first, last, self.between):
+        for now in range(first, last, self.call_interval):
             while self.scheduled and self.scheduled[0][0] <= now:
                 at, _, event = heapq.heappop(self.scheduled)
                 self.handle(at, event)
-            number = now // self.between
+            number = now // self.call_interval
             group = f"g{number % 5}" if self.grouped else None
             self.handle(now, io.CallArrived(f"c{now}", 0, 2 * SECOND, f"c{now}", group))
 
@@ -200,9 +201,9 @@
     simulation.run(SECOND, 20 * SECOND)
     left = (entry("s0:state=draining"), entry("s1:state=gone"), entry("s2:state=draining"))
     simulation.handle(20 * SECOND, io.ListUpdate(io.ListUpdateKind.CHANGES, 2, left))
-    simulation.tried.clear()
+    simulation.attempted.clear()
     simulation.run(20 * SECOND, 60 * SECOND)
-    assert simulation.tried == {"s3", "s4", "s5"}
+    assert simulation.attempted == {"s3", "s4", "s5"}
 
 
 def test_no_cold_server_is_tried_beyond_its_budget_when_all_are_ejected():
--- a/tests/test_lateness.py
+++ b/tests/test_lateness.py
@@ -6,14 +6,14 @@
 
 
 def test_lateness_is_the_maximum_of_the_last_half_to_whole_second_and_negligible_ones_are_0():
-    one = Lateness()
-    one.record(0, 5_000)
-    assert one.recent_max(10) == 0
-    one.record(100, 300_000)
-    assert one.recent_max(SECOND * 9 // 10) == 300_000
-    assert one.recent_max(SECOND * 16 // 10) == 0
-    one.record(9 * SECOND, 2 * SECOND)
-    assert one.recent_max(12 * SECOND) == 0
+    lateness = Lateness()
+    lateness.record(0, 5_000)
+    assert lateness.recent_max(10) == 0
+    lateness.record(100, 300_000)
+    assert lateness.recent_max(SECOND * 9 // 10) == 300_000
+    assert lateness.recent_max(SECOND * 16 // 10) == 0
+    lateness.record(9 * SECOND, 2 * SECOND)
+    assert lateness.recent_max(12 * SECOND) == 0
 
 
 def simulate(arrivals, service_rate, pause=(0, 0), target=100_000):
@@ -24,13 +24,13 @@
     limiter, refused, queue, done, free_at = AdmissionLimiter(target), [], [], [], 0
     for at in sorted(arrivals):
         while queue and max(free_at, queue[0]) + SECOND // service_rate <= at:
-            came = queue.pop(0)
-            free_at = max(free_at, came)
+            arrived_at = queue.pop(0)
+            free_at = max(free_at, arrived_at)
             if pause[0] <= free_at < pause[1]:
                 free_at = pause[1]
-            limiter.record_wait(free_at, free_at - came)
+            limiter.record_wait(free_at, free_at - arrived_at)
             free_at += SECOND // service_rate
-            done.append((free_at, free_at - came))
+            done.append((free_at, free_at - arrived_at))
         if pause[0] <= at < pause[1]:
             queue.append(at)  # it waits in the kernel's backlog: the limiter is not asked
         elif limiter.admits(at):
--- a/tests/test_reducer.py
+++ b/tests/test_reducer.py
@@ -422,17 +422,21 @@
     for n in range(100):
         now += ms(choice([0, 1, 3, 40, 400, 1100]))
         world.act(now, "tick", [])
-        moves = [("accept", [f"c{n}"])] * 3 + [("tick", []), ("list_failed", [])]
-        moves += [("list", ["changes", f"{choice('abc')}:state={choice(['up', 'draining', 'gone', 'up'])}"])]
-        moves += [("stop", [[], ["transfer"]][rng.below(2)])] if n > 80 else [("drain", []), ("resume", [])]
+        possible_events = [("accept", [f"c{n}"])] * 3 + [("tick", []), ("list_failed", [])]
+        possible_events += [
+            ("list", ["changes", f"{choice('abc')}:state={choice(['up', 'draining', 'gone', 'up'])}"])
+        ]
+        possible_events += (
+            [("stop", [[], ["transfer"]][rng.below(2)])] if n > 80 else [("drain", []), ("resume", [])]
+        )
         if world.transferring:
-            moves += [
+            possible_events += [
                 (
                     "transfer_done",
                     [world.names[world.transferring.client], choice(["accepted", "refused", "retry"])],
                 )
             ] * 9
-        moves += [
+        possible_events += [
             (
                 "offer",
                 [
@@ -449,11 +453,11 @@
             if world.transferring and end in (world.transferring.client, world.transferring.host):
                 continue  # it is not read meanwhile
             if end in world.writing:
-                moves += [("written", [name]), ("written", [name, "failed"])]
+                possible_events += [("written", [name]), ("written", [name, "failed"])]
             elif not end.is_client and not end.freed and not end.connected:
-                moves += [("connected", [name])] * 3 + [("connect_failed", [name])]
+                possible_events += [("connected", [name])] * 3 + [("connect_failed", [name])]
             elif end in world.reading and end.is_client and end.conn.request is None:
-                moves += [
+                possible_events += [
                     (
                         "read",
                         [
@@ -466,9 +470,12 @@
                     )
                 ] * 3
             elif end in world.reading:
-                moves += [("read", [name, choice(LINES) if not end.is_client else f"M {n} cd"])] * 4
-                moves += [("end", [name, choice(["end", "reset", "half-line"])]), ("hold_write", [name])]
-        verb, args = choice(moves)
+                possible_events += [("read", [name, choice(LINES) if not end.is_client else f"M {n} cd"])] * 4
+                possible_events += [
+                    ("end", [name, choice(["end", "reset", "half-line"])]),
+                    ("hold_write", [name]),
+                ]
+        verb, args = choice(possible_events)
         world.act(now, verb, " ".join(args).split())
     world.finish()
 
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -33,17 +33,17 @@
         return io.ListUpdate(kind, 0, tuple(entry(w) for w in args[1:]))
     if verb in ("call", "open"):
         held = args.pop(1) if verb == "open" else None
-        o = pairs(args[1:])
+        options = pairs(args[1:])
         names = [t.name for t in types]
         return io.CallArrived(
             args[0],
-            names.index(o["type"]) if "type" in o else 0,
-            ms(o.get("left", 1200)),
-            o.get("key"),
-            o.get("group"),
-            int(o.get("tenant", 0)),
+            names.index(options["type"]) if "type" in options else 0,
+            ms(options.get("left", 1200)),
+            options.get("key"),
+            options.get("group"),
+            int(options.get("tenant", 0)),
             0.0,
-            "returned" in o,
+            "returned" in options,
             held,
         )
     if verb == "done":
