--- a/cottonspread/front/__init__.py
+++ b/cottonspread/front/__init__.py
@@ -1,1 +1,1 @@
-"""What all front ends of the decision module share, without I/O."""
+"""Code that all front ends of the decision module share. Does no I/O."""
--- a/cottonspread/net/logfmt.py
+++ b/cottonspread/net/logfmt.py
@@ -81,9 +81,8 @@
     """
     handler = logging.StreamHandler()
     handler.setFormatter(FORMATS[format](node, **common))
-    logging.raiseExceptions = (
-        False  # on a full disk lines are lost, without tracebacks that could not be written either
-    )
+    # On a full disk lines are lost, without tracebacks that could not be written either.
+    logging.raiseExceptions = False
     records = queue.Queue(QUEUE_SIZE)
     root = logging.getLogger("cottonspread")
     root.handlers, root.propagate = [DroppingQueueHandler(records)], False
--- a/cottonspread/net/message_delays.py
+++ b/cottonspread/net/message_delays.py
@@ -1,7 +1,7 @@
 """Estimates the delay of a host's messages from what its connections show.
 
-There are two sources. The age of a line without an echo is a lower bound on the delay. And a `LOAD X` line
-may be one of two reports, without saying which: the load of its connection in microseconds a second, or the
+There are two sources. The age of a line without an echo is a lower bound on the delay. A `LOAD X` line may be
+one of two reports and does not say which: the load of its connection in microseconds a second, or the
 delay of a message at the host in milliseconds. (On the test bench, the values that the simulator gives as
 delay reports arrived as LOAD lines, once a second, among loads a thousand times as large. When they were
 taken for loads, the connections of an overloaded host counted as almost idle.) `MessageDelays.classify` tells
@@ -80,8 +80,8 @@
     candidates: deque = field(default_factory=lambda: deque(maxlen=32))  # of the last two seconds
     # (signals of the connection, its load before) of delays that were reported as loads
     misread_loads: list = field(default_factory=list)
-    # Each is a hang or a load: (when, delay, signals of the connection, its load before, silence that it
-    # takes to accept it as a hang).
+    # LOAD lines that are either loads or reports of a hang: (when, delay, signals of the connection, its load
+    # before, silence from which it is accepted as a hang).
     suspected_hangs: deque = field(default_factory=lambda: deque(maxlen=8))
 
     def undecided(self):
--- a/cottonspread/structures/cyclic_order.py
+++ b/cottonspread/structures/cyclic_order.py
@@ -60,8 +60,8 @@
     def next(self, fits, now, servers):
         """The next of `servers` that is not to be skipped and `fits(server)`, or None.
 
-        A server of half the largest size takes every second turn. `servers`: as `following`, `in_zone`
-        or `among` yield them.
+        A server of half the largest size takes every second turn. `servers`: in the order in which
+        `following`, `in_zone` or `among` yield them.
         """
         remaining = (server for server in servers if server.skip_until <= now)
         while True:
--- a/tests/test_reducer.py
+++ b/tests/test_reducer.py
@@ -68,10 +68,8 @@
         self.ends, self.names, self.held_writes, self.out = {}, {}, set(), []
         self.reading, self.writing, self.freed, self.answers = set(), set(), set(), {}
         self.probes = []
-        self.transferring, self.transferred = (
-            None,
-            set(),
-        )  # a `Transfer` in progress; the sockets that the successor has got
+        # a `Transfer` in progress; the sockets that the successor has got
+        self.transferring, self.transferred = None, set()
         self.got_first_line = set()  # hosts' sockets on which a first line was written completely
         self.taken_over = set()  # sockets of connections that the previous process opened
         self.now = 0
@@ -146,7 +144,7 @@
             self.out.append(["free", name])
 
     def transfer(self, effect, *_):
-        assert {effect.client, effect.host} <= self.reading, "transferred while it is not being read"
+        assert {effect.client, effect.host} <= self.reading, "transferred while not being read"
         assert not {effect.client, effect.host} & self.writing and not self.transferring
         self.transferring = effect
         one = effect.connection
