--- a/cottonspread/policy/choice.py
+++ b/cottonspread/policy/choice.py
@@ -6,7 +6,7 @@
 
 
 class Choice:
-    """One search for a server, by `find()`; created anew for each leg, because the fleet's state changes."""
+    """One search for a server, by `host()`; created anew for each leg, because the fleet's state changes."""
 
     SKIP_TIME = SECOND // 4  # a server that takes no new keys is not considered again for this long
     # All servers, and the dependency that they share, may be ejected, slow or full at the same time, and a
@@ -30,7 +30,7 @@
             self.settings.nodes == 1 or node.rng.below(1000) >= 2500 * self.overview.slow_share**2
         )
 
-    def find(self):
+    def host(self):
         """The server for the next leg; None if no server may get it now."""
         paused = not self.health.may_send(self.node.shared_dependency, self.now)
         host = None if paused and not self.forced else self.choose()
--- a/cottonspread/policy/path.py
+++ b/cottonspread/policy/path.py
@@ -42,7 +42,7 @@
             call, self.now
         ):
             until = self.leg_deadline(call)
-            host = Choice(self, call).find() if until else None
+            host = Choice(self, call).host() if until else None
             if host is None:
                 break
             # This node's own counts (often no more than one connection a server) leave out the load that
