--- a/cottonspread/interface.py
+++ b/cottonspread/interface.py
@@ -299,7 +299,7 @@
     """Tell the client that the call is rejected and that a retry is harmless."""
 
     call: object
-    retry_after: int = 0  # 0: the client gets no time
+    retry_after: int = 0  # 0: not given to the client
 
 
 @dataclass(frozen=True)
--- a/cottonspread/net/reducer.py
+++ b/cottonspread/net/reducer.py
@@ -403,7 +403,7 @@
             self.open_leg(Leg(conn, len(conn.legs), host, conn.guard), REATTACH_TIMEOUT // 4)
 
     def retry_after(self):
-        """Microseconds after which a refused client should come back; 0: the client gets no time."""
+        """Microseconds after which a refused client should come back; 0: not given."""
         return self.config.legs.max_retry_after // 2 if self.config.legs.may_retry_after else 0
 
     def client_lines(self, conn, data):
