--- a/cottonspread/driver.py
+++ b/cottonspread/driver.py
@@ -57,8 +57,8 @@
         The key of a call with a group is the group.
         """
         key = e.group if e.group is not None else e.key
-        kind, most = self.settings.types[e.type], self.settings.limits.max_legs
-        call = Call(e.call, kind, key, e.group, self.now + e.time_left, e.returned, max_legs=most)
+        traffic_type, max_legs = self.settings.types[e.type], self.settings.limits.max_legs
+        call = Call(e.call, traffic_type, key, e.group, self.now + e.time_left, e.returned, max_legs=max_legs)
         self.calls[call.id], call.path = call, self.path(call)
         self.calls_since_leg += 1
         self.call_arrived(call)
@@ -126,7 +126,7 @@
         call = self.calls.get(e.call)
         leg = call.legs[e.leg] if call and e.leg < len(call.legs) else None
         if leg is None or leg.ending:
-            return  # both sides may end a leg at the same time: nothing is kept of it any more
+            return  # both sides may end a leg at the same time: the second event is ignored
         if isinstance(e, io.LegAccepted):
             self.accept_leg(leg, e)
             return
@@ -241,5 +241,5 @@
         raise NotImplementedError
 
     def move_next_draining(self):
-        """Called when the next client is to be moved off a draining server."""
+        """Called when it is time to move the next client off a draining server."""
         raise NotImplementedError
--- a/cottonspread/front/lateness.py
+++ b/cottonspread/front/lateness.py
@@ -9,7 +9,7 @@
 from collections import deque
 
 SECOND = 1_000_000
-HALF = SECOND // 2
+HALF_SECOND = SECOND // 2
 
 
 class Lateness:
@@ -28,8 +28,8 @@
 
     def end_half_second(self, now):
         """Starts a new half second if the current one is over."""
-        if now - self.since >= HALF:
-            self.previous = self.current if now - self.since < 2 * HALF else 0
+        if now - self.since >= HALF_SECOND:
+            self.previous = self.current if now - self.since < 2 * HALF_SECOND else 0
             self.since, self.current = now, 0
 
     def recent_max(self, now):
@@ -43,17 +43,18 @@
     """Decides which new connections to refuse because the node itself cannot keep up.
 
     It goes by how long clients' first lines had waited when the reducer got to them, on the mean over a tenth
-    of a second. If that is over `target` twice and not falling, the admitted rate is cut to 0.85 of what the
-    node handled lately, which is what it can do while it is late: so the queue drains, and repeated cuts do
-    not make the rate collapse. Under half the target the rate grows again. While the wait falls by itself, as
-    after a pause of the node, nothing is cut, because what waits there can still be answered.
+    of a second. If that is over `target` twice and not falling, the admitted rate is cut to 0.85 of the rate
+    that the node handled lately. That rate is its capacity while it is late, so the queue drains, and
+    repeated cuts do not make the rate collapse. Under half the target the rate grows again. While the wait
+    falls by itself, as after a pause of the node, nothing is cut, because what waits there can still be
+    answered.
     """
 
     INTERVAL = SECOND // 10
-    INTERVALS = 5  # over so many, what the node handled is counted
+    INTERVALS = 5  # handled and arrived connections are counted over this many intervals
     CUT, GROWTH = 0.85, 1.01
-    DROP_LIMIT_AT = 2  # a limit of so many times the arrival rate is dropped
-    MIN_RATE = 10.0  # a second: some are always admitted, or nothing would show that the overload is over
+    DROP_LIMIT_AT = 2  # a limit of this many times the arrival rate is dropped
+    MIN_RATE = 10.0  # a second: some are always admitted, or the end of an overload would go unnoticed
 
     def __init__(self, target):
         """`target`: microseconds for which first lines may wait."""
@@ -78,16 +79,16 @@
         self.handled.append(self.wait_count)
         self.arrivals.append(self.arrived)
         mean = self.wait_sum // self.wait_count if self.wait_count else 0
-        a_second = SECOND / self.INTERVAL / len(self.handled)
+        per_second = SECOND / self.INTERVAL / len(self.handled)
         if (
             mean > self.target
             and self.last_mean > self.target
             and mean > self.last_mean - self.INTERVAL // 10
         ):
-            self.rate = max(self.MIN_RATE, self.CUT * sum(self.handled) * a_second)
+            self.rate = max(self.MIN_RATE, self.CUT * sum(self.handled) * per_second)
         elif mean < self.target // 2 and self.rate:
             self.rate *= self.GROWTH
-            if self.rate > self.DROP_LIMIT_AT * max(sum(self.arrivals) * a_second, self.MIN_RATE):
+            if self.rate > self.DROP_LIMIT_AT * max(sum(self.arrivals) * per_second, self.MIN_RATE):
                 self.rate = 0.0
         self.last_mean, self.wait_sum, self.wait_count, self.arrived, self.interval_end = (
             mean,
--- a/cottonspread/net/logfmt.py
+++ b/cottonspread/net/logfmt.py
@@ -10,7 +10,7 @@
 QUEUE_SIZE = 4096  # log records that may wait to be written
 
 
-def pair(key, value):
+def format_pair(key, value):
     """`key=value`, quoted where needed; floats with three decimals."""
     text = f"{value:.3f}" if isinstance(value, float) else str(value)
     plain = text and text.isprintable() and not set(text) & set(' ="')
@@ -44,7 +44,7 @@
 
     def format(self, record):
         """The line for a record."""
-        return " ".join(pair(k, v) for k, v in self.pairs(record).items())
+        return " ".join(format_pair(k, v) for k, v in self.pairs(record).items())
 
 
 class JsonFormatter(KeyValueFormatter):
@@ -81,9 +81,8 @@
     """
     handler = logging.StreamHandler()
     handler.setFormatter(FORMATS[format](node, **common))
-    logging.raiseExceptions = (
-        False  # on a full disk lines are lost, without tracebacks that could not be written either
-    )
+    # On a full disk lines are lost, without tracebacks that could not be written either.
+    logging.raiseExceptions = False
     records = queue.Queue(QUEUE_SIZE)
     root = logging.getLogger("cottonspread")
     root.handlers, root.propagate = [DroppingQueueHandler(records)], False
--- a/cottonspread/net/reducer.py
+++ b/cottonspread/net/reducer.py
@@ -32,12 +32,12 @@
 ECHO_CHECK_INTERVAL = SECOND // 10  # how often hosts are checked for missing echoes
 FIRST_LINE_TIMEOUT = 2 * SECOND  # for a client's first line, including the PINGs before it
 PENDING_CLIENTS_DIVISOR = 5  # at most 1 / this of all sockets may be clients without a first line
-MAX_WAIT_FACTOR = 10  # times the longest guard time; a client that claims to wait longer is in error
+MAX_WAIT_FACTOR = 10  # times the longest guard time; a first line with a longer wait is invalid
 LINGER_TIMEOUT = SECOND  # for the other side to close its half of a closed connection
 LINGER_RESERVE_DIVISOR = 10  # no lingering once fewer than 1 / this of all sockets are left
 HANG_DELAY = SECOND // 2  # a healthy host never pauses that long
 MAX_ENDED_IDS = 2000  # ids of ended calls that are remembered
-WRITE_TIMEOUT = 3 * SECOND  # a peer that reads nothing for so long is given up
+WRITE_TIMEOUT = 3 * SECOND  # a connection whose peer reads nothing for this long is closed
 # A client tolerates 7 s without an echo, counted from the last one, and its next line may be sent up to 2 s
 # later. Its connection is moved away from a silent host before that.
 ECHO_TIMEOUT = 9 * SECOND // 2
@@ -78,7 +78,7 @@
     max_legs: int = 1  # likewise
     guard: int = 0  # the end of its guard time
     legs: list = field(default_factory=list)
-    answered: bool = False  # it had its final answer, or its client has left
+    answered: bool = False  # it has had its final answer, or its client has left
     up: bool = False  # established: a host accepted the call
     move_reason: str = ""  # reason code if the client is to be moved; "" if not
     reason: str = ""  # reason code of its end; "" while it is open
@@ -139,7 +139,7 @@
             ActiveSet(host_is_active, order),
         )
         self.probing = set()  # hosts with a running probe whose result the balancer waits for
-        self.probes = 0  # that are running
+        self.probes = 0  # number of running probes
         self.counters = Counters(())
         self.has_hosts, self.drain_controller = False, DrainController(self)
         # whether a successor takes over connections, and the connection that it is being offered now
@@ -207,15 +207,15 @@
         self.lateness.record(self.now, self.now - min(self.event_time, self.due()))
         self.run_balancer()  # events left over from a step that raised
         while self.timers and self.timers[0][0] <= self.now:
-            what, args = heapq.heappop(self.timers)[2:]
-            what(*args)
+            callback, args = heapq.heappop(self.timers)[2:]
+            callback(*args)
             self.run_balancer()
         self.handlers[type(event)](event)
         self.run_balancer()
         effects, self.effects = self.effects, []
         return effects
 
-    def after_fault(self, event):
+    def handle_exception(self, event):
         """Ends the connection that the event was about, after `step` raised; returns the effects."""
         conn = getattr(getattr(event, "end", None), "conn", None)
         if conn is not None and not conn.reason:
@@ -228,14 +228,14 @@
         """When `step` must be called next even if nothing happens."""
         return self.timers[0][0] if self.timers else self.now + SECOND
 
-    def call_at(self, when, what, *args):
-        """Calls `what(*args)` at the given time."""
+    def call_at(self, when, callback, *args):
+        """Calls `callback(*args)` at the given time."""
         self.last_sequence += 1
-        heapq.heappush(self.timers, (when, self.last_sequence, what, args))
+        heapq.heappush(self.timers, (when, self.last_sequence, callback, args))
 
-    def call_later(self, span, what, *args):
-        """Calls `what(*args)` after the given time span."""
-        self.call_at(self.now + span, what, *args)
+    def call_later(self, span, callback, *args):
+        """Calls `callback(*args)` after the given time span."""
+        self.call_at(self.now + span, callback, *args)
 
     def next_order(self):
         """A number greater than all earlier ones."""
@@ -352,8 +352,8 @@
                 self.config.groups_share_work,
                 self.max_wait,
             )
-        except lines.LineError as fault:
-            self.dismiss(conn, str(fault))
+        except lines.LineError as error:
+            self.dismiss(conn, str(error))
             return
         # Each connection must have a new id. Hosts answer ERR to an id that is already open, at this node or
         # another: every host that was tried looked broken, and each such leg costs a host work.
@@ -385,7 +385,7 @@
             self.end_call(conn, "held-by-unknown", lines.ERR)
             return
         self.read(conn.client)  # to notice when the client leaves
-        self.call_at(conn.guard + self.config.tick, self.overdue, conn)
+        self.call_at(conn.guard + self.config.tick, self.end_overdue_call, conn)
         self.queue_event(
             io.CallArrived(
                 conn,
@@ -403,7 +403,7 @@
             self.open_leg(Leg(conn, len(conn.legs), host, conn.guard), REATTACH_TIMEOUT // 4)
 
     def retry_after(self):
-        """Microseconds after which a client that is refused should come back; 0: not told."""
+        """Microseconds after which a refused client should come back; 0: not given."""
         return self.config.legs.max_retry_after // 2 if self.config.legs.may_retry_after else 0
 
     def client_lines(self, conn, data):
@@ -417,7 +417,7 @@
         self.expect_echo(leg)
         self.write(leg.end, data)
 
-    def overdue(self, conn):
+    def end_overdue_call(self, conn):
         """Logs an error and ends the call if the balancer has not answered it within its guard time."""
         if not conn.answered and not conn.up:
             self.effects.append(ev.Log("overdue", {"call": conn.request.id}, "error"))
@@ -456,7 +456,7 @@
 
     def start_leg(self, conn, host_name, deadline, send_by):
         """Starts the leg that the balancer asks for, or ends it at once if it must not start any more."""
-        leg = Leg(conn, len(conn.legs), self.host(host_name), deadline, send_by)
+        leg = Leg(conn, len(conn.legs), self.get_or_add_host(host_name), deadline, send_by)
         running = [other for other in conn.legs if not other.ended]
         if (
             conn.answered
@@ -490,7 +490,7 @@
 
         If this node was late itself, the answer may have arrived without being read yet. Then the leg gets
         that much more time (`extended` is set the second time); if the guard time does not allow that, the
-        leg is cancelled and the host not blamed.
+        leg is cancelled and not counted against the host.
         """
         if leg.up or leg.ended:
             return
@@ -503,7 +503,7 @@
             self.end_leg(leg, Ending.TIMEOUT if extended or not late else Ending.CANCELLED)
 
     def cancel_leg(self, leg):
-        """Cancels a leg without blaming its host, unless it was accepted meanwhile."""
+        """Cancels a leg, which does not count against its host, unless it was accepted meanwhile."""
         if not leg.up:
             self.end_leg(leg, Ending.CANCELLED)
 
@@ -608,7 +608,7 @@
             self.counters.count_answer("success", conn.type.name)
             # The host may have been removed from the list and added again meanwhile. The leg must belong to
             # the new object: nobody checks the old one for missing echoes.
-            leg.host = self.host(leg.host.name)
+            leg.host = self.get_or_add_host(leg.host.name)
             conn.setup_time = self.now - conn.accepted_at
             self.leg_established(leg)
             if self.transfers_enabled:
@@ -714,7 +714,7 @@
     def check_echoes(self):
         """Checks all hosts for missing echoes: the time without one is a lower bound on the message delay."""
         self.call_later(ECHO_CHECK_INTERVAL, self.check_echoes)
-        late = self.lateness.recent_max(self.now)  # an echo may have been here unread for so long
+        late = self.lateness.recent_max(self.now)  # an echo may have waited unread for this long
         for host in [host for host in self.active_hosts.active() if host.legs]:
             # While a client reads nothing its host is not read either, so echoes are missing through no fault
             # of the host.
@@ -722,16 +722,16 @@
             silence, leg = host.message_delays.silence(self.now, legs)
             silence = max(0, silence - late)
             loads = host.message_delays.resolved_loads(self.now)
-            claim = (
-                host.message_delays.confirmed_claim(self.now, silence)
+            hang = (
+                host.message_delays.confirmed_hang(self.now, silence)
                 if self.host_protocol.sends_delay
                 else None
             )
-            if claim:  # a line that was taken for a load was a delay
-                loads.append(claim[1:])
+            if hang:  # a line that was taken for a load was a delay
+                loads.append(hang[1:])
             self.report_loads(host, loads)
-            if claim:
-                self.report_delay(leg, claim[0], True)
+            if hang:
+                self.report_delay(leg, hang[0], True)
             # A silence is reported when it begins, at half a second, where the balancer recognises a hang,
             # and then once a second.
             elif self.host_protocol.sends_delay and silence >= 3 * self.slow_threshold:
@@ -756,7 +756,7 @@
 
         If there is no room for the probe, the result is FULL, which says nothing about the host.
         """
-        host = self.host(name)
+        host = self.get_or_add_host(name)
         if host.address is None:
             self.queue_event(io.ProbeEnded(name, Ending.CONNECT_FAILED))
         elif (
@@ -870,8 +870,8 @@
     def write_done(self, e):
         """Continues with what was waiting for the end of a write."""
         end, conn = e.end, e.end.conn
-        first = e.ok and not end.is_client and not end.leg.written
-        if first:  # also if the leg has ended meanwhile: the host has got the line
+        first_line_written = e.ok and not end.is_client and not end.leg.written
+        if first_line_written:  # also if the leg has ended meanwhile: the host has got the line
             end.leg.written = True
             self.counters.backend_calls += 1
         if (
@@ -893,7 +893,7 @@
         elif not e.ok:
             self.write_failed(end, e.skip_reason)
         else:
-            self.read_next(end, first)
+            self.read_next(end, first_line_written)
 
     def write_failed(self, end, skip_reason):
         """Ends what a failed write belongs to. `skip_reason`: see `WriteDone`."""
@@ -909,10 +909,10 @@
         else:
             self.host_ended(end.leg, "reset")
 
-    def read_next(self, end, first):
-        """Starts the next read after a write is done. `first`: an attempt's first line was written."""
+    def read_next(self, end, first_line_written):
+        """Starts the next read after a write is done. `first_line_written`: it was a leg's first line."""
         conn = end.conn
-        if first:
+        if first_line_written:
             self.read(end)
         elif not end.is_client:
             self.read(conn.client)  # only now, so that no lines queue up here
@@ -1037,7 +1037,7 @@
 
     # The host list
 
-    def host(self, name):
+    def get_or_add_host(self, name):
         """The host of that name, which is added if it is not known."""
         if name not in self.hosts:
             self.hosts[name] = Host(name, MessageDelays(self.slow_threshold), order=self.next_order())
@@ -1046,7 +1046,7 @@
     def list_received(self, e):
         """Takes over an update of the host list and passes it to the balancer."""
         for name, address in e.addresses.items():
-            self.host(name).address = address
+            self.get_or_add_host(name).address = address
         self.has_hosts = self.has_hosts or any(entry.state is io.HostState.UP for entry in e.update.entries)
         self.queue_event(e.update)
         # Dynamic weights arrive every second; only hosts that were added, removed or restarted are logged.
@@ -1218,7 +1218,7 @@
         leg = Leg(
             conn,
             0,
-            self.host(offered.host),
+            self.get_or_add_host(offered.host),
             0,
             end=e.host,
             write_issued=True,
--- a/cottonspread/policy/overview.py
+++ b/cottonspread/policy/overview.py
@@ -29,7 +29,7 @@
                 self.mark_exceptional(host)
 
     def mark_exceptional(self, host):
-        """Has each call check this server's state, until a refresh finds it ordinary again."""
+        """Makes every call check this server's state, until a refresh finds it ordinary again."""
         self.exceptional[host] = self.watched[host] = None
 
     def means(self):
@@ -49,7 +49,7 @@
             return
         self.refreshed_at = now
         self.sums.reweigh_all(self.rotation.order, self.loads.reported, self.loads.MEAN)
-        if self.settings.take_change():  # other servers may be slow under the new settings
+        if self.settings.consume_change():  # other servers may be slow under the new settings
             self.watched.update(self.rotation.positions)
         self.exceptional = {h: None for h in self.exceptional if self.is_exceptional(h, now)}
         self.cold = {h for h in self.exceptional if h.up and self.is_cold(h, now)}
@@ -65,8 +65,8 @@
         )
 
     def recently_cut(self, host, now):
-        """Whether its ceiling was cut within the last `Ceilings.CALM_TIME`."""
-        return now - host.cut_at < Ceilings.CALM_TIME
+        """Whether its ceiling was cut within the last `Ceilings.COOLDOWN`."""
+        return now - host.cut_at < Ceilings.COOLDOWN
 
     def is_exceptional(self, host, now):
         """Whether each call that might go there still has to check the server's state."""
@@ -80,7 +80,7 @@
         """The share of slow servers. One that hangs does not count: it says nothing of the others' load."""
         cut = [h for h in watched if self.recently_cut(h, now)]
         slow = [h for h in watched if h.legs and not h.hung and self.health.is_slow(h, now)]
-        reporting = self.sums.holding + sum(not h.legs for h in cut)
+        reporting = self.sums.servers_with_legs + sum(not h.legs for h in cut)
         # The 2 is a prior, because a single server says little of the others.
         return len({*cut, *slow}) / (reporting + 2)
 
--- a/cottonspread/structures/nominal_sizes.py
+++ b/cottonspread/structures/nominal_sizes.py
@@ -4,7 +4,7 @@
 class NominalSizes:
     """Sizes of servers, that is, their nominal capacities.
 
-    A static weight is the size. A dynamic weight is the size over 1 + calls held a core; then the largest
+    A static weight is the size. A dynamic weight is the size over 1 + open calls per core; then the largest
     weight listed for any server of a kind is the size (or for the server alone, if kinds are not known).
     """
 
@@ -14,10 +14,10 @@
         """`dynamic_weights`: whether listed weights vary with load."""
         self.dynamic_weights, self.largest = dynamic_weights, {}  # kind or server: its largest listed weight
 
-    def update(self, entry, before):
+    def update(self, entry, previous):
         """Takes in an entry and the server's previous one; returns whether a size has changed."""
         if not self.dynamic_weights:
-            return entry.weight != before.weight
+            return entry.weight != previous.weight
         size_class = self.size_class(entry)
         grows = entry.weight > self.largest.get(size_class, 0)
         if grows:
--- a/tests/scale/test_overview.py
+++ b/tests/scale/test_overview.py
@@ -3,7 +3,7 @@
 from random import Random
 
 import pytest
-from notation import begin, traffic_type
+from notation import node_config, traffic_type
 
 from cottonspread import interface as io
 from cottonspread.interface import Ending, HostState
@@ -32,8 +32,8 @@
     full = [h for h in order if node.readings.is_full(h, now)]
     probed = node.settings.probes_report_load
     exceptional = {h for h in order if h in cold or h.recovery_limit or probed and (h in full or h in near)}
-    active = [h for h in order if h.legs or now - h.cut_at < Ceilings.CALM_TIME]
-    slow = [h for h in active if health.is_slow(h, now) and not h.hung or now - h.cut_at < Ceilings.CALM_TIME]
+    active = [h for h in order if h.legs or now - h.cut_at < Ceilings.COOLDOWN]
+    slow = [h for h in active if health.is_slow(h, now) and not h.hung or now - h.cut_at < Ceilings.COOLDOWN]
     weights = [leg.load - node.loads.weight_of(leg) for h in order for leg in h.legs]
     return exceptional, len(slow) / (len(active) + 2), weights
 
@@ -51,7 +51,7 @@
         site = {"nodes": self.rng.choice((1, 40)), "moving": 0.03} | ({"probe": 1} if seed % 2 else {})
         self.types = (traffic_type("t", {}),)
         self.site = site
-        self.node = Balancer(self.now, begin(site, self.types))
+        self.node = Balancer(self.now, node_config(site, self.types))
         self.entries = {n: io.Entry(f"s{n}", n % 3) for n in range(SERVERS)}
         self.send(io.ListUpdate(io.ListUpdateKind.FULL, 1, tuple(self.entries.values())))
 
@@ -111,7 +111,7 @@
             self.change()
         else:
             faster = (traffic_type("t", {"message": rng.choice((20, 50, 400))}),)
-            self.send(io.Reconfigured(begin(self.site, faster)))
+            self.send(io.Reconfigured(node_config(self.site, faster)))
 
 
 @pytest.mark.parametrize("seed", range(24))
@@ -136,13 +136,13 @@
         random_node.step()
         up = [h for h in node.membership.hosts.values() if h.up]
         assert (node.sums.legs, node.sums.load) == legs_and_load(up)
-        assert node.sums.holding == sum(bool(h.legs) for h in up)
+        assert node.sums.servers_with_legs == sum(bool(h.legs) for h in up)
         assert (node.sums.excluded_legs, node.sums.excluded_load) == legs_and_load(node.sums.excluded)
     assert refreshes > STEPS / 20
 
 
 def test_a_server_whose_ceiling_was_just_cut_counts_as_slow():
-    """A cut counts for `Ceilings.CALM_TIME`, even if nothing else shows a slow server.
+    """A cut counts for `Ceilings.COOLDOWN`, even if nothing else shows a slow server.
 
     The server was found to be distant after the cut, which removed its ceiling, and has answered since.
     """
@@ -155,6 +155,6 @@
         node.now += SECOND
         node.overview.refresh(node.now)
         assert node.overview.slow_share == 1 / (1 + 2)
-    node.now += Ceilings.CALM_TIME
+    node.now += Ceilings.COOLDOWN
     node.overview.refresh(node.now)
     assert node.overview.slow_share == 0
--- a/tests/test_reducer.py
+++ b/tests/test_reducer.py
@@ -29,7 +29,7 @@
 The sockets to hosts are named h1, h2, .. in the order in which they are opened. Writes are done at once
 unless held.
 
-The world below checks in every scenario: at most one pending read and write per socket, nothing after a
+`World` checks in every scenario: at most one pending read and write per socket, nothing after a
 socket is freed, exactly one final answer per call, in time (unless the node was stalled), no socket, call or
 leg left at the end, and counters that agree with the lines on the connections.
 """
@@ -38,7 +38,7 @@
 from pathlib import Path
 
 import pytest
-from notation import begin, entry, ms, pairs, play, traffic_type
+from notation import entry, ms, node_config, pairs, play, traffic_type
 
 from cottonspread import config
 from cottonspread import interface as io
@@ -60,7 +60,7 @@
     def __init__(self, site, types):
         self.reducer = Reducer(
             0,
-            begin(site, types),
+            node_config(site, types),
             type_names(types),
             config.HostProtocol(ms(50), "no_loads" not in site, True, "loads_only" not in site),
             int(site.get("sockets", 100)),
@@ -68,10 +68,8 @@
         self.ends, self.names, self.held_writes, self.out = {}, {}, set(), []
         self.reading, self.writing, self.freed, self.answers = set(), set(), set(), {}
         self.probes = []
-        self.transferring, self.transferred = (
-            None,
-            set(),
-        )  # a `Transfer` in progress; the sockets that the successor has got
+        # a `Transfer` in progress; the sockets that the successor has got
+        self.transferring, self.transferred = None, set()
         self.got_first_line = set()  # hosts' sockets on which a first line was written completely
         self.taken_over = set()  # sockets of connections that the previous process opened
         self.now = 0
@@ -146,7 +144,7 @@
             self.out.append(["free", name])
 
     def transfer(self, effect, *_):
-        assert {effect.client, effect.host} <= self.reading, "transferred while it is not being read"
+        assert {effect.client, effect.host} <= self.reading, "transferred while not being read"
         assert not {effect.client, effect.host} & self.writing and not self.transferring
         self.transferring = effect
         one = effect.connection
@@ -193,7 +191,7 @@
         return +Counter(counters.answers | {"backend_calls": counters.backend_calls})
 
     def act(self, now, verb, args):
-        while verb != "stall" and self.reducer.due() < now:  # the calls that the node's loop makes in between
+        while verb != "stall" and self.reducer.due() < now:  # the steps that the node's loop runs in between
             self.now = max(self.now, self.reducer.due())
             self.step(ev.Tick())
         self.now, at = now, 0
@@ -286,7 +284,9 @@
         site, *types = [part.split() for part in " ".join(args).split("|")]
         types = [traffic_type(words[0], pairs(words[1:])) for words in types]
         self.step(
-            ev.SettingsReloaded(begin(pairs(site), types), type_names(types), self.reducer.host_protocol)
+            ev.SettingsReloaded(
+                node_config(pairs(site), types), type_names(types), self.reducer.host_protocol
+            )
         )
 
     def on_inherit(self, end, args, at):
@@ -364,10 +364,10 @@
                 answers = self.answers.get(name, [])
                 # after UP, lines are only forwarded
                 finals = 1 if answers and answers[0].startswith(b"UP") else len(answers)
-                client_left = end.conn.reason == "left-in-setup"  # a call that was transferred has its UP
-                assert finals + client_left == 1, f"{name}: {answers}, {end.conn.reason}"
+                left_in_setup = end.conn.reason == "left-in-setup"  # a call that was transferred has its UP
+                assert finals + left_in_setup == 1, f"{name}: {answers}, {end.conn.reason}"
                 in_time = (
-                    client_left
+                    left_in_setup
                     or self.stalled
                     or end.conn.request.held_by
                     or self.answered_at[name] <= end.conn.guard
@@ -402,7 +402,7 @@
 
 @pytest.mark.parametrize("seed", range(150))
 def test_random_events_give_one_answer_per_call_and_free_all_sockets(seed):
-    """Plays a hundred random events, each possible in its state; the world checks the results."""
+    """Plays a hundred random events, each possible in its state; `World` checks the results."""
     rng = SeededRandom(seed)
 
     def choice(choices):
@@ -420,17 +420,21 @@
     for n in range(100):
         now += ms(choice([0, 1, 3, 40, 400, 1100]))
         world.act(now, "tick", [])
-        moves = [("accept", [f"c{n}"])] * 3 + [("tick", []), ("list_failed", [])]
-        moves += [("list", ["changes", f"{choice('abc')}:state={choice(['up', 'draining', 'gone', 'up'])}"])]
-        moves += [("stop", [[], ["transfer"]][rng.below(2)])] if n > 80 else [("drain", []), ("resume", [])]
+        possible_events = [("accept", [f"c{n}"])] * 3 + [("tick", []), ("list_failed", [])]
+        possible_events += [
+            ("list", ["changes", f"{choice('abc')}:state={choice(['up', 'draining', 'gone', 'up'])}"])
+        ]
+        possible_events += (
+            [("stop", [[], ["transfer"]][rng.below(2)])] if n > 80 else [("drain", []), ("resume", [])]
+        )
         if world.transferring:
-            moves += [
+            possible_events += [
                 (
                     "transfer_done",
                     [world.names[world.transferring.client], choice(["accepted", "refused", "retry"])],
                 )
             ] * 9
-        moves += [
+        possible_events += [
             (
                 "offer",
                 [
@@ -447,11 +451,11 @@
             if world.transferring and end in (world.transferring.client, world.transferring.host):
                 continue  # it is not read meanwhile
             if end in world.writing:
-                moves += [("written", [name]), ("written", [name, "failed"])]
+                possible_events += [("written", [name]), ("written", [name, "failed"])]
             elif not end.is_client and not end.freed and not end.connected:
-                moves += [("connected", [name])] * 3 + [("connect_failed", [name])]
+                possible_events += [("connected", [name])] * 3 + [("connect_failed", [name])]
             elif end in world.reading and end.is_client and end.conn.request is None:
-                moves += [
+                possible_events += [
                     (
                         "read",
                         [
@@ -464,9 +468,12 @@
                     )
                 ] * 3
             elif end in world.reading:
-                moves += [("read", [name, choice(LINES) if not end.is_client else f"M {n} cd"])] * 4
-                moves += [("end", [name, choice(["end", "reset", "half-line"])]), ("hold_write", [name])]
-        verb, args = choice(moves)
+                possible_events += [("read", [name, choice(LINES) if not end.is_client else f"M {n} cd"])] * 4
+                possible_events += [
+                    ("end", [name, choice(["end", "reset", "half-line"])]),
+                    ("hold_write", [name]),
+                ]
+        verb, args = choice(possible_events)
         world.act(now, verb, " ".join(args).split())
     world.finish()
 
