--- a/benchmarks/configstore/mutants.py
+++ b/benchmarks/configstore/mutants.py
@@ -322,7 +322,7 @@
         "    _check_follows(highest, record)\n"
         "    if state.accepted and record.version == highest.version"
         " and record.digest != state.accepted.digest:\n"
-        '        raise RefusedError("same version, different digest")\n',
+        '        raise RefusedError("same version, other digest")\n',
         "",
         PLAYS,
     ),
--- a/cottonspread/configstore/register.py
+++ b/cottonspread/configstore/register.py
@@ -43,15 +43,15 @@
         raise RefusedError(f"generation {highest.generation} came first")
     _check_follows(highest, record)
     if state.accepted and record.version == highest.version and record.digest != state.accepted.digest:
-        raise RefusedError("same version, different digest")
+        raise RefusedError("same version, other digest")
     return msgspec.structs.replace(state, accepted=record)
 
 
 def _check_follows(highest: Position, record: Record) -> None:
     if record.generation <= highest.generation:
-        raise RefusedError("generation is not higher than the accepted one")
+        raise RefusedError("generation goes back")
     if (record.version, record.stage) < (highest.version, highest.stage):
-        raise RefusedError("version or stage is lower than the accepted one")
+        raise RefusedError("version or stage goes back")
 
 
 def commit(state: ReplicaState, record: Record) -> ReplicaState:
@@ -67,12 +67,12 @@
     if committed is not None:
         if record.generation == committed.generation:
             if record.checksum != committed.checksum:
-                raise RefusedError("same generation, different record")
+                raise RefusedError("same generation, other record")
             return state
         if (record.version, record.stage) < (committed.version, committed.stage):
-            raise RefusedError("version or stage is lower than the committed one")
+            raise RefusedError("version or stage goes back")
         if record.version == committed.version and record.digest != committed.digest:
-            raise RefusedError("same version, different digest")
+            raise RefusedError("same version, other digest")
     return ReplicaState(
         accepted=_accepted_after(state, record),
         committed=record,
